--- a/simulation/hosted/exchange.py
+++ b/simulation/hosted/exchange.py
@@ -6,6 +6,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
+from sailward import constants
 from sailward.events import Answer, Asked
 from simulation.hosted.network import Spot
 
@@ -16,7 +17,7 @@
 CONNECT = 1.0
 """s for a new connection, and for an answer of the directory."""
 BACK_WAIT = 15.0
-"""s that an answer is held behind a cut before it is lost."""
+"""s that an answer, or an operator's order, is held behind a cut before it is lost."""
 
 
 @dataclass(kw_only=True)
@@ -80,7 +81,9 @@
             )
 
     def _send(self) -> None:
-        self.world.network.send(a=self.spot, b=self.process.machine.spot, act=self._arrive)
+        # what an operator sent is still delivered long after it gave up: its connection's end comes behind it
+        wait = BACK_WAIT if self.edge == "desk" else constants.LEASE
+        self.world.network.send(a=self.spot, b=self.process.machine.spot, act=self._arrive, wait=wait)
 
     def _is_void(self) -> bool:
         # what an operator sent arrives also if it gave up meanwhile, and its connection's end right behind it
