--- a/simulation/sim/platform.py
+++ b/simulation/sim/platform.py
@@ -18,12 +18,19 @@
     def __init__(self, *, world: World) -> None:
         self._world = world
         self._rows: dict[str, dict] = {}
+        self._newest: dict[str, int] = {}
         self.revision = 0
         self.epoch = 1
         self.up = True
 
     def list_worker(self, *, mind: Mind, address: str) -> None:
-        """Put a worker on the list, or a new generation of it: the one before is gone."""
+        """Put a worker on the list, or a new generation of it: the one before is gone.
+
+        A generation names one start of a worker for good: a ValueError if it was listed before.
+        """
+        if mind.generation < self.next_generation(name=mind.name):
+            raise ValueError(f"generation {mind.generation} of {mind.name} was listed before")
+        self._newest[mind.name] = mind.generation
         before = self._rows.get(mind.name)
         self._rows[mind.name] = {
             "id": mind.name,
@@ -37,6 +44,10 @@
         if before and before["generation"] < mind.generation:
             self._note(row=before, k="gone")
 
+    def next_generation(self, *, name: str) -> int:
+        """The first generation of a worker that was never listed."""
+        return self._newest.get(name, 0) + 1
+
     def names(self) -> set:
         """Who is on the list."""
         return set(self._rows)
--- a/simulation/sim/verbs/workers.py
+++ b/simulation/sim/verbs/workers.py
@@ -93,7 +93,7 @@
                     service=mind.service,
                     hall=mind.hall,
                     address=address,
-                    generation=mind.generation + 1,
+                    generation=world.platform.next_generation(name=mind.name),
                 )
 
     def do_worker_replace_if(self, name: str) -> None:
@@ -148,5 +148,5 @@
             service=mind.service,
             hall=mind.hall,
             address=f"10.1.9.{index}:80",
-            generation=mind.generation + 1,
+            generation=self._world.platform.next_generation(name=mind.name),
         )
