--- /dev/null
+++ b/tests/test_copy_sources.py
@@ -0,0 +1,49 @@
+"""Who may be copied from: a voter that never finished its own copy holds nothing that counts.
+
+Three voters chose a change by the votes of two. The third was exchanged for a newcomer, which was exchanged in its
+turn before its own copy was over. Were it a source for the next one, what it tells and what one survivor tells would
+count as a majority of the set before, though only one of these two ever held votes: a chosen value could be missed.
+"""
+
+from __future__ import annotations
+
+import json
+
+import pytest
+
+from sailward.consensus.acceptor import KNOWN
+from sailward.control.repair import change_members
+from sailward.control.voter import Voter
+from sailward.discovery.gossip import Place
+
+NEWCOMER, NEXT = "new#1", "next#1"
+POSTS = {"a#1": "10.0.0.1:1", "b#1": "10.0.0.2:1", "c#1": "10.0.0.3:1"}
+
+
+def change(*, text: str, number: int, add: str, drop: str) -> str:
+    return change_members(text=text, number=number, add=(add, f"10.0.1.{number}:1"), drop=drop)
+
+
+def make_voter(*, copied_under: int | None) -> Voter:
+    """The newcomer of set 2 under set 3, which exchanged it; it finished its own copy under `copied_under`, if any."""
+    second = change(text=json.dumps({"members": POSTS, "joined": {}}), number=1, add=NEWCOMER, drop="c#1")
+    third = change(text=second, number=2, add=NEXT, drop=NEWCOMER)
+    value = {"number": 3, "mark": "m3", "trail": [], "text": third}
+    records = [
+        {"k": "identity", "id": NEWCOMER},
+        {"k": "promise", "r": KNOWN, "b": [3, "a#1"], "v": value},
+    ]
+    if copied_under is not None:
+        records.append({"k": "copied", "n": copied_under})
+    place = Place(name="new", kind="controller", hall="z", region="r", post="10.0.1.1:1", http="")
+    return Voter(place=place, nonce="n", records=records, now=0.0, bootstrap=None)
+
+
+@pytest.mark.parametrize(("copied_under", "may_tell"), [(None, False), (0, False), (1, False), (2, True), (3, True)])
+def test_only_a_voter_that_finished_its_copy_under_the_set_before_is_a_source(
+    copied_under: int | None, may_tell: bool
+) -> None:
+    voter = make_voter(copied_under=copied_under)
+    assert voter.voters["number"] == 3
+    assert NEWCOMER in voter.voters["before"]["members"]
+    assert voter.may_tell is may_tell
