--- a/sailward/client/forecast.py
+++ b/sailward/client/forecast.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from sailward.config.homes import find_home_halls
+from sailward.config.residency import find_home_halls
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/sailward/config/check.py
+++ b/sailward/config/check.py
@@ -9,10 +9,10 @@
 
 from sailward import constants
 from sailward.config.errors import list_errors
-from sailward.config.homes import list_halls
 from sailward.config.matches import sort_matches
+from sailward.config.residency import list_halls
 from sailward.config.schema import CONFIG
-from sailward.config.stamps import expand_stamps
+from sailward.config.template_expansion import expand_stamps
 from sailward.json_text import BadJson, load_json
 
 
--- a/sailward/config/dialect.py
+++ b/sailward/config/dialect.py
@@ -10,7 +10,7 @@
 from sailward.config.check import Unsound, read_config
 from sailward.config.patch import merge_patch
 from sailward.events import Answer, Asked
-from sailward.routing.exchange import answer_json
+from sailward.routing.proxied_request import answer_json
 
 CONFIG_KINDS = ("put", "patch")
 
--- a/sailward/control/admin_api.py
+++ b/sailward/control/administration/admin_api.py
@@ -16,9 +16,9 @@
 from sailward.config.dialect import Dialect, Order, Outcome, OwnDialect, refused_unsound
 from sailward.config.history import Labelled, Verdict, read_labelled, write_labelled
 from sailward.consensus.proposer import Accepted, Begin, Refused, Settled, Unknown
-from sailward.control.homes import find_homeless
-from sailward.control.repair import change_members, keeps_majority
-from sailward.control.zone_orders import read_zone_orders, write_zone_orders
+from sailward.control.administration.residency import find_homeless
+from sailward.control.administration.zone_orders import read_zone_orders, write_zone_orders
+from sailward.control.group.repair import change_members, keeps_majority
 from sailward.events import Asked, Check, Checked, Log
 
 
--- a/sailward/control/metrics.py
+++ b/sailward/control/administration/metrics.py
@@ -10,11 +10,11 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Literal
 
-from sailward.control.repair import count_core
+from sailward.control.group.repair import count_core
 from sailward.events import Answer
 
 if TYPE_CHECKING:
-    from sailward.control.status_report import StatusSources
+    from sailward.control.administration.status_report import StatusSources
 
 CONTENT_TYPE = "application/openmetrics-text; version=1.0.0; charset=utf-8"
 PREFIX = "sailward_"
--- a/sailward/control/homes.py
+++ b/sailward/control/administration/residency.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Set
 
-from sailward.config.homes import find_home_halls
+from sailward.config.residency import find_home_halls
 
 
 def find_homeless(*, full: dict, emptied: Set[str]) -> list[str]:
--- a/sailward/control/status_report.py
+++ b/sailward/control/administration/status_report.py
@@ -6,19 +6,19 @@
 
 import sailward
 from sailward import constants
-from sailward.control.admin_api import AdminApi
-from sailward.control.catch_up import CatchUp
-from sailward.control.contact_watch import ContactWatch
-from sailward.control.disaster_recovery import read_founding
-from sailward.control.membership import Membership
-from sailward.control.metrics import show_metrics
-from sailward.control.quorum_contact import NEVER
-from sailward.control.repair import count_core
-from sailward.control.standing import Standing
-from sailward.control.subscribers import Subscribers
-from sailward.control.voter import Voter
-from sailward.control.worker_list import WorkerList
-from sailward.discovery.gossip import Roster, kind_of
+from sailward.control.administration.admin_api import AdminApi
+from sailward.control.administration.metrics import show_metrics
+from sailward.control.endpoints.endpoint_list import WorkerList
+from sailward.control.group.catch_up import CatchUp
+from sailward.control.group.contact_watch import ContactWatch
+from sailward.control.group.disaster_recovery import read_founding
+from sailward.control.group.membership import Membership
+from sailward.control.group.quorum_contact import NEVER
+from sailward.control.group.repair import count_core
+from sailward.control.group.voter import Voter
+from sailward.control.proxies.aggregated_health import Standing
+from sailward.control.proxies.subscribers import Subscribers
+from sailward.discovery.peer_table import Roster, kind_of
 from sailward.events import RefusedInput, UnexpectedEvents
 
 
--- a/sailward/control/controller.py
+++ b/sailward/control/controller.py
@@ -7,28 +7,28 @@
 from sailward import constants
 from sailward.config.dialect import OwnDialect
 from sailward.consensus.proposer import Begin, Proposer
-from sailward.control.admin_api import AdminApi
-from sailward.control.catch_up import CatchUp
-from sailward.control.contact_watch import ContactWatch
-from sailward.control.disaster_recovery import log_founding
-from sailward.control.fleet import Fleet
-from sailward.control.leaving import Leaving
-from sailward.control.membership import Membership
+from sailward.control.administration.admin_api import AdminApi
+from sailward.control.administration.metrics import answer_metrics
+from sailward.control.administration.status_report import StatusSources, show_status
+from sailward.control.controller_options import ControllerOptions
+from sailward.control.endpoints.endpoint_list import WorkerList
+from sailward.control.group.catch_up import CatchUp
+from sailward.control.group.contact_watch import ContactWatch
+from sailward.control.group.disaster_recovery import log_founding
+from sailward.control.group.graceful_shutdown import Leaving
+from sailward.control.group.membership import Membership
+from sailward.control.group.quorum_contact import QuorumContact
+from sailward.control.group.redirect import turn_away
+from sailward.control.group.voter import Voter
 from sailward.control.message_handlers import MessageHandlers
-from sailward.control.metrics import answer_metrics
-from sailward.control.moves import Moves
-from sailward.control.options import ControllerOptions
-from sailward.control.quorum_contact import QuorumContact
+from sailward.control.proxies.aggregated_health import Standing
+from sailward.control.proxies.proxy_registry import Fleet
+from sailward.control.proxies.serving import Serving
+from sailward.control.proxies.subscribers import Subscribers
 from sailward.control.registers import Registers
-from sailward.control.serving import Serving
-from sailward.control.shard_leases import ShardLeases
-from sailward.control.standing import Standing
-from sailward.control.status_report import StatusSources, show_status
-from sailward.control.subscribers import Subscribers
-from sailward.control.turning_away import turn_away
-from sailward.control.voter import Voter
-from sailward.control.worker_list import WorkerList
-from sailward.discovery.gossip import Place, Roster
+from sailward.control.shards.shard_leases import ShardLeases
+from sailward.control.shards.shard_moves import Moves
+from sailward.discovery.peer_table import Place, Roster
 from sailward.events import (
     Answer,
     Asked,
@@ -45,7 +45,7 @@
     Ticked,
     UnexpectedEvents,
 )
-from sailward.routing.exchange import answer_json
+from sailward.routing.proxied_request import answer_json
 
 NEVER = -1e9
 
--- a/sailward/control/options.py
+++ b/sailward/control/controller_options.py
@@ -7,12 +7,12 @@
 from typing import TYPE_CHECKING
 
 from sailward import constants
-from sailward.control.grant_calls import GrantCodec
+from sailward.control.shards.grant_calls import GrantCodec
 
 if TYPE_CHECKING:
     from sailward.config.dialect import Dialect
-    from sailward.control.bootstrap import Bootstrap
-    from sailward.discovery.pages import ListReader
+    from sailward.control.group.bootstrap import Bootstrap
+    from sailward.discovery.endpoint_pages import ListReader
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/sailward/control/worker_list.py
+++ b/sailward/control/endpoints/endpoint_list.py
@@ -4,10 +4,10 @@
 
 import json
 
-from sailward.control.incarnations import Incarnations
-from sailward.control.listing import Listing
-from sailward.discovery.gossip import Roster
-from sailward.discovery.pages import ListReader, Pager
+from sailward.control.endpoints.endpoint_poller import Listing
+from sailward.control.endpoints.incarnations import Incarnations
+from sailward.discovery.endpoint_pages import ListReader, Pager
+from sailward.discovery.peer_table import Roster
 from sailward.events import Called, Command, Log, RefusedInput
 
 
--- a/sailward/control/listing.py
+++ b/sailward/control/endpoints/endpoint_poller.py
@@ -6,10 +6,10 @@
 from dataclasses import dataclass, field
 
 from sailward import constants
-from sailward.control.incarnations import Incarnations
-from sailward.discovery.pages import Pager
+from sailward.control.endpoints.incarnations import Incarnations
+from sailward.discovery.endpoint_pages import Pager
+from sailward.discovery.endpoint_rows import UNREADABLE_LIST, is_life, read_workers
 from sailward.discovery.rendezvous import choose_names
-from sailward.discovery.rows import UNREADABLE_LIST, is_life, read_workers
 from sailward.events import Called, Log, RefusedInput, Tell
 
 
--- /dev/null
+++ b/sailward/control/group/__init__.py
@@ -0,0 +1,5 @@
+"""The voters' group: who votes, what was voted for, copying, repair and recovery.
+
+Owns the identity, votes and learned values of this controller and its records on disk. Called by the controller and by
+every other part of the control plane; imports none of them.
+"""
--- a/sailward/control/catch_up.py
+++ b/sailward/control/group/catch_up.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from sailward import constants
-from sailward.consensus.held import CONTROL
+from sailward.consensus.learner import CONTROL
 from sailward.consensus.proposer import Accepted, Begin, Settled
-from sailward.control.quorum_contact import QuorumContact
-from sailward.control.voter import Voter
+from sailward.control.group.quorum_contact import QuorumContact
+from sailward.control.group.voter import Voter
 
 NEVER = -1e9
 
--- a/sailward/control/contact_watch.py
+++ b/sailward/control/group/contact_watch.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from sailward.control.admin_api import AdminApi
-from sailward.control.catch_up import CatchUp
-from sailward.control.freshness import newest_vote
-from sailward.control.quorum_contact import QuorumContact
-from sailward.control.voter import Voter
-from sailward.discovery.gossip import Roster
+from sailward.control.administration.admin_api import AdminApi
+from sailward.control.group.catch_up import CatchUp
+from sailward.control.group.quorum_contact import QuorumContact
+from sailward.control.group.voter import Voter
+from sailward.control.shards.freshness import newest_vote
+from sailward.discovery.peer_table import Roster
 from sailward.events import Command, Log
 
 TOLD_NUMBERS = ("config", "orders")
--- a/sailward/control/copying.py
+++ b/sailward/control/group/copying.py
@@ -7,7 +7,7 @@
 
 from sailward import constants
 from sailward.consensus.acceptor import FIRST, Slot
-from sailward.consensus.held import Held, read_voters
+from sailward.consensus.learner import Held, read_voters
 from sailward.consensus.proposer import blocking_of, majority_of, newest_of
 from sailward.events import Tell
 
--- a/sailward/control/disaster_recovery.py
+++ b/sailward/control/group/disaster_recovery.py
@@ -8,9 +8,9 @@
 
 from sailward import constants
 from sailward.consensus.acceptor import CLAIM, FIRST, Slot
-from sailward.consensus.held import Held
+from sailward.consensus.learner import Held
 from sailward.consensus.proposer import blocking_of
-from sailward.control.copying import Copying
+from sailward.control.group.copying import Copying
 from sailward.events import Log
 
 
--- a/sailward/control/leaving.py
+++ b/sailward/control/group/graceful_shutdown.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from sailward import constants
-from sailward.control.repair import is_waiting
-from sailward.control.voter import Voter
-from sailward.discovery.gossip import Roster
+from sailward.control.group.repair import is_waiting
+from sailward.control.group.voter import Voter
+from sailward.discovery.peer_table import Roster
 from sailward.events import Command, Log, Stop, Tell
 
 NEVER = -1e9
--- a/sailward/control/membership.py
+++ b/sailward/control/group/membership.py
@@ -9,22 +9,22 @@
 from sailward import constants
 from sailward.config.check import Unsound, read_config
 from sailward.consensus.acceptor import Slot, fold_record
-from sailward.consensus.held import is_control, read_voters
+from sailward.consensus.learner import is_control, read_voters
 from sailward.consensus.proposer import Begin
-from sailward.control.copying import Copying, copy_page
-from sailward.control.disaster_recovery import (
+from sailward.control.controller_options import ControllerOptions
+from sailward.control.group.copying import Copying, copy_page
+from sailward.control.group.disaster_recovery import (
     Anew,
     NotFounded,
     make_founding,
     merge_survivors,
     read_founding,
 )
-from sailward.control.options import ControllerOptions
-from sailward.control.repair import Repair, count_core
-from sailward.control.voter import Voter
-from sailward.discovery.gossip import Roster
+from sailward.control.group.repair import Repair, count_core
+from sailward.control.group.voter import Voter
+from sailward.discovery.peer_table import Roster
 from sailward.events import Answer, Asked, Command, Log, Tell
-from sailward.routing.exchange import answer_json
+from sailward.routing.proxied_request import answer_json
 from sailward.shapes import is_text, list_of, map_of
 
 is_members = map_of(is_text)
--- a/sailward/control/quorum_contact.py
+++ b/sailward/control/group/quorum_contact.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass, field
 
 from sailward import constants
-from sailward.consensus.held import CONTROL
+from sailward.consensus.learner import CONTROL
 from sailward.consensus.proposer import majority_of
 
 NEVER = -1e9
--- a/sailward/control/turning_away.py
+++ b/sailward/control/group/redirect.py
@@ -4,9 +4,9 @@
 
 from sailward import constants
 from sailward.config.dialect import Dialect, Outcome
-from sailward.discovery.gossip import Roster, kind_of
+from sailward.discovery.peer_table import Roster, kind_of
 from sailward.events import Answer, Asked
-from sailward.routing.exchange import answer_json
+from sailward.routing.proxied_request import answer_json
 
 
 def other_controllers(*, roster: Roster, members: dict[str, str], own: str) -> list[list[str]]:
--- a/sailward/control/voter.py
+++ b/sailward/control/group/voter.py
@@ -6,11 +6,11 @@
 
 from sailward import constants
 from sailward.consensus.acceptor import CLAIM, KNOWN, Acceptor, Slot, Slots, fold_record, slot_records
-from sailward.consensus.held import Held, HeldBook, read_voters
-from sailward.control.bootstrap import Bootstrap, make_founder
-from sailward.control.disaster_recovery import read_founding
-from sailward.control.write_ahead import WriteAhead
-from sailward.discovery.gossip import Place
+from sailward.consensus.learner import Held, HeldBook, read_voters
+from sailward.control.group.bootstrap import Bootstrap, make_founder
+from sailward.control.group.disaster_recovery import read_founding
+from sailward.control.group.write_ahead import WriteAhead
+from sailward.discovery.peer_table import Place
 from sailward.events import Command, Tell
 
 
--- a/sailward/control/message_handlers.py
+++ b/sailward/control/message_handlers.py
@@ -4,17 +4,17 @@
 
 from collections.abc import Callable
 
-from sailward.control.catch_up import CatchUp
-from sailward.control.contact_watch import ContactWatch
-from sailward.control.fleet import Fleet
-from sailward.control.membership import Membership
-from sailward.control.options import ControllerOptions
+from sailward.control.controller_options import ControllerOptions
+from sailward.control.endpoints.endpoint_list import WorkerList
+from sailward.control.group.catch_up import CatchUp
+from sailward.control.group.contact_watch import ContactWatch
+from sailward.control.group.membership import Membership
+from sailward.control.group.voter import Voter
+from sailward.control.proxies.proxy_registry import Fleet
+from sailward.control.proxies.serving import Serving
 from sailward.control.registers import Registers
-from sailward.control.serving import Serving
-from sailward.control.shard_leases import ShardLeases
-from sailward.control.voter import Voter
-from sailward.control.worker_list import WorkerList
-from sailward.discovery.gossip import Roster
+from sailward.control.shards.shard_leases import ShardLeases
+from sailward.discovery.peer_table import Roster
 from sailward.events import Command, Log
 
 
--- a/sailward/control/standing.py
+++ b/sailward/control/proxies/aggregated_health.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, field
 
 from sailward import constants
-from sailward.control.subscribers import Subscriber
-from sailward.routing.halls import HallBook
+from sailward.control.proxies.subscribers import Subscriber
+from sailward.routing.zone_health import HallBook
 
 PARTS = 1000
 """A fraction as a count: the fold takes counts."""
--- a/sailward/control/fleet.py
+++ b/sailward/control/proxies/proxy_registry.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass, field
 
 from sailward import constants
-from sailward.control.key_loads import KeyLoads, WorkerPaces, has_shifted, read_rates, tell_rates
-from sailward.control.subscribers import Subscriber
+from sailward.control.proxies.key_loads import KeyLoads, WorkerPaces, has_shifted, read_rates, tell_rates
+from sailward.control.proxies.subscribers import Subscriber
 from sailward.events import Tell
 
 SAME = ["same"]
--- a/sailward/control/serving.py
+++ b/sailward/control/proxies/serving.py
@@ -6,18 +6,18 @@
 from __future__ import annotations
 
 from sailward import constants
-from sailward.consensus.held import is_control
-from sailward.control.catch_up import CatchUp
-from sailward.control.contact_watch import ContactWatch
-from sailward.control.fleet import Fleet
-from sailward.control.membership import Membership
-from sailward.control.options import ControllerOptions
-from sailward.control.standing import Standing
-from sailward.control.subscribers import Subscribers
-from sailward.control.turning_away import other_controllers
-from sailward.control.voter import Voter
-from sailward.control.worker_list import WorkerList
-from sailward.discovery.gossip import Roster, kind_of
+from sailward.consensus.learner import is_control
+from sailward.control.controller_options import ControllerOptions
+from sailward.control.endpoints.endpoint_list import WorkerList
+from sailward.control.group.catch_up import CatchUp
+from sailward.control.group.contact_watch import ContactWatch
+from sailward.control.group.membership import Membership
+from sailward.control.group.redirect import other_controllers
+from sailward.control.group.voter import Voter
+from sailward.control.proxies.aggregated_health import Standing
+from sailward.control.proxies.proxy_registry import Fleet
+from sailward.control.proxies.subscribers import Subscribers
+from sailward.discovery.peer_table import Roster, kind_of
 from sailward.events import Command, Tell
 
 
--- a/sailward/control/subscribers.py
+++ b/sailward/control/proxies/subscribers.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from sailward import constants
-from sailward.discovery.gossip import kind_of
+from sailward.discovery.peer_table import kind_of
 from sailward.events import Tell
 
 OWN_LIST = "workers"
--- a/sailward/control/registers.py
+++ b/sailward/control/registers.py
@@ -4,17 +4,17 @@
 
 from collections.abc import Callable
 
-from sailward.consensus.held import is_control
+from sailward.consensus.learner import is_control
 from sailward.consensus.proposer import EMPTY, Accepted, Begin, Proposer, Refused, Settled
-from sailward.control.admin_api import AdminApi
-from sailward.control.catch_up import CatchUp
-from sailward.control.membership import Membership
-from sailward.control.moves import Moves
-from sailward.control.quorum_contact import QuorumContact
-from sailward.control.serving import Serving
-from sailward.control.shard_leases import ShardLeases
-from sailward.control.voter import Voter
-from sailward.discovery.gossip import Roster
+from sailward.control.administration.admin_api import AdminApi
+from sailward.control.group.catch_up import CatchUp
+from sailward.control.group.membership import Membership
+from sailward.control.group.quorum_contact import QuorumContact
+from sailward.control.group.voter import Voter
+from sailward.control.proxies.serving import Serving
+from sailward.control.shards.shard_leases import ShardLeases
+from sailward.control.shards.shard_moves import Moves
+from sailward.discovery.peer_table import Roster
 from sailward.events import Called, Command, Log, RefusedInput, Tell
 from sailward.routing.plan import Plan, Unreadable, load_config
 
--- a/sailward/control/freshness.py
+++ b/sailward/control/shards/freshness.py
@@ -9,7 +9,7 @@
 
 from sailward import constants
 from sailward.consensus.acceptor import Slots
-from sailward.consensus.held import HeldBook
+from sailward.consensus.learner import HeldBook
 from sailward.consensus.proposer import blocking_of
 from sailward.events import Tell
 
--- a/sailward/control/grant_targets.py
+++ b/sailward/control/shards/grant_targets.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, field, replace
 
 from sailward import constants
-from sailward.control.grant_calls import NEVER, GrantCalls
-from sailward.control.shard_plan import Span, place, strain, weigh
+from sailward.control.shards.grant_calls import NEVER, GrantCalls
+from sailward.control.shards.shard_plan import Span, place, strain, weigh
 from sailward.routing.shards import Shard
 
 
--- a/sailward/control/granting.py
+++ b/sailward/control/shards/granting.py
@@ -28,12 +28,12 @@
 from dataclasses import replace
 
 from sailward import constants
-from sailward.control.grant_calls import NEVER, GrantCalls, GrantCodec
-from sailward.control.grant_targets import GrantScene, GrantTargets
-from sailward.control.shard_plan import Span, place
+from sailward.control.shards.grant_calls import NEVER, GrantCalls, GrantCodec
+from sailward.control.shards.grant_targets import GrantScene, GrantTargets
+from sailward.control.shards.shard_plan import Span, place
 from sailward.events import Called
+from sailward.routing.shard_owners import PREFIX
 from sailward.routing.shards import KEYS, MOVING, OPEN, Shard, ShardTable, read_shards, write_shards
-from sailward.routing.slots import PREFIX
 
 
 class Granting:
--- a/sailward/control/witness.py
+++ b/sailward/control/shards/quiescence.py
@@ -6,8 +6,8 @@
 
 from sailward import constants
 from sailward.consensus.proposer import majority_of
-from sailward.control.subscribers import Subscriber
-from sailward.routing.slots import PREFIX
+from sailward.control.proxies.subscribers import Subscriber
+from sailward.routing.shard_owners import PREFIX
 
 
 @dataclass(kw_only=True)
--- a/sailward/control/assigning.py
+++ b/sailward/control/shards/shard_assignment.py
@@ -5,11 +5,11 @@
 from dataclasses import dataclass, field, replace
 
 from sailward import constants
-from sailward.control.witness import Closing, Witness
+from sailward.control.shards.quiescence import Closing, Witness
+from sailward.discovery.endpoint_table import Worker
 from sailward.discovery.rendezvous import choose_names
-from sailward.discovery.workers import Worker
 from sailward.routing.plan import Plan, Pool, Service
-from sailward.routing.slots import Owned, common_homes, pool_at, read_table, space_of, write_table
+from sailward.routing.shard_owners import Owned, common_homes, pool_at, read_table, space_of, write_table
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/sailward/control/shard_leases.py
+++ b/sailward/control/shards/shard_leases.py
@@ -10,22 +10,22 @@
 
 from sailward import constants
 from sailward.consensus.proposer import Begin
-from sailward.control.catch_up import CatchUp
-from sailward.control.fleet import Fleet
-from sailward.control.freshness import Freshness, newest_vote
-from sailward.control.grant_calls import GrantCodec
-from sailward.control.grant_targets import GrantScene
-from sailward.control.granting import Granting
-from sailward.control.moves import Moves
-from sailward.control.subscribers import Subscribers
-from sailward.control.voter import Voter
-from sailward.control.worker_list import WorkerList
-from sailward.discovery.gossip import Roster
+from sailward.control.endpoints.endpoint_list import WorkerList
+from sailward.control.group.catch_up import CatchUp
+from sailward.control.group.voter import Voter
+from sailward.control.proxies.proxy_registry import Fleet
+from sailward.control.proxies.subscribers import Subscribers
+from sailward.control.shards.freshness import Freshness, newest_vote
+from sailward.control.shards.grant_calls import GrantCodec
+from sailward.control.shards.grant_targets import GrantScene
+from sailward.control.shards.granting import Granting
+from sailward.control.shards.shard_moves import Moves
+from sailward.discovery.endpoint_table import Worker
+from sailward.discovery.peer_table import Roster
 from sailward.discovery.rendezvous import choose_names
-from sailward.discovery.workers import Worker
 from sailward.events import Called, Command, Tell
-from sailward.routing.slots import PREFIX
-from sailward.routing.world import read_orders
+from sailward.routing.routing_state import read_orders
+from sailward.routing.shard_owners import PREFIX
 
 
 class ShardLeases:
--- a/sailward/control/moves.py
+++ b/sailward/control/shards/shard_moves.py
@@ -6,16 +6,16 @@
 from dataclasses import dataclass, field
 
 from sailward import constants
-from sailward.consensus.held import HeldBook
-from sailward.control.assigning import Assigning, Scene
-from sailward.control.standing import Standing
-from sailward.control.subscribers import Subscriber
-from sailward.control.witness import Witness
+from sailward.consensus.learner import HeldBook
+from sailward.control.proxies.aggregated_health import Standing
+from sailward.control.proxies.subscribers import Subscriber
+from sailward.control.shards.quiescence import Witness
+from sailward.control.shards.shard_assignment import Assigning, Scene
+from sailward.discovery.endpoint_table import WorkerBook
 from sailward.discovery.rendezvous import choose_names
-from sailward.discovery.workers import WorkerBook
 from sailward.routing.plan import Plan
-from sailward.routing.slots import PREFIX
-from sailward.routing.world import read_orders
+from sailward.routing.routing_state import read_orders
+from sailward.routing.shard_owners import PREFIX
 
 
 @dataclass(kw_only=True)
--- a/sailward/discovery/pages.py
+++ b/sailward/discovery/endpoint_pages.py
@@ -7,7 +7,7 @@
 from urllib.parse import quote
 
 from sailward import constants
-from sailward.discovery.rows import is_generation, is_life
+from sailward.discovery.endpoint_rows import is_generation, is_life
 from sailward.events import Call, Called, Log
 from sailward.json_text import BadJson, load_json
 from sailward.shapes import is_anything, is_text, is_whole, list_of, record_of
--- a/sailward/programs/common.py
+++ b/sailward/programs/common.py
@@ -11,14 +11,14 @@
 
 import sailward
 from sailward import constants
-from sailward.discovery.gossip import Place
+from sailward.discovery.peer_table import Place
 from sailward.runtime.logs import start_logs, write_log
 from sailward.runtime.loop import Edges, Loop, run_guarded
 from sailward.runtime.startup import BadStartup, read_startup
 from sailward.storage.disk import Disk
-from sailward.transport.calls import Calls
-from sailward.transport.post import Post
-from sailward.transport.web import Web
+from sailward.transport.address import Post
+from sailward.transport.curl_client import Calls
+from sailward.transport.wsgi_server import Web
 
 
 def read_flags(*, doc: str, argv: list[str] | None) -> dict:
--- a/sailward/programs/hosted.py
+++ b/sailward/programs/hosted.py
@@ -11,15 +11,15 @@
 
 import sailward
 from sailward import constants
-from sailward.discovery.gossip import Place
+from sailward.discovery.peer_table import Place
 from sailward.events import Answer, Asked, Call, CancelCall, HangUp, Tell
 from sailward.routing.plan import Limits
 from sailward.runtime.host import Host
 from sailward.runtime.logs import start_logs, write_log
 from sailward.runtime.reactor import Reactor
-from sailward.transport.courier import Courier
-from sailward.transport.front import Front
-from sailward.transport.outbound import Outbound
+from sailward.transport.http_client import Outbound
+from sailward.transport.http_server import Front
+from sailward.transport.message_transport import Courier
 from sailward.transport.wire_names import WireNames
 
 
--- a/sailward/proxy/directory.py
+++ b/sailward/proxy/directory.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass, field
 
 from sailward import constants
-from sailward.discovery.gossip import Place
+from sailward.discovery.peer_table import Place
 from sailward.events import Answer, Asked
-from sailward.routing.exchange import answer_json
+from sailward.routing.proxied_request import answer_json
 
 
 @dataclass(kw_only=True)
--- a/sailward/proxy/directory_server.py
+++ b/sailward/proxy/directory_server.py
@@ -5,7 +5,7 @@
 import random
 
 from sailward import constants
-from sailward.discovery.gossip import Place, Roster, kind_of
+from sailward.discovery.peer_table import Place, Roster, kind_of
 from sailward.discovery.rendezvous import score_pair
 from sailward.events import (
     Answer,
@@ -24,7 +24,7 @@
     Ticked,
     UnexpectedEvents,
 )
-from sailward.routing.exchange import answer_json
+from sailward.routing.proxied_request import answer_json
 
 
 class DirectoryServer:
--- a/sailward/proxy/proxy.py
+++ b/sailward/proxy/proxy.py
@@ -10,10 +10,10 @@
 from dataclasses import dataclass
 
 from sailward import constants
-from sailward.consensus.held import HeldBook, is_control
-from sailward.discovery.gossip import KINDS_ON_WIRE, Place
-from sailward.discovery.rows import UNREADABLE_LIST, is_life, read_fleet, read_workers
-from sailward.discovery.workers import WorkerBook
+from sailward.consensus.learner import HeldBook, is_control
+from sailward.discovery.endpoint_rows import UNREADABLE_LIST, is_life, read_fleet, read_workers
+from sailward.discovery.endpoint_table import WorkerBook
+from sailward.discovery.peer_table import KINDS_ON_WIRE, Place
 from sailward.events import (
     Asked,
     Called,
@@ -33,17 +33,17 @@
     Ticked,
     UnexpectedEvents,
 )
+from sailward.proxy.control_client import Uplink
 from sailward.proxy.directory import Directory
-from sailward.proxy.uplink import Uplink
-from sailward.routing.evidence import Evidence
-from sailward.routing.exchange import answer_json
+from sailward.routing.endpoint_selection import Placer, Scene
 from sailward.routing.forwarding import Forwarder
-from sailward.routing.halls import HallBook
-from sailward.routing.placing import Placer, Scene
+from sailward.routing.passive_health import Evidence
 from sailward.routing.plan import Unreadable, load_config
+from sailward.routing.proxied_request import answer_json
 from sailward.routing.retry_budget import RetryBudget
-from sailward.routing.slots import PREFIX as SLOTS
-from sailward.routing.world import read_orders
+from sailward.routing.routing_state import read_orders
+from sailward.routing.shard_owners import PREFIX as SLOTS
+from sailward.routing.zone_health import HallBook
 from sailward.state_machines import Chart
 from sailward.transport.wire_names import WireNames
 
--- a/sailward/proxy/tenant_proxy.py
+++ b/sailward/proxy/tenant_proxy.py
@@ -6,10 +6,10 @@
 from dataclasses import replace
 
 from sailward import constants
-from sailward.consensus.held import CONTROL, HeldBook, is_control
+from sailward.consensus.learner import CONTROL, HeldBook, is_control
 from sailward.consensus.proposer import Accepted, Begin, Proposer
-from sailward.discovery.gossip import Place, Roster
-from sailward.discovery.rows import UNREADABLE_LIST, is_generation, read_workers
+from sailward.discovery.endpoint_rows import UNREADABLE_LIST, is_generation, read_workers
+from sailward.discovery.peer_table import Place, Roster
 from sailward.events import (
     Asked,
     Call,
@@ -29,17 +29,17 @@
     Ticked,
     UnexpectedEvents,
 )
-from sailward.routing.choosing import Chooser
-from sailward.routing.claims import PREFIX, Claims
-from sailward.routing.copies import Copies, Peer
-from sailward.routing.exchange import Refusal, answer_json, answer_refusal, is_promise_safe
-from sailward.routing.exchanges import Exchanges
+from sailward.routing.active_health import Prober
 from sailward.routing.explain import explain
-from sailward.routing.health import Prober
+from sailward.routing.idempotency import PREFIX, Claims
 from sailward.routing.lease import Lease
+from sailward.routing.load_balancer import Chooser
 from sailward.routing.plan import Unreadable, load_config
-from sailward.routing.slots import PREFIX as SLOTS
-from sailward.routing.world import World, read_orders
+from sailward.routing.proxied_request import Refusal, answer_json, answer_refusal, is_promise_safe
+from sailward.routing.proxied_requests import Exchanges
+from sailward.routing.result_replicas import Copies, Peer
+from sailward.routing.routing_state import World, read_orders
+from sailward.routing.shard_owners import PREFIX as SLOTS
 from sailward.state_machines import Chart
 
 STOPPING = Chart(name="stopping")
--- a/sailward/routing/health.py
+++ b/sailward/routing/active_health.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from sailward import constants
-from sailward.discovery.workers import Worker
+from sailward.discovery.endpoint_table import Worker
 from sailward.events import Call, Called, HangUp, Log
 from sailward.state_machines import Chart
 
--- a/sailward/routing/placing.py
+++ b/sailward/routing/endpoint_selection.py
@@ -8,16 +8,16 @@
 from toolz import groupby
 
 from sailward import constants
+from sailward.discovery.endpoint_table import Worker
 from sailward.discovery.rendezvous import choose_names
-from sailward.discovery.workers import Worker
-from sailward.routing.bounds import Bucket
-from sailward.routing.draw import HallView, draw_hall, draw_pool, share_halls
-from sailward.routing.evidence import Evidence, Shown
-from sailward.routing.exchange import Refusal
-from sailward.routing.halls import HallBook
+from sailward.routing.concurrency_limits import Bucket
+from sailward.routing.passive_health import Evidence, Shown
 from sailward.routing.plan import Plan, Pool
+from sailward.routing.proxied_request import Refusal
 from sailward.routing.request import Request
 from sailward.routing.shards import ShardBook
+from sailward.routing.weighted_draw import HallView, draw_hall, draw_pool, share_halls
+from sailward.routing.zone_health import HallBook
 
 
 @dataclass(kw_only=True)
--- a/sailward/routing/explain.py
+++ b/sailward/routing/explain.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from sailward.routing.bounds import rate_of
-from sailward.routing.choosing import Chooser
-from sailward.routing.draw import share_halls
-from sailward.routing.exchange import part_of
-from sailward.routing.slots import pool_at, slot_of, space_of
+from sailward.routing.concurrency_limits import rate_of
+from sailward.routing.load_balancer import Chooser
+from sailward.routing.proxied_request import part_of
+from sailward.routing.shard_owners import pool_at, slot_of, space_of
+from sailward.routing.weighted_draw import share_halls
 
 
 def explain(*, now: float, query: dict, chooser: Chooser, acting: bool) -> dict:
--- a/sailward/routing/forwarding.py
+++ b/sailward/routing/forwarding.py
@@ -6,14 +6,14 @@
 from dataclasses import dataclass, field
 
 from sailward import constants
-from sailward.discovery.workers import Worker
+from sailward.discovery.endpoint_table import Worker
 from sailward.events import Answer, Asked, Call, Called, CallerLeft, CancelCall, Command, Log
-from sailward.routing.evidence import EVENTS
-from sailward.routing.exchange import Refusal, answer_json
-from sailward.routing.placing import Placer
-from sailward.routing.reply import Broken, NotSent, TurnedAway, Whole, judge_reply
+from sailward.routing.endpoint_selection import Placer
+from sailward.routing.passive_health import EVENTS
+from sailward.routing.proxied_request import Refusal, answer_json
 from sailward.routing.request import Attempt, Request, headers_to_caller, headers_to_worker, take_request
 from sailward.routing.retry_budget import RetryBudget
+from sailward.routing.worker_response import Broken, NotSent, TurnedAway, Whole, judge_reply
 from sailward.transport.wire_names import WireNames
 
 SHORT = frozenset({"no-room", "key-moving", "key-unowned", "owner-lost", "owner-cold", "no-worker"})
--- a/sailward/routing/claims.py
+++ b/sailward/routing/idempotency.py
@@ -9,9 +9,9 @@
 from sailward.consensus.acceptor import CLAIM as PREFIX
 from sailward.consensus.proposer import Accepted, Begin, Refused, Settled
 from sailward.events import Tell
-from sailward.routing.claim_memory import ClaimMemory, Memory
-from sailward.routing.copies import Copies, Peer, may_keep, spread_copy
-from sailward.routing.exchange import Exchange, Refusal
+from sailward.routing.idempotency_cache import ClaimMemory, Memory
+from sailward.routing.proxied_request import Exchange, Refusal
+from sailward.routing.result_replicas import Copies, Peer, may_keep, spread_copy
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/sailward/routing/claim_memory.py
+++ b/sailward/routing/idempotency_cache.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from sailward import constants
-from sailward.routing.copies import Copy, may_keep
+from sailward.routing.result_replicas import Copy, may_keep
 
 
 @dataclass(kw_only=True)
--- a/sailward/routing/lease.py
+++ b/sailward/routing/lease.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from sailward import constants
-from sailward.consensus.held import HeldBook
+from sailward.consensus.learner import HeldBook
 from sailward.consensus.proposer import blocking_of
 from sailward.events import Log, Tell
 from sailward.state_machines import Chart
--- a/sailward/routing/choosing.py
+++ b/sailward/routing/load_balancer.py
@@ -6,12 +6,12 @@
 from dataclasses import dataclass, field, replace
 
 from sailward import constants
-from sailward.discovery.workers import Worker
-from sailward.routing.bounds import Bounds
-from sailward.routing.draw import draw_hall, draw_pool, share_halls
-from sailward.routing.exchange import Exchange, Refusal
-from sailward.routing.slots import pool_at, slot_of, space_of
-from sailward.routing.world import World
+from sailward.discovery.endpoint_table import Worker
+from sailward.routing.concurrency_limits import Bounds
+from sailward.routing.proxied_request import Exchange, Refusal
+from sailward.routing.routing_state import World
+from sailward.routing.shard_owners import pool_at, slot_of, space_of
+from sailward.routing.weighted_draw import draw_hall, draw_pool, share_halls
 
 
 @dataclass(kw_only=True)
--- a/sailward/routing/exchange.py
+++ b/sailward/routing/proxied_request.py
@@ -8,9 +8,9 @@
 from urllib.parse import quote, urlencode
 
 from sailward import constants
-from sailward.discovery.workers import Worker
+from sailward.discovery.endpoint_table import Worker
 from sailward.events import Answer, Asked
-from sailward.routing.keytime import judge_key
+from sailward.routing.idempotency_key_time import judge_key
 from sailward.routing.plan import Match, Plan, Service, Tenant
 
 SAFE = frozenset({"GET", "HEAD", "OPTIONS"})
--- a/sailward/routing/exchanges.py
+++ b/sailward/routing/proxied_requests.py
@@ -7,9 +7,11 @@
 
 from sailward import constants
 from sailward.events import Answer, Asked, Call, Called, Log
-from sailward.routing.choosing import Chooser
-from sailward.routing.claims import Claims, Lost, Replayed, Won
-from sailward.routing.exchange import (
+from sailward.routing.attempt_budget import LOOK, Tries
+from sailward.routing.fair_queues import FairQueues
+from sailward.routing.idempotency import Claims, Lost, Replayed, Won
+from sailward.routing.load_balancer import Chooser
+from sailward.routing.proxied_request import (
     Exchange,
     Refusal,
     answer_refusal,
@@ -18,9 +20,7 @@
     refit_exchange,
     take_exchange,
 )
-from sailward.routing.fair_queues import FairQueues
-from sailward.routing.tries import LOOK, Tries
-from sailward.routing.verify import Bad, Good, Unsent, WorkerRefused, judge_result
+from sailward.routing.response_check import Bad, Good, Unsent, WorkerRefused, judge_result
 
 
 @dataclass(kw_only=True)
--- a/sailward/routing/request.py
+++ b/sailward/routing/request.py
@@ -6,8 +6,8 @@
 
 from sailward import constants
 from sailward.events import Asked
-from sailward.routing.exchange import Refusal
 from sailward.routing.plan import Match, Plan, Service
+from sailward.routing.proxied_request import Refusal
 from sailward.transport.wire_names import WireNames
 
 HOP = frozenset(
--- a/sailward/routing/verify.py
+++ b/sailward/routing/response_check.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from sailward.events import Called
-from sailward.routing.exchange import HOP, Exchange
+from sailward.routing.proxied_request import HOP, Exchange
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/sailward/routing/copies.py
+++ b/sailward/routing/result_replicas.py
@@ -8,7 +8,7 @@
 from sailward import constants
 from sailward.discovery.rendezvous import choose_names
 from sailward.events import Tell
-from sailward.routing.exchange import Exchange
+from sailward.routing.proxied_request import Exchange
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/sailward/routing/world.py
+++ b/sailward/routing/routing_state.py
@@ -6,12 +6,12 @@
 from dataclasses import dataclass, field
 
 from sailward import constants
-from sailward.discovery.workers import WorkerBook
-from sailward.routing.draw import HallView
-from sailward.routing.halls import HallBook
-from sailward.routing.health import Prober
+from sailward.discovery.endpoint_table import WorkerBook
+from sailward.routing.active_health import Prober
 from sailward.routing.plan import Plan, Tenant
-from sailward.routing.slots import SlotBook
+from sailward.routing.shard_owners import SlotBook
+from sailward.routing.weighted_draw import HallView
+from sailward.routing.zone_health import HallBook
 
 
 @dataclass(kw_only=True)
--- a/sailward/routing/shards.py
+++ b/sailward/routing/shards.py
@@ -6,7 +6,7 @@
 import json
 from dataclasses import dataclass, field
 
-from sailward.routing.slots import PREFIX
+from sailward.routing.shard_owners import PREFIX
 
 KEYS = 1 << 16
 OPEN, MOVING = "open", "moving"
--- a/sailward/transport/outbound.py
+++ b/sailward/transport/http_client.py
@@ -15,7 +15,7 @@
 from sailward import constants
 from sailward.events import Call, Called
 from sailward.runtime.reactor import Alarm, Reactor
-from sailward.transport.exchange import Broken, Exchange, Whole
+from sailward.transport.http_exchange import Broken, Exchange, Whole
 from sailward.transport.wire_names import WireNames
 
 ABORT = struct.pack("ii", 1, 0)
--- a/sailward/transport/front.py
+++ b/sailward/transport/http_server.py
@@ -13,9 +13,9 @@
 from sailward.events import Answer, Asked, CallerLeft
 from sailward.routing.plan import Limits
 from sailward.runtime.reactor import Reactor
-from sailward.transport.front_head import Refused, write_response
-from sailward.transport.front_state import Connection, Exchange
-from sailward.transport.front_timing import Verdict, judge_time
+from sailward.transport.http_server_head import Refused, write_response
+from sailward.transport.http_server_state import Connection, Exchange
+from sailward.transport.http_server_timing import Verdict, judge_time
 
 _FULL = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 _CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
--- a/sailward/transport/front_reading.py
+++ b/sailward/transport/http_server_reading.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from sailward.routing.plan import Limits
-from sailward.transport.front_head import HEAD_END, ChunkedBody, Head, Refused, check_bytes, read_head
+from sailward.transport.http_server_head import HEAD_END, ChunkedBody, Head, Refused, check_bytes, read_head
 
 
 class RequestReader:
--- a/sailward/transport/front_state.py
+++ b/sailward/transport/http_server_state.py
@@ -9,8 +9,8 @@
 
 from sailward import constants
 from sailward.events import Answer
-from sailward.transport.front_head import Head
-from sailward.transport.front_reading import RequestReader
+from sailward.transport.http_server_head import Head
+from sailward.transport.http_server_reading import RequestReader
 
 
 @dataclass(kw_only=True, slots=True, eq=False)
--- a/sailward/transport/front_timing.py
+++ b/sailward/transport/http_server_timing.py
@@ -6,7 +6,7 @@
 
 from sailward import constants
 from sailward.routing.plan import Limits
-from sailward.transport.front_state import Connection
+from sailward.transport.http_server_state import Connection
 
 
 class Verdict(enum.Enum):
--- a/sailward/transport/courier.py
+++ b/sailward/transport/message_transport.py
@@ -17,7 +17,7 @@
 from sailward.events import Heard
 from sailward.runtime.logs import write_log
 from sailward.runtime.reactor import Reactor
-from sailward.transport.post import split_address
+from sailward.transport.address import split_address
 
 LENGTH = struct.Struct(">IB")
 PLAIN, PACKED = 0, 1
--- a/sailward/transport/web.py
+++ b/sailward/transport/wsgi_server.py
@@ -18,7 +18,7 @@
 from sailward import constants
 from sailward.events import Answer, Asked
 from sailward.runtime.logs import write_log
-from sailward.transport.post import split_address
+from sailward.transport.address import split_address
 
 
 class Handler(WSGIRequestHandler):
--- a/simulation/core_group.py
+++ b/simulation/core_group.py
@@ -15,10 +15,10 @@
 from sailward import constants
 from sailward.consensus.messages import pack_message
 from sailward.consensus.proposer import Begin
-from sailward.control.bootstrap import Bootstrap
 from sailward.control.controller import Controller
-from sailward.control.options import ControllerOptions
-from sailward.discovery.gossip import Place
+from sailward.control.controller_options import ControllerOptions
+from sailward.control.group.bootstrap import Bootstrap
+from sailward.discovery.peer_table import Place
 from sailward.events import Heard, Rewrite, Stop, Store, Tell, Ticked
 from sailward.storage.disk import Disk, Read
 from sailward.storage.files import Files
--- a/simulation/hollow_fleet/added.py
+++ b/simulation/hollow_fleet/added.py
@@ -18,8 +18,8 @@
 from sailward.proxy.proxy import Proxy
 from sailward.runtime.host import Host
 from sailward.runtime.reactor import Reactor
-from sailward.transport.front import Front
-from sailward.transport.outbound import Outbound
+from sailward.transport.http_client import Outbound
+from sailward.transport.http_server import Front
 
 from .deployment import Size, hosted_of, told_fleet, told_rows, zones_of
 from .parts import LEAD, config_text, free_route, push_of
--- a/simulation/hollow_fleet/network.py
+++ b/simulation/hollow_fleet/network.py
@@ -32,7 +32,7 @@
     Ticked,
 )
 from sailward.storage.disk import pack_frame
-from sailward.transport.courier import LENGTH, pack_body, read_body
+from sailward.transport.message_transport import LENGTH, pack_body, read_body
 
 LINKS = ("zone", "region", "regions")
 """Within a zone, between zones of a region, between regions."""
--- a/simulation/hollow_fleet/parts.py
+++ b/simulation/hollow_fleet/parts.py
@@ -14,10 +14,10 @@
 from sailward.config.check import check_config
 from sailward.consensus.messages import BadMessage
 from sailward.control.controller import Controller
-from sailward.discovery.gossip import KINDS_ON_WIRE
+from sailward.discovery.peer_table import KINDS_ON_WIRE
 from sailward.events import Answer, Asked, Call, Called, Heard, Ticked
 from sailward.proxy.proxy import Proxy
-from sailward.transport.courier import LENGTH, pack_body, read_body
+from sailward.transport.message_transport import LENGTH, pack_body, read_body
 
 from .deployment import (
     Size,
--- a/simulation/hollow_fleet/real.py
+++ b/simulation/hollow_fleet/real.py
@@ -23,7 +23,7 @@
 import yaml
 
 from sailward.programs import hosted as hosted_module
-from sailward.transport import courier as courier_module
+from sailward.transport import message_transport as courier_module
 
 from .deployment import FOLDER, HOSTING, Size, list_pages, make_document, settings_of, zones_of
 
--- a/simulation/model/changes.py
+++ b/simulation/model/changes.py
@@ -4,7 +4,7 @@
 
 import json
 
-from sailward.control.repair import Repair, change_members, keeps_majority
+from sailward.control.group.repair import Repair, change_members, keeps_majority
 from simulation.model.space import Change, State
 
 
--- a/simulation/model/faults.py
+++ b/simulation/model/faults.py
@@ -7,8 +7,8 @@
 from contextlib import AbstractContextManager
 from unittest import mock
 
-from sailward.control import copying, repair, write_ahead
-from sailward.control.voter import Voter
+from sailward.control.group import copying, repair, write_ahead
+from sailward.control.group.voter import Voter
 from simulation.model import changes
 
 
--- a/simulation/model/node.py
+++ b/simulation/model/node.py
@@ -12,8 +12,8 @@
 from sailward.consensus.acceptor import Slot, Slots
 from sailward.consensus.proposer import Operation, Proposer, Settled, majority_of
 from sailward.control.controller import Controller
-from sailward.control.options import ControllerOptions
-from sailward.discovery.gossip import Place
+from sailward.control.controller_options import ControllerOptions
+from sailward.discovery.peer_table import Place
 from sailward.events import Asked, Heard, Rewrite, Store, Synced, Tell
 
 KEYS: dict[tuple, int] = {}
--- a/simulation/real/fleet.py
+++ b/simulation/real/fleet.py
@@ -11,7 +11,7 @@
 import time
 from pathlib import Path
 
-from sailward.discovery.gossip import KINDS_ON_WIRE
+from sailward.discovery.peer_table import KINDS_ON_WIRE
 from simulation.deployments import Deployment
 from simulation.history import History, read_history
 from simulation.real.callers import ask
--- a/simulation/real/worker.py
+++ b/simulation/real/worker.py
@@ -15,7 +15,7 @@
 
 from docopt import docopt
 
-from sailward.transport.post import split_address
+from sailward.transport.address import split_address
 from simulation.mind import Mind
 
 
--- a/simulation/sim/node.py
+++ b/simulation/sim/node.py
@@ -11,7 +11,7 @@
 from sailward.config import check as check_module
 from sailward.consensus.messages import BadMessage, check_message
 from sailward.control.controller import Controller
-from sailward.discovery.gossip import Place
+from sailward.discovery.peer_table import Place
 from sailward.events import (
     Answer,
     Asked,
--- a/tests/core_net.py
+++ b/tests/core_net.py
@@ -9,10 +9,10 @@
 
 from sailward.config.check import check_config
 from sailward.consensus.messages import check_message
-from sailward.control.bootstrap import Bootstrap
 from sailward.control.controller import Controller
-from sailward.control.options import ControllerOptions
-from sailward.discovery.gossip import Place
+from sailward.control.controller_options import ControllerOptions
+from sailward.control.group.bootstrap import Bootstrap
+from sailward.discovery.peer_table import Place
 from sailward.events import (
     Answer,
     Asked,
--- a/tests/granting_world.py
+++ b/tests/granting_fixture.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass, field
 
 from sailward import constants
-from sailward.control.grant_targets import GrantScene
-from sailward.control.granting import Granting
+from sailward.control.shards.grant_targets import GrantScene
+from sailward.control.shards.granting import Granting
 from sailward.events import Call, Called
 from sailward.routing.shards import KEYS
 
--- a/tests/outbound_peer.py
+++ b/tests/http_client_peer.py
@@ -12,7 +12,7 @@
 
 from sailward.events import Call, Called
 from sailward.runtime.reactor import Reactor
-from sailward.transport.outbound import Outbound
+from sailward.transport.http_client import Outbound
 from sailward.transport.wire_names import WireNames
 
 WAIT = 8.0
--- a/tests/front_harness.py
+++ b/tests/http_server_harness.py
@@ -12,7 +12,7 @@
 from sailward.events import Answer, Asked
 from sailward.routing.plan import Limits
 from sailward.runtime.reactor import Reactor
-from sailward.transport.front import Front
+from sailward.transport.http_server import Front
 
 PATIENCE = 10.0
 
--- a/tests/orders_net.py
+++ b/tests/orders_net.py
@@ -15,7 +15,7 @@
 from sailward.config.check import Sound
 from sailward.consensus.acceptor import Acceptor, Slots
 from sailward.consensus.proposer import Begin, Proposer
-from sailward.control.admin_api import AdminApi
+from sailward.control.administration.admin_api import AdminApi
 from sailward.events import Answer, Asked, Check, Checked, Tell
 from simulation.linearizability import Operation, Violation, find_violation
 from simulation.operator_models import (
--- a/tests/proxy_kit.py
+++ b/tests/proxy_kit.py
@@ -4,15 +4,15 @@
 
 import random
 
-from sailward.discovery.workers import Worker
+from sailward.discovery.endpoint_table import Worker
 from sailward.events import Answer, Asked, Call, Called, CancelCall, Log
-from sailward.routing.evidence import Evidence
+from sailward.routing.endpoint_selection import Placer, Scene
 from sailward.routing.forwarding import Forwarder
-from sailward.routing.halls import HallBook
-from sailward.routing.placing import Placer, Scene
+from sailward.routing.passive_health import Evidence
 from sailward.routing.plan import Plan, plan_of
 from sailward.routing.retry_budget import RetryBudget
 from sailward.routing.shards import OPEN, Shard, ShardTable, write_shards
+from sailward.routing.zone_health import HallBook
 from sailward.transport.wire_names import WireNames
 
 NAMES = WireNames(
--- a/tests/storage_machine.py
+++ b/tests/storage_machine.py
@@ -13,10 +13,10 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, precondition, rule
 
 from sailward import constants
-from sailward.control.bootstrap import Bootstrap
 from sailward.control.controller import Controller
-from sailward.control.options import ControllerOptions
-from sailward.discovery.gossip import Place
+from sailward.control.controller_options import ControllerOptions
+from sailward.control.group.bootstrap import Bootstrap
+from sailward.discovery.peer_table import Place
 from sailward.events import Heard, Rewrite, Stop, Store, Tell, Ticked
 from sailward.storage.disk import Disk, Read
 from simulation.simulated_files import PowerLost, SimulatedFiles
--- a/tests/test_admin_api.py
+++ b/tests/test_admin_api.py
@@ -13,7 +13,7 @@
 from sailward.config import history
 from sailward.config.history import Segment, Verdict
 from sailward.consensus.proposer import Accepted, Proposer
-from sailward.control.admin_api import AdminApi
+from sailward.control.administration.admin_api import AdminApi
 from tests.core_net import OPERATORS
 from tests.orders_net import NODES, TESTED_ZONES, OrdersNet, RandomOperators
 
--- a/tests/test_bootstrap.py
+++ b/tests/test_bootstrap.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from sailward.control.bootstrap import Bootstrap
-from sailward.control.repair import Repair
+from sailward.control.group.bootstrap import Bootstrap
+from sailward.control.group.repair import Repair
 from tests.core_net import CoreNet, make_written
 
 FOUR = ["gdl-a", "ens-a", "gdl-b", "ens-b"]
--- a/tests/test_uplink.py
+++ b/tests/test_control_client.py
@@ -4,7 +4,7 @@
 
 from sailward import constants
 from sailward.events import Tell
-from sailward.proxy.uplink import Uplink
+from sailward.proxy.control_client import Uplink
 
 CONTROLLERS = [
     ["c-home", "north-a", "north"],
--- a/tests/test_copy_sources.py
+++ b/tests/test_copy_sources.py
@@ -12,9 +12,9 @@
 import pytest
 
 from sailward.consensus.acceptor import KNOWN
-from sailward.control.repair import change_members
-from sailward.control.voter import Voter
-from sailward.discovery.gossip import Place
+from sailward.control.group.repair import change_members
+from sailward.control.group.voter import Voter
+from sailward.discovery.peer_table import Place
 
 NEWCOMER, NEXT = "new#1", "next#1"
 POSTS = {"a#1": "10.0.0.1:1", "b#1": "10.0.0.2:1", "c#1": "10.0.0.3:1"}
--- a/tests/test_calls_answers.py
+++ b/tests/test_curl_client_responses.py
@@ -13,8 +13,8 @@
 import pytest
 
 from sailward.events import Call, Called
-from sailward.transport.calls import Calls
-from tests.outbound_peer import WAIT, Line, Peer
+from sailward.transport.curl_client import Calls
+from tests.http_client_peer import WAIT, Line, Peer
 
 
 def answer_to(name: str, body: bytes, *, more: str = "") -> bytes:
--- a/tests/test_data_file.py
+++ b/tests/test_data_file.py
@@ -9,7 +9,7 @@
 
 from sailward import constants
 from sailward.consensus.acceptor import Acceptor, Slots, fold_record
-from sailward.control.write_ahead import WriteAhead
+from sailward.control.group.write_ahead import WriteAhead
 from sailward.events import DiskFailed, Rewrite, Store, Synced
 from sailward.storage.disk import Damaged, Disk, Read
 from simulation.simulated_files import LOST, TORN, WHOLE, PowerLost, SimulatedFiles
--- a/tests/test_dialect.py
+++ b/tests/test_dialect.py
@@ -11,9 +11,9 @@
 from sailward import constants
 from sailward.config.dialect import OwnDialect
 from sailward.config.history import Segment, Verdict, digest_change, read_labelled, write_labelled
-from sailward.control import admin_api
-from sailward.control.admin_api import AdminApi
-from sailward.control.zone_orders import ZoneOrders
+from sailward.control.administration import admin_api
+from sailward.control.administration.admin_api import AdminApi
+from sailward.control.administration.zone_orders import ZoneOrders
 from sailward.events import CallerLeft
 from tests.core_net import SYNC, ZONES, CoreNet, make_written
 
--- a/tests/test_pages.py
+++ b/tests/test_endpoint_pages.py
@@ -10,10 +10,10 @@
 import pytest
 
 from sailward import constants
-from sailward.control.incarnations import Incarnations
-from sailward.control.subscribers import Subscribers
-from sailward.discovery.pages import BrokenPass, Pager
-from sailward.discovery.workers import WorkerBook
+from sailward.control.endpoints.incarnations import Incarnations
+from sailward.control.proxies.subscribers import Subscribers
+from sailward.discovery.endpoint_pages import BrokenPass, Pager
+from sailward.discovery.endpoint_table import WorkerBook
 from sailward.events import Called, Tell
 from tests.core_net import WORKERS, CoreNet
 
--- a/tests/test_placing.py
+++ b/tests/test_endpoint_selection.py
@@ -10,7 +10,7 @@
 import pytest
 
 from sailward import constants
-from sailward.routing.exchange import Refusal
+from sailward.routing.proxied_request import Refusal
 from sailward.routing.request import Request
 from tests.proxy_kit import Bench, make_plan, make_worker
 
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -12,7 +12,7 @@
 
 from sailward import events
 from sailward.control.controller import Controller
-from sailward.discovery.gossip import Place
+from sailward.discovery.peer_table import Place
 from sailward.events import Answer, Asked, CallerLeft, Log, Tell, Ticked
 from sailward.proxy.directory_server import DirectoryServer
 from sailward.proxy.proxy import Proxy, ProxyOptions
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -8,8 +8,8 @@
 
 from sailward import constants
 from sailward.consensus.acceptor import Slots, fold_record
-from sailward.consensus.held import HeldBook
-from sailward.control.freshness import Freshness, newest_vote
+from sailward.consensus.learner import HeldBook
+from sailward.control.shards.freshness import Freshness, newest_vote
 from sailward.events import Tell
 
 REGISTER = "slots/red"
--- a/tests/test_fuzz_edges.py
+++ b/tests/test_fuzz_edges.py
@@ -15,22 +15,22 @@
 from hypothesis import strategies as st
 
 from sailward.control.controller import Controller
-from sailward.control.granting import Granting, GrantScene
-from sailward.discovery.gossip import Place
-from sailward.discovery.pages import Pager
-from sailward.discovery.rows import is_generation, is_life
-from sailward.discovery.workers import Worker
+from sailward.control.shards.granting import Granting, GrantScene
+from sailward.discovery.endpoint_pages import Pager
+from sailward.discovery.endpoint_rows import is_generation, is_life
+from sailward.discovery.endpoint_table import Worker
+from sailward.discovery.peer_table import Place
 from sailward.events import Call, Called, Ticked
 from sailward.runtime.adapter import load_part
 from sailward.runtime.reactor import Reactor
 from sailward.runtime.startup import CONTROLLER, BadStartup, read_startup
 from sailward.storage.disk import Damaged, Newer, Read, pack_frame, read_frames
-from sailward.transport.calls import Calls
-from sailward.transport.courier import Courier
-from sailward.transport.front_head import Head, Refused, read_head
+from sailward.transport.curl_client import Calls
+from sailward.transport.http_server_head import Head, Refused, read_head
+from sailward.transport.message_transport import Courier
 from tests.core_net import FOLDER, WORKERS
 from tests.fuzz_kit import ANYTHING, BOUNDED, near
-from tests.granting_world import Codec, Listed
+from tests.granting_fixture import Codec, Listed
 from tests.test_settings import GIVEN
 
 SETTINGS = load_part(folder=FOLDER, name="settings")
--- a/tests/test_fuzz_messages.py
+++ b/tests/test_fuzz_messages.py
@@ -14,12 +14,12 @@
 
 from sailward.consensus.messages import FIELDS, BadMessage, check_message, pack_message, read_message
 from sailward.control.controller import Controller
-from sailward.discovery.gossip import Place
+from sailward.discovery.peer_table import Place
 from sailward.events import Answer, Heard, Ticked
 from sailward.proxy.directory_server import DirectoryServer
 from sailward.proxy.proxy import Proxy, ProxyOptions
 from sailward.proxy.tenant_proxy import TenantProxy
-from sailward.transport.courier import LENGTH, PLAIN, pack_body, read_body
+from sailward.transport.message_transport import LENGTH, PLAIN, pack_body, read_body
 from tests.core_net import CONFIG, ZONES, CoreNet, make_written
 from tests.fuzz_kit import ANYTHING, BOUNDED, near
 
--- a/tests/test_fuzz_operators.py
+++ b/tests/test_fuzz_operators.py
@@ -13,10 +13,10 @@
 from hypothesis import strategies as st
 
 from sailward.config.check import check_config
-from sailward.control.bootstrap import Bootstrap
 from sailward.control.controller import Controller
-from sailward.control.options import ControllerOptions
-from sailward.discovery.gossip import Place
+from sailward.control.controller_options import ControllerOptions
+from sailward.control.group.bootstrap import Bootstrap
+from sailward.discovery.peer_table import Place
 from sailward.events import Answer, Asked, Check, Checked, Heard, Rewrite, Store, Synced, Tell, Ticked
 from tests.core_net import CONFIG, OPERATORS, ZONES, make_written
 from tests.fuzz_kit import ANYTHING, BOUNDED, near
--- a/tests/test_granting.py
+++ b/tests/test_granting.py
@@ -9,7 +9,7 @@
 from sailward import constants
 from sailward.events import Call, Called
 from sailward.routing.shards import KEYS, read_shards
-from tests.granting_world import Granter, World, crash, fine, make_settled
+from tests.granting_fixture import Granter, World, crash, fine, make_settled
 
 
 def test_first_grants_come_at_once_and_are_renewed_without_a_gap() -> None:
--- a/tests/test_granting_surplus.py
+++ b/tests/test_granting_surplus.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from sailward.control.grant_calls import GrantCalls
+from sailward.control.shards.grant_calls import GrantCalls
 from sailward.events import Call, Called
 from tests.test_granting import KEYS, Granter, World
 
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -10,8 +10,8 @@
 from collections import Counter, deque
 
 from sailward.control.controller import Controller
-from sailward.control.options import ControllerOptions
-from sailward.discovery.gossip import Place
+from sailward.control.controller_options import ControllerOptions
+from sailward.discovery.peer_table import Place
 from sailward.events import Heard, Ticked
 from sailward.proxy.proxy import Proxy, ProxyOptions
 from simulation.core_group import EMPTY_FULL, CoreGroup
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -7,7 +7,7 @@
 import pytest
 
 from sailward.events import Heard, Tell, Ticked
-from sailward.transport.courier import pack_body
+from sailward.transport.message_transport import pack_body
 from simulation import hollow
 from simulation.hollow_fleet.added import measure_added
 from simulation.hollow_fleet.deployment import Size, list_pages, make_document, told_fleet, told_rows, zones_of
--- a/tests/test_outbound.py
+++ b/tests/test_http_client.py
@@ -11,7 +11,7 @@
 
 from sailward import constants
 from sailward.events import Call
-from tests.outbound_peer import OK, WAIT, Edge, Line
+from tests.http_client_peer import OK, WAIT, Edge, Line
 
 QUIET = 0.3
 
--- a/tests/test_outbound_answers.py
+++ b/tests/test_http_client_responses.py
@@ -10,7 +10,7 @@
 
 from sailward import constants
 from sailward.events import Call
-from tests.outbound_peer import OK, WAIT, Edge, Line
+from tests.http_client_peer import OK, WAIT, Edge, Line
 
 
 @pytest.fixture
--- a/tests/test_outbound_tokens.py
+++ b/tests/test_http_client_tokens.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from tests.outbound_peer import OK, WAIT, Edge, Line
+from tests.http_client_peer import OK, WAIT, Edge, Line
 
 
 @pytest.fixture
--- a/tests/test_front_idle.py
+++ b/tests/test_http_server_idle.py
@@ -8,7 +8,7 @@
 
 from sailward import constants
 from sailward.events import Answer
-from tests.front_harness import Harness, Reader, get
+from tests.http_server_harness import Harness, Reader, get
 
 
 @pytest.fixture
--- a/tests/test_front_requests.py
+++ b/tests/test_http_server_requests.py
@@ -7,7 +7,7 @@
 from sailward import constants
 from sailward.events import Answer, Asked
 from sailward.routing.plan import Limits
-from tests.front_harness import Harness, Reader, get
+from tests.http_server_harness import Harness, Reader, get
 
 
 @pytest.fixture
--- a/tests/test_key_loads.py
+++ b/tests/test_key_loads.py
@@ -8,9 +8,9 @@
 
 from sailward import constants
 from sailward.consensus.messages import pack_message
-from sailward.control.fleet import Fleet
-from sailward.control.key_loads import KeyLoads, WorkerPaces, has_shifted, read_rates, tell_rates
-from sailward.control.subscribers import Subscriber
+from sailward.control.proxies.key_loads import KeyLoads, WorkerPaces, has_shifted, read_rates, tell_rates
+from sailward.control.proxies.proxy_registry import Fleet
+from sailward.control.proxies.subscribers import Subscriber
 from sailward.events import Tell
 
 HERE, READER, OTHER = "c0", "c1", "c2"
--- a/tests/test_courier.py
+++ b/tests/test_message_transport.py
@@ -15,7 +15,7 @@
 
 from sailward import constants
 from sailward.runtime.reactor import Reactor
-from sailward.transport.courier import LENGTH, PLAIN, Courier, pack_body, read_body
+from sailward.transport.message_transport import LENGTH, PLAIN, Courier, pack_body, read_body
 
 PATIENCE = 10.0
 
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -4,8 +4,8 @@
 
 from prometheus_client.openmetrics.parser import text_string_to_metric_families
 
+from sailward.control.administration.metrics import CONTENT_TYPE, Family, Sample, write_metrics
 from sailward.control.controller import Controller
-from sailward.control.metrics import CONTENT_TYPE, Family, Sample, write_metrics
 from sailward.events import Answer, Asked
 from simulation.core_group import CoreGroup
 from tests.core_net import CoreNet, make_written
--- a/tests/test_evidence.py
+++ b/tests/test_passive_health.py
@@ -8,7 +8,7 @@
 
 from sailward import constants
 from sailward.events import Call, Called, HangUp
-from sailward.routing.evidence import Evidence
+from sailward.routing.passive_health import Evidence
 from tests.proxy_kit import NAMES, logs, make_plan, make_worker
 
 PLAN = make_plan()
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -10,7 +10,7 @@
 
 from sailward import constants
 from sailward.consensus.messages import check_message
-from sailward.discovery.gossip import Place
+from sailward.discovery.peer_table import Place
 from sailward.events import Answer, Asked, Call, Called, Heard, Leave, Stop, StopAsked, Tell, Ticked
 from sailward.proxy.proxy import Proxy, ProxyOptions
 from sailward.runtime.adapter import load_part
--- a/tests/test_fleet_view.py
+++ b/tests/test_proxy_registry.py
@@ -8,8 +8,8 @@
 
 from sailward import constants
 from sailward.consensus.messages import check_message
-from sailward.control.fleet import Fleet
-from sailward.control.subscribers import Subscriber
+from sailward.control.proxies.proxy_registry import Fleet
+from sailward.control.proxies.subscribers import Subscriber
 from sailward.events import Tell
 
 HALLS = {"c0": ("north-a", "north"), "c1": ("south-a", "south")}
--- a/tests/test_quorum_contact.py
+++ b/tests/test_quorum_contact.py
@@ -7,10 +7,10 @@
 import pytest
 
 from sailward import constants
-from sailward.consensus.held import CONTROL
-from sailward.control.quorum_contact import QuorumContact
+from sailward.consensus.learner import CONTROL
+from sailward.control.group.quorum_contact import QuorumContact
 from sailward.events import Asked, Heard
-from sailward.proxy.uplink import Uplink
+from sailward.proxy.control_client import Uplink
 from tests.core_net import CoreNet, make_written
 from tests.test_bootstrap import found, put
 
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -14,7 +14,7 @@
 from sailward.config import check as check_module
 from sailward.config.check import Sound, Unsound, check_config
 from sailward.consensus.proposer import Accepted, Settled
-from sailward.control.admin_api import AdminApi
+from sailward.control.administration.admin_api import AdminApi
 from sailward.events import Asked, Check, Checked
 from sailward.routing.plan import plan_of, read_plan
 from simulation.deployments import make_arriaga
--- a/tests/test_shards.py
+++ b/tests/test_shards.py
@@ -7,7 +7,7 @@
 import random
 
 from sailward import constants
-from sailward.control.shard_plan import Span, place, strain, weigh
+from sailward.control.shards.shard_plan import Span, place, strain, weigh
 from sailward.routing.shards import KEYS, MOVING, OPEN, Shard, ShardBook, ShardTable, read_shards, write_shards
 
 
--- a/tests/test_stopping_proxy.py
+++ b/tests/test_stopping_proxy.py
@@ -9,7 +9,7 @@
 import random
 
 from sailward import constants
-from sailward.discovery.gossip import Place
+from sailward.discovery.peer_table import Place
 from sailward.events import Answer, Asked, Call, Heard, Leave, Stop, StopAsked, Ticked
 from sailward.proxy.proxy import Proxy, ProxyOptions
 
--- a/tests/test_storage_machine.py
+++ b/tests/test_storage_machine.py
@@ -9,7 +9,7 @@
 from hypothesis.stateful import run_state_machine_as_test
 
 from sailward.consensus import acceptor
-from sailward.control import write_ahead
+from sailward.control.group import write_ahead
 from sailward.events import DiskFailed, Synced
 from tests.storage_machine import StorageMachine, shrink_file_bounds
 from tests.test_data_file import NamesUnsynced, RenamesUnsynced, StoresUnsynced
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -15,7 +15,7 @@
 from sailward import constants
 from sailward.consensus.messages import FIELDS, read_message
 from sailward.control.controller import Controller
-from sailward.discovery.gossip import Place, Roster, kind_of
+from sailward.discovery.peer_table import Place, Roster, kind_of
 from sailward.events import Heard, Ticked
 from sailward.proxy.directory_server import DirectoryServer
 from sailward.proxy.tenant_proxy import TenantProxy
--- a/tests/test_words.py
+++ b/tests/test_words.py
@@ -12,8 +12,8 @@
 from sailward.client.forecast import forecast
 from sailward.config.check import check_config, read_config
 from sailward.events import Asked
-from sailward.routing.exchange import Refusal, answer_refusal, take_exchange
 from sailward.routing.plan import read_plan
+from sailward.routing.proxied_request import Refusal, answer_refusal, take_exchange
 from sailward.runtime.startup import COMMON, CONTROLLER, read_startup
 from simulation.deployments import make_arriaga
 from simulation.real.fleet import free_addresses
