--- a/sailward/client/forecast.py
+++ b/sailward/client/forecast.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from sailward.config.residency import find_home_halls
+from sailward.config.residency import find_home_zones
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -36,8 +36,8 @@
         total = sum(one["weight"] for one in match["pools"])
         for one in match["pools"]:
             pool = full["pools"][one["pool"]]
-            for hall in pool["preferred"]:
-                shares[(match["path"], hall)] += one["weight"] / total / len(pool["preferred"])
+            for zone in pool["preferred"]:
+                shares[(match["path"], zone)] += one["weight"] / total / len(pool["preferred"])
     return shares
 
 
@@ -55,9 +55,9 @@
     for service in full["services"]:
         if not any(one["service"] == service for one in workers):
             yield Finding(kind="warning", path=f"services.{service}", text="no worker of this service is listed")
-    for hall in sorted({one["hall"] for one in workers} - set(full["halls"])):
+    for zone in sorted({one["hall"] for one in workers} - set(full["halls"])):
         yield Finding(
-            kind="warning", path="halls", text=f"workers are listed in {hall!r}, which is not in the configuration"
+            kind="warning", path="halls", text=f"workers are listed in {zone!r}, which is not in the configuration"
         )
     for service in sorted({one["service"] for one in workers} - set(full["services"])):
         yield Finding(
@@ -68,9 +68,9 @@
 
 
 def _find_empty_homes(*, full: dict, workers: list) -> Iterator[Finding]:
-    for tenant, name, halls in find_home_halls(full=full):
+    for tenant, name, zones in find_home_zones(full=full):
         service = full["pools"][name]["service"]
-        if not any(worker["service"] == service and worker["hall"] in halls for worker in workers):
+        if not any(worker["service"] == service and worker["hall"] in zones for worker in workers):
             yield Finding(
                 kind="fault",
                 path=f"tenants.{tenant}.homes",
@@ -79,21 +79,23 @@
 
 
 def _find_short(*, full: dict, workers: list, rates: dict) -> Iterator[Finding]:
-    losses = [("hall", hall, {hall}) for hall in full["halls"]]
+    losses = [("hall", zone, {zone}) for zone in full["halls"]]
     losses += [
-        ("region", region, {hall for hall, one in full["halls"].items() if one["region"] == region})
+        ("region", region, {zone for zone, one in full["halls"].items() if one["region"] == region})
         for region in sorted({one["region"] for one in full["halls"].values()})
     ]
     for service, one in full["services"].items():
         load = rates.get(service, 0.0)
-        room = sum(one["rate"] for worker in workers if worker["service"] == service)
-        if load > room:
+        capacity = sum(one["rate"] for worker in workers if worker["service"] == service)
+        if load > capacity:
             yield Finding(
-                kind="fault", path=f"services.{service}.rate", text=f"bounds of {room:g}/s for a load of {load:.0f}/s"
+                kind="fault",
+                path=f"services.{service}.rate",
+                text=f"bounds of {capacity:g}/s for a load of {load:.0f}/s",
             )
-        for kind, name, halls in losses:
+        for kind, name, zones in losses:
             left = sum(
-                one["rate"] for worker in workers if worker["service"] == service and worker["hall"] not in halls
+                one["rate"] for worker in workers if worker["service"] == service and worker["hall"] not in zones
             )
             if load > left:
                 yield Finding(
@@ -102,7 +104,7 @@
                     text=f"without {kind} {name}: bounds of {left:g}/s for a load of {load:.0f}/s",
                 )
     for name, pool in full["pools"].items():
-        regions = {full["halls"][hall]["region"] for hall in (*pool["preferred"], *pool["fallback"])}
+        regions = {full["halls"][zone]["region"] for zone in (*pool["preferred"], *pool["fallback"])}
         if len(regions) == 1:
             yield Finding(
                 kind="warning", path=f"pools.{name}", text=f"stands in region {regions.pop()} only: lost with it"
--- a/sailward/config/check.py
+++ b/sailward/config/check.py
@@ -10,7 +10,7 @@
 from sailward import constants
 from sailward.config.errors import list_errors
 from sailward.config.matches import sort_matches
-from sailward.config.residency import list_halls
+from sailward.config.residency import list_zones
 from sailward.config.schema import CONFIG
 from sailward.config.template_expansion import expand_stamps
 from sailward.json_text import BadJson, load_json
@@ -73,7 +73,7 @@
     faults = faults or list(_check_shared_keys(full=full))
     if faults:
         return Unsound(faults=tuple(faults))
-    return Sound(written=config, full=full, warnings=(*_warn_of_caps(full=full), *_warn_of_homes(full=full)))
+    return Sound(written=config, full=full, warnings=(*_warn_of_caps(full=full), *_warn_of_residency(full=full)))
 
 
 def _check_shape(*, config: dict) -> tuple[list[Fault], dict]:
@@ -131,15 +131,15 @@
         if pool["service"] not in full["services"]:
             yield Fault(path=f"pools.{name}.service", reason=f"no service {pool['service']!r}")
         listed = [*pool["preferred"], *pool["fallback"]]
-        for hall in sorted(set(listed)):
-            if hall not in full["halls"]:
-                yield Fault(path=f"pools.{name}", reason=f"no hall {hall!r}")
-            if listed.count(hall) > 1:
-                yield Fault(path=f"pools.{name}", reason=f"hall {hall!r} is listed {listed.count(hall)} times")
+        for zone in sorted(set(listed)):
+            if zone not in full["halls"]:
+                yield Fault(path=f"pools.{name}", reason=f"no hall {zone!r}")
+            if listed.count(zone) > 1:
+                yield Fault(path=f"pools.{name}", reason=f"hall {zone!r} is listed {listed.count(zone)} times")
 
 
 def _check_matches(*, full: dict) -> Iterator[Fault]:
-    seen: dict = {}
+    first_seen: dict = {}
     divided: dict = {}
     for index, match in enumerate(full["matches"]):
         path = f"matches.{index}"
@@ -149,7 +149,7 @@
                 yield Fault(path=f"{path}.tenants", reason=f"no tenant {tenant!r}")
         for tenant in match["tenants"] or [""]:
             for method in match["methods"] or [""]:
-                first = seen.setdefault((match.get("host", ""), match["path"], tenant, method), index)
+                first = first_seen.setdefault((match.get("host", ""), match["path"], tenant, method), index)
                 if first != index:
                     yield Fault(path=path, reason=f"the same as matches.{first}: it could never be used")
 
@@ -173,7 +173,7 @@
 
 
 def _check_homes(*, full: dict) -> Iterator[Fault]:
-    regions = {hall["region"] for hall in full["halls"].values()}
+    regions = {zone["region"] for zone in full["halls"].values()}
     for name, tenant in full["tenants"].items():
         for home in tenant["homes"]:
             if home not in regions:
@@ -187,8 +187,8 @@
                 pool = full["pools"].get(share["pool"])
                 if pool is None or share["weight"] == 0:
                     continue
-                halls = list_halls(full=full, pool=pool)
-                if not any(full["halls"].get(hall, {}).get("region") in homes for hall in halls):
+                zones = list_zones(full=full, pool=pool)
+                if not any(full["halls"].get(zone, {}).get("region") in homes for zone in zones):
                     yield Fault(
                         path=f"matches.{index}.pools",
                         reason=f"pool {share['pool']!r} has no hall at home for tenant {tenant!r}",
@@ -216,8 +216,8 @@
             yield Fault(path=f"services.{name}.keys", reason="shared by tenants that have no home in common")
 
 
-def _warn_of_homes(*, full: dict) -> Iterator[Fault]:
-    regions = {hall["region"] for hall in full["halls"].values()}
+def _warn_of_residency(*, full: dict) -> Iterator[Fault]:
+    regions = {zone["region"] for zone in full["halls"].values()}
     for index, match in enumerate(full["matches"]):
         for home in match.get("homes", ()):
             if home not in regions:
@@ -228,12 +228,12 @@
     for name, pool in full["pools"].items():
         if pool.get("tiers") == "near":
             continue
-        halls = [*pool["preferred"], *pool["fallback"]]
-        room = int(constants.DRAIN_CAP * len(halls))
-        if len(pool["preferred"]) > room:
+        zones = [*pool["preferred"], *pool["fallback"]]
+        allowed = int(constants.DRAIN_CAP * len(zones))
+        if len(pool["preferred"]) > allowed:
             yield Fault(
                 path=f"pools.{name}",
-                reason=f"the drain cap covers {room} of {len(pool['preferred'])} "
+                reason=f"the drain cap covers {allowed} of {len(pool['preferred'])} "
                 "preferred halls: losing all would leave one marked",
             )
         if not pool["fallback"]:
--- a/sailward/config/dialect.py
+++ b/sailward/config/dialect.py
@@ -9,7 +9,7 @@
 from sailward import constants
 from sailward.config.check import Unsound, read_config
 from sailward.config.patch import merge_patch
-from sailward.events import Answer, Asked
+from sailward.events import RequestReceived, Respond
 from sailward.routing.proxied_request import answer_json
 
 CONFIG_KINDS = ("put", "patch")
@@ -60,10 +60,10 @@
 
     is_labelled: bool
 
-    def read(self, *, event: Asked) -> Order | Outcome | None:
+    def read(self, *, event: RequestReceived) -> Order | Outcome | None:
         """What is asked; an Outcome if it is refused at once; None if these are not this dialect's words."""
 
-    def answer(self, *, token: str, order: Order | None, outcome: Outcome) -> Answer:
+    def answer(self, *, token: str, order: Order | None, outcome: Outcome) -> Respond:
         """The answer in the operators' words."""
 
     def merge(self, *, written: dict, patch: dict) -> dict | Unsound:
@@ -81,7 +81,7 @@
 
     is_labelled = False
 
-    def read(self, *, event: Asked) -> Order | Outcome | None:
+    def read(self, *, event: RequestReceived) -> Order | Outcome | None:
         """What is asked; what is not known is refused."""
         if event.body is None:
             return _refused(code=413, reason="too-large", detail=f"at most {constants.CONFIG_BYTES} bytes")
@@ -98,7 +98,7 @@
             )
         return _refused(code=404, reason="unknown", detail=f"{event.method} {event.path}"[:200])
 
-    def answer(self, *, token: str, order: Order | None, outcome: Outcome) -> Answer:
+    def answer(self, *, token: str, order: Order | None, outcome: Outcome) -> Respond:
         """The answer as JSON."""
         if outcome.kind == "shown":
             return _show(token=token, register=order.register, value=outcome.value)
@@ -134,7 +134,7 @@
         label = written.get("label", 0)
         return label if isinstance(label, int) else 0
 
-    def _read_config(self, *, event: Asked) -> Order | Outcome:
+    def _read_config(self, *, event: RequestReceived) -> Order | Outcome:
         if event.method == "GET":
             return Order(kind="get", register="config")
         expected = event.headers.get("if-match")
@@ -165,7 +165,7 @@
     return Outcome(kind="refused", code=code, reason=reason, detail=detail)
 
 
-def _show(*, token: str, register: str, value: dict) -> Answer:
+def _show(*, token: str, register: str, value: dict) -> Respond:
     inner = json.loads(value["text"]) if value["text"] else {}
     body = (
         {"number": value["number"], "config": inner.get("written")}
--- a/sailward/config/residency.py
+++ b/sailward/config/residency.py
@@ -5,16 +5,16 @@
 from collections.abc import Iterator
 
 
-def list_halls(*, full: dict, pool: dict) -> list[str]:
+def list_zones(*, full: dict, pool: dict) -> list[str]:
     """The halls that a pool may be served in: all of them if its tiers follow the proxy."""
     if pool.get("tiers") == "near":
         return list(full["halls"])
     return [*pool["preferred"], *pool["fallback"]]
 
 
-def find_home_halls(*, full: dict) -> Iterator[tuple[str, str, list[str]]]:
+def find_home_zones(*, full: dict) -> Iterator[tuple[str, str, list[str]]]:
     """(tenant, pool, the pool's halls at home) for each pool that a bound tenant may be drawn into."""
-    halls = full.get("halls", {})
+    zones = full.get("halls", {})
     for name, tenant in full.get("tenants", {}).items():
         for match in full.get("matches", []):
             if not tenant["homes"] or (match["tenants"] and name not in match["tenants"]):
@@ -25,5 +25,5 @@
                     yield (
                         name,
                         share["pool"],
-                        [hall for hall in list_halls(full=full, pool=pool) if halls[hall]["region"] in tenant["homes"]],
+                        [zone for zone in list_zones(full=full, pool=pool) if zones[zone]["region"] in tenant["homes"]],
                     )
--- a/sailward/config/schema.py
+++ b/sailward/config/schema.py
@@ -7,14 +7,14 @@
 from sailward import constants
 
 NAME = {"type": "string", "regex": r"^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$"}
-HALLS = {"type": "list", "schema": NAME, "default": []}
+ZONES = {"type": "list", "schema": NAME, "default": []}
 AMOUNT = {"type": "number", "min": 0.1, "max": 1e6}
 
 SERVICE = {
     "expiry_s": {"type": "number", "min": 0.05, "max": 5.0, "default": constants.SERVICE_EXPIRY},
     "rate": {**AMOUNT, "default": constants.WORKER_RATE},
-    "cold_rate": {**AMOUNT, "default": constants.COLD_RATE},
-    "cold_ramp_s": {"type": "number", "min": 0, "max": 3600, "default": constants.COLD_RAMP},
+    "cold_rate": {**AMOUNT, "default": constants.SLOW_START_RATE},
+    "cold_ramp_s": {"type": "number", "min": 0, "max": 3600, "default": constants.SLOW_START_RAMP},
     "result_bytes": {"type": "integer", "min": 1, "max": constants.RESULT_BYTES, "default": constants.RESULT_BYTES},
     "digest_required": {"type": "boolean", "default": False},
     "timed_keys": {"type": "boolean", "default": False},
@@ -27,8 +27,8 @@
 }
 POOL = {
     "service": {**NAME, "required": True},
-    "preferred": {**HALLS, "required": True, "minlength": 1},
-    "fallback": HALLS,
+    "preferred": {**ZONES, "required": True, "minlength": 1},
+    "fallback": ZONES,
     "tiers": {"type": "string", "allowed": ["listed", "near"]},
 }
 PATH = r"^/[^?#\s]*$"
--- a/sailward/consensus/acceptor.py
+++ b/sailward/consensus/acceptor.py
@@ -59,7 +59,7 @@
         ballot = body["ballot"]
         if body["kind"] == "prepare":
             if ballot < slot.promised or ballot == slot.ballot:
-                return [], _nack(op=op, name=name, ballot=ballot, reason="promised", seen=slot.promised[0])
+                return [], _nack(op=op, name=name, ballot=ballot, reason="promised", highest_round=slot.promised[0])
             if ballot == slot.promised:
                 # the same asking came twice
                 return [], {"kind": "promise", "op": op, "register": name, "ballot": ballot, "vote": slot.vote()}
@@ -67,7 +67,7 @@
             reply = {"kind": "promise", "op": op, "register": name, "ballot": ballot, "vote": slot.vote()}
         else:
             if ballot < slot.promised:
-                return [], _nack(op=op, name=name, ballot=ballot, reason="promised", seen=slot.promised[0])
+                return [], _nack(op=op, name=name, ballot=ballot, reason="promised", highest_round=slot.promised[0])
             record = {"k": "vote", "r": name, "b": ballot, "v": body["value"]}
             reply = {"kind": "voted", "op": op, "register": name, "ballot": ballot}
         fold_record(slots=self.slots, record=record, now=now)
@@ -84,7 +84,7 @@
         ):
             return [], voted
         if slot.value is not None or slot.promised != NONE:
-            return [], _nack(op=op, name=name, ballot=FIRST, reason="taken", seen=slot.promised[0])
+            return [], _nack(op=op, name=name, ballot=FIRST, reason="taken", highest_round=slot.promised[0])
         record = {"k": "vote", "r": name, "b": FIRST, "v": body["value"]}
         fold_record(slots=self.slots, record=record, now=now)
         return [record], voted
@@ -114,5 +114,13 @@
     return records
 
 
-def _nack(*, op: str, name: str, ballot: list, reason: str, seen: int) -> dict:
-    return {"kind": "nack", "op": op, "register": name, "ballot": ballot, "reason": reason, "round": seen, "voters": []}
+def _nack(*, op: str, name: str, ballot: list, reason: str, highest_round: int) -> dict:
+    return {
+        "kind": "nack",
+        "op": op,
+        "register": name,
+        "ballot": ballot,
+        "reason": reason,
+        "round": highest_round,
+        "voters": [],
+    }
--- a/sailward/consensus/messages.py
+++ b/sailward/consensus/messages.py
@@ -20,12 +20,12 @@
     is_amount,
     is_anything,
     is_bytes,
+    is_complete,
     is_count,
     is_flag,
     is_number,
     is_proxy_row,
     is_text,
-    is_whole,
     list_of,
     map_of,
     record_of,
@@ -40,7 +40,7 @@
 
 def is_ballot(given: object) -> bool:
     """Is it [round, proposer]?"""
-    return isinstance(given, list) and len(given) == 2 and is_whole(given[0]) and isinstance(given[1], str)
+    return isinstance(given, list) and len(given) == 2 and is_complete(given[0]) and isinstance(given[1], str)
 
 
 VALUE: dict[str, Check] = {"number": is_count, "mark": is_text, "trail": list_of(is_text), "text": is_text}
@@ -82,7 +82,7 @@
     return is_digits and is_bucket(int(given))  # type: ignore[call-overload]
 
 
-def is_place(given: object) -> bool:
+def is_location(given: object) -> bool:
     """Is it SERVICE|ZONE?"""
     return isinstance(given, str) and "|" in given
 
@@ -102,9 +102,9 @@
     return _is_pace(given) and given[1] > 0
 
 
-_is_digest = row_of(is_whole, is_text, is_ballot)
+_is_digest = row_of(is_complete, is_text, is_ballot)
 """Number, mark and ballot of a value."""
-_is_held = either_of(row_of(is_whole), row_of(is_whole, is_text), _is_digest)
+_is_held = either_of(row_of(is_complete), row_of(is_complete, is_text), _is_digest)
 """What an asker holds of a register: its number, and maybe more."""
 _is_health = row_of(is_count, is_count, is_text)
 """Listed workers, healthy ones, and the state of a zone."""
@@ -122,13 +122,13 @@
 is_report = record_of(
     needed={},
     optional={
-        "halls": map_of(_is_health, names=is_place),
+        "halls": map_of(_is_health, names=is_location),
         "warm": map_of(is_amount),
         "suspect": is_flag,
         "busy": list_of(is_text),
         "rates": map_of(is_amount),
         "down": list_of(is_text),
-        "turn": is_whole,
+        "turn": is_complete,
         "lead": is_text,
         "loads": map_of(map_of(is_amount, names=is_bucket_name)),
         "paces": map_of(list_of(is_amount)),
@@ -137,9 +137,9 @@
 is_daemon = record_of(
     needed={"id": is_text, "kind": is_text, "hall": is_text, "region": is_text, "http": is_text, "fit": is_flag},
     optional={
-        "start": is_whole,
+        "start": is_complete,
         "post": is_text,
-        "beat": is_whole,
+        "beat": is_complete,
         "version": is_text,
         "identity": is_text,
         "asks": is_text,
@@ -165,52 +165,52 @@
 )
 
 MESSAGES: dict[str, dict[str, Check]] = {
-    "prepare": {"op": is_text, "register": is_register, "ballot": is_ballot, "voters": is_whole},
+    "prepare": {"op": is_text, "register": is_register, "ballot": is_ballot, "voters": is_complete},
     "promise": {"op": is_text, "register": is_register, "ballot": is_ballot, "vote": is_vote_or_none},
-    "accept": {"op": is_text, "register": is_register, "ballot": is_ballot, "voters": is_whole, "value": is_value},
-    "first": {"op": is_text, "register": is_register, "voters": is_whole, "value": is_value},
+    "accept": {"op": is_text, "register": is_register, "ballot": is_ballot, "voters": is_complete, "value": is_value},
+    "first": {"op": is_text, "register": is_register, "voters": is_complete, "value": is_value},
     "voted": {"op": is_text, "register": is_register, "ballot": is_ballot},
     "nack": {
         "op": is_text,
         "register": is_register,
         "ballot": is_ballot,
         "reason": is_text,
-        "round": is_whole,
+        "round": is_complete,
         "voters": is_vote_or_none,
     },
-    "read": {"op": is_text, "register": is_register, "voters": is_whole},
+    "read": {"op": is_text, "register": is_register, "voters": is_complete},
     "told": {"op": is_text, "register": is_register, "vote": is_vote_or_none},
     "chosen": {"register": is_register, "ballot": is_ballot, "value": is_value},
     "want": {"register": is_text},
-    "ask": {"seq": is_whole, "have": is_have, "report": is_report, "daemon": is_daemon},
+    "ask": {"seq": is_complete, "have": is_have, "report": is_report, "daemon": is_daemon},
     "grant": {
-        "seq": is_whole,
+        "seq": is_complete,
         "newest": map_of(_is_digest),
         "identity": is_text,
         "voting": is_flag,
         "proxies": is_count,
         "view": is_view,
     },
-    "push": {"seq": is_whole, "name": is_register, "number": is_whole, "ballot": is_ballot, "value": is_value},
-    "ack": {"seq": is_whole, "name": is_text, "number": is_whole},
+    "push": {"seq": is_complete, "name": is_register, "number": is_complete, "ballot": is_ballot, "value": is_value},
+    "ack": {"seq": is_complete, "name": is_text, "number": is_complete},
     "gossip": {"entries": list_of(is_anything), "reply": is_flag},
-    "peek": {"token": is_text, "key": is_text, "number": is_whole, "region": is_text},
+    "peek": {"token": is_text, "key": is_text, "number": is_complete, "region": is_text},
     "peeked": {"token": is_text, "state": is_text, "code": is_count, "headers": map_of(is_text), "body": is_bytes},
     "keep": {
         "key": is_text,
-        "number": is_whole,
+        "number": is_complete,
         "print": is_text,
         "homes": list_of(is_text),
         "code": is_count,
         "headers": map_of(is_text),
         "body": is_bytes,
     },
-    "list": {"number": is_whole, "rows": is_text},
-    "beat": {"id": is_text, "start": is_whole, "beat": is_whole, "fit": is_flag, "identity": is_text},
-    "confirm": {"seq": is_whole, "voters": is_whole, "registers": list_of(is_text)},
-    "confirmed": {"seq": is_whole, "identity": is_text, "newest": map_of(_is_digest)},
+    "list": {"number": is_complete, "rows": is_text},
+    "beat": {"id": is_text, "start": is_complete, "beat": is_complete, "fit": is_flag, "identity": is_text},
+    "confirm": {"seq": is_complete, "voters": is_complete, "registers": list_of(is_text)},
+    "confirmed": {"seq": is_complete, "identity": is_text, "newest": map_of(_is_digest)},
     "fleet": {
-        "number": is_whole,
+        "number": is_complete,
         "rows": either_of(lambda given: given == ["same"], list_of(is_proxy_row)),
         "loads": is_loads,
         "down": map_of(is_count),
@@ -218,7 +218,7 @@
     "copy": {"after": is_text, "ballot": is_ballot, "value": is_value},
     "copied": {
         "after": is_text,
-        "voters": is_whole,
+        "voters": is_complete,
         "slots": list_of(row_of(is_register, is_ballot, is_value)),
         "next": is_text,
     },
@@ -322,16 +322,16 @@
         record_of(
             needed={
                 "granter": is_text,
-                "since": is_whole,
-                "fence": is_whole,
+                "since": is_complete,
+                "fence": is_complete,
                 "ranges": list_of(
                     either_of(
-                        row_of(is_count, is_count, is_text, is_whole, is_text),
-                        row_of(is_count, is_count, is_text, is_whole, is_text, is_text),
+                        row_of(is_count, is_count, is_text, is_complete, is_text),
+                        row_of(is_count, is_count, is_text, is_complete, is_text, is_text),
                     )
                 ),
             }
         ),
-        record_of(needed={"spaces": map_of(list_of(row_of(is_text, is_whole, is_whole)))}),
+        record_of(needed={"spaces": map_of(list_of(row_of(is_text, is_complete, is_complete)))}),
     ),
 }
--- a/sailward/consensus/proposer.py
+++ b/sailward/consensus/proposer.py
@@ -7,7 +7,7 @@
 
 from sailward import constants
 from sailward.consensus.acceptor import FIRST
-from sailward.events import Tell
+from sailward.events import SendMessage
 
 EMPTY = {"number": 0, "mark": "", "trail": [], "text": ""}
 
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Settled:
+class OperationFinished:
     """An operation has ended."""
 
     op: str
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Begin:
+class StartOperation:
     """Begin an operation: a read, or a change of the value numbered `expected`.
 
     `first` tries one round under the shared first ballot, for a register that likely has no value.
@@ -58,14 +58,14 @@
     expected: int = 0
     text: str | None = None
     first: bool = False
-    wait: float = constants.OPERATION_EXPIRY
+    timeout: float = constants.OPERATION_EXPIRY
 
 
 @dataclass(kw_only=True)
 class Operation:
     """One operation under way."""
 
-    begin: Begin
+    begin: StartOperation
     mark: str
     expiry: float
     voters: dict
@@ -75,9 +75,9 @@
     answers: dict = field(default_factory=dict)
     value: dict = field(default_factory=dict)
     offered: bool = False
-    again: float = 0.0
-    tries: int = 0
-    seen: int = 0
+    retry_at: float = 0.0
+    attempts: int = 0
+    highest_round: int = 0
     against: set = field(default_factory=set)
 
 
@@ -91,154 +91,167 @@
         self._live: dict[str, Operation] = {}
         self._round = 0
 
-    def step(self, *, now: float, voters: dict, event: object) -> tuple[list, list[Settled]]:
+    def step(self, *, now: float, voters: dict, event: object) -> tuple[list, list[OperationFinished]]:
         """Take a Begin, a message from a voter (sender, body), or None for time going on."""
-        if isinstance(event, Begin):
+        if isinstance(event, StartOperation):
             return self._begin(now=now, voters=voters, begin=event)
         if event is None:
-            return self._look_at_alarms(now=now, voters=voters)
+            return self._on_timer(now=now, voters=voters)
         sender, body = event
         # the op on the wire carries the process's name, so that no other's is taken for it
-        work = self._live.get(body["op"])
-        if work is None or body["register"] != work.begin.register or sender not in work.voters.values():
+        operation = self._live.get(body["op"])
+        if operation is None or body["register"] != operation.begin.register or sender not in operation.voters.values():
             return [], []
-        return self._hear(now=now, work=work, sender=sender, body=body)
+        return self._on_reply(now=now, operation=operation, sender=sender, body=body)
 
-    def _begin(self, *, now: float, voters: dict, begin: Begin) -> tuple[list, list[Settled]]:
+    def _begin(self, *, now: float, voters: dict, begin: StartOperation) -> tuple[list, list[OperationFinished]]:
         if not voters.get("members"):
             outcome = Refused(reason="no-voters", value=EMPTY, ballot=[0, ""])
-            return [], [Settled(op=begin.op, register=begin.register, outcome=outcome)]
+            return [], [OperationFinished(op=begin.op, register=begin.register, outcome=outcome)]
         self._count += 1
-        work = Operation(
+        operation = Operation(
             begin=begin,
             mark=f"{self.identity}.{self._count}",
-            expiry=now + begin.wait,
+            expiry=now + begin.timeout,
             voters=voters["members"],
             number=voters["number"],
-            seen=self._round,
+            highest_round=self._round,
         )
-        self._live[begin.op] = work
-        work.phase = "read" if begin.text is None else "prepare"
+        self._live[begin.op] = operation
+        operation.phase = "read" if begin.text is None else "prepare"
         if begin.first and begin.expected == 0 and begin.text is not None:
-            work.phase, work.ballot, work.offered = "first", FIRST, True
-            work.value = {"number": 1, "mark": work.mark, "trail": [], "text": begin.text}
-        return self._open_round(now=now, work=work), []
-
-    def _open_round(self, *, now: float, work: Operation) -> list:
-        size = len(work.begin.text or "") + len(work.value.get("text", ""))
-        work.answers, work.again = {}, now + constants.ROUND_WAIT + size * constants.ROUND_PER_BYTE
-        body = {"op": work.begin.op, "register": work.begin.register, "voters": work.number}
-        if work.phase == "read":
+            operation.phase, operation.ballot, operation.offered = "first", FIRST, True
+            operation.value = {"number": 1, "mark": operation.mark, "trail": [], "text": begin.text}
+        return self._open_round(now=now, operation=operation), []
+
+    def _open_round(self, *, now: float, operation: Operation) -> list:
+        size = len(operation.begin.text or "") + len(operation.value.get("text", ""))
+        operation.answers, operation.retry_at = {}, now + constants.ROUND_WAIT + size * constants.ROUND_PER_BYTE
+        body = {"op": operation.begin.op, "register": operation.begin.register, "voters": operation.number}
+        if operation.phase == "read":
             body["kind"] = "read"
-        elif work.phase == "first":
-            body |= {"kind": "first", "value": work.value}
-        elif work.phase == "prepare":
-            self._round = max(self._round, work.seen) + 1
-            work.ballot = [self._round, self.identity]
-            body |= {"kind": "prepare", "ballot": work.ballot}
+        elif operation.phase == "first":
+            body |= {"kind": "first", "value": operation.value}
+        elif operation.phase == "prepare":
+            self._round = max(self._round, operation.highest_round) + 1
+            operation.ballot = [self._round, self.identity]
+            body |= {"kind": "prepare", "ballot": operation.ballot}
         else:
-            body |= {"kind": "accept", "ballot": work.ballot, "value": work.value}
-        return [Tell(to=address, body=body) for address in sorted(set(work.voters.values()))]
-
-    def _look_at_alarms(self, *, now: float, voters: dict) -> tuple[list, list[Settled]]:
-        commands, settled = [], []
-        for work in list(self._live.values()):
-            if now >= work.expiry:
-                settled.append(self._give_up(work=work))
-            elif now >= work.again:
-                work.voters, work.number = voters["members"], voters["number"]
-                work.phase, work.tries = "prepare", work.tries + 1
-                commands += self._open_round(now=now, work=work)
-        return commands, settled
-
-    def _give_up(self, *, work: Operation) -> Settled:
-        if work.offered:
-            return self._settle(work=work, outcome=Unknown(reason="accept-round-unfinished"))
-        return self._settle(work=work, outcome=Refused(reason="no-majority", value=EMPTY, ballot=[0, ""]))
-
-    def _settle(self, *, work: Operation, outcome: object) -> Settled:
-        del self._live[work.begin.op]
-        return Settled(op=work.begin.op, register=work.begin.register, outcome=outcome)
-
-    def _hear(self, *, now: float, work: Operation, sender: str, body: dict) -> tuple[list, list[Settled]]:
+            body |= {"kind": "accept", "ballot": operation.ballot, "value": operation.value}
+        return [SendMessage(to=address, body=body) for address in sorted(set(operation.voters.values()))]
+
+    def _on_timer(self, *, now: float, voters: dict) -> tuple[list, list[OperationFinished]]:
+        commands, finished = [], []
+        for operation in list(self._live.values()):
+            if now >= operation.expiry:
+                finished.append(self._give_up(operation=operation))
+            elif now >= operation.retry_at:
+                operation.voters, operation.number = voters["members"], voters["number"]
+                operation.phase, operation.attempts = "prepare", operation.attempts + 1
+                commands += self._open_round(now=now, operation=operation)
+        return commands, finished
+
+    def _give_up(self, *, operation: Operation) -> OperationFinished:
+        if operation.offered:
+            return self._finish(operation=operation, outcome=Unknown(reason="accept-round-unfinished"))
+        return self._finish(operation=operation, outcome=Refused(reason="no-majority", value=EMPTY, ballot=[0, ""]))
+
+    def _finish(self, *, operation: Operation, outcome: object) -> OperationFinished:
+        del self._live[operation.begin.op]
+        return OperationFinished(op=operation.begin.op, register=operation.begin.register, outcome=outcome)
+
+    def _on_reply(
+        self, *, now: float, operation: Operation, sender: str, body: dict
+    ) -> tuple[list, list[OperationFinished]]:
         kind = body["kind"]
-        if kind == "nack" and work.phase == "first":
-            return self._hear_taken(now=now, work=work, sender=sender), []
+        if kind == "nack" and operation.phase == "first":
+            return self._on_register_taken(now=now, operation=operation, sender=sender), []
         if kind == "nack":
-            return self._hear_nack(now=now, work=work, body=body), []
-        expected = {"first": "voted", "read": "told", "prepare": "promise", "accept": "voted"}[work.phase]
-        if kind != expected or (kind != "told" and body["ballot"] != work.ballot):
+            return self._on_nack(now=now, operation=operation, body=body), []
+        expected = {"first": "voted", "read": "told", "prepare": "promise", "accept": "voted"}[operation.phase]
+        if kind != expected or (kind != "told" and body["ballot"] != operation.ballot):
             return [], []
-        work.answers[sender] = body.get("vote", [])
-        need = fast_of(members=work.voters) if work.phase == "first" else majority_of(members=work.voters)
-        if len(work.answers) < need:
+        operation.answers[sender] = body.get("vote", [])
+        need = (
+            fast_of(members=operation.voters) if operation.phase == "first" else majority_of(members=operation.voters)
+        )
+        if len(operation.answers) < need:
             return [], []
-        if work.phase == "read":
-            return self._judge_read(now=now, work=work)
-        if work.phase == "prepare":
-            return self._judge_promises(now=now, work=work)
-        return [], [self._settle(work=work, outcome=self._judge_votes(work=work))]
-
-    def _hear_taken(self, *, now: float, work: Operation, sender: str) -> list:
-        work.against.add(sender)
-        if len(work.against) <= len(work.voters) - fast_of(members=work.voters):
+        if operation.phase == "read":
+            return self._judge_read(now=now, operation=operation)
+        if operation.phase == "prepare":
+            return self._judge_promises(now=now, operation=operation)
+        return [], [self._finish(operation=operation, outcome=self._judge_votes(operation=operation))]
+
+    def _on_register_taken(self, *, now: float, operation: Operation, sender: str) -> list:
+        operation.against.add(sender)
+        if len(operation.against) <= len(operation.voters) - fast_of(members=operation.voters):
             return []
-        work.phase = "prepare"
-        return self._open_round(now=now, work=work)
+        operation.phase = "prepare"
+        return self._open_round(now=now, operation=operation)
 
-    def _hear_nack(self, *, now: float, work: Operation, body: dict) -> list:
-        if body["reason"] != "promised" or body["ballot"] != work.ballot or work.phase == "read":
+    def _on_nack(self, *, now: float, operation: Operation, body: dict) -> list:
+        if body["reason"] != "promised" or body["ballot"] != operation.ballot or operation.phase == "read":
             return []
-        work.seen = max(work.seen, body["round"])
-        work.tries += 1
-        pause = constants.BACKOFF * self._rng.random() * min(work.tries, 8)
-        work.again, work.phase = min(work.again, now + pause), "prepare"
-        work.ballot, work.answers = [0, ""], {}
+        operation.highest_round = max(operation.highest_round, body["round"])
+        operation.attempts += 1
+        backoff = constants.BACKOFF * self._rng.random() * min(operation.attempts, 8)
+        operation.retry_at, operation.phase = min(operation.retry_at, now + backoff), "prepare"
+        operation.ballot, operation.answers = [0, ""], {}
         return []
 
-    def _judge_read(self, *, now: float, work: Operation) -> tuple[list, list[Settled]]:
-        told = list(work.answers.values())
-        for one in told:
-            is_first = bool(one) and one[0] == FIRST
-            need = fast_of(members=work.voters) if is_first else majority_of(members=work.voters)
-            if told.count(one) >= need:
-                ballot, value = one if one else ([0, ""], EMPTY)
-                return [], [self._settle(work=work, outcome=_read(ballot=ballot, value=value))]
-        work.again = now if len(told) == len(work.voters) else min(work.again, now + constants.BACKOFF)
+    def _judge_read(self, *, now: float, operation: Operation) -> tuple[list, list[OperationFinished]]:
+        votes = list(operation.answers.values())
+        for vote in votes:
+            is_first = bool(vote) and vote[0] == FIRST
+            need = fast_of(members=operation.voters) if is_first else majority_of(members=operation.voters)
+            if votes.count(vote) >= need:
+                ballot, value = vote if vote else ([0, ""], EMPTY)
+                return [], [self._finish(operation=operation, outcome=_read(ballot=ballot, value=value))]
+        operation.retry_at = (
+            now if len(votes) == len(operation.voters) else min(operation.retry_at, now + constants.BACKOFF)
+        )
         return [], []
 
-    def _judge_promises(self, *, now: float, work: Operation) -> tuple[list, list[Settled]]:
-        value = newest_of(votes=list(work.answers.values()), members=work.voters)
-        begin = work.begin
-        if begin.text is None or work.mark in (value["mark"], *value["trail"]):
-            work.value = value
+    def _judge_promises(self, *, now: float, operation: Operation) -> tuple[list, list[OperationFinished]]:
+        value = newest_of(votes=list(operation.answers.values()), members=operation.voters)
+        begin = operation.begin
+        if begin.text is None or operation.mark in (value["mark"], *value["trail"]):
+            operation.value = value
         elif value["number"] == begin.expected:
             trail = [value["mark"], *value["trail"]][: constants.TRAIL]
-            work.value = {"number": value["number"] + 1, "mark": work.mark, "trail": trail, "text": begin.text}
-            work.offered = True
+            operation.value = {
+                "number": value["number"] + 1,
+                "mark": operation.mark,
+                "trail": trail,
+                "text": begin.text,
+            }
+            operation.offered = True
         else:
-            work.value = value
-        if work.value["number"] == 0:
+            operation.value = value
+        if operation.value["number"] == 0:
             return [], [
-                self._settle(work=work, outcome=_read(ballot=[0, ""], value=EMPTY))
+                self._finish(operation=operation, outcome=_read(ballot=[0, ""], value=EMPTY))
                 if begin.text is None
-                else self._refuse(work=work)
+                else self._refuse(operation=operation)
             ]
-        work.phase = "accept"
-        return self._open_round(now=now, work=work), []
+        operation.phase = "accept"
+        return self._open_round(now=now, operation=operation), []
 
-    def _refuse(self, *, work: Operation) -> Settled:
-        return self._settle(work=work, outcome=Refused(reason="number", value=work.value, ballot=work.ballot))
+    def _refuse(self, *, operation: Operation) -> OperationFinished:
+        return self._finish(
+            operation=operation, outcome=Refused(reason="number", value=operation.value, ballot=operation.ballot)
+        )
 
-    def _judge_votes(self, *, work: Operation) -> Accepted | Refused | Unknown:
-        ours = work.mark in (work.value["mark"], *work.value["trail"])
-        if work.begin.text is None:
-            return _read(ballot=work.ballot, value=work.value)
+    def _judge_votes(self, *, operation: Operation) -> Accepted | Refused | Unknown:
+        ours = operation.mark in (operation.value["mark"], *operation.value["trail"])
+        if operation.begin.text is None:
+            return _read(ballot=operation.ballot, value=operation.value)
         if ours:
-            return Accepted(number=work.begin.expected + 1, ballot=work.ballot, value=work.value)
-        if work.offered and work.value["number"] > work.begin.expected + constants.TRAIL:
+            return Accepted(number=operation.begin.expected + 1, ballot=operation.ballot, value=operation.value)
+        if operation.offered and operation.value["number"] > operation.begin.expected + constants.TRAIL:
             return Unknown(reason="trail-too-short")
-        return Refused(reason="number", value=work.value, ballot=work.ballot)
+        return Refused(reason="number", value=operation.value, ballot=operation.ballot)
 
 
 def _read(*, ballot: list, value: dict) -> Accepted:
--- a/sailward/constants/base.py
+++ b/sailward/constants/base.py
@@ -5,7 +5,7 @@
 
 LEASE = 2.0
 """s, from the moment of asking. A proxy that is cut off goes silent before the 2.5 s that the rules allow."""
-LEASE_ASK = 0.4
+LEASE_REQUEST_INTERVAL = 0.4
 """s. Four askings fit into a lease, so three may be lost in a row."""
 READ_WAIT = 0.15
 """s. How long a proxy waits for the push of a newer value before it reads the register itself."""
@@ -20,7 +20,7 @@
 """s. An operators' change that is not settled by then is refused or unknown."""
 CLAIM_EXPIRY = 1.0
 """s. Longest wait for the claim on an unsafe exchange: a patient caller bears it, a held one would not."""
-CLAIM_LIFE = 1800.0
+CLAIM_TTL = 1800.0
 """s. A key is remembered this long after its claim: 100,000 of them at the larger of today's sizes, 1.06 kB of memory
 and 0.28 kB of disk each. A repeat that comes later may run, unless its key tells its time."""
 KEY_AHEAD = 10.0
@@ -28,16 +28,16 @@
 KEY_MARGIN = 60.0
 """s before the end of a claim's life from which a key that tells its time is too old: KEY_AHEAD, and the clocks'
 spread."""
-CLOCK_LIFE = 30.0
+CLOCK_TTL = 30.0
 """s that a controller's clock counts after it was heard of last: clocks of one rate, so only jumps make it wrong."""
 CLAIM_SWEEP = 10.0
-"""s between sweeps of claims that have outlived CLAIM_LIFE."""
+"""s between sweeps of claims that have outlived CLAIM_TTL."""
 TRAIL = 8
 """marks. How many earlier changes a register names, so that a proposer finds its own among them."""
 
 PUSH_AGAIN = 0.3
 """s. An unacknowledged push is sent again after this."""
-SUBSCRIBER_LIFE = 2.0
+SUBSCRIBER_TTL = 2.0
 """s. A proxy that has not asked for a lease for one lease's length no longer counts as subscribed."""
 
 GOSSIP = 0.5
@@ -58,7 +58,7 @@
 
 PROBE_EVERY = 1.0
 """s between probes of a worker in good status."""
-PROBE_DOUBT = 0.25
+PROBE_UNCERTAIN_AFTER = 0.25
 """s between probes of a worker in doubt: settles a crash in about half a second."""
 PROBE_WAIT = 0.5
 """s. A probe without a result by then has failed."""
@@ -69,13 +69,13 @@
 """fraction healthy under which a hall is drained (the source's autoCapacityDrain)."""
 RESTORE = 0.35
 """fraction healthy at which a drained hall begins its hold."""
-HOLD = 60.0
+ZONE_HOLD_DOWN = 60.0
 """s that a drained hall stays at RESTORE or over before it takes load again (the source's)."""
 DRAIN_CAP = 0.50
 """of a pool's non-empty halls may be drained at once (the source's)."""
 SUSPECT_SELF = 0.5
 """of all halls down in one proxy's view alone: it suspects itself."""
-REPORT_LIFE = 2.0
+REPORT_TTL = 2.0
 """s. A proxy's digest older than this has no voice in the standing view."""
 
 COUNT_EVERY = 0.25
@@ -88,10 +88,10 @@
 """s beyond a lease and an expiry before a closed slot opens: alarms and the owners' steps."""
 OWNER_GRACE = 1.5
 """s that a slot's owner may be unwell before its slots move: a move closes them for longer."""
-ASKS_LIFE = 9.0
+PROXY_ACTIVITY_TTL = 9.0
 """s that a controller tells of a proxy after its last asking: the longest expiry (5 s), a lease, and the telling."""
-ASKS_BEATS = 19
-"""beats (of GOSSIP) after its start before what a controller tells of the proxies is whole: over ASKS_LIFE."""
+ACTIVITY_HEARTBEATS = 19
+"""beats (of GOSSIP) after its start before what a controller tells of the proxies is whole: over PROXY_ACTIVITY_TTL."""
 ASSIGN_EVERY = 0.25
 """s between looks at the slots."""
 MAX_OPEN = 128
@@ -102,26 +102,26 @@
 """s that an exchange may wait in line before it is refused: never held."""
 SERVICE_EXPIRY = 3.0
 """s, default for a service: the longest that an exchange may take at a worker."""
-TRY_SHARE = 0.15
-"""of first tries may be tried again in TRY_WINDOW: with callers' own under the rules' fifth."""
-LOOK_SHARE = 1.0
-"""of first tries in TRY_WINDOW that repeats of unsafe exchanges may look up their claim: it reaches no worker, only the
-core."""
-TRY_WINDOW = 10.0
+ATTEMPT_SHARE = 0.15
+"""of first tries may be tried again in ATTEMPT_WINDOW: with callers' own under the rules' fifth."""
+LOOKUP_SHARE = 1.0
+"""of first tries in ATTEMPT_WINDOW that repeats of unsafe exchanges may look up their claim: it reaches no worker, only
+the core."""
+ATTEMPT_WINDOW = 10.0
 """s. The window that the rules name."""
-TRY_FLOOR = 2
+ATTEMPT_FLOOR = 2
 """tries always allowed in a window, so that a quiet proxy can still try again."""
-CREDIT_LIFE = 15.0
+CREDIT_TTL = 15.0
 """s that a refused first try, sent to no worker, is made up for by a caller's repeat."""
-MAX_TRIES = 2
+MAX_ATTEMPTS = 2
 """times that one exchange is sent on at the most."""
 RETRY_AFTER = 1
 """s that a refusal asks the caller to stay away: half a lease, one probe."""
 WORKER_RATE = 200.0
 """exchanges/s, default bound for one worker over all pools and proxies."""
-COLD_RATE = 5.0
+SLOW_START_RATE = 5.0
 """exchanges/s, default first bound of a cold worker over all proxies."""
-COLD_RAMP = 20.0
+SLOW_START_RAMP = 20.0
 """s in which a cold worker's bound grows to its full one."""
 RATE_MARGIN = 0.9
 """of its part of a bound that a proxy uses, as counts of proxies lag."""
@@ -144,12 +144,12 @@
 """levels of nesting in JSON from outside: several times what a configuration has, far from the interpreter's bound."""
 JSON_DIGITS = 18
 """digits of a whole number in JSON from outside: what 64 bits hold."""
-KEPT_BYTES = 64 << 20
+CACHED_BYTES = 64 << 20
 """bytes of results that a proxy keeps for repeats."""
-COPIES_BYTES = 64 << 20
+REPLICAS_BYTES = 64 << 20
 """bytes of other proxies' results that a proxy keeps copies of: a brief's day of claims (900 s of 40/s of 1 kB) is 36
 MB."""
-WITHOUT_COPIES = ("0.1.0",)
+WITHOUT_REPLICAS = ("0.1.0",)
 """versions of proxies that do not know the message of a copy, and would close the connection over it."""
 COPY_BYTES = 256 << 10
 """bytes of a result of which a copy is given away; a larger one would hold up the messages behind it."""
@@ -159,7 +159,7 @@
 """messages waiting for one peer; more are dropped, as a cut would."""
 DIAL_WAIT = 0.5
 """s for a connection between our processes to open."""
-DIAL_PAUSE = 0.25
+DIAL_BACKOFF = 0.25
 """s between two dials of a peer that can't be reached."""
 
 STOP_GRACE = 5.0
@@ -195,9 +195,9 @@
 JOURNAL = 512
 """events that a process keeps of those its owner was given; written out if the owner ends by a fault."""
 
-ANEW_GAP = 1_000_000
+RECOVERY_GAP = 1_000_000
 """numbers of the voters register that a founding anew leaves free: more than the old set can have made unseen."""
-ANEW_PLACES = 500
+RECOVERY_LOCATIONS = 500
 """places in that gap: two foundings on two sides of a cut get different numbers, 1000 changes apart."""
 REPLACE_AFTER = 20.0
 """s that a voter must be lost before a waiting empty controller takes its place: longer than a roll of its machine."""
@@ -211,7 +211,7 @@
 """s between a controller's own reads of the control registers: finds what it missed."""
 STALLED = 0.5
 """s that a vote may stand unchosen before a controller reads, and so finishes or disproves it."""
-WARM_TELL = 3.0
+SLOW_START_REPORT_INTERVAL = 3.0
 """s after its first asking in which a proxy is told how long workers have been warm."""
 NONCE_BYTES = 6
 """bytes that set one start of a process apart from every other."""
--- a/sailward/constants/hosted.py
+++ b/sailward/constants/hosted.py
@@ -29,7 +29,7 @@
 OUT_SHORT = 0.3
 """s. A call that may take less has an alarm of its own: the sweep would be too coarse."""
 
-FULL_PAUSE = 0.15
+DISK_FULL_BACKOFF = 0.15
 """s that a worker which turned an exchange away as full is passed over: about one exchange's work."""
 PACE_WEIGHT = 0.2
 """of the newest time in the mean of a worker's times: the last ten count."""
@@ -37,7 +37,7 @@
 """s before the first probe of a worker in doubt, doubled with each miss."""
 PROBE_LONGEST = 1.5
 """s between probes of a worker that stays down."""
-COLD_MARGIN = 0.5
+SLOW_START_MARGIN = 0.5
 """s that a worker counts as cold beyond what is told of it: the news is late by the list's lag."""
 RETRY_MARGIN = 0.7
 """of its part of the retry budget that a proxy uses, as counts of proxies lag and windows slide."""
@@ -63,7 +63,7 @@
 """s that a closed connection is still drained, so that a reset does not overtake its last answer."""
 FRONT_FRESH = 1.0
 """s that a leaving front leaves a new connection for its first request."""
-FRONT_ACCEPT_PAUSE = 0.1
+FRONT_ACCEPT_BACKOFF = 0.1
 """s without accepting when the process has no descriptors left."""
 FRONT_READ_BYTES = 64 << 10
 """bytes read at once: one connection does not hold up the others."""
@@ -79,9 +79,9 @@
 """requests that a worker is taken to work on at once where the list does not say."""
 QUEUE_DEPTH = 4
 """times its capacity that a worker is given by all proxies together: itself and a few that queue."""
-COLD_SENDERS = 2
+SLOW_START_SENDERS = 2
 """proxies that may send to a cold worker: one may be lost, and views of the fleet may differ."""
-OWNER_PAUSE = 0.15
+OWNER_BACKOFF = 0.15
 """s before a key's owner that turned a request away is asked again: a grant on its way takes one call."""
 
 GRANT_LEASE = 1.0
@@ -92,7 +92,7 @@
 """s that bytes of a call that was given up may still be under way."""
 GRANT_QUIET = GRANT_LEASE + GRANT_WAIT + GRANT_FLIGHT
 """s after a newer key table was held, by when nothing sent on an older one can arrive any more."""
-GRANT_HOLD = 3.2
+GRANT_DURATION = 3.2
 """s that a worker holds its keys after a grant: three renewals may be lost in a row."""
 GRANT_RENEW = 0.7
 """s between two grants of the same range."""
@@ -108,7 +108,7 @@
 """s of failing grants (two that ran out), or of being called down, before a worker's ranges move."""
 GRANT_AVOID = 10.0
 """s after its last failed grant in which a worker that was silent is given no ranges."""
-GRANT_LOOK = 0.1
+GRANT_CHECK_INTERVAL = 0.1
 """s between looks at whether the key table should change, when nothing happens."""
 GRANT_CHANGE_WAIT = 1.0
 """s before a change of a key table that did not show is tried again."""
@@ -133,7 +133,7 @@
 """times its fair part from which a worker gives ranges away."""
 GRANT_IDLE = 0.5
 """times its fair part below which a worker is given ranges."""
-GRANT_PIECE = 0.25
+GRANT_CHUNK = 0.25
 """of a fair part that the smallest piece given to a worker should have: keeps the number of ranges small."""
 GRANT_LOAD_LEAST = 8.0
 """requests/s of a service under which its keys count as equally busy."""
@@ -162,21 +162,21 @@
     "budget": 0.3,
 }
 """s after which a caller is asked to come back, by why it was refused."""
-ASK_EVERY = 0.5
+POLL_INTERVAL = 0.5
 """s between two askings of a controller for news: pushes come at once, the asking finds what was lost and who is
 silent."""
-ASK_SILENT = 1.0
+POLL_TIMEOUT = 1.0
 """s between askings of a controller that does not answer."""
-ASKS_LOST = 2
+POLLS_LOST = 2
 """askings without an answer after which another controller is asked in its place."""
 CONTROLLER_SILENT = 1.3
 """s without an answer after which a controller's lists are not waited for any more: two askings and a round trip."""
-CONTACT_LIFE = 2.0
+CONTACT_TTL = 2.0
 """s, from the moment of asking, for which an answer of a majority of the voters lets a controller serve. Heartbeats
 come each half second and answer the last one: calm answers are up to 1.2 s old, so one lost heartbeat is borne."""
 ECHO_NUMBERS = (1 << 31) - 2
 """numbers by which heartbeats are answered: as many as fit into four bytes."""
-CONTACT_HEARD = 1.2
+CONTACT_ANNOUNCED = 1.2
 """s since its last heartbeat in which another controller is believed to have contact: two heartbeats and a way
 between regions. Where nothing has come since a cut, contact ends later than this, so operators aren't sent behind
 it."""
@@ -188,7 +188,7 @@
 LAST_RESORT_AFTER = 2.5
 """s without an answer of a controller in contact with a majority, after which a proxy follows one without: long
 enough to ask all that it knows twice, short against the time that workers serve on an old list."""
-CONTROLLERS_ASKED = 2
+CONTROLLERS_POLLED = 2
 """controllers that a proxy asks: one may be lost without a gap in the pushes."""
 JOURNAL_SHOWN = 60
 """events that are written out when an owner ends by a fault: the last seconds of it."""
@@ -197,16 +197,16 @@
 
 LIST_SHARE = 0.45
 """of the platform's rate of calls that all readers of its list together use: the rest is for starts and for others."""
-LIST_PAUSE = 2.0
+LIST_BACKOFF = 2.0
 """s between passes over the list at the longest while passes fail: its news must still come in time."""
 LIST_PAGES = 400
 """pages of one pass: a list with more goes in circles."""
-GONE_LIFE = 5.0
+GONE_TTL = 5.0
 """s that a worker which went from one teller's list is not believed to be back by another's: lists lag by a pass or
 two."""
-LEFT_LIFE = 600.0
+LEFT_TTL = 600.0
 """s that the leaving of a worker which is on no list any more is remembered."""
-COLD_RISE = 0.4
+SLOW_START_RISE = 0.4
 """s by which a worker's told cold time must be over the expected one to be news: it counts down by itself."""
 HISTORY_SEGMENT = 256
 """changes in one segment of a labelled configuration's history, 3 kB: two minutes at three changes a second."""
@@ -221,24 +221,23 @@
 to come back."""
 JOIN_WAIT = 6.0
 """s that a new voter may take to copy before another one is brought in for it, where the core founded itself."""
-HAND_OVER = 4.0
+HANDOVER_WAIT = 4.0
 """s that a voter which was told to stop waits until another has its place: within the shortest grace, 6 s."""
 REPAIR_TURN = 0.6
 """s that each voter leaves the ones named before it to begin a repair, where the core founded itself."""
 REPAIR_AGAIN = 1.0
 """s before a change of the voters that did not show is tried again, where the core founded itself."""
-WAITING_ASK = 2.0
+WAITING_POLL_INTERVAL = 2.0
 """s between askings for news of a controller that waits and knows the voters, where the core founded itself."""
 CONFIRM_EVERY = 0.35
 """s between two askings of the voters by a controller that grants keys.
 
-Two fit into GRANT_LEASE with a round trip between
-regions."""
+Two fit into GRANT_LEASE with a round trip between regions."""
 FLEET_EVERY = 2.0
 """s between two tellings of a controller's proxies to the others where nothing changed: the loads of keys."""
 FLEET_LEAST = 0.2
 """s between two such tellings where something changed."""
-FLEET_LIFE = 5.0
+FLEET_TTL = 5.0
 """s that another controller's word of its proxies counts: if it is lost, they ask another within that time."""
 PROXY_SILENT = 1.8
 """s without an asking after which a proxy is not named to callers any more."""
@@ -246,7 +245,7 @@
 """s over which the load of keys is counted: long enough for a mean, short enough for a rush."""
 LOAD_LEAST = 0.05
 """requests left of a bucket's count, as it fades, under which it is forgotten."""
-HOLD_SHORT = 5.0
+ZONE_HOLD_DOWN_SHORT = 5.0
 """s of a hall's hold where a deployment asks for service within seconds of a return: twice its longest flap."""
 MESH_FIRST = 4
 """beats after its start in which a daemon tells the seeds its whole roster each time."""
@@ -274,7 +273,7 @@
 """times its calm pace from which a worker is taken to be queueing."""
 CALM_DRIFT = 1.02
 """times its calm pace that a worker's calm may rise with each answer: it may have become slower for good."""
-ASK_AGAIN_SHARE = 1.5
+REPEATED_POLL_SHARE = 1.5
 """of a route's target after which a key's owner that is silent is asked once more."""
 SPEED_SPAN = 3.0
 """times slower or faster than its service's mean that a worker is taken to be at the most."""
@@ -285,29 +284,28 @@
 """times its worker's calm pace that a request must have been out before it counts as lost."""
 DIAL_NEAR = 0.25
 """s for a connection within the region to come up: a hundred round trips."""
-HINT_LIFE = 1.2
+HINT_TTL = 1.2
 """s that a worker is passed over because others call it unreachable."""
-HINT_DOUBT = 0.3
+HINT_UNCERTAIN_AFTER = 0.3
 """s since a worker's own answer in which others' word of it is not believed."""
 DOWN_LEAST = 2
 """proxies that must call a worker unreachable before others are told."""
 DOWN_SHARE = 0.1
 """of all proxies that must call a worker unreachable before others are told."""
-ASK_FIRST = 0.12
+FIRST_POLL_DELAY = 0.12
 """s between askings of a proxy that follows no controller yet: it serves nothing before."""
 LIST_SILENT = 1.4
 """s without a word of the reader of the list after which a controller reads it itself: two passes and a margin."""
 LIST_READERS = 2
 """controllers that may read the platform's list at a time.
 
-The one that hashing names, and one that has just not heard of
-it."""
+The one that hashing names, and one that has just not heard of it."""
 LIST_PACE = 0.08
 """s more between passes for each page beyond the first: a long list costs its calls, and its news are pushed at once
 all the same."""
 LEAVING_MARGIN = 1.3
 """s of a leaving worker's time that may be over before a proxy hears of it: a pass, its pages, the push."""
-FLEET_LOOK = 0.2
+FLEET_CHECK_INTERVAL = 0.2
 """s between two looks of a controller at its proxies: their news come with askings each half second."""
 LOAD_BUCKETS = (KEY_LAST + 1) // KEYS_IN_BUCKET
 """buckets of all keys of a divided service."""
@@ -319,11 +317,11 @@
 """s between two tellings of a load that is new or has shifted."""
 LOADS_EVERY = 1.5
 """s between two tellings of a load at rest, to the controller that places the keys."""
-PACES_KEPT = 40
+PACES_CACHED = 40
 """times of a worker from which its pace is taken: some ten seconds of them."""
 PACES_SENT = 8
 """newest times of each worker that a proxy reports at once."""
-PACE_LIFE = 120.0
+PACE_TTL = 120.0
 """s without a time after which a worker's pace is forgotten."""
 PACE_SURE = 16
 """times that the middle pace of a service counts for in each worker's: a few times tell little."""
--- a/sailward/control/administration/admin_api.py
+++ b/sailward/control/administration/admin_api.py
@@ -15,11 +15,11 @@
 from sailward.config.check import Fault, Sound, Unsound
 from sailward.config.dialect import Dialect, Order, Outcome, OwnDialect, refused_unsound
 from sailward.config.history import Labelled, Verdict, read_labelled, write_labelled
-from sailward.consensus.proposer import Accepted, Begin, Refused, Settled, Unknown
+from sailward.consensus.proposer import Accepted, OperationFinished, Refused, StartOperation, Unknown
 from sailward.control.administration.residency import find_homeless
 from sailward.control.administration.zone_orders import read_zone_orders, write_zone_orders
 from sailward.control.group.repair import change_members, keeps_majority
-from sailward.events import Asked, Check, Checked, Log
+from sailward.events import ConfigValidated, LogEvent, RequestReceived, ValidateConfig
 
 
 @dataclass(kw_only=True)
@@ -48,31 +48,31 @@
 class AdminApi:
     """Owner of the operators' exchanges. `step` gives (commands, proposer's begins).
 
-    What the `dialect` does not know is read as the product's own words. `halls` are known without a configuration.
+    What the `dialect` does not know is read as the product's own words. `zones` are known without a configuration.
     """
 
     identity: str
     dialect: Dialect = field(default_factory=OwnDialect)
-    halls: frozenset = frozenset()
-    wait: float = field(default_factory=lambda: constants.OPERATION_EXPIRY)
+    zones: frozenset = frozenset()
+    timeout: float = field(default_factory=lambda: constants.OPERATION_EXPIRY)
     jobs: dict = field(default_factory=dict)
     count: int = 0
     full: dict = field(default_factory=dict)
     controllers: dict = field(default_factory=dict)
     outcomes: Counter = field(default_factory=Counter)
 
-    def step(self, *, event: Asked | Settled | Checked) -> tuple[list, list]:
+    def step(self, *, event: RequestReceived | OperationFinished | ConfigValidated) -> tuple[list, list]:
         """Take an operator's exchange, the end of an operation begun for one, or of a check."""
         match event:
-            case Asked():
-                return self._take(event=event)
-            case Checked():
+            case RequestReceived():
+                return self._on_request(event=event)
+            case ConfigValidated():
                 job = self.jobs.pop(event.token, None)
                 return self._after_check(job=job, verdict=event.verdict) if job else ([], [])
-            case Settled():
-                return self._settle(event=event)
+            case OperationFinished():
+                return self._on_operation_finished(event=event)
 
-    def _settle(self, *, event: Settled) -> tuple[list, list]:
+    def _on_operation_finished(self, *, event: OperationFinished) -> tuple[list, list]:
         job = self.jobs.pop(event.op, None)
         if job is None:
             return [], []
@@ -88,7 +88,7 @@
         for job in self.jobs.values():
             job.is_left = job.is_left or job.token == token
 
-    def _take(self, *, event: Asked) -> tuple[list, list]:
+    def _on_request(self, *, event: RequestReceived) -> tuple[list, list]:
         dialect, order = self.dialect, self.dialect.read(event=event)
         if order is None:
             dialect = OwnDialect()
@@ -102,16 +102,16 @@
             return [dialect.answer(token=event.token, order=None, outcome=order)], []
         return [], [self._begin_read(job=Job(token=event.token, order=order, dialect=dialect))]
 
-    def _begin(self, *, job: Job, kind: str, **fields: object) -> Begin:
+    def _begin(self, *, job: Job, kind: str, **fields: object) -> StartOperation:
         self.count += 1
         op = f"{self.identity}/desk{self.count}/{kind}"
         self.jobs[op], job.waits_since, job.size = job, None, len(str(fields.get("text", "")))
-        return Begin(op=op, register=job.order.register, **fields)
+        return StartOperation(op=op, register=job.order.register, **fields)
 
-    def _begin_read(self, *, job: Job) -> Begin:
+    def _begin_read(self, *, job: Job) -> StartOperation:
         is_zone_order = job.order.register == "orders" and job.dialect.is_labelled
-        wait = min(self.wait, constants.ORDER_READ_WAIT) if is_zone_order else self.wait
-        return self._begin(job=job, kind="read", wait=wait)
+        timeout = min(self.timeout, constants.ORDER_READ_WAIT) if is_zone_order else self.timeout
+        return self._begin(job=job, kind="read", timeout=timeout)
 
     def give_up(self, *, now: float, is_lost: bool) -> list:
         """Answer those for which no majority answered in OPERATOR_PATIENCE, and all if contact is lost: 503, come back.
@@ -168,7 +168,7 @@
         return self._begin_check(job=job, written=written)
 
     def _drop(self, *, job: Job) -> tuple[list, list]:
-        log = Log(event="order-dropped", fields={"register": job.order.register, "by": job.order.kind})
+        log = LogEvent(event="order-dropped", fields={"register": job.order.register, "by": job.order.kind})
         # who closed only its side of the connection still reads
         outcome = Outcome(
             kind="unavailable", code=503, reason="caller-left", detail="the caller left: nothing was changed"
@@ -206,15 +206,15 @@
         self.count += 1
         token = f"{self.identity}/desk{self.count}/check"
         self.jobs[token] = job
-        return [Check(token=token, config=config)], []
+        return [ValidateConfig(token=token, config=config)], []
 
-    def _begin_change(self, *, job: Job, text: str) -> Begin:
+    def _begin_change(self, *, job: Job, text: str) -> StartOperation:
         return self._begin(
             job=job,
             kind="change",
             expected=job.number,
             text=text,
-            wait=self.wait + len(text) * constants.ROUND_PER_BYTE,
+            timeout=self.timeout + len(text) * constants.ROUND_PER_BYTE,
         )
 
     def _after_check(self, *, job: Job, verdict: Sound | Unsound) -> tuple[list, list]:
@@ -250,7 +250,7 @@
         """The register's text with this order taken, or why it is not."""
         zone, kind = str(job.order.given), job.order.kind
         orders = read_zone_orders(text=job.text)
-        is_known = zone in self.full.get("halls", {}) or zone in self.halls
+        is_known = zone in self.full.get("halls", {}) or zone in self.zones
         if not is_known and not (kind == "refill" and zone in orders.emptied):
             return Outcome(
                 kind="refused", code=404, reason="hall-unknown", detail=f"no hall {zone!r} in the configuration"
@@ -260,8 +260,8 @@
             # one alike was taken since this one came, maybe a copy of it: it stands for both
             return Outcome(kind="accepted", number=job.number)
         job.taken = taken
-        wanted = orders.with_order(kind=kind, zone=zone)
-        homeless = find_homeless(full=self.full, emptied=set(wanted.emptied)) if kind == "empty" else []
+        changed = orders.with_order(kind=kind, zone=zone)
+        homeless = find_homeless(full=self.full, emptied=set(changed.emptied)) if kind == "empty" else []
         if homeless and not job.order.is_confirmed:
             return Outcome(
                 kind="refused",
@@ -270,7 +270,7 @@
                 notes={"tenants": homeless},
                 detail="these tenants would have no hall at home: confirm=yes empties it all the same",
             )
-        return write_zone_orders(orders=wanted)
+        return write_zone_orders(orders=changed)
 
     def _make_voters(self, *, job: Job) -> str | Outcome:
         """One member more or less, by its identity or its name; never one that would cost the majority."""
@@ -304,7 +304,7 @@
             fields = {"register": job.order.register, "number": outcome.number, "by": job.order.kind}
             if job.order.digest:
                 fields |= {"builds_on": job.order.expected, "digest": job.order.digest}
-            log = Log(event="accepted", fields=fields)
+            log = LogEvent(event="accepted", fields=fields)
             commands, begins = self._end(
                 job=job, outcome=Outcome(kind="accepted", number=outcome.number, notes=job.notes)
             )
--- a/sailward/control/administration/metrics.py
+++ b/sailward/control/administration/metrics.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING, Literal
 
 from sailward.control.group.repair import count_core
-from sailward.events import Answer
+from sailward.events import Respond
 
 if TYPE_CHECKING:
     from sailward.control.administration.status_report import StatusSources
@@ -62,10 +62,10 @@
     return "\n".join([*lines, "# EOF", ""])
 
 
-def answer_metrics(*, token: str, sources: StatusSources, now: float) -> Answer:
+def answer_metrics(*, token: str, sources: StatusSources, now: float) -> Respond:
     """The answer to a scrape."""
     text = write_metrics(families=collect_metrics(sources=sources, now=now))
-    return Answer(token=token, code=200, body=text.encode(), headers={"Content-Type": CONTENT_TYPE})
+    return Respond(token=token, code=200, body=text.encode(), headers={"Content-Type": CONTENT_TYPE})
 
 
 def show_metrics(*, sources: StatusSources, now: float) -> dict[str, float]:
@@ -78,9 +78,9 @@
 
 
 def _collect_voters(*, sources: StatusSources) -> list[Family]:
-    voter, roster = sources.voter, sources.roster
+    voter, peer_table = sources.voter, sources.peer_table
     members = voter.voters["members"]
-    controllers = [*roster.alive(kind="controller"), roster.own_entry()]
+    controllers = [*peer_table.alive(kind="controller"), peer_table.own_entry()]
     core = count_core(members=members, controllers=controllers)
     copying = sorted(one["id"] for one in controllers if one["identity"] in members and not one["fit"])
     return [
@@ -97,8 +97,8 @@
 
 
 def _collect_registers(*, sources: StatusSources, now: float) -> list[Family]:
-    held, catch_up = sources.voter.held.held, sources.catch_up
-    numbers = {name: one.value["number"] for name, one in held.items()}
+    learned, catch_up = sources.voter.learner.values, sources.catch_up
+    numbers = {name: one.value["number"] for name, one in learned.items()}
     ages = {name: round(now - at, 3) for name, at in catch_up.confirmed.items()}
     families = [
         _labelled("register_number", "Number of the value that this controller holds.", "register", numbers),
@@ -116,20 +116,20 @@
 
 
 def _collect_disk(*, sources: StatusSources) -> list[Family]:
-    ledger = sources.voter.ledger
+    write_ahead = sources.voter.write_ahead
     return [
-        _gauge("data_file_bytes", "Bytes of the data file, without how JSON escapes them.", ledger.size),
-        _gauge("data_file_live_bytes", "Bytes that the last rewrite of the data file left.", ledger.live_size),
-        _counter("data_file_rewrites", "Rewrites of the data file that were begun.", ledger.rewrites),
-        _gauge("disk_usable", "Whether the disk takes writes.", ledger.usable),
-        _gauge("disk_waiting", "Answers that wait for a sync.", len(ledger.waiting)),
+        _gauge("data_file_bytes", "Bytes of the data file, without how JSON escapes them.", write_ahead.size),
+        _gauge("data_file_live_bytes", "Bytes that the last rewrite of the data file left.", write_ahead.live_size),
+        _counter("data_file_rewrites", "Rewrites of the data file that were begun.", write_ahead.rewrites),
+        _gauge("disk_usable", "Whether the disk takes writes.", write_ahead.usable),
+        _gauge("disk_waiting", "Answers that wait for a sync.", len(write_ahead.waiting)),
     ]
 
 
 def _collect_operations(*, sources: StatusSources) -> list[Family]:
-    outcomes, unexpected = sources.desk.outcomes, sources.unexpected.counts
+    outcomes, unexpected = sources.admin_api.outcomes, sources.unexpected.counts
     return [
-        _gauge("operations_open", "Operators' calls under way.", len(sources.desk.jobs)),
+        _gauge("operations_open", "Operators' calls under way.", len(sources.admin_api.jobs)),
         _labelled("operations", "Operators' calls that ended, by how.", "outcome", dict(outcomes), kind="counter"),
         _labelled(
             "unexpected_events", "Events that nothing here has a use for.", "type", dict(unexpected), kind="counter"
--- a/sailward/control/administration/residency.py
+++ b/sailward/control/administration/residency.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Set
 
-from sailward.config.residency import find_home_halls
+from sailward.config.residency import find_home_zones
 
 
 def find_homeless(*, full: dict, emptied: Set[str]) -> list[str]:
     """The bound tenants of whom some match has a pool with every hall at home emptied."""
-    return sorted({tenant for tenant, _, halls in find_home_halls(full=full) if halls and set(halls) <= emptied})
+    return sorted({tenant for tenant, _, zones in find_home_zones(full=full) if zones and set(zones) <= emptied})
--- a/sailward/control/administration/status_report.py
+++ b/sailward/control/administration/status_report.py
@@ -8,7 +8,7 @@
 from sailward import constants
 from sailward.control.administration.admin_api import AdminApi
 from sailward.control.administration.metrics import show_metrics
-from sailward.control.endpoints.endpoint_list import WorkerList
+from sailward.control.endpoints.endpoint_list import EndpointList
 from sailward.control.group.catch_up import CatchUp
 from sailward.control.group.contact_watch import ContactWatch
 from sailward.control.group.disaster_recovery import read_founding
@@ -16,9 +16,9 @@
 from sailward.control.group.quorum_contact import NEVER
 from sailward.control.group.repair import count_core
 from sailward.control.group.voter import Voter
-from sailward.control.proxies.aggregated_health import Standing
+from sailward.control.proxies.aggregated_health import AggregatedHealth
 from sailward.control.proxies.subscribers import Subscribers
-from sailward.discovery.peer_table import Roster, kind_of
+from sailward.discovery.peer_table import PeerTable, kind_of
 from sailward.events import RefusedInput, UnexpectedEvents
 
 
@@ -27,32 +27,32 @@
     """The parts of a controller that its status is read from."""
 
     voter: Voter
-    roster: Roster
+    peer_table: PeerTable
     membership: Membership
     contact_watch: ContactWatch
     subscribers: Subscribers
-    standing: Standing
-    worker_list: WorkerList
+    aggregated_health: AggregatedHealth
+    endpoint_list: EndpointList
     unexpected: UnexpectedEvents
     refused: RefusedInput
     catch_up: CatchUp
-    desk: AdminApi
+    admin_api: AdminApi
 
 
 def show_status(*, sources: StatusSources, now: float) -> dict:
     """The status of the core, the halls and the proxies, as this controller sees it."""
-    voter, roster, subscribers = sources.voter, sources.roster, sources.subscribers
+    voter, peer_table, subscribers = sources.voter, sources.peer_table, sources.subscribers
     registers = {
         name: {
-            "number": held.value["number"],
+            "number": learned.value["number"],
             "acknowledged_by": sorted(
                 member.entry.get("id", "")
                 for member in subscribers.members.values()
-                if member.acked.get(name, -1) >= held.value["number"]
-                or (member.have.get(name) or [-1])[0] >= held.value["number"]
+                if member.acked.get(name, -1) >= learned.value["number"]
+                or (member.have.get(name) or [-1])[0] >= learned.value["number"]
             ),
         }
-        for name, held in voter.held.held.items()
+        for name, learned in voter.learner.values.items()
     }
     daemons = [
         {
@@ -64,14 +64,14 @@
             "version": known.entry["version"],
             "http": known.entry["http"],
         }
-        for known in roster.known.values()
+        for known in peer_table.known.values()
     ]
-    halls = {
-        f"{service}|{hall}": {"state": state.state, "fraction": state.fraction, "for_s": round(now - state.since, 1)}
-        for (service, hall), state in sources.standing.book.halls.items()
+    zones = {
+        f"{service}|{zone}": {"state": state.state, "fraction": state.fraction, "for_s": round(now - state.since, 1)}
+        for (service, zone), state in sources.aggregated_health.table.zones.items()
     }
     core = count_core(
-        members=voter.voters["members"], controllers=[*roster.alive(kind="controller"), roster.own_entry()]
+        members=voter.voters["members"], controllers=[*peer_table.alive(kind="controller"), peer_table.own_entry()]
     )
     return {
         "id": voter.place.name,
@@ -81,17 +81,17 @@
         "founding": _show_founding(sources=sources, now=now),
         "post": voter.place.post,
         "voting": voter.voting,
-        "disk_usable": voter.ledger.usable,
+        "disk_usable": voter.write_ahead.usable,
         "contact": _show_contact(sources=sources, now=now),
         "voters": voter.voters,
         "registers": registers,
         "daemons": sorted(daemons, key=lambda one: one["id"]),
-        "halls": halls,
+        "halls": zones,
         "proxies": len(subscribers.proxies()),
-        "list": {"epoch": sources.worker_list.epoch, "revision": sources.worker_list.revision},
+        "list": {"epoch": sources.endpoint_list.epoch, "revision": sources.endpoint_list.revision},
         "slots": len(voter.acceptor.slots),
         "rates": _sum_rates(proxies=subscribers.proxies()),
-        "well": sorted(sources.standing.warm),
+        "well": sorted(sources.aggregated_health.warm),
         "metrics": show_metrics(sources=sources, now=now),
         "unexpected_events": dict(sources.unexpected.counts),
         "refused_input": dict(sources.refused.counts),
@@ -108,23 +108,23 @@
     shown_at = watch.shown_at(now=now)
     age = round(now - shown_at, 2) if shown_at > NEVER else None
     return {
-        "majority": now - shown_at <= constants.CONTACT_LIFE,
+        "majority": now - shown_at <= constants.CONTACT_TTL,
         "serves": watch.may_serve(now=now),
         "to_read": sorted(watch.contact.unread),
-        "config": sources.voter.held.number(name="config"),
+        "config": sources.voter.learner.number(name="config"),
         "served_age_s": age,
     }
 
 
 def _show_founding(*, sources: StatusSources, now: float) -> dict:
-    founding = read_founding(value=sources.voter.held_voters().value)
+    founding = read_founding(value=sources.voter.learned_voters().value)
     if not founding.number:
         return {}
     return {
         "number": founding.number,
         "survivors": list(founding.survivors),
         "acts": not sources.voter.is_opening,
-        "claims": "in-doubt" if sources.membership.doubts(now=now) else "kept",
+        "claims": "in-doubt" if sources.membership.has_unknown_outcomes(now=now) else "kept",
     }
 
 
--- a/sailward/control/controller.py
+++ b/sailward/control/controller.py
@@ -6,43 +6,43 @@
 
 from sailward import constants
 from sailward.config.dialect import OwnDialect
-from sailward.consensus.proposer import Begin, Proposer
+from sailward.consensus.proposer import Proposer, StartOperation
 from sailward.control.administration.admin_api import AdminApi
 from sailward.control.administration.metrics import answer_metrics
 from sailward.control.administration.status_report import StatusSources, show_status
 from sailward.control.controller_options import ControllerOptions
-from sailward.control.endpoints.endpoint_list import WorkerList
+from sailward.control.endpoints.endpoint_list import EndpointList
 from sailward.control.group.catch_up import CatchUp
 from sailward.control.group.contact_watch import ContactWatch
 from sailward.control.group.disaster_recovery import log_founding
-from sailward.control.group.graceful_shutdown import Leaving
+from sailward.control.group.graceful_shutdown import GracefulShutdown
 from sailward.control.group.membership import Membership
 from sailward.control.group.quorum_contact import QuorumContact
-from sailward.control.group.redirect import turn_away
+from sailward.control.group.redirect import redirect_or_reject
 from sailward.control.group.voter import Voter
 from sailward.control.message_handlers import MessageHandlers
-from sailward.control.proxies.aggregated_health import Standing
-from sailward.control.proxies.proxy_registry import Fleet
+from sailward.control.proxies.aggregated_health import AggregatedHealth
+from sailward.control.proxies.proxy_registry import ProxyRegistry
 from sailward.control.proxies.serving import Serving
 from sailward.control.proxies.subscribers import Subscribers
 from sailward.control.registers import Registers
 from sailward.control.shards.shard_leases import ShardLeases
-from sailward.control.shards.shard_moves import Moves
-from sailward.discovery.peer_table import Place, Roster
+from sailward.control.shards.shard_moves import ShardMoves
+from sailward.discovery.peer_table import Location, PeerTable
 from sailward.events import (
-    Answer,
-    Asked,
-    Called,
-    CallerLeft,
-    Checked,
+    CallFinished,
+    ClientDisconnected,
     Command,
-    DiskFailed,
+    ConfigValidated,
+    DiskWriteFailed,
     Event,
-    Heard,
+    MessageReceived,
+    RecordsSynced,
     RefusedInput,
-    StopAsked,
-    Synced,
-    Ticked,
+    RequestReceived,
+    Respond,
+    ShutdownRequested,
+    TimerFired,
     UnexpectedEvents,
 )
 from sailward.routing.proxied_request import answer_json
@@ -56,7 +56,7 @@
     def __init__(
         self,
         *,
-        place: Place,
+        place: Location,
         platform: str,
         nonce: str,
         start: int,
@@ -69,16 +69,16 @@
         self.place, self.start = place, start
         self.unexpected, self.refused = UnexpectedEvents(), RefusedInput()
         self.voter = Voter(place=place, nonce=nonce, records=records, now=now, bootstrap=options.bootstrap)
-        self.held, self.acceptor, self.ledger = self.voter.held, self.voter.acceptor, self.voter.ledger
+        self.learner, self.acceptor, self.write_ahead = self.voter.learner, self.voter.acceptor, self.voter.write_ahead
         op_prefix = f"{place.name}#{nonce}"
         self.proposer = Proposer(identity=op_prefix, rng=rng)
-        self.desk = AdminApi(
+        self.admin_api = AdminApi(
             identity=op_prefix,
             dialect=options.dialect or OwnDialect(),
-            wait=options.operation_wait,
-            halls=frozenset(hall for hall, _ in options.zones),
+            timeout=options.operation_wait,
+            zones=frozenset(zone for zone, _ in options.zones),
         )
-        self.roster = Roster(
+        self.peer_table = PeerTable(
             place=place,
             start=start,
             identity=self.voter.identity,
@@ -88,7 +88,7 @@
             has_disk=options.has_disk,
         )
         self.membership = Membership(
-            voter=self.voter, roster=self.roster, options=options, op_prefix=op_prefix, now=now
+            voter=self.voter, peer_table=self.peer_table, options=options, op_prefix=op_prefix, now=now
         )
         contact = QuorumContact(started=now)
         shown_contact = contact if options.is_mesh else None
@@ -101,14 +101,16 @@
         self.contact_watch = ContactWatch(
             contact=contact,
             voter=self.voter,
-            roster=self.roster,
+            peer_table=self.peer_table,
             catch_up=self.catch_up,
-            desk=self.desk,
+            admin_api=self.admin_api,
             is_required=options.is_mesh,
         )
-        self.leaving = Leaving(voter=self.voter, roster=self.roster, is_enabled=options.bootstrap is not None)
-        self.moves = Moves()
-        self.worker_list = WorkerList(
+        self.leaving = GracefulShutdown(
+            voter=self.voter, peer_table=self.peer_table, is_enabled=options.bootstrap is not None
+        )
+        self.moves = ShardMoves()
+        self.endpoint_list = EndpointList(
             platform=platform,
             post=place.post,
             start=start,
@@ -117,40 +119,40 @@
             refused=self.refused,
         )
         self.subscribers = Subscribers(post=place.post if options.reader else "")
-        self.standing = Standing()
-        self.fleet = Fleet(post=place.post, hall=place.hall, region=place.region)
+        self.aggregated_health = AggregatedHealth()
+        self.fleet = ProxyRegistry(post=place.post, zone=place.zone, region=place.region)
         self.serving = Serving(
             voter=self.voter,
-            roster=self.roster,
+            peer_table=self.peer_table,
             membership=self.membership,
             catch_up=self.catch_up,
             contact_watch=self.contact_watch,
             subscribers=self.subscribers,
-            worker_list=self.worker_list,
-            standing=self.standing,
+            endpoint_list=self.endpoint_list,
+            aggregated_health=self.aggregated_health,
             fleet=self.fleet,
             options=options,
         )
         self.shard_leases = self._make_shard_leases(op_prefix=op_prefix) if options.grants else None
         self._status = StatusSources(
             voter=self.voter,
-            roster=self.roster,
+            peer_table=self.peer_table,
             membership=self.membership,
             contact_watch=self.contact_watch,
             subscribers=self.subscribers,
-            standing=self.standing,
-            worker_list=self.worker_list,
+            aggregated_health=self.aggregated_health,
+            endpoint_list=self.endpoint_list,
             unexpected=self.unexpected,
             refused=self.refused,
             catch_up=self.catch_up,
-            desk=self.desk,
+            admin_api=self.admin_api,
         )
         self.registers = Registers(
             voter=self.voter,
             proposer=self.proposer,
             contact=shown_contact,
-            desk=self.desk,
-            roster=self.roster,
+            admin_api=self.admin_api,
+            peer_table=self.peer_table,
             membership=self.membership,
             catch_up=self.catch_up,
             moves=self.moves,
@@ -161,13 +163,13 @@
         )
         self.messages = MessageHandlers(
             voter=self.voter,
-            roster=self.roster,
+            peer_table=self.peer_table,
             registers=self.registers,
             membership=self.membership,
             catch_up=self.catch_up,
             contact_watch=self.contact_watch,
             serving=self.serving,
-            worker_list=self.worker_list,
+            endpoint_list=self.endpoint_list,
             fleet=self.fleet,
             shard_leases=self.shard_leases,
             options=options,
@@ -179,7 +181,7 @@
     def step(self, *, now: float, event: Event) -> list[Command]:
         """Answer one event with commands."""
         commands, self._begun = self._begun, []
-        return commands + self._take(now=now, event=event)
+        return commands + self._dispatch(now=now, event=event)
 
     @property
     def identity(self) -> str:
@@ -196,31 +198,31 @@
         """May this process vote and grant?"""
         return self.voter.voting
 
-    def _take(self, *, now: float, event: Event) -> list[Command]:
+    def _dispatch(self, *, now: float, event: Event) -> list[Command]:
         match event:
-            case Heard():
+            case MessageReceived():
                 return self.messages.step(now=now, sender=event.sender, body=event.body)
-            case Asked():
-                return self._ask(now=now, event=event)
-            case CallerLeft():
+            case RequestReceived():
+                return self._on_request(now=now, event=event)
+            case ClientDisconnected():
                 return self._drop_order(now=now, event=event)
-            case Called():
-                return self._take_call(now=now, event=event)
-            case Synced() | DiskFailed():
-                return self.ledger.hear(event=event)
-            case Checked():
-                commands, begins = self.desk.step(event=event)
+            case CallFinished():
+                return self._on_call_finished(now=now, event=event)
+            case RecordsSynced() | DiskWriteFailed():
+                return self.write_ahead.receive(event=event)
+            case ConfigValidated():
+                commands, begins = self.admin_api.step(event=event)
                 return commands + self.registers.begin(now=now, begins=begins)
-            case StopAsked():
+            case ShutdownRequested():
                 return self.leaving.begin(now=now)
-            case Ticked():
+            case TimerFired():
                 return self._tick(now=now, event=event)
             case _:
                 return self.unexpected.add_unknown(event=event)
 
     # operators
 
-    def _ask(self, *, now: float, event: Asked) -> list[Command]:
+    def _on_request(self, *, now: float, event: RequestReceived) -> list[Command]:
         match (event.method, event.path):
             case ("GET", "/status"):
                 return [answer_json(token=event.token, code=200, body=show_status(sources=self._status, now=now))]
@@ -229,63 +231,67 @@
             case ("POST", "/found"):
                 return self.membership.found(now=now, event=event)
             case ("POST", "/found-anew"):
-                return self._found_anew(now=now, event=event)
-        if not self.contact_watch.may_try(now=now):
-            return [turn_away(now=now, event=event, dialect=self.desk.dialect, roster=self.roster)]
+                return self._order_recovery(now=now, event=event)
+        if not self.contact_watch.may_attempt(now=now):
+            return [
+                redirect_or_reject(now=now, event=event, dialect=self.admin_api.dialect, peer_table=self.peer_table)
+            ]
         if (event.method, event.path) == ("GET", "/workers"):
             return [self._show_workers(event=event)]
-        commands, begins = self.desk.step(event=event)
+        commands, begins = self.admin_api.step(event=event)
         return commands + self.registers.begin(now=now, begins=begins)
 
-    def _show_workers(self, *, event: Asked) -> Answer:
-        workers = self.worker_list
+    def _show_workers(self, *, event: RequestReceived) -> Respond:
+        workers = self.endpoint_list
         body = {"epoch": workers.epoch, "revision": workers.revision, "workers": workers.rows()}
         return answer_json(token=event.token, code=200, body=body)
 
-    def _found_anew(self, *, now: float, event: Asked) -> list[Command]:
-        order = self.membership.found_anew(now=now, event=event)
-        if isinstance(order, Answer):
+    def _order_recovery(self, *, now: float, event: RequestReceived) -> list[Command]:
+        order = self.membership.order_recovery(now=now, event=event)
+        if isinstance(order, Respond):
             return [order]
-        commands = self.registers.learn(now=now, name="voters", ballot=order.ballot, value=order.value, tell=True)
+        commands = self.registers.learn(now=now, name="voters", ballot=order.ballot, value=order.value, deliver=True)
         # told only when it lasts
         replies = [log_founding(value=order.value), *commands, order.answer]
-        return self.ledger.step(records=[order.record], replies=replies)
+        return self.write_ahead.step(records=[order.record], replies=replies)
 
-    def _drop_order(self, *, now: float, event: CallerLeft) -> list[Command]:
+    def _drop_order(self, *, now: float, event: ClientDisconnected) -> list[Command]:
         """The caller has gone, most likely to another controller: its order on a zone, if not begun, never begins."""
-        self.desk.drop(token=event.token)
+        self.admin_api.drop(token=event.token)
         return []
 
     # calls to the platform's list and to workers
 
-    def _take_call(self, *, now: float, event: Called) -> list[Command]:
+    def _on_call_finished(self, *, now: float, event: CallFinished) -> list[Command]:
         if event.token.startswith(("grant ", "release ")):
             return self.registers.step_shard_leases(now=now, event=event)
         return self._step_list(now=now, event=event)
 
-    def _step_list(self, *, now: float, event: Called | None) -> list[Command]:
+    def _step_list(self, *, now: float, event: CallFinished | None) -> list[Command]:
         # a controller outside the core reads the list only for proxies that follow it
-        is_wanted = not self.voters["members"] or self.voting or self.subscribers.has_followers()
-        commands, is_news = self.worker_list.step(now=now, event=event, roster=self.roster, is_wanted=is_wanted)
-        return commands + (self.serving.push(now=now) if is_news else [])
+        is_needed = not self.voters["members"] or self.voting or self.subscribers.has_followers()
+        commands, is_newer = self.endpoint_list.step(
+            now=now, event=event, peer_table=self.peer_table, is_needed=is_needed
+        )
+        return commands + (self.serving.push(now=now) if is_newer else [])
 
     def _make_shard_leases(self, *, op_prefix: str) -> ShardLeases:
         return ShardLeases(
             voter=self.voter,
-            roster=self.roster,
+            peer_table=self.peer_table,
             catch_up=self.catch_up,
             moves=self.moves,
-            worker_list=self.worker_list,
+            endpoint_list=self.endpoint_list,
             fleet=self.fleet,
             subscribers=self.subscribers,
             codec=self.options.grants,
-            hold_max=self.options.hold_max,
+            lease_max=self.options.lease_max,
             op_prefix=op_prefix,
         )
 
     # time going on
 
-    def _tick(self, *, now: float, event: Ticked) -> list[Command]:
+    def _tick(self, *, now: float, event: TimerFired) -> list[Command]:
         self.serving.wall_offset = event.wall - now
         commands = self.contact_watch.step(now=now)
         commands += self.registers.tick(now=now)
@@ -298,41 +304,41 @@
         commands += self.voter.sweep_claims(now=now)
         commands += self._step_membership(now=now)
         self._describe_itself(now=now)
-        commands += self._judge_standing(now=now) + self.leaving.step(now=now)
+        commands += self._update_aggregated_health(now=now) + self.leaving.step(now=now)
         return commands + self._repair_disk(now=now)
 
     def _step_fleet(self, *, now: float) -> list[Command]:
         if not self.options.tells_fleet:
             return []
-        controllers = [*self.roster.alive(kind="controller"), self.roster.own_entry()]
+        controllers = [*self.peer_table.alive(kind="controller"), self.peer_table.own_entry()]
         return self.fleet.step(now=now, event=None, proxies=self.subscribers.proxies(), controllers=controllers)
 
     def _step_membership(self, *, now: float) -> list[Command]:
         commands, begins = self.membership.step(now=now)
-        self.desk.controllers = self.membership.controllers
+        self.admin_api.controllers = self.membership.controllers
         return commands + self.registers.begin(now=now, begins=begins)
 
     def _describe_itself(self, *, now: float) -> None:
         """What the roster tells others of this process."""
-        self.roster.fit = self.voting
-        self.roster.asks = "" if self.options.is_mesh else self.subscribers.asks(now=now)
+        self.peer_table.fit = self.voting
+        self.peer_table.asks = "" if self.options.is_mesh else self.subscribers.asks(now=now)
         if self.options.bootstrap:
             # one that waits and can't write is not brought in
-            may_act = (self.ledger.usable and self.options.has_disk) or self.voter.is_member
-            self.roster.identity = self.identity if may_act else ""
+            may_act = (self.write_ahead.usable and self.options.has_disk) or self.voter.is_member
+            self.peer_table.identity = self.identity if may_act else ""
 
-    def _judge_standing(self, *, now: float) -> list[Command]:
+    def _update_aggregated_health(self, *, now: float) -> list[Command]:
         if now - self._judged < constants.JUDGE_EVERY:
             return []
         self._judged = now
-        return self.serving.push(now=now) + self.standing.step(now=now, proxies=self.subscribers.proxies())
+        return self.serving.push(now=now) + self.aggregated_health.step(now=now, proxies=self.subscribers.proxies())
 
     def _repair_disk(self, *, now: float) -> list[Command]:
         """Try the whole file again while the disk can't be written."""
-        if self.ledger.usable or self.ledger.rewriting or now - self._rewrite_tried <= constants.REPAIR_EVERY:
+        if self.write_ahead.usable or self.write_ahead.rewriting or now - self._rewrite_tried <= constants.REPAIR_EVERY:
             return []
         self._rewrite_tried = now
-        return [self.ledger.rewrite()]
+        return [self.write_ahead.rewrite()]
 
     def _move_slots(self, *, now: float) -> list[Command]:
         if not self.voting:
@@ -340,16 +346,18 @@
         changes = self.moves.step(
             now=now,
             own=self.identity,
-            controllers=[*self.roster.alive(kind="controller"), self.roster.own_entry()],
-            held=self.held,
-            standing=self.standing,
-            workers=self.worker_list.value,
-            epoch=self.worker_list.epoch,
+            controllers=[*self.peer_table.alive(kind="controller"), self.peer_table.own_entry()],
+            learner=self.learner,
+            aggregated_health=self.aggregated_health,
+            workers=self.endpoint_list.value,
+            epoch=self.endpoint_list.epoch,
             proxies=self.subscribers.proxies(),
         )
         begins = []
         for name, number, text in changes:
             self._moves_begun += 1
             op = f"{self._op_prefix}/move{self._moves_begun}"
-            begins.append(Begin(op=op, register=name, expected=number, text=text, wait=constants.ROUND_WAIT * 3))
+            begins.append(
+                StartOperation(op=op, register=name, expected=number, text=text, timeout=constants.ROUND_WAIT * 3)
+            )
         return self.registers.begin(now=now, begins=begins)
--- a/sailward/control/controller_options.py
+++ b/sailward/control/controller_options.py
@@ -43,7 +43,7 @@
     read_every: float = field(default_factory=lambda: constants.READ_EVERY)
     operation_wait: float = field(default_factory=lambda: constants.OPERATION_EXPIRY)
     grants: GrantCodec | None = None
-    hold_max: float = field(default_factory=lambda: constants.GRANT_HOLD)
+    lease_max: float = field(default_factory=lambda: constants.GRANT_DURATION)
     tells_fleet: bool = False
     is_mesh: bool = False
     has_disk: bool = True
--- a/sailward/control/endpoints/incarnations.py
+++ b/sailward/control/endpoints/incarnations.py
@@ -19,25 +19,28 @@
     number: int
     value: dict | None = None
     rows: dict = field(default_factory=dict)
-    cold_until: dict = field(default_factory=dict)
+    slow_start_until: dict = field(default_factory=dict)
 
     def step(self, *, now: float, rows: list) -> bool:
         """Take the rows of a pass; is something new?"""
         fresh = {row["id"]: {**row, "cold_s": 0.0} for row in rows}
         risen = any(
-            row["cold_s"] > max(0.0, self.cold_until.get(row["id"], now) - now) + constants.COLD_RISE for row in rows
+            row["cold_s"] > max(0.0, self.slow_start_until.get(row["id"], now) - now) + constants.SLOW_START_RISE
+            for row in rows
         )
-        news = self.value is None or fresh != self.rows or risen
-        if news:
+        is_new = self.value is None or fresh != self.rows or risen
+        if is_new:
             self.number, self.rows = self.number + 1, fresh
-        was_cold = any(until > now - constants.LIST_PAUSE for until in self.cold_until.values())
-        if news or was_cold:
-            self.cold_until = {row["id"]: now + row["cold_s"] for row in rows if row["cold_s"] > 0}
-            told = [{**row, "cold_s": round(row["cold_s"], 2)} for row in sorted(rows, key=lambda row: row["id"])]
+        was_in_slow_start = any(until > now - constants.LIST_BACKOFF for until in self.slow_start_until.values())
+        if is_new or was_in_slow_start:
+            self.slow_start_until = {row["id"]: now + row["cold_s"] for row in rows if row["cold_s"] > 0}
+            listed_rows = [
+                {**row, "cold_s": round(row["cold_s"], 2)} for row in sorted(rows, key=lambda row: row["id"])
+            ]
             self.value = {
                 "number": self.number,
                 "mark": self.post,
                 "trail": [],
-                "text": json.dumps(told, separators=(",", ":")),
+                "text": json.dumps(listed_rows, separators=(",", ":")),
             }
-        return news
+        return is_new
--- a/sailward/control/group/catch_up.py
+++ b/sailward/control/group/catch_up.py
@@ -4,7 +4,7 @@
 
 from sailward import constants
 from sailward.consensus.learner import CONTROL
-from sailward.consensus.proposer import Accepted, Begin, Settled
+from sailward.consensus.proposer import Accepted, OperationFinished, StartOperation
 from sailward.control.group.quorum_contact import QuorumContact
 from sailward.control.group.voter import Voter
 
@@ -30,17 +30,17 @@
         self.confirmed: dict[str, float] = {}
         self.caught_up_after: float | None = None
 
-    def note_confirmed(self, *, now: float, name: str) -> None:
+    def record_confirmed(self, *, now: float, name: str) -> None:
         """A majority has just shown the newest value of this register."""
         self.confirmed[name] = now
         if name == "config" and self.caught_up_after is None and self._started is not None:
             self.caught_up_after = round(now - self._started, 3)
 
-    def note_behind(self, *, now: float, name: str) -> None:
+    def record_behind(self, *, now: float, name: str) -> None:
         """What is held of this register is known to be old: it is read with the next tick."""
         self._behind.setdefault(name, now - constants.STALLED)
 
-    def note_untold(self, *, now: float, name: str) -> None:
+    def record_unannounced(self, *, now: float, name: str) -> None:
         """Something newer of this register was voted for: it is read if it is not told soon."""
         self._behind.setdefault(name, now)
 
@@ -48,7 +48,7 @@
         """All registers are read with the next tick."""
         self._read_at.clear()
 
-    def finish(self, *, now: float, end: Settled) -> bool:
+    def finish(self, *, now: float, end: OperationFinished) -> bool:
         """Was this operation, which has ended, one of these reads? One that ended well is noted."""
         if self._reading.pop(end.op, None) is None:
             return False
@@ -57,7 +57,7 @@
             self._contact.finish_read(now=now, register=end.register, begun=begun)
         return True
 
-    def step(self, *, now: float) -> list[Begin]:
+    def step(self, *, now: float) -> list[StartOperation]:
         """Begin the reads that are due."""
         if self._started is None:
             self._started = now
@@ -73,19 +73,19 @@
     def _is_due(self, *, now: float, name: str) -> bool:
         slot = self._voter.acceptor.slots.get(name)
         vote = [slot.value["number"], slot.value["mark"], slot.ballot] if slot and slot.value else [0, "", [0, ""]]
-        if not self._voter.held.covers(name=name, newest=vote):
+        if not self._voter.learner.covers(name=name, newest=vote):
             self._behind.setdefault(name, now)
         elif self._behind.get(name, now) >= now:
             self._behind.pop(name, None)
         is_stalled = name in self._behind and now - self._behind[name] >= constants.STALLED
-        is_wanted = self._contact is not None and self._contact.had_contact and name in self._contact.unread
-        pause = constants.STALLED if is_stalled or is_wanted else self._every
+        is_needed = self._contact is not None and self._contact.had_contact and name in self._contact.unread
+        pause = constants.STALLED if is_stalled or is_needed else self._every
         return now - self._read_at.get(name, NEVER) >= pause and name not in self._reading.values()
 
-    def _begin(self, *, now: float, name: str) -> Begin:
+    def _begin(self, *, now: float, name: str) -> StartOperation:
         self._count += 1
         self._read_at[name] = now
         self._behind.pop(name, None)
         op = f"{self._op_prefix}/own{self._count}"
         self._reading[op], self._begun[op] = name, now
-        return Begin(op=op, register=name)
+        return StartOperation(op=op, register=name)
--- a/sailward/control/group/contact_watch.py
+++ b/sailward/control/group/contact_watch.py
@@ -7,10 +7,10 @@
 from sailward.control.group.quorum_contact import QuorumContact
 from sailward.control.group.voter import Voter
 from sailward.control.shards.freshness import newest_vote
-from sailward.discovery.peer_table import Roster
-from sailward.events import Command, Log
+from sailward.discovery.peer_table import PeerTable
+from sailward.events import Command, LogEvent
 
-TOLD_NUMBERS = ("config", "orders")
+ANNOUNCED_REGISTERS = ("config", "orders")
 """The registers of which voters tell the newest number that they voted for with their heartbeats."""
 
 
@@ -25,13 +25,13 @@
         *,
         contact: QuorumContact,
         voter: Voter,
-        roster: Roster,
+        peer_table: PeerTable,
         catch_up: CatchUp,
-        desk: AdminApi,
+        admin_api: AdminApi,
         is_required: bool,
     ) -> None:
         self.contact = contact
-        self._voter, self._roster, self._catch_up, self._desk = voter, roster, catch_up, desk
+        self._voter, self._peer_table, self._catch_up, self._admin_api = voter, peer_table, catch_up, admin_api
         self._is_required = is_required
 
     def may_serve(self, *, now: float) -> bool:
@@ -39,7 +39,7 @@
         members = self._voter.voters["members"]
         return not self._is_required or self.contact.may_serve(now=now, members=members, own=self._own_vote())
 
-    def may_try(self, *, now: float) -> bool:
+    def may_attempt(self, *, now: float) -> bool:
         """May an operator's call be tried at a majority?
 
         Also by a process that is too young to know whether it has contact.
@@ -59,37 +59,37 @@
             # what was chosen during the gap was not told here
             self._catch_up.read_all_soon()
         is_lost = had_contact and not self.contact.had_contact
-        commands = self._desk.give_up(now=now, is_lost=is_lost)
+        commands = self._admin_api.give_up(now=now, is_lost=is_lost)
         if had_contact != self.contact.had_contact:
-            commands.append(Log(event="contact-lost" if is_lost else "contact-found"))
+            commands.append(LogEvent(event="contact-lost" if is_lost else "contact-found"))
         return commands
 
     def send_heartbeats(self, *, now: float) -> list[Command]:
         """Let the roster send what is due, and note each heartbeat as a question."""
-        roster, before = self._roster, self._roster.beat
-        roster.contact = self.may_serve(now=now)
-        roster.voted = [newest_vote(slots=self._voter.acceptor.slots, name=name)[0] for name in TOLD_NUMBERS]
-        commands = roster.step(now=now, event=None)
-        if roster.beat != before:
-            self.contact.ask(now=now, question=roster.echo_number())
+        peer_table, before = self._peer_table, self._peer_table.heartbeat
+        peer_table.contact = self.may_serve(now=now)
+        peer_table.voted = [newest_vote(slots=self._voter.acceptor.slots, name=name)[0] for name in ANNOUNCED_REGISTERS]
+        commands = peer_table.step(now=now, event=None)
+        if peer_table.heartbeat != before:
+            self.contact.record_question(now=now, question=peer_table.echo_number())
         return commands
 
-    def hear_heartbeat(self, *, now: float, sender: str, body: dict) -> None:
+    def on_heartbeat(self, *, now: float, sender: str, body: dict) -> None:
         """A voter's heartbeat answers one from here, and tells the numbers of its newest votes for what is served."""
         echo = body.get("echo")
         is_voter = self._voter.voters["members"].get(body["identity"]) == sender
         if not is_voter or not isinstance(echo, list) or not echo or not all(isinstance(one, int) for one in echo):
             return
         number, *voted = echo
-        self.contact.hear_answer(peer=sender, question=number)
-        self._note_voted(now=now, voted=voted)
+        self.contact.on_answer(peer=sender, question=number)
+        self._record_voted(now=now, voted=voted)
 
-    def _note_voted(self, *, now: float, voted: list[int]) -> None:
+    def _record_voted(self, *, now: float, voted: list[int]) -> None:
         """A voter voted for something newer than what is held here: what is not told soon is read."""
-        for name, newest in zip(TOLD_NUMBERS, voted, strict=False):
-            if newest > self._voter.held.number(name=name):
-                self._catch_up.note_untold(now=now, name=name)
+        for name, newest in zip(ANNOUNCED_REGISTERS, voted, strict=False):
+            if newest > self._voter.learner.number(name=name):
+                self._catch_up.record_unannounced(now=now, name=name)
 
     def _own_vote(self) -> str:
         """The identity under which this controller's own memory counts as a voter's; empty if it does not."""
-        return self._voter.identity if self._voter.is_member and self._voter.ledger.copied else ""
+        return self._voter.identity if self._voter.is_member and self._voter.write_ahead.copied else ""
--- a/sailward/control/group/copying.py
+++ b/sailward/control/group/copying.py
@@ -7,9 +7,9 @@
 
 from sailward import constants
 from sailward.consensus.acceptor import FIRST, Slot
-from sailward.consensus.learner import Held, read_voters
+from sailward.consensus.learner import LearnedValue, read_voters
 from sailward.consensus.proposer import blocking_of, majority_of, newest_of
-from sailward.events import Tell
+from sailward.events import SendMessage
 
 
 @dataclass(kw_only=True)
@@ -24,30 +24,34 @@
     number: int = 0
     old: dict = field(default_factory=dict)
     others: dict = field(default_factory=dict)
-    told: dict = field(default_factory=dict)
+    copied: dict = field(default_factory=dict)
     cursors: dict = field(default_factory=dict)
     done: set = field(default_factory=set)
-    again: float = -1e9
-    pause: float = field(default_factory=lambda: constants.COPY_AGAIN)
+    retry_at: float = -1e9
+    backoff: float = field(default_factory=lambda: constants.COPY_AGAIN)
 
-    def step(self, *, now: float, voters: Held, event: tuple | None) -> list:
+    def step(self, *, now: float, voters: LearnedValue, event: tuple | None) -> list:
         """Take a (sender, copied) or None for time going on."""
         members = read_voters(value=voters.value)
         if members["number"] != self.number:
             self._restart(members=members)
         if event is not None:
             return self._fold(now=now, voters=voters, sender=event[0], body=event[1])
-        if now < self.again:
+        if now < self.retry_at:
             return []
-        self.again = now + self.pause
-        return [self._ask(to=address, voters=voters) for address in self.others.values() if address not in self.done]
+        self.retry_at = now + self.backoff
+        return [
+            self._request_page(to=address, voters=voters)
+            for address in self.others.values()
+            if address not in self.done
+        ]
 
     def is_over(self, *, own: dict[str, Slot] | None = None) -> bool:
         """Have enough voters told everything? `own` are this one's slots, if it was one of the set before and acted.
 
-        A majority of the set before is enough. For one that stays in a smaller set, so many that every majority had
-        one of them,
-        as more may not be left; under the first ballot these may leave open which value was chosen: then a majority.
+        A majority of the set before is enough. For one that stays in a smaller set, so many that every majority had one
+        of them, as more may not be left; under the first ballot these may leave open which value was chosen: then a
+        majority.
         """
         if not self.old:
             return False
@@ -60,8 +64,8 @@
         """What may have been chosen under the set before, by what these voters told."""
         sources = self._sources(own=own)
         slots = {}
-        for name in sorted({name for told in sources for name in told}):
-            votes = [told.get(name, []) for told in sources]
+        for name in sorted({name for copied in sources for name in copied}):
+            votes = [copied.get(name, []) for copied in sources]
             value = newest_of(votes=votes, members=self.old)
             if value["number"]:
                 ballot = max(vote[0] for vote in votes if vote)
@@ -71,7 +75,7 @@
 
     def _sources(self, *, own: dict[str, Slot] | None) -> list[dict]:
         """The votes of each voter that counts, by register."""
-        sources = [self.told.get(address, {}) for address in sorted(self.done)]
+        sources = [self.copied.get(address, {}) for address in sorted(self.done)]
         if own is not None:
             sources.append({name: slot.vote() for name, slot in own.items() if slot.value is not None})
         return sources
@@ -79,11 +83,11 @@
     def _is_open(self, *, own: dict[str, Slot] | None) -> bool:
         """Do some of these voters hold different values of a register under the first ballot?"""
         marks: dict[str, set] = {}
-        for told in self._sources(own=own):
-            for name, (ballot, value) in told.items():
+        for copied in self._sources(own=own):
+            for name, (ballot, value) in copied.items():
                 if ballot == FIRST:
                     marks.setdefault(name, set()).add(value["mark"])
-        return any(len(one) > 1 for one in marks.values())
+        return any(len(marks_of_register) > 1 for marks_of_register in marks.values())
 
     def _restart(self, *, members: dict) -> None:
         self.number = members["number"]
@@ -94,15 +98,15 @@
         # one that came back with an empty disk has the address of a member that is no more
         own = members["members"].get(self.identity)
         self.others = {name: post for name, post in self.old.items() if name != self.identity and post != own}
-        self.told, self.cursors, self.done = {}, {}, set()
+        self.copied, self.cursors, self.done = {}, {}, set()
 
-    def _ask(self, *, to: str, voters: Held) -> Tell:
-        return Tell(
+    def _request_page(self, *, to: str, voters: LearnedValue) -> SendMessage:
+        return SendMessage(
             to=to,
             body={"kind": "copy", "after": self.cursors.get(to, ""), "ballot": voters.ballot, "value": voters.value},
         )
 
-    def _fold(self, *, now: float, voters: Held, sender: str, body: dict) -> list:
+    def _fold(self, *, now: float, voters: LearnedValue, sender: str, body: dict) -> list:
         if (
             body["voters"] != self.number
             or sender not in self.others.values()
@@ -110,13 +114,13 @@
             or body["after"] != self.cursors.get(sender, "")
         ):
             return []
-        told = self.told.setdefault(sender, {})
-        told.update({name: [ballot, value] for name, ballot, value in body["slots"]})
+        copied = self.copied.setdefault(sender, {})
+        copied.update({name: [ballot, value] for name, ballot, value in body["slots"]})
         if not body["next"]:
             self.done.add(sender)
             return []
         self.cursors[sender] = body["next"]
-        return [self._ask(to=sender, voters=voters)]
+        return [self._request_page(to=sender, voters=voters)]
 
 
 def copy_page(*, slots: dict, names: list[str], after: str, number: int) -> dict:
--- a/sailward/control/group/disaster_recovery.py
+++ b/sailward/control/group/disaster_recovery.py
@@ -8,10 +8,10 @@
 
 from sailward import constants
 from sailward.consensus.acceptor import CLAIM, FIRST, Slot
-from sailward.consensus.learner import Held
+from sailward.consensus.learner import LearnedValue
 from sailward.consensus.proposer import blocking_of
 from sailward.control.group.copying import Copying
-from sailward.events import Log
+from sailward.events import LogEvent
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -20,7 +20,7 @@
 
     number: int
     survivors: tuple
-    doubt: bool
+    unknown_outcomes: bool
     base: dict
 
 
@@ -35,10 +35,15 @@
 
 def read_founding(*, value: dict) -> Founding:
     """The last founding anew in a register's value: number 0 if there was none."""
-    said = json.loads(value["text"]).get("anew") if value["text"] else None
-    if not said:
-        return Founding(number=0, survivors=(), doubt=False, base={})
-    return Founding(number=said["number"], survivors=tuple(said["survivors"]), doubt=said["doubt"], base=said["base"])
+    decoded = json.loads(value["text"]).get("anew") if value["text"] else None
+    if not decoded:
+        return Founding(number=0, survivors=(), unknown_outcomes=False, base={})
+    return Founding(
+        number=decoded["number"],
+        survivors=tuple(decoded["survivors"]),
+        unknown_outcomes=decoded["doubt"],
+        base=decoded["base"],
+    )
 
 
 def make_founding(
@@ -98,22 +103,22 @@
     # place of its own, so that of two foundings on two sides of a cut one is the newer
     place = (
         int.from_bytes(hashlib.blake2b(" ".join(survivors).encode(), digest_size=4).digest(), "big")
-        % constants.ANEW_PLACES
+        % constants.RECOVERY_LOCATIONS
     )
-    number = (value["number"] // constants.ANEW_GAP + 1) * constants.ANEW_GAP + place * (
-        constants.ANEW_GAP // constants.ANEW_PLACES // 2
+    number = (value["number"] // constants.RECOVERY_GAP + 1) * constants.RECOVERY_GAP + place * (
+        constants.RECOVERY_GAP // constants.RECOVERY_LOCATIONS // 2
     )
-    doubt = len(set(survivors) & set(base)) < blocking_of(members=base)
+    unknown_outcomes = len(set(survivors) & set(base)) < blocking_of(members=base)
     text = {
         "members": {name: members[name] for name in survivors},
         "size": json.loads(value["text"]).get("size", len(members)),
-        "anew": {"number": number, "survivors": survivors, "doubt": doubt, "base": base},
+        "anew": {"number": number, "survivors": survivors, "doubt": unknown_outcomes, "base": base},
     }
     return {"number": number, "mark": f"anew-{number}", "trail": [], "text": json.dumps(text, sort_keys=True)}
 
 
 @dataclass(kw_only=True)
-class Anew:
+class DisasterRecovery:
     """Owner of one survivor's part. `step` asks the others for all they voted for, or folds a page of it.
 
     It acts under the new set only when it has all that every survivor voted for, and when no proxy can hold a
@@ -124,12 +129,12 @@
     number: int = 0
     since: float = -1e9
 
-    def step(self, *, now: float, voters: Held, event: tuple | None) -> list:
+    def step(self, *, now: float, voters: LearnedValue, event: tuple | None) -> list:
         """Take a (sender, copied) or None for time going on."""
         self.note(now=now, voters=voters)
         return self.copying.step(now=now, voters=voters, event=event)
 
-    def note(self, *, now: float, voters: Held) -> None:
+    def note(self, *, now: float, voters: LearnedValue) -> None:
         """Count the time from the first moment that a founding is held here."""
         number = read_founding(value=voters.value).number
         if number != self.number:
@@ -142,9 +147,9 @@
             and now - self.since >= constants.LEASE + constants.MOVE_MARGIN
         )
 
-    def doubts(self, *, now: float, voters: Held) -> bool:
+    def has_unknown_outcomes(self, *, now: float, voters: LearnedValue) -> bool:
         """May claims have been lost whose life is not over?"""
-        return read_founding(value=voters.value).doubt and now - self.since < constants.CLAIM_LIFE
+        return read_founding(value=voters.value).unknown_outcomes and now - self.since < constants.CLAIM_TTL
 
 
 def merge_survivors(*, slots: dict, told: list[dict], now: float) -> dict[str, Slot]:
@@ -170,14 +175,14 @@
     return merged
 
 
-def log_founding(*, value: dict) -> Log:
+def log_founding(*, value: dict) -> LogEvent:
     """What the operators read of a founding."""
     founding = read_founding(value=value)
-    return Log(
+    return LogEvent(
         event="founded-anew",
         fields={
             "number": founding.number,
             "survivors": ",".join(founding.survivors),
-            "claims": "in-doubt" if founding.doubt else "kept",
+            "claims": "in-doubt" if founding.unknown_outcomes else "kept",
         },
     )
--- a/sailward/control/group/quorum_contact.py
+++ b/sailward/control/group/quorum_contact.py
@@ -2,7 +2,7 @@
 
 A controller may be cut off without any sign of it: connections stay open and nothing arrives. So it counts as in
 contact only while a majority of the voters (itself among them, if it is one) answered something that it sent within
-the last `CONTACT_LIFE` seconds. The age of an answer is that of its question: an answer that was under way for long,
+the last `CONTACT_TTL` seconds. The age of an answer is that of its question: an answer that was under way for long,
 or that waited while this process stood still, shows no more than that the question once arrived (the rule of read
 leases: Chandra et al., "Paxos Made Live", 2007; Ongaro, "Consensus: Bridging Theory and Practice", 2014, 6.4).
 
@@ -40,18 +40,18 @@
     had_contact: bool = False
     _questions: dict[int | str, float] = field(default_factory=dict)
 
-    def ask(self, *, now: float, question: int | str) -> None:
+    def record_question(self, *, now: float, question: int | str) -> None:
         """Note that a question was sent: a heartbeat's echo number, or the name of an operation on a register."""
         self._questions.setdefault(question, now)
 
-    def hear_answer(self, *, peer: str, question: int | str) -> None:
+    def on_answer(self, *, peer: str, question: int | str) -> None:
         """Note that the voter at this address answered a question.
 
         One that was never sent, or is long past, shows nothing.
         """
-        asked = self._questions.get(question)
-        if asked is not None:
-            self.reached[peer] = max(self.reached.get(peer, NEVER), asked)
+        sent_at = self._questions.get(question)
+        if sent_at is not None:
+            self.reached[peer] = max(self.reached.get(peer, NEVER), sent_at)
 
     def shown_at(self, *, now: float, members: dict[str, str], own: str) -> float:
         """The latest moment at which a majority of these voters was reached; NEVER if there is none.
@@ -65,8 +65,8 @@
         return sorted(times, reverse=True)[majority_of(members=members) - 1]
 
     def has_contact(self, *, now: float, members: dict[str, str], own: str) -> bool:
-        """Was a majority reached within the last CONTACT_LIFE seconds?"""
-        return now - self.shown_at(now=now, members=members, own=own) <= constants.CONTACT_LIFE
+        """Was a majority reached within the last CONTACT_TTL seconds?"""
+        return now - self.shown_at(now=now, members=members, own=own) <= constants.CONTACT_TTL
 
     def may_serve(self, *, now: float, members: dict[str, str], own: str) -> bool:
         """Is there contact, and was every control register read since it was last missing?"""
@@ -77,7 +77,7 @@
 
     def step(self, *, now: float, members: dict[str, str], own: str) -> bool:
         """Judge the moment and forget old questions; was contact found just now?"""
-        self._questions = {name: at for name, at in self._questions.items() if now - at <= constants.CONTACT_LIFE}
+        self._questions = {name: at for name, at in self._questions.items() if now - at <= constants.CONTACT_TTL}
         before = self.had_contact
         if self.has_contact(now=now, members=members, own=own):
             self.had_contact = True
@@ -90,14 +90,14 @@
 
         An operator's call is then tried at a majority.
         """
-        return not self.had_contact and self.lost_at == NEVER and now - self.started <= constants.CONTACT_LIFE
+        return not self.had_contact and self.lost_at == NEVER and now - self.started <= constants.CONTACT_TTL
 
     def finish_read(self, *, now: float, register: str, begun: float) -> None:
         """A read of a register at a majority has ended well.
 
         One begun before contact was lost, or long ago, proves nothing.
         """
-        if begun >= self.lost_at and now - begun <= constants.CONTACT_LIFE:
+        if begun >= self.lost_at and now - begun <= constants.CONTACT_TTL:
             self.unread.discard(register)
 
     def _lose(self, *, now: float) -> None:
--- a/sailward/control/group/redirect.py
+++ b/sailward/control/group/redirect.py
@@ -4,16 +4,16 @@
 
 from sailward import constants
 from sailward.config.dialect import Dialect, Outcome
-from sailward.discovery.peer_table import Roster, kind_of
-from sailward.events import Answer, Asked
+from sailward.discovery.peer_table import PeerTable, kind_of
+from sailward.events import RequestReceived, Respond
 from sailward.routing.proxied_request import answer_json
 
 
-def other_controllers(*, roster: Roster, members: dict[str, str], own: str) -> list[list[str]]:
+def other_controllers(*, peer_table: PeerTable, members: dict[str, str], own: str) -> list[list[str]]:
     """[[post, hall, region], ...] of the controllers known here, also those that are out of reach from here."""
     places = {
         known.entry["post"]: [known.entry["post"], known.entry["hall"], known.entry["region"]]
-        for known in roster.known.values()
+        for known in peer_table.known.values()
         if kind_of(entry=known.entry) == "controller"
     }
     for post in members.values():
@@ -22,20 +22,20 @@
     return [places[post] for post in sorted(places)[: constants.CONTROLLERS_NAMED]]
 
 
-def turn_away(*, now: float, event: Asked, dialect: Dialect, roster: Roster) -> Answer:
+def redirect_or_reject(*, now: float, event: RequestReceived, dialect: Dialect, peer_table: PeerTable) -> Respond:
     """307 to a controller that was heard to have contact just now, or 503 with when to come back; nothing definite."""
     able = [
         known.entry
-        for known in roster.known.values()
+        for known in peer_table.known.values()
         if kind_of(entry=known.entry) == "controller"
-        and now - known.seen <= constants.CONTACT_HEARD
+        and now - known.last_seen_at <= constants.CONTACT_ANNOUNCED
         and known.entry["fit"]
         and known.contact
     ]
     if able:
-        place = roster.place
+        place = peer_table.place
         nearest = min(
-            able, key=lambda entry: (entry["region"] != place.region, entry["hall"] != place.hall, entry["id"])
+            able, key=lambda entry: (entry["region"] != place.region, entry["hall"] != place.zone, entry["id"])
         )
         headers = {"Location": f"http://{nearest['http']}{event.target or event.path}"}
         body = {"outcome": "elsewhere", "detail": "this controller has no contact with a majority of the voters"}
--- a/sailward/control/group/repair.py
+++ b/sailward/control/group/repair.py
@@ -1,15 +1,11 @@
 """Replacing a voter that is lost for good: first the new one in, then the old one out, one at a time.
 
-A core that founded itself exchanges the two in one change. It is safe because a newcomer acts only when it has
-copied from a
-majority of the set before, each of which keeps the new set before it tells: that leaves the old set no majority that
-could choose
-more, and the newcomer with all that it chose. A majority of the new set without the newcomer is one of the old set
-too, as the
-sizes are alike. As the lost one's place is taken at once, a newcomer that dies before it has copied can be exchanged
-in its turn.
-A set that grows smaller loses holders of what was chosen, so its members copy from the set before, too. One that
-leaves on request is exchanged while it still acts, and stays as one to copy from.
+A core that founded itself exchanges the two in one change. It is safe because a newcomer acts only when it has copied
+from a majority of the set before, each of which keeps the new set before it tells: that leaves the old set no majority
+that could choose more, and the newcomer with all that it chose. A majority of the new set without the newcomer is one
+of the old set too, as the sizes are alike. As the lost one's place is taken at once, a newcomer that dies before it has
+copied can be exchanged in its turn. A set that grows smaller loses holders of what was chosen, so its members copy from
+the set before, too. One that leaves on request is exchanged while it still acts, and stays as one to copy from.
 """
 
 from __future__ import annotations
@@ -148,7 +144,7 @@
 
         Of equal ones that which is up for longest.
         """
-        halls = [alive[name]["hall"] for name in rest if name in alive]
+        zones = [alive[name]["hall"] for name in rest if name in alive]
         regions = [alive[name]["region"] for name in rest if name in alive]
         self.failed = {name: at for name, at in self.failed.items() if now - at < constants.FORGET}
         return min(
@@ -156,7 +152,7 @@
             default="",
             key=lambda name: (
                 name in self.failed,
-                halls.count(alive[name]["hall"]),
+                zones.count(alive[name]["hall"]),
                 regions.count(alive[name]["region"]),
                 -min(alive[name]["beat"], 40),
                 name,
--- a/sailward/control/group/voter.py
+++ b/sailward/control/group/voter.py
@@ -6,12 +6,12 @@
 
 from sailward import constants
 from sailward.consensus.acceptor import CLAIM, KNOWN, Acceptor, Slot, Slots, fold_record, slot_records
-from sailward.consensus.learner import Held, HeldBook, read_voters
+from sailward.consensus.learner import LearnedValue, Learner, read_voters
 from sailward.control.group.bootstrap import Bootstrap, make_founder
 from sailward.control.group.disaster_recovery import read_founding
 from sailward.control.group.write_ahead import WriteAhead
-from sailward.discovery.peer_table import Place
-from sailward.events import Command, Tell
+from sailward.discovery.peer_table import Location
+from sailward.events import Command, SendMessage
 
 
 def make_identity(*, name: str, nonce: str) -> str:
@@ -54,12 +54,12 @@
 class Voter:
     """Owner of one voter. `answer` votes under the set of voters that it knows; `begun` is to be carried out first.
 
-    The parts `held` (chosen values), `acceptor` (votes) and `ledger` (order between records and replies) stay the same
-    objects for as long as the process lives.
+    The parts `learner` (chosen values), `acceptor` (votes) and `write_ahead` (order between records and replies) stay
+    the same objects for as long as the process lives.
     """
 
     def __init__(
-        self, *, place: Place, nonce: str, records: list[dict], now: float, bootstrap: Bootstrap | None
+        self, *, place: Location, nonce: str, records: list[dict], now: float, bootstrap: Bootstrap | None
     ) -> None:
         remembered = read_records(records=records, now=now)
         self.place = place
@@ -68,9 +68,9 @@
         self.identity = remembered.identity or (
             make_founder(post=place.post) if is_founder else make_identity(name=place.name, nonce=nonce)
         )
-        self.held = HeldBook()
+        self.learner = Learner()
         self.acceptor = Acceptor(slots=remembered.slots)
-        self.ledger = WriteAhead(
+        self.write_ahead = WriteAhead(
             identity=self.identity,
             slots=remembered.slots,
             copied=remembered.copied,
@@ -79,18 +79,18 @@
             known=remembered.known,
         )
         if remembered.known is not None and "v" in remembered.known:
-            self.held.step(name="voters", ballot=remembered.known["b"], value=remembered.known["v"])
-        self.ledger.start(records=records)
+            self.learner.step(name="voters", ballot=remembered.known["b"], value=remembered.known["v"])
+        self.write_ahead.start(records=records)
         first_records = [{"k": "identity", "id": self.identity}] if is_new else []
         if is_founder and bootstrap is not None:
             first_records += self._found_alone(now=now, value=bootstrap.value())
-        self.begun: list[Command] = self.ledger.step(records=first_records, replies=[])
+        self.begun: list[Command] = self.write_ahead.step(records=first_records, replies=[])
         self._swept = now
 
     @property
     def voters(self) -> dict:
         """The voters known to be chosen; until that is known again after a start, those voted for."""
-        known = self.held.voters()
+        known = self.learner.voters()
         slot = self.acceptor.slots.get("voters")
         if known["number"] or slot is None or slot.value is None:
             return known
@@ -104,37 +104,37 @@
     @property
     def is_opening(self) -> bool:
         """Does a founding anew keep this process from acting?"""
-        return read_founding(value=self.held_voters().value).number > self.ledger.opened
+        return read_founding(value=self.learned_voters().value).number > self.write_ahead.opened
 
     @property
     def voting(self) -> bool:
         """May this process vote and grant?"""
-        return self.is_member and self.is_whole and self.ledger.usable and not self.is_opening
+        return self.is_member and self.is_complete and self.write_ahead.usable and not self.is_opening
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Do the slots hold what was chosen before the set that this voter must have copied under?"""
-        return self.ledger.copied and self.ledger.under >= self.voters["joined"].get(self.identity, 0)
+        return self.write_ahead.copied and self.write_ahead.under >= self.voters["joined"].get(self.identity, 0)
 
     @property
-    def may_tell(self) -> bool:
+    def is_copy_source(self) -> bool:
         """May others copy from this one?
 
         Also if it must copy itself or was taken out, if it could act under the set before.
         """
         before = self.voters["before"] or {"members": {}, "joined": {}}
-        was_whole = self.ledger.copied and self.ledger.under >= before["joined"].get(self.identity, 0)
-        is_source = (self.is_member and self.is_whole) or (self.identity in before["members"] and was_whole)
-        return is_source and self.ledger.usable
+        was_complete = self.write_ahead.copied and self.write_ahead.under >= before["joined"].get(self.identity, 0)
+        is_source = (self.is_member and self.is_complete) or (self.identity in before["members"] and was_complete)
+        return is_source and self.write_ahead.usable
 
-    def held_voters(self) -> Held:
+    def learned_voters(self) -> LearnedValue:
         """The register of the voters as it is known to be chosen."""
-        return self.held.held.get("voters") or Held()
+        return self.learner.values.get("voters") or LearnedValue()
 
     def voted_voters(self) -> dict:
         """The newest value of the voters' register that was voted for here."""
         slot = self.acceptor.slots.get("voters")
-        return slot.value if slot and slot.value else Held().value
+        return slot.value if slot and slot.value else LearnedValue().value
 
     def answer(self, *, now: float, sender: str, body: dict) -> list[Command]:
         """Judge one prepare, accept, first or read; the reply goes when what it tells is synced."""
@@ -144,7 +144,7 @@
             # a voter acts under one set at a time: the newest that it knows to be chosen
             return [self._refuse_set(sender=sender, body=body)]
         records, reply = self.acceptor.step(now=now, body=body)
-        return self.ledger.step(records=records, replies=[Tell(to=sender, body=reply)])
+        return self.write_ahead.step(records=records, replies=[SendMessage(to=sender, body=reply)])
 
     def newest(self) -> dict[str, list]:
         """Number, mark and ballot of the newest vote of each register that is no claim."""
@@ -168,8 +168,8 @@
         for name in list(self.acceptor.slots):
             del self.acceptor.slots[name]
         self.acceptor.slots.control.clear()
-        self.ledger.copied, self.ledger.under, self.ledger.opened = False, 0, 0
-        return self.ledger.step(records=[{"k": "left", "id": self.identity}], replies=[])
+        self.write_ahead.copied, self.write_ahead.under, self.write_ahead.opened = False, 0, 0
+        return self.write_ahead.step(records=[{"k": "left", "id": self.identity}], replies=[])
 
     def sweep_claims(self, *, now: float) -> list[Command]:
         """Forget the claims whose life is over."""
@@ -179,25 +179,25 @@
         old = [
             name
             for name, slot in self.acceptor.slots.items()
-            if name.startswith(CLAIM) and now - slot.since > constants.CLAIM_LIFE
+            if name.startswith(CLAIM) and now - slot.since > constants.CLAIM_TTL
         ]
         for name in old:
             del self.acceptor.slots[name]
-        return self.ledger.step(records=[{"k": "drop", "r": name} for name in old], replies=[])
+        return self.write_ahead.step(records=[{"k": "drop", "r": name} for name in old], replies=[])
 
     def _found_alone(self, *, now: float, value: dict) -> list[dict]:
         """Found the core without talk: the records, which must last before anything is told."""
         ballot = [0, "founder"]
         record = {"k": "vote", "r": "voters", "b": ballot, "v": value}
         fold_record(slots=self.acceptor.slots, record=record, now=now)
-        self.ledger.copied = True
-        self.ledger.known = {"k": "promise", "r": KNOWN, "b": ballot, "v": value}
-        self.held.step(name="voters", ballot=ballot, value=value)
-        return [record, {"k": "copied"}, self.ledger.known]
-
-    def _refuse_set(self, *, sender: str, body: dict) -> Tell:
-        held = self.held.held.get("voters")
-        return Tell(
+        self.write_ahead.copied = True
+        self.write_ahead.known = {"k": "promise", "r": KNOWN, "b": ballot, "v": value}
+        self.learner.step(name="voters", ballot=ballot, value=value)
+        return [record, {"k": "copied"}, self.write_ahead.known]
+
+    def _refuse_set(self, *, sender: str, body: dict) -> SendMessage:
+        learner = self.learner.values.get("voters")
+        return SendMessage(
             to=sender,
             body={
                 "kind": "nack",
@@ -206,6 +206,6 @@
                 "ballot": body.get("ballot", [0, ""]),
                 "reason": "voters",
                 "round": 0,
-                "voters": [held.ballot, held.value] if held else [],
+                "voters": [learner.ballot, learner.value] if learner else [],
             },
         )
--- a/sailward/control/group/write_ahead.py
+++ b/sailward/control/group/write_ahead.py
@@ -7,7 +7,7 @@
 
 from sailward import constants
 from sailward.consensus.acceptor import KNOWN, slot_records
-from sailward.events import DiskFailed, Log, Rewrite, Stop, Store, Synced
+from sailward.events import AppendRecords, DiskWriteFailed, ExitProcess, LogEvent, RecordsSynced, RewriteRecords
 
 
 @dataclass(kw_only=True)
@@ -39,7 +39,7 @@
         if records:
             self.seq, self.count = self.seq + 1, self.count + len(records)
             self.size += estimate_bytes(records=records)
-            commands.append(Store(seq=self.seq, records=tuple(records)))
+            commands.append(AppendRecords(seq=self.seq, records=tuple(records)))
         if replies and self.synced >= self.seq:
             return commands + replies
         if replies:
@@ -70,13 +70,13 @@
         """What is stored of the copy that the slots come from."""
         return {"k": "copied", "n": self.under}
 
-    def rewrite(self) -> Rewrite:
+    def rewrite(self) -> RewriteRecords:
         """Replace the file by what is live."""
         records = self._live_records()
         self.seq += 1
         self.rewriting, self.count, self.rewrites = self.seq, len(records), self.rewrites + 1
         self.size = self.live_size = estimate_bytes(records=records)
-        return Rewrite(seq=self.seq, records=tuple(records))
+        return RewriteRecords(seq=self.seq, records=tuple(records))
 
     def _live_records(self) -> list:
         records = [
@@ -89,20 +89,20 @@
             records += slot_records(name=name, slot=slot)
         return records
 
-    def hear(self, *, event: Synced | DiskFailed) -> list:
+    def receive(self, *, event: RecordsSynced | DiskWriteFailed) -> list:
         """Fold the disk's word: what waited goes out, or is dropped for good."""
-        if isinstance(event, DiskFailed):
+        if isinstance(event, DiskWriteFailed):
             self.usable, self.rewriting = False, 0
             self.waiting.clear()
-            log = Log(event="disk-failed", fields={"full": event.full, "reason": event.reason})
+            log = LogEvent(event="disk-failed", fields={"full": event.full, "reason": event.reason})
             # after a failed sync nothing on this descriptor can be believed again
-            return [log] if event.full else [log, Stop(code=constants.EXIT_DISK)]
+            return [log] if event.full else [log, ExitProcess(code=constants.EXIT_DISK)]
         commands: list = []
         if event.seq >= self.rewriting > 0:
             self.rewriting = 0
             if not self.usable:
                 self.usable = True
-                commands.append(Log(event="disk-usable-again"))
+                commands.append(LogEvent(event="disk-usable-again"))
         self.synced = max(self.synced, event.seq)
         while self.waiting and self.waiting[0][0] <= self.synced:
             commands += self.waiting.popleft()[1]
--- a/sailward/control/message_handlers.py
+++ b/sailward/control/message_handlers.py
@@ -5,17 +5,17 @@
 from collections.abc import Callable
 
 from sailward.control.controller_options import ControllerOptions
-from sailward.control.endpoints.endpoint_list import WorkerList
+from sailward.control.endpoints.endpoint_list import EndpointList
 from sailward.control.group.catch_up import CatchUp
 from sailward.control.group.contact_watch import ContactWatch
 from sailward.control.group.membership import Membership
 from sailward.control.group.voter import Voter
-from sailward.control.proxies.proxy_registry import Fleet
+from sailward.control.proxies.proxy_registry import ProxyRegistry
 from sailward.control.proxies.serving import Serving
 from sailward.control.registers import Registers
 from sailward.control.shards.shard_leases import ShardLeases
-from sailward.discovery.peer_table import Roster
-from sailward.events import Command, Log
+from sailward.discovery.peer_table import PeerTable
+from sailward.events import Command, LogEvent
 
 
 class MessageHandlers:
@@ -25,19 +25,19 @@
         self,
         *,
         voter: Voter,
-        roster: Roster,
+        peer_table: PeerTable,
         registers: Registers,
         membership: Membership,
         catch_up: CatchUp,
         contact_watch: ContactWatch,
         serving: Serving,
-        worker_list: WorkerList,
-        fleet: Fleet,
+        endpoint_list: EndpointList,
+        fleet: ProxyRegistry,
         shard_leases: ShardLeases | None,
         options: ControllerOptions,
     ) -> None:
-        self._voter, self._roster, self._registers, self._membership = voter, roster, registers, membership
-        self._catch_up, self._serving, self._worker_list = catch_up, serving, worker_list
+        self._voter, self._peer_table, self._registers, self._membership = voter, peer_table, registers, membership
+        self._catch_up, self._serving, self._endpoint_list = catch_up, serving, endpoint_list
         self._contact_watch = contact_watch
         self._fleet, self._shard_leases = fleet, shard_leases
         self._is_bootstrapped, self._is_mesh = options.bootstrap is not None, options.is_mesh
@@ -47,81 +47,85 @@
         """Give a message to the part that its kind concerns; one that concerns none is logged."""
         handler = self._handlers.get(body["kind"])
         if handler is None:
-            return [Log(event="message-unexpected", fields={"kind": body["kind"], "from": sender})]
+            return [LogEvent(event="message-unexpected", fields={"kind": body["kind"], "from": sender})]
         return handler(now=now, sender=sender, body=body)
 
     def _table(self) -> dict[str, Callable[..., list[Command]]]:
         """What each kind of message is given to; every handler takes `now`, `sender` and `body`."""
         return {
-            **dict.fromkeys(("prepare", "accept", "read", "first"), self._hear_vote_request),
-            **dict.fromkeys(("promise", "voted", "told"), self._registers.hear),
-            "nack": self._hear_nack,
-            "chosen": self._hear_chosen,
-            "push": self._hear_push,
-            "want": self._hear_want,
-            "fleet": self._hear_fleet,
-            "list": self._hear_list,
-            **dict.fromkeys(("confirm", "confirmed"), self._hear_confirmation),
-            "copy": self._hear_copy,
-            "copied": self._hear_copied,
+            **dict.fromkeys(("prepare", "accept", "read", "first"), self._on_vote_request),
+            **dict.fromkeys(("promise", "voted", "told"), self._registers.receive),
+            "nack": self._on_nack,
+            "chosen": self._on_chosen,
+            "push": self._on_push,
+            "want": self._on_want,
+            "fleet": self._on_fleet,
+            "list": self._on_list,
+            **dict.fromkeys(("confirm", "confirmed"), self._on_confirmation),
+            "copy": self._on_copy,
+            "copied": self._on_copied,
             "ask": self._serving.answer,
             "ack": self._serving.acknowledge,
-            "grant": self._hear_grant,
-            **dict.fromkeys(("gossip", "beat"), self._hear_gossip),
+            "grant": self._on_grant,
+            **dict.fromkeys(("gossip", "beat"), self._on_gossip),
         }
 
-    def _hear_vote_request(self, *, now: float, sender: str, body: dict) -> list[Command]:
+    def _on_vote_request(self, *, now: float, sender: str, body: dict) -> list[Command]:
         if self._is_bootstrapped and body["voters"] > self._voter.voters["number"]:
             # who acts under a newer set shows that there is one: ask for it, or read it, soon
-            self._membership.ask_soon()
-            self._catch_up.note_behind(now=now, name="voters")
+            self._membership.request_soon()
+            self._catch_up.record_behind(now=now, name="voters")
         return self._voter.answer(now=now, sender=sender, body=body)
 
-    def _hear_nack(self, *, now: float, sender: str, body: dict) -> list[Command]:
+    def _on_nack(self, *, now: float, sender: str, body: dict) -> list[Command]:
         if not body["voters"]:
-            return self._registers.hear(now=now, sender=sender, body=body)
+            return self._registers.receive(now=now, sender=sender, body=body)
         ballot, value = body["voters"]
-        return self._registers.learn(now=now, name="voters", ballot=ballot, value=value, tell=False)
+        return self._registers.learn(now=now, name="voters", ballot=ballot, value=value, deliver=False)
 
-    def _hear_chosen(self, *, now: float, sender: str, body: dict) -> list[Command]:
+    def _on_chosen(self, *, now: float, sender: str, body: dict) -> list[Command]:
         return self._registers.learn(
-            now=now, name=body["register"], ballot=body["ballot"], value=body["value"], tell=False
+            now=now, name=body["register"], ballot=body["ballot"], value=body["value"], deliver=False
         )
 
-    def _hear_push(self, *, now: float, sender: str, body: dict) -> list[Command]:
-        return self._registers.learn(now=now, name=body["name"], ballot=body["ballot"], value=body["value"], tell=False)
+    def _on_push(self, *, now: float, sender: str, body: dict) -> list[Command]:
+        return self._registers.learn(
+            now=now, name=body["name"], ballot=body["ballot"], value=body["value"], deliver=False
+        )
 
-    def _hear_want(self, *, now: float, sender: str, body: dict) -> list[Command]:
+    def _on_want(self, *, now: float, sender: str, body: dict) -> list[Command]:
         if body["register"] == "fleet":
-            return self._hear_fleet(now=now, sender=sender, body=body)
-        return self._voter.held.tell(to=sender, name=body["register"])
+            return self._on_fleet(now=now, sender=sender, body=body)
+        return self._voter.learner.send(to=sender, name=body["register"])
 
-    def _hear_fleet(self, *, now: float, sender: str, body: dict) -> list[Command]:
+    def _on_fleet(self, *, now: float, sender: str, body: dict) -> list[Command]:
         return self._fleet.step(now=now, event=(sender, body), proxies=[], controllers=[])
 
-    def _hear_list(self, *, now: float, sender: str, body: dict) -> list[Command]:
-        commands, is_news = self._worker_list.hear(now=now, body=body)
-        return commands + (self._serving.push(now=now) if is_news else [])
+    def _on_list(self, *, now: float, sender: str, body: dict) -> list[Command]:
+        commands, is_newer = self._endpoint_list.receive(now=now, body=body)
+        return commands + (self._serving.push(now=now) if is_newer else [])
 
-    def _hear_confirmation(self, *, now: float, sender: str, body: dict) -> list[Command]:
-        return self._shard_leases.hear(now=now, sender=sender, body=body) if self._shard_leases else []
+    def _on_confirmation(self, *, now: float, sender: str, body: dict) -> list[Command]:
+        return self._shard_leases.receive(now=now, sender=sender, body=body) if self._shard_leases else []
 
-    def _hear_copy(self, *, now: float, sender: str, body: dict) -> list[Command]:
-        commands = self._registers.learn(now=now, name="voters", ballot=body["ballot"], value=body["value"], tell=False)
-        return commands + self._membership.tell_page(sender=sender, body=body)
+    def _on_copy(self, *, now: float, sender: str, body: dict) -> list[Command]:
+        commands = self._registers.learn(
+            now=now, name="voters", ballot=body["ballot"], value=body["value"], deliver=False
+        )
+        return commands + self._membership.send_page(sender=sender, body=body)
 
-    def _hear_copied(self, *, now: float, sender: str, body: dict) -> list[Command]:
+    def _on_copied(self, *, now: float, sender: str, body: dict) -> list[Command]:
         return self._membership.take_page(now=now, event=(sender, body))
 
-    def _hear_grant(self, *, now: float, sender: str, body: dict) -> list[Command]:
+    def _on_grant(self, *, now: float, sender: str, body: dict) -> list[Command]:
         """The answer to this process's own asking for news: what it lacks is pushed."""
         return []
 
-    def _hear_gossip(self, *, now: float, sender: str, body: dict) -> list[Command]:
-        commands = self._roster.step(now=now, event=(sender, body))
-        if self._is_mesh and any(isinstance(command, Log) for command in commands):
+    def _on_gossip(self, *, now: float, sender: str, body: dict) -> list[Command]:
+        commands = self._peer_table.step(now=now, event=(sender, body))
+        if self._is_mesh and any(isinstance(command, LogEvent) for command in commands):
             # one that was lost is back, or this one is
             self._catch_up.read_all_soon()
         if body["kind"] == "beat":
-            self._contact_watch.hear_heartbeat(now=now, sender=sender, body=body)
+            self._contact_watch.on_heartbeat(now=now, sender=sender, body=body)
         return commands
--- a/sailward/control/proxies/aggregated_health.py
+++ b/sailward/control/proxies/aggregated_health.py
@@ -6,17 +6,17 @@
 
 from sailward import constants
 from sailward.control.proxies.subscribers import Subscriber
-from sailward.routing.zone_health import HallBook
+from sailward.routing.zone_health import ZoneHealthTable
 
 PARTS = 1000
 """A fraction as a count: the fold takes counts."""
 
 
 @dataclass(kw_only=True)
-class Standing:
+class AggregatedHealth:
     """Owner of the standing view. `step` folds the digests of the proxies heard of late."""
 
-    book: HallBook = field(default_factory=HallBook)
+    table: ZoneHealthTable = field(default_factory=ZoneHealthTable)
     warm: dict = field(default_factory=dict)
 
     def step(self, *, now: float, proxies: list[Subscriber]) -> list:
@@ -24,35 +24,35 @@
         fresh = [
             one.report
             for one in proxies
-            if now - one.seen < constants.REPORT_LIFE and one.report.get("halls") is not None
+            if now - one.last_seen_at < constants.REPORT_TTL and one.report.get("halls") is not None
         ]
         voices = [report for report in fresh if not report.get("suspect")] or fresh
-        said: dict = {}
+        reported: dict = {}
         marks: dict = {}
         self.warm = {}
         for report in voices:
             for name, (listed, healthy, state) in report["halls"].items():
                 if listed:
-                    said.setdefault(name, []).append(healthy / listed)
+                    reported.setdefault(name, []).append(healthy / listed)
                     marks.setdefault(name, []).append(state in ("drained", "holding"))
             for key, age in report.get("warm", {}).items():
                 self.warm[key] = max(age, self.warm.get(key, 0.0))
         counts = {}
-        for name, fractions in said.items():
+        for name, fractions in reported.items():
             if 2 * len(fractions) <= len(voices):
                 continue
             place = tuple(name.split("|", 1))
             middle = sorted(fractions)[len(fractions) // 2]
             counts[place] = (PARTS, round(middle * PARTS), PARTS)
-            if place not in self.book.halls and 2 * sum(marks[name]) > len(marks[name]):
+            if place not in self.table.zones and 2 * sum(marks[name]) > len(marks[name]):
                 # lost with this controller, told by those who know: drained until its hold is over
-                self.book.step(now=now, counts={**self._old(), place: (PARTS, 0, PARTS)})
-        return self.book.step(now=now, counts=counts) if counts else []
+                self.table.step(now=now, counts={**self._old(), place: (PARTS, 0, PARTS)})
+        return self.table.step(now=now, counts=counts) if counts else []
 
-    def view(self, *, with_warm: bool) -> dict:
+    def view(self, *, with_slow_start: bool) -> dict:
         """The view as a grant carries it."""
-        drained = [f"{service}|{hall}" for (service, hall), state in self.book.halls.items() if state.drained]
-        return {"drained": drained, **({"warm": self.warm} if with_warm else {})}
+        drained = [f"{service}|{zone}" for (service, zone), state in self.table.zones.items() if state.drained]
+        return {"drained": drained, **({"warm": self.warm} if with_slow_start else {})}
 
     def _old(self) -> dict:
-        return {place: (hall.listed, hall.healthy, hall.listed) for place, hall in self.book.halls.items()}
+        return {place: (zone.listed, zone.healthy, zone.listed) for place, zone in self.table.zones.items()}
--- a/sailward/control/proxies/key_loads.py
+++ b/sailward/control/proxies/key_loads.py
@@ -53,8 +53,8 @@
         """{service: {bucket: requests/s}}; a short time of counting is taken for what it is, not for a slight load."""
         rates = {}
         for service, counts in self._counts.items():
-            whole = 1.0 - math.exp(-(now - counts.since + constants.ASK_EVERY) / constants.LOAD_SPAN)
-            scale = math.exp(-(now - counts.base) / constants.LOAD_SPAN) / constants.LOAD_SPAN / whole
+            total = 1.0 - math.exp(-(now - counts.since + constants.POLL_INTERVAL) / constants.LOAD_SPAN)
+            scale = math.exp(-(now - counts.base) / constants.LOAD_SPAN) / constants.LOAD_SPAN / total
             rates[service] = {bucket: mass * scale for bucket, mass in counts.masses.items()}
         return rates
 
@@ -79,12 +79,12 @@
     def step(self, *, now: float, times: dict) -> None:
         """Fold one proxy's {worker: [ms, ...]}."""
         for key, took in times.items():
-            self._times.setdefault(key, deque(maxlen=constants.PACES_KEPT)).extend(took)
+            self._times.setdefault(key, deque(maxlen=constants.PACES_CACHED)).extend(took)
             self._at[key] = now
 
     def paces(self, *, now: float) -> dict:
         """{worker: [ms, number of times]}."""
-        for key in [key for key, at in self._at.items() if now - at > constants.PACE_LIFE]:
+        for key in [key for key, at in self._at.items() if now - at > constants.PACE_TTL]:
             del self._times[key], self._at[key]
         paces = {}
         for key, times in self._times.items():
@@ -93,31 +93,31 @@
         return paces
 
 
-def tell_rates(*, rates: dict) -> list:
+def write_rates(*, rates: dict) -> list:
     """Rates in few numbers.
 
     The whole in tenths, the first bucket, and the buckets in which each further part of the load ends.
     """
-    whole = sum(rates.values())
-    if whole < 0.1:
+    total = sum(rates.values())
+    if total < 0.1:
         return []
     buckets = sorted(rates)
     ends, below, at = [buckets[0]], 0.0, 0
     for bucket in buckets:
         below += rates[bucket]
-        while at + 1 < constants.LOAD_PARTS and below >= whole * (at + 1) / constants.LOAD_PARTS:
+        while at + 1 < constants.LOAD_PARTS and below >= total * (at + 1) / constants.LOAD_PARTS:
             at += 1
             ends.append(bucket)
-    return [round(whole * 10), *ends, buckets[-1]]
+    return [round(total * 10), *ends, buckets[-1]]
 
 
-def read_rates(*, told: list) -> dict:
+def read_rates(*, row: list) -> dict:
     """{bucket: requests/s} of what was told; within a part the load is taken as even."""
     rates: dict = {}
-    if not told:
+    if not row:
         return rates
-    part = told[0] / 10 / (len(told) - 2)
-    for first, last in itertools.pairwise(told[1:]):
+    part = row[0] / 10 / (len(row) - 2)
+    for first, last in itertools.pairwise(row[1:]):
         inside = range(first + 1, last + 1) if last > first else (last,)
         for bucket in inside:
             rates[bucket] = rates.get(bucket, 0.0) + part / len(inside)
--- a/sailward/control/proxies/proxy_registry.py
+++ b/sailward/control/proxies/proxy_registry.py
@@ -9,16 +9,16 @@
 from dataclasses import dataclass, field
 
 from sailward import constants
-from sailward.control.proxies.key_loads import KeyLoads, WorkerPaces, has_shifted, read_rates, tell_rates
+from sailward.control.proxies.key_loads import KeyLoads, WorkerPaces, has_shifted, read_rates, write_rates
 from sailward.control.proxies.subscribers import Subscriber
-from sailward.events import Tell
+from sailward.events import SendMessage
 
 SAME = ["same"]
 """Rows that are as the receiver has them."""
 
 
 @dataclass(kw_only=True)
-class Told:
+class PeerSnapshot:
     """What one other controller said last of its own proxies."""
 
     at: float
@@ -29,7 +29,7 @@
 
 
 @dataclass(kw_only=True)
-class Fleet:
+class ProxyRegistry:
     """Owner of the fleet's view. `step` folds another controller's word, or tells the others what is new here.
 
     `readers` are the posts of the controllers that place keys: only these are told how busy the keys are (all, where it
@@ -37,23 +37,23 @@
     """
 
     post: str
-    hall: str
+    zone: str
     region: str
     others: dict = field(default_factory=dict)
     last: dict = field(default_factory=dict)
-    seen: dict = field(default_factory=dict)
+    last_seen_at: dict = field(default_factory=dict)
     number: int = 0
     text: str = ""
-    told_at: float = -1e9
+    sent_at: float = -1e9
     own: list = field(default_factory=list)
     own_number: int = 0
     own_down: dict = field(default_factory=dict)
-    told_to: dict = field(default_factory=dict)
+    sent_to: dict = field(default_factory=dict)
     readers: frozenset | None = None
     key_loads: KeyLoads = field(default_factory=KeyLoads)
     worker_paces: WorkerPaces = field(default_factory=WorkerPaces)
     rates: dict = field(default_factory=dict)
-    rates_told: dict = field(default_factory=dict)
+    rates_sent: dict = field(default_factory=dict)
     loads_at: float = -1e9
 
     def step(self, *, now: float, event: tuple | None, proxies: list[Subscriber], controllers: list[dict]) -> list:
@@ -64,18 +64,20 @@
         if event is not None:
             sender, body = event
             if body["kind"] == "want":
-                return self._tell_again(now=now, to=sender)
+                return self._resend(now=now, to=sender)
             old = self.others.get(sender)
             is_same, is_known = body["rows"] == SAME, old is not None and old.number == body["number"]
             rows = body["rows"] if not is_same else old.rows if old is not None else []
             number = body["number"] if is_known or not is_same else -1
-            self.others[sender] = Told(
+            self.others[sender] = PeerSnapshot(
                 at=now, number=number, rows=rows, down=body["down"], loads=read_loads(told=body["loads"])
             )
             # a telling was lost: the rows are wanted, and the old ones stand until they come
-            return [Tell(to=sender, body={"kind": "want", "register": "fleet"})] if is_same and not is_known else []
-        self._note_loads(now=now, proxies=proxies)
-        if now - self.last.get("looked", -1e9) < constants.FLEET_LOOK:
+            return (
+                [SendMessage(to=sender, body={"kind": "want", "register": "fleet"})] if is_same and not is_known else []
+            )
+        self._record_loads(now=now, proxies=proxies)
+        if now - self.last.get("looked", -1e9) < constants.FLEET_CHECK_INTERVAL:
             return []
         self.last["looked"] = now
         self._forget_gone(now=now, posts={one["post"] for one in controllers})
@@ -84,12 +86,12 @@
         down = self._own_down(proxies=proxies)
         changed = own != self.own or down != self.own_down
         others = [one for one in controllers if one["post"] != self.post]
-        if now - self.told_at < (constants.FLEET_LEAST if changed else constants.FLEET_EVERY):
+        if now - self.sent_at < (constants.FLEET_LEAST if changed else constants.FLEET_EVERY):
             readers = [one for one in others if self._reads(to=one)]
-            return self._tell_all(now=now, to=readers) if readers and self._is_load_due(now=now) else []
+            return self._send_to_all(now=now, to=readers) if readers and self._is_load_due(now=now) else []
         self.own_number += own != self.own
-        self.told_at, self.own, self.own_down = now, own, down
-        return self._tell_all(now=now, to=others)
+        self.sent_at, self.own, self.own_down = now, own, down
+        return self._send_to_all(now=now, to=others)
 
     def _forget_gone(self, *, now: float, posts: set) -> None:
         """Drop what was told by and to controllers that are gone.
@@ -98,31 +100,31 @@
         """
         self.others = {post: told for post, told in self.others.items() if now - told.at < constants.FORGET}
         # one that comes back is told all rows again
-        self.told_to = {post: version for post, version in self.told_to.items() if post in posts}
+        self.sent_to = {post: version for post, version in self.sent_to.items() if post in posts}
 
     def _reads(self, *, to: dict) -> bool:
         return self.readers is None or to["post"] in self.readers
 
     def _is_load_due(self, *, now: float) -> bool:
         since = now - self.loads_at
-        if since < constants.LOADS_LEAST or not (self.rates or self.rates_told):
+        if since < constants.LOADS_LEAST or not (self.rates or self.rates_sent):
             return False
         return since >= constants.LOADS_EVERY or any(
-            has_shifted(before=self.rates_told.get(service, {}), after=rates)
+            has_shifted(before=self.rates_sent.get(service, {}), after=rates)
             for service, rates in self.rates.items()
-            if self.rates is not self.rates_told
+            if self.rates is not self.rates_sent
         )
 
-    def _tell_all(self, *, now: float, to: list[dict]) -> list:
+    def _send_to_all(self, *, now: float, to: list[dict]) -> list:
         loads = self._own_loads(now=now)
-        self.loads_at, self.rates_told = now, self.rates
-        return [self._tell(to=one, loads=loads if self._reads(to=one) else {}) for one in to]
+        self.loads_at, self.rates_sent = now, self.rates
+        return [self._send_update(to=one, loads=loads if self._reads(to=one) else {}) for one in to]
 
-    def _tell(self, *, to: dict, loads: dict) -> Tell:
+    def _send_update(self, *, to: dict, loads: dict) -> SendMessage:
         version = (to["start"], self.own_number)
-        is_known = self.told_to.get(to["post"]) == version
-        self.told_to[to["post"]] = version
-        return Tell(
+        is_known = self.sent_to.get(to["post"]) == version
+        self.sent_to[to["post"]] = version
+        return SendMessage(
             to=to["post"],
             body={
                 "kind": "fleet",
@@ -133,12 +135,12 @@
             },
         )
 
-    def _tell_again(self, *, now: float, to: str) -> list:
+    def _resend(self, *, now: float, to: str) -> list:
         """Tell the rows to a controller that lacks them."""
-        self.told_to.pop(to, None)
+        self.sent_to.pop(to, None)
         loads = self._own_loads(now=now) if self._reads(to={"post": to}) else {}
         return [
-            Tell(
+            SendMessage(
                 to=to,
                 body={
                     "kind": "fleet",
@@ -166,32 +168,32 @@
 
     def loads(self, *, now: float, service: str) -> dict:
         """Requests/s by bucket of a divided service, over the whole fleet."""
-        whole = dict(self.rates.get(service, {}))
+        total = dict(self.rates.get(service, {}))
         for told in self._fresh(now=now):
             for bucket, rate in told.loads.get("rates", {}).get(service, {}).items():
-                whole[bucket] = whole.get(bucket, 0.0) + rate
-        return whole
+                total[bucket] = total.get(bucket, 0.0) + rate
+        return total
 
     def paces(self, *, now: float) -> dict:
         """{worker: (pace in s, number of times behind it)} of the workers of divided services, over the whole fleet."""
-        whole: dict = {}
+        total: dict = {}
         for paces in [
             self.worker_paces.paces(now=now),
             *(told.loads.get("paces", {}) for told in self._fresh(now=now)),
         ]:
             for key, (pace, count) in paces.items():
-                before, counted = whole.get(key, (0.0, 0))
-                whole[key] = (before * counted + pace / 1000 * count) / (counted + count), counted + count
-        return whole
+                before, counted = total.get(key, (0.0, 0))
+                total[key] = (before * counted + pace / 1000 * count) / (counted + count), counted + count
+        return total
 
-    def _fresh(self, *, now: float) -> list[Told]:
-        return [told for told in self.others.values() if now - told.at < constants.FLEET_LIFE]
+    def _fresh(self, *, now: float) -> list[PeerSnapshot]:
+        return [told for told in self.others.values() if now - told.at < constants.FLEET_TTL]
 
     def _own_rows(self, *, now: float, proxies: list[Subscriber]) -> list:
         return sorted(
             [one.entry["id"], one.entry["http"], one.entry["hall"], one.entry["region"], bool(one.entry["fit"])]
             for one in proxies
-            if now - one.seen < constants.PROXY_SILENT
+            if now - one.last_seen_at < constants.PROXY_SILENT
         )
 
     def _own_down(self, *, proxies: list[Subscriber]) -> dict:
@@ -205,19 +207,19 @@
         if not self.rates:
             return {}
         return {
-            "rates": {service: tell_rates(rates=rates) for service, rates in self.rates.items()},
+            "rates": {service: write_rates(rates=rates) for service, rates in self.rates.items()},
             "paces": self.worker_paces.paces(now=now),
         }
 
-    def _note_loads(self, *, now: float, proxies: list[Subscriber]) -> None:
+    def _record_loads(self, *, now: float, proxies: list[Subscriber]) -> None:
         is_new = False
         names = {one.entry["id"] for one in proxies}
-        self.seen = {name: turn for name, turn in self.seen.items() if name in names}
+        self.last_seen_at = {name: turn for name, turn in self.last_seen_at.items() if name in names}
         for one in proxies:
             turn = one.report.get("turn")
-            if turn is None or self.seen.get(one.entry["id"]) == turn:
+            if turn is None or self.last_seen_at.get(one.entry["id"]) == turn:
                 continue
-            self.seen[one.entry["id"]] = turn
+            self.last_seen_at[one.entry["id"]] = turn
             if one.report.get("lead") != self.post:
                 continue
             is_new = True
@@ -239,7 +241,7 @@
 
     def _compose(self, *, now: float, own: list, controllers: list[dict], down: list) -> None:
         rows = {
-            row[0]: row for told in self.others.values() if now - told.at < constants.FLEET_LIFE for row in told.rows
+            row[0]: row for told in self.others.values() if now - told.at < constants.FLEET_TTL for row in told.rows
         }
         rows |= {row[0]: row for row in own}
         posts = sorted([one["post"], one["hall"], one["region"]] for one in controllers)
@@ -247,7 +249,7 @@
             {"proxies": [rows[name] for name in sorted(rows)], "cellars": posts, "down": down}, separators=(",", ":")
         )
         # what is down is told again while it lasts, as it is believed for a moment only
-        is_due = bool(down) and now - self.last.get("composed", now) >= constants.HINT_LIFE / 2
+        is_due = bool(down) and now - self.last.get("composed", now) >= constants.HINT_TTL / 2
         if text != self.text or is_due:
             self.last["composed"] = now
             self.text, self.number = text, self.number + 1
@@ -256,6 +258,6 @@
 def read_loads(*, told: dict) -> dict:
     """What another controller told of the loads of keys, and of the paces of workers."""
     return {
-        "rates": {service: read_rates(told=rates) for service, rates in told.get("rates", {}).items()},
+        "rates": {service: read_rates(row=rates) for service, rates in told.get("rates", {}).items()},
         "paces": told.get("paces", {}),
     }
--- a/sailward/control/proxies/serving.py
+++ b/sailward/control/proxies/serving.py
@@ -8,17 +8,17 @@
 from sailward import constants
 from sailward.consensus.learner import is_control
 from sailward.control.controller_options import ControllerOptions
-from sailward.control.endpoints.endpoint_list import WorkerList
+from sailward.control.endpoints.endpoint_list import EndpointList
 from sailward.control.group.catch_up import CatchUp
 from sailward.control.group.contact_watch import ContactWatch
 from sailward.control.group.membership import Membership
 from sailward.control.group.redirect import other_controllers
 from sailward.control.group.voter import Voter
-from sailward.control.proxies.aggregated_health import Standing
-from sailward.control.proxies.proxy_registry import Fleet
+from sailward.control.proxies.aggregated_health import AggregatedHealth
+from sailward.control.proxies.proxy_registry import ProxyRegistry
 from sailward.control.proxies.subscribers import Subscribers
-from sailward.discovery.peer_table import Roster, kind_of
-from sailward.events import Command, Tell
+from sailward.discovery.peer_table import PeerTable, kind_of
+from sailward.events import Command, SendMessage
 
 
 class Serving:
@@ -33,18 +33,23 @@
         self,
         *,
         voter: Voter,
-        roster: Roster,
+        peer_table: PeerTable,
         membership: Membership,
         catch_up: CatchUp,
         contact_watch: ContactWatch,
         subscribers: Subscribers,
-        worker_list: WorkerList,
-        standing: Standing,
-        fleet: Fleet,
+        endpoint_list: EndpointList,
+        aggregated_health: AggregatedHealth,
+        fleet: ProxyRegistry,
         options: ControllerOptions,
     ) -> None:
-        self._voter, self._roster, self._membership, self._catch_up = voter, roster, membership, catch_up
-        self._subscribers, self._worker_list, self._standing, self._fleet = subscribers, worker_list, standing, fleet
+        self._voter, self._peer_table, self._membership, self._catch_up = voter, peer_table, membership, catch_up
+        self._subscribers, self._endpoint_list, self._aggregated_health, self._fleet = (
+            subscribers,
+            endpoint_list,
+            aggregated_health,
+            fleet,
+        )
         self._contact_watch = contact_watch
         self._tells_fleet, self._is_bootstrapped = options.tells_fleet, options.bootstrap is not None
         self.wall_offset = 0.0
@@ -53,41 +58,41 @@
         """Answer one `ask`: push what it lacks, and grant."""
         if self._tells_fleet and kind_of(entry=body["daemon"]) != "controller":
             return self._answer_proxy(now=now, sender=sender, body=body)
-        commands = self._subscribers.step(now=now, event=(sender, body), news=self.news())
+        commands = self._subscribers.step(now=now, event=(sender, body), updates=self.updates())
         # before the joiner is heard: what is granted from is what was known when it asked
         newest = self._voter.newest()
         if self._is_bootstrapped:
-            commands += self._hear_joiner(now=now, sender=sender, daemon=body["daemon"])
-            held = self._voter.held.held.get("voters")
-            if held is not None and held.value["number"] > newest.get("voters", [0])[0]:
+            commands += self._on_joiner(now=now, sender=sender, daemon=body["daemon"])
+            learned = self._voter.learner.values.get("voters")
+            if learned is not None and learned.value["number"] > newest.get("voters", [0])[0]:
                 # a consent of one that knows the next set is none under the set before
-                newest["voters"] = [held.value["number"], held.value["mark"], held.ballot]
-        commands += self._note_have(now=now, sender=sender, have=body["have"])
+                newest["voters"] = [learned.value["number"], learned.value["mark"], learned.ballot]
+        commands += self._record_versions(now=now, sender=sender, have=body["have"])
         return [*commands, self._grant(now=now, sender=sender, body=body, newest=newest)]
 
     def acknowledge(self, *, now: float, sender: str, body: dict) -> list[Command]:
         """Fold one `ack` of a push."""
-        return self._subscribers.step(now=now, event=(sender, body), news={})
+        return self._subscribers.step(now=now, event=(sender, body), updates={})
 
     def push(self, *, now: float) -> list[Command]:
         """Push to each daemon what it lacks, unless nothing may be served."""
-        news = self.news() if self._contact_watch.may_serve(now=now) else {}
-        return self._subscribers.step(now=now, event=None, news=news)
+        updates = self.updates() if self._contact_watch.may_serve(now=now) else {}
+        return self._subscribers.step(now=now, event=None, updates=updates)
 
-    def news(self) -> dict[str, tuple]:
+    def updates(self) -> dict[str, tuple]:
         """{name: (number, ballot, value)} of all that is pushed."""
-        news = {
-            name: (held.value["number"], held.ballot, held.value)
-            for name, held in self._voter.held.held.items()
-            if held.value["number"]
+        updates = {
+            name: (learned.value["number"], learned.ballot, learned.value)
+            for name, learned in self._voter.learner.values.items()
+            if learned.value["number"]
         }
-        workers = self._worker_list
+        workers = self._endpoint_list
         if workers.value is not None:
-            news["workers"] = (workers.revision, [workers.epoch, ""], workers.value)
+            updates["workers"] = (workers.revision, [workers.epoch, ""], workers.value)
         fleet = self._fleet.value() if self._tells_fleet else None
         if fleet is not None:
-            news["fleet"] = (fleet["number"], [0, ""], fleet)
-        return news
+            updates["fleet"] = (fleet["number"], [0, ""], fleet)
+        return updates
 
     def _answer_proxy(self, *, now: float, sender: str, body: dict) -> list[Command]:
         """Push what a proxy lacks.
@@ -96,14 +101,14 @@
         """
         may_serve = self._contact_watch.may_serve(now=now)
         is_last_resort = body["report"].get("last_resort") is True
-        news = self.news() if may_serve or is_last_resort else {}
-        commands = self._subscribers.step(now=now, event=(sender, body), news=news)
+        updates = self.updates() if may_serve or is_last_resort else {}
+        commands = self._subscribers.step(now=now, event=(sender, body), updates=updates)
         if not may_serve:
-            commands = [Tell(to=push.to, body={**push.body, "contact": False}) for push in commands]
-        commands += self._note_have(now=now, sender=sender, have=body["have"])
+            commands = [SendMessage(to=push.to, body={**push.body, "contact": False}) for push in commands]
+        commands += self._record_versions(now=now, sender=sender, have=body["have"])
         return [*commands, self._say_present(sender=sender, body=body, may_serve=may_serve)]
 
-    def _say_present(self, *, sender: str, body: dict, may_serve: bool) -> Tell:
+    def _say_present(self, *, sender: str, body: dict, may_serve: bool) -> SendMessage:
         """No lease is asked for: only that this controller is there, where it stands, and whether it has contact.
 
         An answer that does not say has contact. One without names the other controllers that may be asked.
@@ -116,17 +121,17 @@
             "identity": "",
             "voting": self._voter.voting,
             "proxies": 0,
-            "view": {"place": [place.hall, place.region]},
+            "view": {"place": [place.zone, place.region]},
         }
         if not may_serve:
             grant["contact"] = False
             members = self._voter.voters["members"]
-            grant["controllers"] = other_controllers(roster=self._roster, members=members, own=place.post)
-        return Tell(to=sender, body=grant)
+            grant["controllers"] = other_controllers(peer_table=self._peer_table, members=members, own=place.post)
+        return SendMessage(to=sender, body=grant)
 
-    def _grant(self, *, now: float, sender: str, body: dict, newest: dict) -> Tell:
-        is_warm = now - self._subscribers.members[sender].first < constants.WARM_TELL
-        return Tell(
+    def _grant(self, *, now: float, sender: str, body: dict, newest: dict) -> SendMessage:
+        is_slow_start_over = now - self._subscribers.members[sender].first < constants.SLOW_START_REPORT_INTERVAL
+        return SendMessage(
             to=sender,
             body={
                 "kind": "grant",
@@ -136,25 +141,25 @@
                 "voting": self._voter.voting,
                 "proxies": len(self._subscribers.proxies()),
                 "view": {
-                    **self._standing.view(with_warm=is_warm),
-                    "doubt": self._membership.doubts(now=now),
+                    **self._aggregated_health.view(with_slow_start=is_slow_start_over),
+                    "doubt": self._membership.has_unknown_outcomes(now=now),
                     "wall": self.wall_offset + now,
                 },
             },
         )
 
-    def _note_have(self, *, now: float, sender: str, have: dict) -> list[Command]:
+    def _record_versions(self, *, now: float, sender: str, have: dict) -> list[Command]:
         """One that asks holds something newer than this controller: it is read at once."""
         commands: list[Command] = []
         for name, newest in have.items():
-            is_newer = isinstance(newest, list) and newest[0] > self._voter.held.number(name=name)
+            is_newer = isinstance(newest, list) and newest[0] > self._voter.learner.number(name=name)
             if is_control(name=name) and is_newer:
-                self._catch_up.note_behind(now=now, name=name)
+                self._catch_up.record_behind(now=now, name=name)
                 if self._voter.is_opening:
-                    commands.append(Tell(to=sender, body={"kind": "want", "register": name}))
+                    commands.append(SendMessage(to=sender, body={"kind": "want", "register": name}))
         return commands
 
-    def _hear_joiner(self, *, now: float, sender: str, daemon: dict) -> list[Command]:
+    def _on_joiner(self, *, now: float, sender: str, daemon: dict) -> list[Command]:
         if kind_of(entry=daemon) != "controller":
             return []
-        return self._roster.step(now=now, event=(sender, {"entries": [daemon], "reply": True}))
+        return self._peer_table.step(now=now, event=(sender, {"entries": [daemon], "reply": True}))
--- a/sailward/control/proxies/subscribers.py
+++ b/sailward/control/proxies/subscribers.py
@@ -6,7 +6,7 @@
 
 from sailward import constants
 from sailward.discovery.peer_table import kind_of
-from sailward.events import Tell
+from sailward.events import SendMessage
 
 OWN_LIST = "workers"
 """The name under which the list of workers is pushed."""
@@ -22,7 +22,7 @@
 
     entry: dict
     first: float
-    seen: float
+    last_seen_at: float
     have: dict = field(default_factory=dict)
     report: dict = field(default_factory=dict)
     pushed: dict = field(default_factory=dict)
@@ -39,15 +39,15 @@
 
     members: dict = field(default_factory=dict)
     seq: int = 0
-    asked: dict = field(default_factory=dict)
+    active_proxies: dict = field(default_factory=dict)
     post: str = ""
 
-    def step(self, *, now: float, event: tuple | None, news: dict) -> list:
-        """`news` is {name: (number, ballot, value)}; the event a (sender, ask or ack) or None."""
+    def step(self, *, now: float, event: tuple | None, updates: dict) -> list:
+        """`updates` is {name: (number, ballot, value)}; the event a (sender, ask or ack) or None."""
         if event is not None:
             self._fold(now=now, sender=event[0], body=event[1])
         for address, member in list(self.members.items()):
-            if now - member.seen > constants.SUBSCRIBER_LIFE:
+            if now - member.last_seen_at > constants.SUBSCRIBER_TTL:
                 del self.members[address]
         commands = []
         # one that asks is pushed what it lacks, whoever leads it; when news come here, only those that this controller
@@ -55,7 +55,7 @@
         asker = event[0] if event is not None else ""
         for address, member in self.members.items():
             if not (self.post and event is not None and address != asker):
-                for name, (number, ballot, value) in news.items():
+                for name, (number, ballot, value) in updates.items():
                     commands += self._push(
                         now=now,
                         address=address,
@@ -64,7 +64,7 @@
                         number=number,
                         ballot=ballot,
                         value=value,
-                        is_asked=address == asker,
+                        is_requested=address == asker,
                     )
         return commands
 
@@ -78,11 +78,13 @@
 
     def asks(self, *, now: float) -> str:
         """Every proxy start that asked within the longest time that what it sent on may run."""
-        self._forget_asked(now=now)
-        return ",".join(sorted(self.asked))
+        self._forget_inactive(now=now)
+        return ",".join(sorted(self.active_proxies))
 
-    def _forget_asked(self, *, now: float) -> None:
-        self.asked = {name: at for name, at in self.asked.items() if now - at < constants.ASKS_LIFE}
+    def _forget_inactive(self, *, now: float) -> None:
+        self.active_proxies = {
+            name: at for name, at in self.active_proxies.items() if now - at < constants.PROXY_ACTIVITY_TTL
+        }
 
     def _fold(self, *, now: float, sender: str, body: dict) -> None:
         member = self.members.get(sender)
@@ -92,11 +94,11 @@
             return
         start = body["daemon"].get("start")
         if member is None or member.entry.get("start") != start:
-            member = self.members[sender] = Subscriber(entry=body["daemon"], first=now, seen=now)
-            self._forget_asked(now=now)
-        member.entry, member.seen = body["daemon"], now
+            member = self.members[sender] = Subscriber(entry=body["daemon"], first=now, last_seen_at=now)
+            self._forget_inactive(now=now)
+        member.entry, member.last_seen_at = body["daemon"], now
         if kind_of(entry=member.entry) == "proxy":
-            self.asked[f"{member.entry.get('id')}#{start}"] = now
+            self.active_proxies[f"{member.entry.get('id')}#{start}"] = now
         member.have, member.report = body["have"], body["report"]
 
     def _push(
@@ -109,13 +111,13 @@
         number: int,
         ballot: list,
         value: dict,
-        is_asked: bool = False,
+        is_requested: bool = False,
     ) -> list:
         given = member.have.get(name)
         if self.post and kind_of(entry=member.entry) == "controller" and name in OWN_LISTS:
             # a controller follows nobody's lists
             return []
-        if self.post and not is_asked and name == LARGE and member.report.get("lead", self.post) != self.post:
+        if self.post and not is_requested and name == LARGE and member.report.get("lead", self.post) != self.post:
             # the one that leads it pushes this; what is small comes from both it asks, as one may be gone
             return []
         if self.post and name in OWN_LISTS:
@@ -138,7 +140,7 @@
         if teller not in ("", self.post) or (teller == self.post and given[0] == number):
             return []
         pushed = member.pushed.get(name)
-        if pushed and pushed[0] == (0, number) and member.seen - pushed[1] < constants.PUSH_AGAIN:
+        if pushed and pushed[0] == (0, number) and member.last_seen_at - pushed[1] < constants.PUSH_AGAIN:
             # no asking since then has shown that it was lost
             return []
         return self._send(
@@ -154,7 +156,7 @@
         self.seq += 1
         member.pushed[name] = (at, now)
         body = {"kind": "push", "seq": self.seq, "name": name, "number": at[1], "ballot": ballot, "value": value}
-        return [Tell(to=address, body=body)]
+        return [SendMessage(to=address, body=body)]
 
 
 def _epoch_of(*, given: list | None) -> int:
--- a/sailward/control/registers.py
+++ b/sailward/control/registers.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from sailward.consensus.learner import is_control
-from sailward.consensus.proposer import EMPTY, Accepted, Begin, Proposer, Refused, Settled
+from sailward.consensus.proposer import EMPTY, Accepted, OperationFinished, Proposer, Refused, StartOperation
 from sailward.control.administration.admin_api import AdminApi
 from sailward.control.group.catch_up import CatchUp
 from sailward.control.group.membership import Membership
@@ -13,16 +13,16 @@
 from sailward.control.group.voter import Voter
 from sailward.control.proxies.serving import Serving
 from sailward.control.shards.shard_leases import ShardLeases
-from sailward.control.shards.shard_moves import Moves
-from sailward.discovery.peer_table import Roster
-from sailward.events import Called, Command, Log, RefusedInput, Tell
+from sailward.control.shards.shard_moves import ShardMoves
+from sailward.discovery.peer_table import PeerTable
+from sailward.events import CallFinished, Command, LogEvent, RefusedInput, SendMessage
 from sailward.routing.plan import Plan, Unreadable, load_config
 
 
 class Registers:
     """Owner of the operations under way.
 
-    `begin` begins some, `hear` and `tick` move them on, `learn` takes a chosen value.
+    `begin` begins some, `receive` and `tick` move them on, `learn` takes a chosen value.
     """
 
     def __init__(
@@ -31,17 +31,17 @@
         voter: Voter,
         proposer: Proposer,
         contact: QuorumContact | None,
-        desk: AdminApi,
-        roster: Roster,
+        admin_api: AdminApi,
+        peer_table: PeerTable,
         membership: Membership,
         catch_up: CatchUp,
-        moves: Moves,
+        moves: ShardMoves,
         serving: Serving,
         shard_leases: ShardLeases | None,
         expand: Callable[[dict], dict] | None,
         refused: RefusedInput,
     ) -> None:
-        self._voter, self._proposer, self._desk, self._roster = voter, proposer, desk, roster
+        self._voter, self._proposer, self._admin_api, self._peer_table = voter, proposer, admin_api, peer_table
         self._contact = contact
         self._membership, self._catch_up, self._moves = membership, catch_up, moves
         self._serving, self._shard_leases, self._expand = serving, shard_leases, expand
@@ -50,35 +50,35 @@
 
     def tick(self, *, now: float) -> list[Command]:
         """Time goes on: operations are tried again, or expire."""
-        commands, settled = self._proposer.step(now=now, voters=self._voter.voters, event=None)
-        return commands + self._settle(now=now, settled=settled)
+        commands, finished = self._proposer.step(now=now, voters=self._voter.voters, event=None)
+        return commands + self._finish(now=now, finished=finished)
 
-    def hear(self, *, now: float, sender: str, body: dict) -> list[Command]:
+    def receive(self, *, now: float, sender: str, body: dict) -> list[Command]:
         """Take a voter's answer to an operation; only one of a voter of the same set shows contact."""
         if self._contact is not None and body["kind"] != "nack":
-            self._contact.hear_answer(peer=sender, question=body["op"])
-        commands, settled = self._proposer.step(now=now, voters=self._voter.voters, event=(sender, body))
-        return commands + self._settle(now=now, settled=settled)
+            self._contact.on_answer(peer=sender, question=body["op"])
+        commands, finished = self._proposer.step(now=now, voters=self._voter.voters, event=(sender, body))
+        return commands + self._finish(now=now, finished=finished)
 
-    def begin(self, *, now: float, begins: list[Begin]) -> list[Command]:
+    def begin(self, *, now: float, begins: list[StartOperation]) -> list[Command]:
         """Begin operations."""
         commands = []
         for begin in begins:
             if self._contact is not None:
-                self._contact.ask(now=now, question=begin.op)
-            more, settled = self._proposer.step(now=now, voters=self._voter.voters, event=begin)
-            commands += more + self._settle(now=now, settled=settled)
+                self._contact.record_question(now=now, question=begin.op)
+            more, finished = self._proposer.step(now=now, voters=self._voter.voters, event=begin)
+            commands += more + self._finish(now=now, finished=finished)
         return commands
 
-    def step_shard_leases(self, *, now: float, event: Called | None) -> list[Command]:
+    def step_shard_leases(self, *, now: float, event: CallFinished | None) -> list[Command]:
         """Step the grants of divided services, where there are any, and begin the changes that they ask for."""
         if self._shard_leases is None:
             return []
         commands, begins = self._shard_leases.step(now=now, event=event)
         return commands + self.begin(now=now, begins=begins)
 
-    def learn(self, *, now: float, name: str, ballot: list, value: dict, tell: bool) -> list[Command]:
-        """Hold a value that is known to have been chosen, push it on, and `tell` the other controllers."""
+    def learn(self, *, now: float, name: str, ballot: list, value: dict, deliver: bool) -> list[Command]:
+        """Hold a value that is known to have been chosen, push it on, and `deliver` the other controllers."""
         if not is_control(name=name):
             return []
         config = self._load_config(name=name, value=value)
@@ -86,50 +86,50 @@
             self._unreadable_mark = value["mark"]
             return self._refused.add(kind="config", reason=config.reason, number=value["number"])
         was_member = self._voter.is_member
-        if not self._voter.held.step(name=name, ballot=ballot, value=value):
+        if not self._voter.learner.step(name=name, ballot=ballot, value=value):
             return []
-        logs = [Log(event="in-force", fields={"register": name, "number": value["number"]})]
+        logs = [LogEvent(event="in-force", fields={"register": name, "number": value["number"]})]
         if name == "voters" and was_member and self._membership.is_out(value=value):
-            logs.append(Log(event="taken-out", fields={"was": self._voter.identity}))
+            logs.append(LogEvent(event="taken-out", fields={"was": self._voter.identity}))
         if config is not None:
-            self._desk.full, self._moves.plan = config
-        commands = self._voter.ledger.know(ballot=ballot, value=value) if name == "voters" else []
+            self._admin_api.full, self._moves.plan = config
+        commands = self._voter.write_ahead.know(ballot=ballot, value=value) if name == "voters" else []
         commands += self._serving.push(now=now)
-        if tell:
-            commands += self._tell_chosen(name=name, ballot=ballot, value=value)
+        if deliver:
+            commands += self._announce_chosen(name=name, ballot=ballot, value=value)
         return [*logs, *self.step_shard_leases(now=now, event=None), *commands]
 
     def _load_config(self, *, name: str, value: dict) -> tuple[dict, Plan] | Unreadable | None:
-        if name != "config" or not self._voter.held.is_news(name=name, value=value):
+        if name != "config" or not self._voter.learner.is_newer(name=name, value=value):
             return None
         return load_config(value=value, expand=self._expand)
 
-    def _settle(self, *, now: float, settled: list[Settled]) -> list[Command]:
+    def _finish(self, *, now: float, finished: list[OperationFinished]) -> list[Command]:
         """Take the ends of operations: learn the value each of them found, and tell who began it."""
         commands = []
-        for end in settled:
+        for end in finished:
             ballot, value = getattr(end.outcome, "ballot", [0, ""]), getattr(end.outcome, "value", None)
             if is_control(name=end.register) and value and value["number"]:
-                commands += self.learn(now=now, name=end.register, ballot=ballot, value=value, tell=True)
+                commands += self.learn(now=now, name=end.register, ballot=ballot, value=value, deliver=True)
             if is_control(name=end.register) and isinstance(end.outcome, Accepted):
-                self._catch_up.note_confirmed(now=now, name=end.register)
+                self._catch_up.record_confirmed(now=now, name=end.register)
             if not self._catch_up.finish(now=now, end=end):
                 mark = value["mark"] if value else None
                 is_unreadable = end.register == "config" and mark is not None and mark == self._unreadable_mark
-                more, begins = self._desk.step(event=_without_value(end=end) if is_unreadable else end)
+                more, begins = self._admin_api.step(event=_without_value(end=end) if is_unreadable else end)
                 commands += more + self.begin(now=now, begins=begins)
         return commands
 
-    def _tell_chosen(self, *, name: str, ballot: list, value: dict) -> list[Command]:
+    def _announce_chosen(self, *, name: str, ballot: list, value: dict) -> list[Command]:
         body = {"kind": "chosen", "register": name, "ballot": ballot, "value": value}
         posts = {
             *self._voter.voters["members"].values(),
-            *(one["post"] for one in self._roster.alive(kind="controller")),
+            *(one["post"] for one in self._peer_table.alive(kind="controller")),
         }
-        return [Tell(to=post, body=body) for post in sorted(posts - {self._voter.place.post})]
+        return [SendMessage(to=post, body=body) for post in sorted(posts - {self._voter.place.post})]
 
 
-def _without_value(*, end: Settled) -> Settled:
+def _without_value(*, end: OperationFinished) -> OperationFinished:
     """The end of an operation that found a value which can't be read: it is as if none had been found."""
     outcome = Refused(reason="unreadable", value=EMPTY, ballot=[0, ""])
-    return Settled(op=end.op, register=end.register, outcome=outcome)
+    return OperationFinished(op=end.op, register=end.register, outcome=outcome)
