--- a/sailward/control/shards/freshness.py
+++ b/sailward/control/shards/freshness.py
@@ -9,9 +9,9 @@
 
 from sailward import constants
 from sailward.consensus.acceptor import Slots
-from sailward.consensus.learner import HeldBook
+from sailward.consensus.learner import Learner
 from sailward.consensus.proposer import blocking_of
-from sailward.events import Tell
+from sailward.events import SendMessage
 
 NEVER = -1e9
 
@@ -20,7 +20,7 @@
 class Confirmation:
     """What one voter said last: when it was asked, and its newest vote of each register."""
 
-    asked: float
+    requested_at: float
     newest: dict
 
 
@@ -31,36 +31,36 @@
     `step` folds one, or asks all other voters when it is time; `until` gives the lease's end.
 
     A newer value can only be chosen by a majority, which has a voter in common with every blocking set: if each of one
-    said after a moment that it had voted for nothing newer than what is held here, nothing newer was chosen by that
+    said after a moment that it had voted for nothing newer than what is learner here, nothing newer was chosen by that
     moment. A voter that knows another set of voters confirms nothing: one set may choose what the other's blocking sets
     don't meet.
     """
 
-    told: dict = field(default_factory=dict)
-    asked: dict = field(default_factory=dict)
+    confirmations: dict = field(default_factory=dict)
+    requested_at: dict = field(default_factory=dict)
     seq: int = 0
     next_at: float = NEVER
 
     def step(self, *, now: float, body: dict | None, members: dict, number: int, own: str, registers: list) -> list:
         """`members` are the voters and `number` their register's, `own` this one's identity."""
         if body is not None:
-            asked = self.asked.get(body["seq"])
-            known = self.told.get(body["identity"])
-            if asked is not None and (known is None or asked > known.asked):
-                self.told[body["identity"]] = Confirmation(asked=asked, newest=body["newest"])
+            requested_at = self.requested_at.get(body["seq"])
+            known = self.confirmations.get(body["identity"])
+            if requested_at is not None and (known is None or requested_at > known.requested_at):
+                self.confirmations[body["identity"]] = Confirmation(requested_at=requested_at, newest=body["newest"])
             return []
         if now < self.next_at or not registers:
             return []
         self.seq, self.next_at = self.seq + 1, now + constants.CONFIRM_EVERY
-        self.asked = {seq: at for seq, at in self.asked.items() if now - at < constants.GRANT_LEASE}
-        self.asked[self.seq] = now
+        self.requested_at = {seq: at for seq, at in self.requested_at.items() if now - at < constants.GRANT_LEASE}
+        self.requested_at[self.seq] = now
         return [
-            Tell(to=post, body={"kind": "confirm", "seq": self.seq, "voters": number, "registers": registers})
+            SendMessage(to=post, body={"kind": "confirm", "seq": self.seq, "voters": number, "registers": registers})
             for name, post in sorted(members.items())
             if name != own
         ]
 
-    def until(self, *, now: float, register: str, held: HeldBook, members: dict, own: str, slots: Slots) -> float:
+    def until(self, *, now: float, register: str, learner: Learner, members: dict, own: str, slots: Slots) -> float:
         """The moment until which the value held of this register may be acted on as the newest."""
         if not members:
             return NEVER
@@ -71,17 +71,17 @@
                 if (
                     slot is None
                     or slot.value is None
-                    or _covers(held=held, register=register, newest=newest_vote(slots=slots, name=register))
+                    or _covers(learner=learner, register=register, newest=newest_vote(slots=slots, name=register))
                 ):
                     ends.append(now + constants.GRANT_LEASE)
                 continue
-            said = self.told.get(name)
+            confirmation = self.confirmations.get(name)
             if (
-                said is not None
-                and register in said.newest
-                and _covers(held=held, register=register, newest=said.newest[register])
+                confirmation is not None
+                and register in confirmation.newest
+                and _covers(learner=learner, register=register, newest=confirmation.newest[register])
             ):
-                ends.append(said.asked + constants.GRANT_LEASE)
+                ends.append(confirmation.requested_at + constants.GRANT_LEASE)
         need = blocking_of(members=members)
         return sorted(ends, reverse=True)[need - 1] if len(ends) >= need else NEVER
 
@@ -96,5 +96,5 @@
     )
 
 
-def _covers(*, held: HeldBook, register: str, newest: list) -> bool:
-    return newest[0] <= held.number(name=register) and held.covers(name=register, newest=newest)
+def _covers(*, learner: Learner, register: str, newest: list) -> bool:
+    return newest[0] <= learner.number(name=register) and learner.covers(name=register, newest=newest)
--- a/sailward/control/shards/grant_calls.py
+++ b/sailward/control/shards/grant_calls.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from sailward import constants
-from sailward.events import Call, Called, Log
+from sailward.events import CallFinished, LogEvent, StartCall
 from sailward.routing.shards import Shard
 
 NEVER = -1e9
@@ -18,11 +18,11 @@
     """The words of the calls, which an adapter sets. A call is (method, path, headers, body)."""
 
     def grant(
-        self, *, start: int, end: int, fence: int, hold: float, handover: str, owner: str
+        self, *, start: int, end: int, fencing_token: int, hold: float, handover: str, owner: str
     ) -> tuple[str, str, dict, bytes]:
         """The call that grants the keys from `start` to `end` to `owner` for `hold` s."""
 
-    def release(self, *, start: int, end: int, fence: int, owner: str) -> tuple[str, str, dict, bytes]:
+    def release(self, *, start: int, end: int, fencing_token: int, owner: str) -> tuple[str, str, dict, bytes]:
         """The call that takes these keys back."""
 
     def handover(self, *, headers: dict) -> str:
@@ -102,14 +102,14 @@
             (
                 replace(releasing, shard=shard)
                 for releasing in self._moving
-                if (releasing.shard.owner, releasing.shard.fence) == (shard.owner, shard.fence)
+                if (releasing.shard.owner, releasing.shard.fencing_token) == (shard.owner, shard.fencing_token)
                 and releasing.shard.start <= shard.start
                 and shard.end <= releasing.shard.end
             ),
             None,
         )
 
-    def take_result(self, *, now: float, event: Called) -> list:
+    def take_result(self, *, now: float, event: CallFinished) -> list:
         """Fold the result of a call of ours; gives what is to be logged."""
         sent = self._sent.pop(event.token, None)
         if sent is None:
@@ -131,7 +131,7 @@
                     releasing.handover = self.codec.handover(headers=event.headers)
         return [] if event.code == 200 else [self._complain(shard=sent.shard, event=event, name="release-failed")]
 
-    def _take_grant(self, *, now: float, shard: Shard, event: Called) -> list:
+    def _take_grant(self, *, now: float, shard: Shard, event: CallFinished) -> list:
         if event.code or event.sent:
             late = 0.0 if event.code else constants.GRANT_FLIGHT
             self._arrived[shard.owner] = max(self._arrived.get(shard.owner, NEVER), now + late)
@@ -148,15 +148,15 @@
             self.outrun.add(shard)
         return [self._complain(shard=shard, event=event, name="grant-failed")]
 
-    def _complain(self, *, shard: Shard, event: Called, name: str) -> Log:
-        return Log(
+    def _complain(self, *, shard: Shard, event: CallFinished, name: str) -> LogEvent:
+        return LogEvent(
             event=name,
             fields={
                 "service": self.service,
                 "worker": shard.owner,
                 "start": shard.start,
                 "end": shard.end,
-                "fence": shard.fence,
+                "fence": shard.fencing_token,
                 "reason": event.fault or f"code:{event.code}",
             },
         )
@@ -170,7 +170,7 @@
             made = self.codec.grant(
                 start=shard.start,
                 end=shard.end,
-                fence=shard.fence,
+                fencing_token=shard.fencing_token,
                 hold=hold,
                 handover=renewing.handover,
                 owner=shard.owner,
@@ -201,7 +201,9 @@
                 or self._may_arrive(now=now, shard=shard)
             ):
                 continue
-            made = self.codec.release(start=shard.start, end=shard.end, fence=shard.fence, owner=shard.owner)
+            made = self.codec.release(
+                start=shard.start, end=shard.end, fencing_token=shard.fencing_token, owner=shard.owner
+            )
             releasing.token = self._call(
                 now=now,
                 kind=RELEASE,
@@ -231,7 +233,7 @@
         token = f"{kind} {self.service} {self._count}"
         method, path, headers, body = made
         commands.append(
-            Call(
+            StartCall(
                 token=token,
                 owner=shard.owner,
                 address=self.addresses[shard.owner],
@@ -239,7 +241,7 @@
                 path=path,
                 headers=headers,
                 body=body,
-                wait=wait,
+                timeout=wait,
                 # its answer bears no id: only on a connection of its own is the first one surely its own, and a surplus
                 # one that passed for the end of a release would give the keys to a second holder
                 fresh=kind == RELEASE,
@@ -261,7 +263,7 @@
         ]
         last = max([sole_at, self._arrived.get(shard.owner, NEVER), *ends])
         last = min(last, releasing.since + constants.GRANT_QUIET)
-        return now >= last + constants.GRANT_HOLD * constants.GRANT_SLOW + constants.GRANT_MARGIN
+        return now >= last + constants.GRANT_DURATION * constants.GRANT_SLOW + constants.GRANT_MARGIN
 
     def handover_of(self, *, shard: Shard) -> str:
         """What the owner of a moving shard handed over, or ""."""
--- a/sailward/control/shards/grant_targets.py
+++ b/sailward/control/shards/grant_targets.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class GrantScene:
+class GrantContext:
     """What the granting looks at in one moment.
 
     `value` is the register's as held here; `fresh_until` when the confirmation that it is the newest runs out (s, the
@@ -27,7 +27,7 @@
     down: dict = field(default_factory=dict)
     loads: dict = field(default_factory=dict)
     paces: dict = field(default_factory=dict)
-    hold_max: float = constants.GRANT_HOLD
+    lease_max: float = constants.GRANT_DURATION
 
 
 @dataclass(kw_only=True)
@@ -39,60 +39,60 @@
     _uneven_since: float | None = None
     _balanced: float = NEVER
 
-    def wanted(self, *, now: float, shards: tuple[Shard, ...], sole_at: float, scene: GrantScene) -> list[Span]:
+    def targets(self, *, now: float, shards: tuple[Shard, ...], sole_at: float, context: GrantContext) -> list[Span]:
         """Where all keys should be; what is moving counts as where it goes."""
         spans = [
             Span(start=shard.start, end=shard.end, owner=shard.owner if shard.is_open else shard.next_owner)
             for shard in shards
         ]
-        able = self.able(now=now, scene=scene)
+        able = self.able(now=now, context=context)
         if not able:
-            listed = self.listed(scene=scene)
+            listed = self.listed(context=context)
             return [
                 span
-                if span.owner in listed and self._may_stay(key=span.owner, scene=scene)
+                if span.owner in listed and self._may_stay(key=span.owner, context=context)
                 else replace(span, owner="")
                 for span in spans
             ]
-        wanted = place(spans=spans, able=able, loads=scene.loads, is_balancing=False)
+        targets = place(spans=spans, able=able, loads=context.loads, is_balancing=False)
         if any(not shard.is_open for shard in shards) or now < sole_at:
             self._uneven_since = None
-            return wanted
-        even = place(spans=spans, able=able, loads=scene.loads, is_balancing=True)
-        if even == wanted:
+            return targets
+        even = place(spans=spans, able=able, loads=context.loads, is_balancing=True)
+        if even == targets:
             self._uneven_since = None
-            return wanted
+            return targets
         self._uneven_since = now if self._uneven_since is None else self._uneven_since
-        is_urgent = strain(spans=wanted, able=able, loads=scene.loads) > constants.GRANT_BLAZING
+        is_urgent = strain(spans=targets, able=able, loads=context.loads) > constants.GRANT_BLAZING
         if now - max(self._uneven_since, self._balanced) < (
             constants.GRANT_URGENT if is_urgent else constants.GRANT_SUSTAINED
         ):
-            return wanted
+            return targets
         self._uneven_since, self._balanced = None, now
         return even
 
-    def listed(self, *, scene: GrantScene) -> dict:
+    def listed(self, *, context: GrantContext) -> dict:
         """The service's workers by key."""
-        return {key: worker for key, worker in scene.workers.items() if worker.service == self.service}
+        return {key: worker for key, worker in context.workers.items() if worker.service == self.service}
 
-    def _may_stay(self, *, key: str, scene: GrantScene) -> bool:
-        worker = scene.workers[key]
-        return key not in self.calls.ended and not worker.leaving and worker.hall not in scene.emptied
+    def _may_stay(self, *, key: str, context: GrantContext) -> bool:
+        worker = context.workers[key]
+        return key not in self.calls.ended and not worker.leaving and worker.zone not in context.emptied
 
-    def able(self, *, now: float, scene: GrantScene) -> dict:
+    def able(self, *, now: float, context: GrantContext) -> dict:
         """The requests/s that each worker which may own keys can do; cold ones only where there are no others."""
         well = {
             key: worker
-            for key, worker in self.listed(scene=scene).items()
-            if self._may_stay(key=key, scene=scene)
-            and now - scene.down.get(key, now) < constants.GRANT_SILENT
+            for key, worker in self.listed(context=context).items()
+            if self._may_stay(key=key, context=context)
+            and now - context.down.get(key, now) < constants.GRANT_SILENT
             and not self.calls.is_failing(now=now, key=key)
         }
-        warm = {key: worker for key, worker in well.items() if getattr(worker, "cold", 0.0) <= 0}
+        ready = {key: worker for key, worker in well.items() if getattr(worker, "slow_start", 0.0) <= 0}
         return weigh(
             capacities={
                 key: getattr(worker, "capacity", 0) or constants.WORKER_CAPACITY
-                for key, worker in (warm or well).items()
+                for key, worker in (ready or well).items()
             },
-            paces=scene.paces,
+            paces=context.paces,
         )
--- a/sailward/control/shards/granting.py
+++ b/sailward/control/shards/granting.py
@@ -15,9 +15,9 @@
    owner, under a new fence, when the old one has certainly let go: (a) it answered a release that was sent when the
    granter was the only one and none of its own grants of these keys was under way; or (b) its process has ended:
    another worker answered at its address (a connection that is refused proves nothing: a cut may refuse too, while the
-   worker lives and holds); or (c) its hold has run out: GRANT_HOLD by the slowest clock after the last moment at which
-   a grant can have arrived. That moment is GRANT_QUIET after the shard was first seen moving here, or, for the only
-   granter, the later of `_sole_at` and the last of its own.
+   worker lives and holds); or (c) its hold has run out: GRANT_DURATION by the slowest clock after the last moment at
+   which a grant can have arrived. That moment is GRANT_QUIET after the shard was first seen moving here, or, for the
+   only granter, the later of `_sole_at` and the last of its own.
 4. Each of these stays true as long as the table does not change, and the change is conditional on its number.
 
 Fences are in the table, grow with each opening, and are never used again.
@@ -29,9 +29,9 @@
 
 from sailward import constants
 from sailward.control.shards.grant_calls import NEVER, GrantCalls, GrantCodec
-from sailward.control.shards.grant_targets import GrantScene, GrantTargets
+from sailward.control.shards.grant_targets import GrantContext, GrantTargets
 from sailward.control.shards.shard_plan import Span, place
-from sailward.events import Called
+from sailward.events import CallFinished
 from sailward.routing.shard_owners import PREFIX
 from sailward.routing.shards import KEYS, MOVING, OPEN, Shard, ShardTable, read_shards, write_shards
 
@@ -51,33 +51,33 @@
         self._number = -1
         self._named_at = float("inf")
         self._granter_at = NEVER
-        self._asked = (-1, NEVER)
+        self._requested = (-1, NEVER)
         self._look_at = NEVER
 
-    def step(self, *, now: float, event: Called | None, scene: GrantScene) -> tuple[list, list]:
+    def step(self, *, now: float, event: CallFinished | None, context: GrantContext) -> tuple[list, list]:
         """Take the result of a call of ours, or None for time going on."""
         commands = []
         if event is not None and self.is_own(token=event.token):
             self._look_at = NEVER
             commands = self._calls.take_result(now=now, event=event)
-        self._take_table(now=now, value=scene.value)
-        self._calls.addresses |= {key: worker.address for key, worker in self._targets.listed(scene=scene).items()}
-        if now >= scene.fresh_until:
+        self._take_table(now=now, value=context.value)
+        self._calls.addresses |= {key: worker.address for key, worker in self._targets.listed(context=context).items()}
+        if now >= context.fresh_until:
             return commands, []
         if self._is_named():
-            commands += self._release(now=now, scene=scene) + self._grant(now=now, scene=scene)
-        return commands, self._change(now=now, scene=scene) if scene.is_acting else []
+            commands += self._release(now=now, context=context) + self._grant(now=now, context=context)
+        return commands, self._change(now=now, context=context) if context.is_acting else []
 
     def is_own(self, *, token: str) -> bool:
         """Is this the token of a call of ours?"""
         return self._calls.is_own(token=token)
 
-    def _grant(self, *, now: float, scene: GrantScene) -> list:
-        hold = min(constants.GRANT_HOLD, scene.hold_max)
-        return self._calls.grant(now=now, hold=hold, fresh_until=scene.fresh_until)
+    def _grant(self, *, now: float, context: GrantContext) -> list:
+        hold = min(constants.GRANT_DURATION, context.lease_max)
+        return self._calls.grant(now=now, hold=hold, fresh_until=context.fresh_until)
 
-    def _release(self, *, now: float, scene: GrantScene) -> list:
-        return self._calls.release(now=now, sole_at=self._sole_at(), fresh_until=scene.fresh_until)
+    def _release(self, *, now: float, context: GrantContext) -> list:
+        return self._calls.release(now=now, sole_at=self._sole_at(), fresh_until=context.fresh_until)
 
     def _is_free(self, *, now: float, shard: Shard) -> bool:
         return self._calls.is_free(now=now, shard=shard, sole_at=self._sole_at())
@@ -102,85 +102,87 @@
         self._calls.take_table(now=now, shards=shards, is_new_term=is_new_term)
         self._look_at = NEVER
 
-    def _change(self, *, now: float, scene: GrantScene) -> list:
-        number, asked = self._asked
-        if now < self._look_at or (number == self._number and now - asked < constants.GRANT_CHANGE_WAIT):
+    def _change(self, *, now: float, context: GrantContext) -> list:
+        number, requested_at = self._requested
+        if now < self._look_at or (number == self._number and now - requested_at < constants.GRANT_CHANGE_WAIT):
             return []
-        self._look_at = now + constants.GRANT_LOOK
-        table = self._next_table(now=now, scene=scene)
+        self._look_at = now + constants.GRANT_CHECK_INTERVAL
+        table = self._next_table(now=now, context=context)
         if table is None or table == self._table:
             return []
-        self._asked = (self._number, now)
+        self._requested = (self._number, now)
         return [(PREFIX + self._service, self._number, write_shards(table=table))]
 
-    def _next_table(self, *, now: float, scene: GrantScene) -> ShardTable | None:
+    def _next_table(self, *, now: float, context: GrantContext) -> ShardTable | None:
         if self._table is None:
-            return self._first_table(now=now, scene=scene)
+            return self._first_table(now=now, context=context)
         if not self._is_named():
             if now - self._granter_at < constants.GRANT_TAKEOVER:
                 return None
             return replace(self._table, granter=self._own, since=self._number + 1)
-        shards, fence = self._redraw_all(now=now, table=self._table, scene=scene)
-        most = constants.GRANT_ROWS * max(1, len(self._targets.able(now=now, scene=scene)))
+        shards, fencing_token = self._redraw_all(now=now, table=self._table, context=context)
+        most = constants.GRANT_ROWS * max(1, len(self._targets.able(now=now, context=context)))
         if shards != list(self._table.shards) or len(shards) > most:
-            shards, fence = self._join(shards=shards, fence=fence)
-        return replace(self._table, shards=tuple(shards), fence=fence)
+            shards, fencing_token = self._join(shards=shards, fencing_token=fencing_token)
+        return replace(self._table, shards=tuple(shards), fencing_token=fencing_token)
 
-    def _first_table(self, *, now: float, scene: GrantScene) -> ShardTable | None:
-        able = self._targets.able(now=now, scene=scene)
+    def _first_table(self, *, now: float, context: GrantContext) -> ShardTable | None:
+        able = self._targets.able(now=now, context=context)
         if not able:
             return None
-        whole = [Span(start=0, end=KEYS - 1, owner="")]
-        spans = place(spans=whole, able=able, loads=scene.loads, is_balancing=False)
+        whole_key_space = [Span(start=0, end=KEYS - 1, owner="")]
+        spans = place(spans=whole_key_space, able=able, loads=context.loads, is_balancing=False)
         shards = tuple(
-            Shard(start=span.start, end=span.end, owner=span.owner, fence=at + 1, state=OPEN)
+            Shard(start=span.start, end=span.end, owner=span.owner, fencing_token=at + 1, state=OPEN)
             for at, span in enumerate(spans)
         )
-        return ShardTable(granter=self._own, since=self._number + 1, fence=len(shards) + 1, shards=shards)
+        return ShardTable(granter=self._own, since=self._number + 1, fencing_token=len(shards) + 1, shards=shards)
 
-    def _redraw_all(self, *, now: float, table: ShardTable, scene: GrantScene) -> tuple[list[Shard], int]:
+    def _redraw_all(self, *, now: float, table: ShardTable, context: GrantContext) -> tuple[list[Shard], int]:
         """All shards as they should be next, and the next fence."""
-        shards, fence, sole_at = [], table.fence, self._sole_at()
-        wanted = self._targets.wanted(now=now, shards=table.shards, sole_at=sole_at, scene=scene)
+        shards, fencing_token, sole_at = [], table.fencing_token, self._sole_at()
+        targets = self._targets.targets(now=now, shards=table.shards, sole_at=sole_at, context=context)
         for shard in table.shards:
             parts = [
                 replace(span, start=max(span.start, shard.start), end=min(span.end, shard.end))
-                for span in wanted
+                for span in targets
                 if span.start <= shard.end and shard.start <= span.end
             ]
             for drawn in self._redraw(now=now, shard=shard, parts=parts, is_sole=now >= sole_at):
-                if drawn.fence != 0:
+                if drawn.fencing_token != 0:
                     shards.append(drawn)
                     continue
                 # where a worker knows a higher fence than we do, doubling soon steps over it
-                fenced = replace(drawn, fence=2 * fence if shard in self._calls.outrun else fence)
+                fenced = replace(
+                    drawn, fencing_token=2 * fencing_token if shard in self._calls.outrun else fencing_token
+                )
                 is_moved = fenced.owner != shard.owner
                 self._calls.handovers[fenced] = self._calls.handover_of(shard=shard) if is_moved else ""
-                fence = fenced.fence + 1
+                fencing_token = fenced.fencing_token + 1
                 shards.append(fenced)
-        return shards, fence
+        return shards, fencing_token
 
     def _redraw(self, *, now: float, shard: Shard, parts: list[Span], is_sole: bool) -> list[Shard]:
         """What becomes of a shard; a fence of 0 stands for a new one."""
-        fresh = [Shard(start=part.start, end=part.end, owner=part.owner, fence=0, state=OPEN) for part in parts]
+        fresh = [Shard(start=part.start, end=part.end, owner=part.owner, fencing_token=0, state=OPEN) for part in parts]
         if not shard.is_open:
             if self._is_free(now=now, shard=shard):
                 return fresh
             largest = max(parts, key=lambda part: part.end - part.start).owner
             return [replace(shard, next_owner=largest)]
         if shard in self._calls.outrun and shard.owner not in self._calls.ended:
-            return [replace(shard, fence=0)]
+            return [replace(shard, fencing_token=0)]
         if shard.owner == "" or shard.owner in self._calls.ended:
             return fresh if any(part.owner != shard.owner for part in parts) else [shard]
         if not is_sole or all(part.owner == shard.owner for part in parts):
             return [shard]
-        cut = [replace(shard, start=part.start, end=part.end) for part in parts]
+        split_shards = [replace(shard, start=part.start, end=part.end) for part in parts]
         return [
             moved if part.owner == shard.owner else replace(moved, state=MOVING, next_owner=part.owner)
-            for part, moved in zip(parts, cut, strict=True)
+            for part, moved in zip(parts, split_shards, strict=True)
         ]
 
-    def _join(self, *, shards: list[Shard], fence: int) -> tuple[list[Shard], int]:
+    def _join(self, *, shards: list[Shard], fencing_token: int) -> tuple[list[Shard], int]:
         """Neighbouring ranges of one owner under one new fence, as each is granted by itself.
 
         What is new may have a handover to come.
@@ -192,11 +194,14 @@
                 last
                 and last.owner == shard.owner
                 and self._calls.is_granted(shard=shard)
-                and ((last.fence == fence - 1 and last not in shards) or self._calls.is_granted(shard=last))
+                and (
+                    (last.fencing_token == fencing_token - 1 and last not in shards)
+                    or self._calls.is_granted(shard=last)
+                )
             ):
                 if last in shards:
-                    fence += 1
-                joined[-1] = replace(last, end=shard.end, fence=fence - 1)
+                    fencing_token += 1
+                joined[-1] = replace(last, end=shard.end, fencing_token=fencing_token - 1)
             else:
                 joined.append(shard)
-        return joined, fence
+        return joined, fencing_token
--- a/sailward/control/shards/shard_assignment.py
+++ b/sailward/control/shards/shard_assignment.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field, replace
 
 from sailward import constants
-from sailward.control.shards.quiescence import Closing, Witness
+from sailward.control.shards.quiescence import Closing, Quiescence
 from sailward.discovery.endpoint_table import Worker
 from sailward.discovery.rendezvous import choose_names
 from sailward.routing.plan import Plan, Pool, Service
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Scene:
+class AssignmentContext:
     """What the assigning looks at in one moment."""
 
     plan: Plan
@@ -24,7 +24,7 @@
 
 
 @dataclass(kw_only=True)
-class Assigning:
+class ShardAssignment:
     """Owner of one service's slot moves, on the controller that hashing names. `step` gives the next text or "".
 
     A closed slot opens when every proxy that could act is witnessed to know it closed and to have nothing
@@ -35,14 +35,16 @@
     closed: dict = field(default_factory=dict)
     missing: dict = field(default_factory=dict)
 
-    def step(self, *, now: float, service: Service, text: str, scene: Scene, witness: Witness) -> str:
+    def step(
+        self, *, now: float, service: Service, text: str, context: AssignmentContext, quiescence: Quiescence
+    ) -> str:
         """Judge all slots of a service against the moment."""
         spaces = read_table(text=text)
         fresh = {}
         changed = False
         moving = sum(not one.is_open for rows in spaces.values() for one in rows)
-        self._note_closed(now=now, spaces=spaces, witness=witness)
-        for space in self._spaces(plan=scene.plan, service=service):
+        self._record_closed(now=now, spaces=spaces, quiescence=quiescence)
+        for space in self._spaces(plan=context.plan, service=service):
             rows = spaces.get(space, [])
             if len(rows) != service.slots:
                 rows = [
@@ -57,8 +59,8 @@
                     space=space,
                     slot=slot,
                     old=old,
-                    scene=scene,
-                    room=constants.MOVES_AT_ONCE - moving,
+                    context=context,
+                    capacity=constants.MOVES_AT_ONCE - moving,
                 )
                 moving += old.is_open and not new.is_open
                 changed = changed or new != old
@@ -68,24 +70,33 @@
     def _spaces(self, *, plan: Plan, service: Service) -> list[str]:
         return sorted({space_of(homes=tenant.homes, service=service) for tenant in plan.tenants.values()} | {""})
 
-    def _note_closed(self, *, now: float, spaces: dict, witness: Witness) -> None:
-        seen = {
+    def _record_closed(self, *, now: float, spaces: dict, quiescence: Quiescence) -> None:
+        known_versions = {
             (space, slot, one.term)
             for space, rows in spaces.items()
             for slot, one in enumerate(rows)
             if not one.is_open
         }
         self.closed = {
-            name: self.closed.get(name) or Closing(since=now, number=witness.number, beats=witness.beats())
-            for name in seen
+            name: self.closed.get(name)
+            or Closing(since=now, number=quiescence.number, heartbeats=quiescence.heartbeats())
+            for name in known_versions
         }
         for (space, slot, _), closing in self.closed.items():
-            witness.look(closing=closing, slot=f"{space}/{slot}")
+            quiescence.check(closing=closing, slot=f"{space}/{slot}")
 
     def _judge(
-        self, *, now: float, service: Service, space: str, slot: int, old: Owned, scene: Scene, room: int
+        self,
+        *,
+        now: float,
+        service: Service,
+        space: str,
+        slot: int,
+        old: Owned,
+        context: AssignmentContext,
+        capacity: int,
     ) -> Owned:
-        best = self._best(service=service, space=space, slot=slot, scene=scene)
+        best = self._best(service=service, space=space, slot=slot, context=context)
         if not old.is_open:
             wait = constants.LEASE + service.expiry + constants.MOVE_MARGIN
             closing = self.closed[(space, slot, old.term)]
@@ -96,48 +107,48 @@
             return Owned(owner=best, term=old.term + 1, is_open=True) if best else old
         place = (space, slot)
         if (
-            old.owner in scene.healthy
-            and old.owner in scene.workers
-            and not scene.workers[old.owner].leaving
-            and scene.workers[old.owner].hall not in scene.emptied
+            old.owner in context.healthy
+            and old.owner in context.workers
+            and not context.workers[old.owner].leaving
+            and context.workers[old.owner].zone not in context.emptied
         ):
             self.missing.pop(place, None)
-            return replace(old, is_open=False) if best and best != old.owner and room > 0 else old
+            return replace(old, is_open=False) if best and best != old.owner and capacity > 0 else old
         since = self.missing.setdefault(place, now)
-        worker = scene.workers.get(old.owner)
-        certain = worker is None or worker.leaving or worker.hall in scene.emptied
+        worker = context.workers.get(old.owner)
+        certain = worker is None or worker.leaving or worker.zone in context.emptied
         if certain or now - since >= constants.OWNER_GRACE:
             self.missing.pop(place, None)
             return replace(old, is_open=False)
         return old
 
-    def _best(self, *, service: Service, space: str, slot: int, scene: Scene) -> str:
+    def _best(self, *, service: Service, space: str, slot: int, context: AssignmentContext) -> str:
         shares = next(
             (
                 match.shares
-                for match in scene.plan.matches
-                if scene.plan.pools[match.shares[0][0]].service == service.name
+                for match in context.plan.matches
+                if context.plan.pools[match.shares[0][0]].service == service.name
             ),
             (),
         )
         if not shares:
             return ""
-        pool: Pool = scene.plan.pools[pool_at(shares=shares, slot=slot, slots=service.slots)]
+        pool: Pool = context.plan.pools[pool_at(shares=shares, slot=slot, slots=service.slots)]
         homes = set(space.split("+")) if space else set()
         if service.keys_shared:
-            homes = common_homes(plan=scene.plan, service=service.name)
+            homes = common_homes(plan=context.plan, service=service.name)
         for drained, tier in self._tiers(pool=pool):
-            halls = [
-                hall
-                for hall in tier
-                if hall not in scene.emptied
-                and ((service.name, hall) in scene.drained) == drained
-                and (not homes or scene.plan.regions.get(hall) in homes)
+            zones = [
+                zone
+                for zone in tier
+                if zone not in context.emptied
+                and ((service.name, zone) in context.drained) == drained
+                and (not homes or context.plan.regions.get(zone) in homes)
             ]
             able = {
                 worker.name: key
-                for key, worker in scene.workers.items()
-                if _is_able(worker=worker, key=key, service=service, halls=halls, scene=scene)
+                for key, worker in context.workers.items()
+                if _is_able(worker=worker, key=key, service=service, zones=zones, context=context)
             }
             if able:
                 name = choose_names(key=f"{service.name}/{space}/{slot}", names=able, count=1)[0]
@@ -149,5 +160,5 @@
         return [(drained, tier) for drained in (False, True) for tier in (pool.preferred, pool.fallback)]
 
 
-def _is_able(*, worker: Worker, key: str, service: Service, halls: list, scene: Scene) -> bool:
-    return worker.service == service.name and worker.hall in halls and not worker.leaving and key in scene.healthy
+def _is_able(*, worker: Worker, key: str, service: Service, zones: list, context: AssignmentContext) -> bool:
+    return worker.service == service.name and worker.zone in zones and not worker.leaving and key in context.healthy
--- a/sailward/control/shards/shard_moves.py
+++ b/sailward/control/shards/shard_moves.py
@@ -6,12 +6,12 @@
 from dataclasses import dataclass, field
 
 from sailward import constants
-from sailward.consensus.learner import HeldBook
-from sailward.control.proxies.aggregated_health import Standing
+from sailward.consensus.learner import Learner
+from sailward.control.proxies.aggregated_health import AggregatedHealth
 from sailward.control.proxies.subscribers import Subscriber
-from sailward.control.shards.quiescence import Witness
-from sailward.control.shards.shard_assignment import Assigning, Scene
-from sailward.discovery.endpoint_table import WorkerBook
+from sailward.control.shards.quiescence import Quiescence
+from sailward.control.shards.shard_assignment import AssignmentContext, ShardAssignment
+from sailward.discovery.endpoint_table import EndpointTable
 from sailward.discovery.rendezvous import choose_names
 from sailward.routing.plan import Plan
 from sailward.routing.routing_state import read_orders
@@ -19,11 +19,11 @@
 
 
 @dataclass(kw_only=True)
-class Moves:
+class ShardMoves:
     """Owner of the moves. `step` gives the changes to begin as (register, expected number, text)."""
 
     plan: Plan = field(default_factory=Plan)
-    book: WorkerBook = field(default_factory=WorkerBook)
+    table: EndpointTable = field(default_factory=EndpointTable)
     assigning: dict = field(default_factory=dict)
     looked: float = -1e9
 
@@ -33,8 +33,8 @@
         now: float,
         own: str,
         controllers: list[dict],
-        held: HeldBook,
-        standing: Standing,
+        learner: Learner,
+        aggregated_health: AggregatedHealth,
         workers: dict | None,
         epoch: int,
         proxies: list[Subscriber],
@@ -46,33 +46,35 @@
         divided = [service for service in self.plan.services.values() if service.slots]
         if not divided:
             return []
-        if (epoch, workers["number"]) > self.book.revision:
-            self.book.step(epoch=epoch, revision=workers["number"], workers=json.loads(workers["text"]))
+        if (epoch, workers["number"]) > self.table.revision:
+            self.table.step(epoch=epoch, revision=workers["number"], workers=json.loads(workers["text"]))
         well = {one["identity"] for one in controllers if one["fit"]}
-        scene = self._scene(held=held, standing=standing, proxies=proxies)
+        context = self._context(learner=learner, aggregated_health=aggregated_health, proxies=proxies)
         changes = []
         for service in divided:
             name = PREFIX + service.name
             if choose_names(key=name, names=well, count=1) != [own]:
                 self.assigning.pop(name, None)
                 continue
-            value = held.held[name].value if name in held.held else {"number": 0, "text": ""}
-            assigning = self.assigning.setdefault(name, Assigning())
-            witness = Witness(
+            value = learner.values[name].value if name in learner.values else {"number": 0, "text": ""}
+            assigning = self.assigning.setdefault(name, ShardAssignment())
+            quiescence = Quiescence(
                 service=service.name,
                 number=value["number"],
-                members=held.voters()["members"],
+                members=learner.voters()["members"],
                 controllers=controllers,
                 proxies=proxies,
             )
-            text = assigning.step(now=now, service=service, text=value["text"], scene=scene, witness=witness)
+            text = assigning.step(now=now, service=service, text=value["text"], context=context, quiescence=quiescence)
             if text:
                 changes.append((name, value["number"], text))
         return changes
 
-    def _scene(self, *, held: HeldBook, standing: Standing, proxies: list[Subscriber]) -> Scene:
-        emptied = read_orders(value=held.held["orders"].value) if "orders" in held.held else frozenset()
-        drained = frozenset(place for place, hall in standing.book.halls.items() if hall.drained)
+    def _context(
+        self, *, learner: Learner, aggregated_health: AggregatedHealth, proxies: list[Subscriber]
+    ) -> AssignmentContext:
+        emptied = read_orders(value=learner.values["orders"].value) if "orders" in learner.values else frozenset()
+        drained = frozenset(place for place, zone in aggregated_health.table.zones.items() if zone.drained)
         fresh = [
             one.report["warm"]
             for one in proxies
@@ -83,4 +85,6 @@
             for key in warm:
                 counts[key] = counts.get(key, 0) + 1
         healthy = frozenset(key for key, count in counts.items() if 2 * count > len(fresh))
-        return Scene(plan=self.plan, emptied=emptied, drained=drained, workers=self.book.workers, healthy=healthy)
+        return AssignmentContext(
+            plan=self.plan, emptied=emptied, drained=drained, workers=self.table.workers, healthy=healthy
+        )
--- a/sailward/control/shards/shard_plan.py
+++ b/sailward/control/shards/shard_plan.py
@@ -38,7 +38,7 @@
         """The part of all load that these keys have."""
         return self._below(key=span.end + 1) - self._below(key=span.start)
 
-    def cut(self, *, start: int, part: float) -> int:
+    def split_point(self, *, start: int, part: float) -> int:
         """The key before which about this part of all load lies, counted from `start`."""
         aim = self._below(key=start) + part
         at = bisect.bisect_left(range(BUCKETS + 1), aim, key=lambda bucket: self._below(key=bucket * WIDTH))
@@ -71,7 +71,9 @@
     placed: list[Span] = []
     for span in spans:
         placed += (
-            [span] if span.owner in able else _give(span=span, spread=parts.spread, fair=parts.fair, held=parts.held)
+            [span]
+            if span.owner in able
+            else _assign(span=span, spread=parts.spread, fair=parts.fair, assigned=parts.assigned)
         )
     if is_balancing:
         for _ in range(constants.GRANT_MOVES):
@@ -112,17 +114,17 @@
     spread: Spread
     even: dict
     fair: dict
-    held: dict
+    assigned: dict
 
     def ratio(self, *, name: str) -> float:
         """What it has, in times its part; a slow worker that should have little may have its even part in peace."""
-        return self.held[name] / max(self.fair[name], self.even[name])
+        return self.assigned[name] / max(self.fair[name], self.even[name])
 
     def is_over(self, *, name: str) -> bool:
         """Should it give keys away?"""
-        ratio, use = self.ratio(name=name), self.held[name] * self.spread.total / self.able[name]
+        ratio, use = self.ratio(name=name), self.assigned[name] * self.spread.total / self.able[name]
         is_slow = (
-            self.held[name] - self.fair[name] > constants.GRANT_SLOW_PART * self.even[name]
+            self.assigned[name] - self.fair[name] > constants.GRANT_SLOW_PART * self.even[name]
             and self.fair[name] < self.even[name]
         )
         return (
@@ -132,18 +134,18 @@
     def is_under(self, *, name: str) -> bool:
         """Is it idle though it should not be?"""
         return (
-            self.held[name] < constants.GRANT_IDLE * min(self.fair[name], self.even[name])
+            self.assigned[name] < constants.GRANT_IDLE * min(self.fair[name], self.even[name])
             and self.fair[name] > 0.5 * self.even[name]
         )
 
 
 def _parts_of(*, spans: list[Span], able: dict, loads: dict) -> Parts:
-    spread, whole, held = Spread(loads=loads), sum(able.values()), dict.fromkeys(able, 0.0)
+    spread, total_capacity, assigned = Spread(loads=loads), sum(able.values()), dict.fromkeys(able, 0.0)
     for span in spans:
-        if span.owner in held:
-            held[span.owner] += spread.of(span=span)
-    even = {name: weight / whole for name, weight in able.items()}
-    return Parts(able=able, spread=spread, even=even, held=held, fair=_share(able=able, total=spread.total))
+        if span.owner in assigned:
+            assigned[span.owner] += spread.of(span=span)
+    even = {name: weight / total_capacity for name, weight in able.items()}
+    return Parts(able=able, spread=spread, even=even, assigned=assigned, fair=_share(able=able, total=spread.total))
 
 
 def _share(*, able: dict, total: float) -> dict:
@@ -151,8 +153,8 @@
 
     The less there is to do, the more of it goes to the quick ones.
     """
-    whole = sum(able.values())
-    lean = 1 + constants.GRANT_LEAN * max(0.0, 1 - total / whole / constants.GRANT_FULL) if total else 1.0
+    total_capacity = sum(able.values())
+    lean = 1 + constants.GRANT_LEAN * max(0.0, 1 - total / total_capacity / constants.GRANT_FULL) if total else 1.0
     leaning = {name: weight**lean for name, weight in able.items()}
     return {name: weight / sum(leaning.values()) for name, weight in leaning.items()}
 
@@ -162,24 +164,24 @@
     names = sorted(fair)
     for name in names:
         sum_of += fair[name]
-        end = KEYS if name == names[-1] else spread.cut(start=0, part=sum_of)
+        end = KEYS if name == names[-1] else spread.split_point(start=0, part=sum_of)
         if end > start:
             spans.append(Span(start=start, end=end - 1, owner=name))
             start = end
     return spans
 
 
-def _give(*, span: Span, spread: Spread, fair: dict, held: dict) -> list[Span]:
-    least = constants.GRANT_PIECE / len(fair)
+def _assign(*, span: Span, spread: Spread, fair: dict, assigned: dict) -> list[Span]:
+    least = constants.GRANT_CHUNK / len(fair)
     given, start = [], span.start
     while start <= span.end:
-        taker = max(sorted(fair), key=lambda name: fair[name] - held[name])
-        lack = max(fair[taker] - held[taker], least)
+        taker = max(sorted(fair), key=lambda name: fair[name] - assigned[name])
+        lack = max(fair[taker] - assigned[taker], least)
         rest = Span(start=start, end=span.end, owner=taker)
-        end = spread.cut(start=start, part=lack) - 1
+        end = spread.split_point(start=start, part=lack) - 1
         if spread.of(span=rest) > lack + least and start <= end < span.end:
             rest = replace(rest, end=end)
-        held[taker] += spread.of(span=rest)
+        assigned[taker] += spread.of(span=rest)
         given.append(rest)
         start = rest.end + 1
     return given
@@ -187,24 +189,28 @@
 
 def _balance(*, spans: list[Span], parts: Parts) -> list[Span] | None:
     """One piece moved, from the first of the busiest that can be relieved; None if nothing needs to move."""
-    fair, held = parts.fair, parts.held
+    fair, assigned = parts.fair, parts.assigned
     names = sorted(fair)
     taker = min(
         names,
         key=lambda name: (
-            held[name] / fair[name] if fair[name] > 0.5 * parts.even[name] else held[name] / parts.even[name] + 0.5
+            assigned[name] / fair[name]
+            if fair[name] > 0.5 * parts.even[name]
+            else assigned[name] / parts.even[name] + 0.5
         ),
     )
     is_idle = parts.is_under(name=taker)
-    givers = sorted(names, key=lambda name: -max(parts.ratio(name=name), (held[name] - fair[name]) / parts.even[name]))
+    givers = sorted(
+        names, key=lambda name: -max(parts.ratio(name=name), (assigned[name] - fair[name]) / parts.even[name])
+    )
     for giver in givers:
         if giver == taker or not (is_idle or parts.is_over(name=giver)):
             continue
-        part = min(held[giver] - fair[giver], fair[taker] - held[taker])
+        part = min(assigned[giver] - fair[giver], fair[taker] - assigned[taker])
         if is_idle:
-            part = min(max(part, constants.GRANT_PIECE * fair[taker]), held[giver] - 0.7 * fair[giver])
+            part = min(max(part, constants.GRANT_CHUNK * fair[taker]), assigned[giver] - 0.7 * fair[giver])
         fresh = (
-            _move(spans=spans, spread=parts.spread, giver=giver, taker=taker, part=part, held=held)
+            _move(spans=spans, spread=parts.spread, giver=giver, taker=taker, part=part, assigned=assigned)
             if part >= 0.1 / len(fair)
             else None
         )
@@ -213,25 +219,27 @@
     return None
 
 
-def _move(*, spans: list[Span], spread: Spread, giver: str, taker: str, part: float, held: dict) -> list[Span] | None:
+def _move(
+    *, spans: list[Span], spread: Spread, giver: str, taker: str, part: float, assigned: dict
+) -> list[Span] | None:
     """A piece of about this part of the load goes over: the one with the fewest keys for it."""
     best = None
     for span in spans:
-        for piece in _edges(span=span, spread=spread, part=part) if span.owner == giver else ():
-            mass = spread.of(span=piece)
-            price = (piece.end - piece.start + 1) / mass
+        for chunk in _edges(span=span, spread=spread, part=part) if span.owner == giver else ():
+            mass = spread.of(span=chunk)
+            price = (chunk.end - chunk.start + 1) / mass
             if 0.3 * part <= mass <= 1.2 * part and (best is None or price < best[0]):
-                best = price, span, piece, mass
+                best = price, span, chunk, mass
     if best is None:
         return None
-    _, span, piece, mass = best
-    held[giver] -= mass
-    held[taker] += mass
+    _, span, chunk, mass = best
+    assigned[giver] -= mass
+    assigned[taker] += mass
     at = spans.index(span)
     parts = [
-        Span(start=span.start, end=piece.start - 1, owner=giver),
-        replace(piece, owner=taker),
-        Span(start=piece.end + 1, end=span.end, owner=giver),
+        Span(start=span.start, end=chunk.start - 1, owner=giver),
+        replace(chunk, owner=taker),
+        Span(start=chunk.end + 1, end=span.end, owner=giver),
     ]
     return [*spans[:at], *(one for one in parts if one.start <= one.end), *spans[at + 1 :]]
 
@@ -240,8 +248,8 @@
     mass = spread.of(span=span)
     if mass <= part:
         return [span]
-    left = spread.cut(start=span.start, part=part)
-    right = spread.cut(start=span.start, part=mass - part)
+    left = spread.split_point(start=span.start, part=part)
+    right = spread.split_point(start=span.start, part=mass - part)
     return [
         replace(span, end=min(max(left - 1, span.start), span.end)),
         replace(span, start=min(max(right, span.start), span.end)),
--- a/sailward/discovery/endpoint_pages.py
+++ b/sailward/discovery/endpoint_pages.py
@@ -7,12 +7,12 @@
 from urllib.parse import quote
 
 from sailward import constants
-from sailward.discovery.endpoint_rows import is_generation, is_life
-from sailward.events import Call, Called, Log
+from sailward.discovery.endpoint_rows import is_generation, is_incarnation
+from sailward.events import CallFinished, LogEvent, StartCall
 from sailward.json_text import BadJson, load_json
-from sailward.shapes import is_anything, is_text, is_whole, list_of, record_of
+from sailward.shapes import is_anything, is_complete, is_text, list_of, record_of
 
-LIFE = {
+TTL = {
     "id": str,
     "generation": int,
     "service": str,
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class WholeList:
+class CompleteList:
     """One unbroken pass over the platform's list."""
 
     epoch: int
@@ -61,11 +61,11 @@
 
 @dataclass(kw_only=True)
 class Pager:
-    """Owner of the passes. `step` gives (commands, WholeList or None).
+    """Owner of the passes. `step` gives (commands, CompleteList or None).
 
-    With a `reader` lists have no numbers of the platform's: each WholeList has the next number of this pager, also if
-    nothing changed. `rate`: calls/s that the platform bears from all together, 0 if no bound is known; `pollers`: how
-    many daemons poll now.
+    With a `reader` lists have no numbers of the platform's: each CompleteList has the next number of this pager, also
+    if nothing changed. `rate`: calls/s that the platform bears from all together, 0 if no bound is known; `pollers`:
+    how many daemons poll now.
     """
 
     platform: str
@@ -82,7 +82,7 @@
     rows: dict = field(default_factory=dict)
     missed: set = field(default_factory=set)
 
-    def step(self, *, now: float, event: Called | None) -> tuple[list, WholeList | None]:
+    def step(self, *, now: float, event: CallFinished | None) -> tuple[list, CompleteList | None]:
         """Take a page, or None for time going on."""
         if event is not None:
             if event.token != self.token:
@@ -90,17 +90,17 @@
             return self._take_words(now=now, event=event) if self.reader else self._take_page(event=event)
         if not self.platform or self.token or now < self.next_at:
             return [], None
-        every = self._pause() if self.reader else constants.LIST_EVERY
+        every = self._backoff() if self.reader else constants.LIST_EVERY
         self.passes, self.pages, self.next_at = self.passes + 1, [], now + every
-        return [self._ask(after="")], None
+        return [self._request_page(after="")], None
 
-    def _pause(self) -> float:
+    def _backoff(self) -> float:
         """The time between passes: all pollers together stay under LIST_SHARE of the platform's rate."""
         calls = max(1, self._page_count) * max(1, self.pollers)
         every = constants.LIST_EVERY + constants.LIST_PACE * (max(1, self._page_count) - 1)
         return max(every, calls / (constants.LIST_SHARE * self.rate) if self.rate > 0 else 0.0)
 
-    def _take_words(self, *, now: float, event: Called) -> tuple[list, WholeList | None]:
+    def _take_words(self, *, now: float, event: CallFinished) -> tuple[list, CompleteList | None]:
         page = (
             BrokenPass(reason=event.fault or f"code:{event.code}")
             if event.code != 200
@@ -109,35 +109,35 @@
         if isinstance(page, BrokenPass):
             self.broken += 1
             # each further broken pass doubles the pause, to a bound
-            self.next_at = now + min(self._pause() * 2 ** min(self.broken - 1, 8), constants.LIST_PAUSE)
+            self.next_at = now + min(self._backoff() * 2 ** min(self.broken - 1, 8), constants.LIST_BACKOFF)
             return self._break_off(fault=page)
         self.pages.append(page)
         if page.next:
             if len(self.pages) >= constants.LIST_PAGES:
                 return self._break_off(fault=BrokenPass(reason="endless"))
-            return [self._ask(after=page.next)], None
+            return [self._request_page(after=page.next)], None
         self.token, self.broken, self._page_count = "", 0, len(self.pages)
-        commands = [Log(event="list-read-again")] if self.failing else []
+        commands = [LogEvent(event="list-read-again")] if self.failing else []
         self.failing = False
-        return commands, WholeList(epoch=0, revision=self.passes, workers=self._join())
+        return commands, CompleteList(epoch=0, revision=self.passes, workers=self._join())
 
     def _join(self) -> list:
         """The rows of a pass: a later one wins; in a list of many pages one that is missing once is kept."""
         rows = {row["id"]: row for page in self.pages for row in page.rows}
         missing = set(self.rows) - set(rows)
-        kept = missing - self.missed if len(self.pages) > 1 else set()
-        self.rows = {**rows, **{name: self.rows[name] for name in kept}}
-        self.missed = kept
+        still_missing = missing - self.missed if len(self.pages) > 1 else set()
+        self.rows = {**rows, **{name: self.rows[name] for name in still_missing}}
+        self.missed = still_missing
         return [self.rows[name] for name in sorted(self.rows)]
 
-    def _ask(self, *, after: str) -> Call:
+    def _request_page(self, *, after: str) -> StartCall:
         self.token = f"list.{self.passes}.{len(self.pages)}"
         path = (
             self.reader.path(token=after)
             if self.reader
             else f"/workers?limit={constants.LIST_PAGE}&after={quote(after)}"
         )
-        return Call(
+        return StartCall(
             token=self.token,
             owner="platform",
             address=self.platform,
@@ -145,11 +145,11 @@
             path=path,
             headers={},
             body=b"",
-            wait=constants.LIST_WAIT,
+            timeout=constants.LIST_WAIT,
             fresh=False,
         )
 
-    def _take_page(self, *, event: Called) -> tuple[list, WholeList | None]:
+    def _take_page(self, *, event: CallFinished) -> tuple[list, CompleteList | None]:
         page = read_page(event=event)
         if isinstance(page, BrokenPass):
             return self._break_off(fault=page)
@@ -157,27 +157,27 @@
         if page["next"]:
             if len(self.pages) >= constants.LIST_PAGES:
                 return self._break_off(fault=BrokenPass(reason="endless"))
-            return [self._ask(after=page["next"])], None
+            return [self._request_page(after=page["next"])], None
         self.token = ""
-        whole = join_pages(pages=self.pages)
-        if isinstance(whole, BrokenPass):
-            return self._break_off(fault=whole)
-        commands = [Log(event="list-read-again")] if self.failing else []
+        complete_list = join_pages(pages=self.pages)
+        if isinstance(complete_list, BrokenPass):
+            return self._break_off(fault=complete_list)
+        commands = [LogEvent(event="list-read-again")] if self.failing else []
         self.failing = False
-        return commands, whole
+        return commands, complete_list
 
     def _break_off(self, *, fault: BrokenPass) -> tuple[list, None]:
         self.token = ""
-        commands = [] if self.failing else [Log(event="list-pass-broken", fields={"reason": fault.reason})]
+        commands = [] if self.failing else [LogEvent(event="list-pass-broken", fields={"reason": fault.reason})]
         self.failing = True
         return commands, None
 
 
 _is_page = record_of(
     needed={
-        "epoch": is_whole,
-        "revision": is_whole,
-        "total": is_whole,
+        "epoch": is_complete,
+        "revision": is_complete,
+        "total": is_complete,
         "next": is_text,
         "workers": list_of(is_anything),
     }
@@ -186,12 +186,12 @@
 
 def _check_rows(*, page: ListPage | BrokenPass) -> ListPage | BrokenPass:
     """A reader's page, if it can be told to others as it is."""
-    if isinstance(page, ListPage) and not all(map(is_life, page.rows)):
+    if isinstance(page, ListPage) and not all(map(is_incarnation, page.rows)):
         return BrokenPass(reason="worker-fields")
     return page
 
 
-def read_page(*, event: Called) -> dict | BrokenPass:
+def read_page(*, event: CallFinished) -> dict | BrokenPass:
     """One page of the list, checked."""
     if event.code != 200:
         return BrokenPass(reason=event.fault or f"code:{event.code}")
@@ -204,7 +204,7 @@
     return page if all(map(is_generation, page["workers"])) else BrokenPass(reason="worker-fields")
 
 
-def join_pages(*, pages: list) -> WholeList | BrokenPass:
+def join_pages(*, pages: list) -> CompleteList | BrokenPass:
     """The whole list, if the pages are of one revision and count up."""
     first = pages[0]
     if any((page["epoch"], page["revision"]) != (first["epoch"], first["revision"]) for page in pages):
@@ -212,4 +212,4 @@
     workers = [worker for page in pages for worker in page["workers"]]
     if len(workers) != first["total"] or len({worker["id"] for worker in workers}) != len(workers):
         return BrokenPass(reason="cut-short")
-    return WholeList(epoch=first["epoch"], revision=first["revision"], workers=workers)
+    return CompleteList(epoch=first["epoch"], revision=first["revision"], workers=workers)
--- a/sailward/discovery/endpoint_rows.py
+++ b/sailward/discovery/endpoint_rows.py
@@ -9,11 +9,11 @@
 from sailward.shapes import (
     Check,
     is_amount,
+    is_complete,
     is_count,
     is_flag,
     is_proxy_row,
     is_text,
-    is_whole,
     list_of,
     record_of,
     row_of,
@@ -34,17 +34,17 @@
     )
 
 
-_PLACE: dict[str, Check] = {
+_LOCATION: dict[str, Check] = {
     "id": is_text,
     "service": is_text,
     "address": is_address,
     "hall": is_text,
     "leaving": is_flag,
-    "generation": is_whole,
+    "generation": is_complete,
 }
-is_generation = record_of(needed=_PLACE)
+is_generation = record_of(needed=_LOCATION)
 """A worker of a list that tells generations."""
-is_life = record_of(needed={**_PLACE, "capacity": is_count, "cold_s": is_amount})
+is_incarnation = record_of(needed={**_LOCATION, "capacity": is_count, "cold_s": is_amount})
 """A worker of a list in which each start has an id of its own."""
 _is_fleet = record_of(
     needed={"proxies": list_of(is_proxy_row), "cellars": list_of(row_of(is_text, is_text, is_text))},
@@ -69,10 +69,10 @@
 
 def read_fleet(*, text: str) -> FleetRows | None:
     """The fleet in a text; None if it is none."""
-    told = _load(text=text)
-    if not _is_fleet(told):
+    decoded = _load(text=text)
+    if not _is_fleet(decoded):
         return None
-    return FleetRows(proxies=told["proxies"], controllers=told["cellars"], down=told.get("down", []))
+    return FleetRows(proxies=decoded["proxies"], controllers=decoded["cellars"], down=decoded.get("down", []))
 
 
 def _load(*, text: str) -> Any:
--- a/sailward/discovery/endpoint_table.py
+++ b/sailward/discovery/endpoint_table.py
@@ -11,28 +11,28 @@
 class Worker:
     """One worker of one generation.
 
-    `is_life`: its name is of one start alone, and no generation is told. `capacity`: exchanges it works on at once, 0
-    if unknown. `cold`: s that it stays cold, counted from the telling.
+    `is_incarnation`: its name is of one start alone, and no generation is told. `capacity`: exchanges it works on at
+    once, 0 if unknown. `slow_start`: s that it stays cold, counted from the telling.
     """
 
     name: str
     generation: int
     service: str
     address: str
-    hall: str
+    zone: str
     leaving: bool
     capacity: int = 0
-    cold: float = 0.0
-    is_life: bool = False
+    slow_start: float = 0.0
+    is_incarnation: bool = False
 
     @property
     def key(self) -> str:
         """Its identity: what connections and results belong to."""
-        return self.name if self.is_life else f"{self.name}/{self.generation}"
+        return self.name if self.is_incarnation else f"{self.name}/{self.generation}"
 
 
 @dataclass(kw_only=True)
-class WorkerBook:
+class EndpointTable:
     """Fold of all lists heard; `step` takes one and tells which keys came and went."""
 
     workers: dict = field(default_factory=dict)
@@ -46,40 +46,40 @@
     def replace(self, *, now: float, workers: list) -> tuple[set, set]:
         """Take a list of lives whose number can't be compared with that of the one before: (came, went).
 
-        Another teller's list may be a little older or newer. So leaving stays; what is gone stays so for GONE_LIFE,
+        Another teller's list may be a little older or newer. So leaving stays; what is gone stays so for GONE_TTL,
         unless it had come as lately; after that a list that has it is believed.
         """
         before = set(self.workers)
-        self.gone = {name: at for name, at in self.gone.items() if now - at < constants.GONE_LIFE}
-        book = {}
+        self.gone = {name: at for name, at in self.gone.items() if now - at < constants.GONE_TTL}
+        table = {}
         for row in workers:
             name = row["id"]
             if name in self.gone:
                 continue
             if row["leaving"]:
                 self.left[name] = now
-            book[name] = Worker(
+            table[name] = Worker(
                 name=name,
                 generation=0,
                 service=row["service"],
                 address=row["address"],
-                hall=row["hall"],
+                zone=row["hall"],
                 leaving=name in self.left,
                 capacity=row["capacity"],
-                cold=row["cold_s"],
-                is_life=True,
+                slow_start=row["cold_s"],
+                is_incarnation=True,
             )
             self.came.setdefault(name, now)
-        for name in before - set(book):
-            if now - self.came.pop(name, now) >= constants.GONE_LIFE:
+        for name in before - set(table):
+            if now - self.came.pop(name, now) >= constants.GONE_TTL:
                 self.gone[name] = now
         self.left = {
-            name: now if name in book else at
+            name: now if name in table else at
             for name, at in self.left.items()
-            if name in book or now - at < constants.LEFT_LIFE
+            if name in table or now - at < constants.LEFT_TTL
         }
-        self.workers = book
-        return set(book) - before, before - set(book)
+        self.workers = table
+        return set(table) - before, before - set(table)
 
     def step(self, *, epoch: int, revision: int, workers: list) -> tuple[set, set]:
         """Fold a list: (came, went). A list older than one heard is not believed."""
@@ -87,14 +87,14 @@
             return set(), set()
         self.revision = (epoch, revision)
         before = set(self.workers)
-        book = {}
+        table = {}
         for row in workers:
             worker = Worker(
                 name=row["id"],
                 generation=row["generation"],
                 service=row["service"],
                 address=row["address"],
-                hall=row["hall"],
+                zone=row["hall"],
                 leaving=row["leaving"] or self.over.get(row["id"], {}).get(row["generation"]) == "leaving",
             )
             if self.over.get(worker.name, {}).get(worker.generation) == "gone":
@@ -103,14 +103,14 @@
                 continue
             self.newest[worker.name] = worker.generation
             if worker.leaving:
-                self._mark(worker=worker, state="leaving")
-            book[worker.key] = worker
-        for key in before - set(book):
-            self._mark(worker=self.workers[key], state="gone")
-        self.workers = book
-        return set(book) - before, before - set(book)
+                self._record_state(worker=worker, state="leaving")
+            table[worker.key] = worker
+        for key in before - set(table):
+            self._record_state(worker=self.workers[key], state="gone")
+        self.workers = table
+        return set(table) - before, before - set(table)
 
-    def _mark(self, *, worker: Worker, state: str) -> None:
+    def _record_state(self, *, worker: Worker, state: str) -> None:
         # only the newest few generations of a name can come up again
         marks = self.over.setdefault(worker.name, {})
         marks[worker.generation] = state
--- a/sailward/discovery/peer_table.py
+++ b/sailward/discovery/peer_table.py
@@ -6,7 +6,7 @@
 
 from sailward import constants
 from sailward.discovery.rendezvous import choose_names
-from sailward.events import Log, Tell
+from sailward.events import LogEvent, SendMessage
 
 ENTRY = {
     "id": str,
@@ -25,22 +25,22 @@
 
 KINDS_ON_WIRE = {"controller": "cellar", "proxy": "sommelier", "directory": "concierge"}
 """A daemon's kind as entries give it: daemons of 0.2.0 and before know no other words. Read by either word."""
-KINDS = {word: kind for kind, word in KINDS_ON_WIRE.items()}
+KINDS = {wire_kind: kind for kind, wire_kind in KINDS_ON_WIRE.items()}
 
 
 def kind_of(*, entry: dict) -> str:
     """The kind of the daemon that an entry is of, whatever version wrote it; "" if it gives none."""
-    word = str(entry.get("kind", ""))
-    return KINDS.get(word, word)
+    wire_kind = str(entry.get("kind", ""))
+    return KINDS.get(wire_kind, wire_kind)
 
 
 @dataclass(frozen=True, kw_only=True)
-class Place:
+class Location:
     """Where a daemon stands and how it is reached."""
 
     name: str
     kind: str
-    hall: str
+    zone: str
     region: str
     post: str
     http: str
@@ -49,34 +49,34 @@
 
 
 @dataclass(kw_only=True)
-class Known:
+class PeerState:
     """One daemon as it is known here.
 
-    `heard` is the echo number of the last heartbeat that came from it directly, 0 for none; `contact` whether that
-    one said that it has contact with a majority of the voters.
+    `echoed_heartbeat` is the echo number of the last heartbeat that came from it directly, 0 for none; `contact`
+    whether that one said that it has contact with a majority of the voters.
     """
 
     entry: dict
-    seen: float
+    last_seen_at: float
     lost: bool = False
-    heard: int = 0
+    echoed_heartbeat: int = 0
     contact: bool = False
 
 
 @dataclass(kw_only=True)
-class Roster:
+class PeerTable:
     """Owner of the daemons known; `step` takes a gossip message or None for time going on."""
 
-    place: Place
+    place: Location
     start: int
     fit: bool = False
     identity: str = ""
     asks: str = ""
-    beat: int = 0
+    heartbeat: int = 0
     contact: bool = True
     voted: list = field(default_factory=list)
     known: dict = field(default_factory=dict)
-    told: float = -1e9
+    announced_at: float = -1e9
     is_mesh: bool = False
     has_disk: bool = True
     leaving: bool = False
@@ -86,24 +86,24 @@
     def step(self, *, now: float, event: tuple | None) -> list:
         """Fold a (sender, body) or tell the watched."""
         if event is not None and event[1].get("kind") == "beat":
-            return self._fold_beat(now=now, sender=event[0], body=event[1])
+            return self._fold_heartbeat(now=now, sender=event[0], body=event[1])
         if event is not None:
             sender, body = event
             commands = self._fold(now=now, entries=body["entries"], sender=sender)
             if not body["reply"]:
                 reply = {"kind": "gossip", "entries": self._entries(now=now), "reply": True}
-                commands.append(Tell(to=sender, body=reply))
+                commands.append(SendMessage(to=sender, body=reply))
             return commands
         commands = self._judge(now=now)
-        if now - self.told >= self.every:
-            self.told, self.beat = now, self.beat + 1
+        if now - self.announced_at >= self.every:
+            self.announced_at, self.heartbeat = now, self.heartbeat + 1
             if self.is_mesh:
-                return commands + self._tell_mesh(now=now)
+                return commands + self._send_to_mesh(now=now)
             body = {"kind": "gossip", "entries": self._entries(now=now), "reply": False}
-            commands += [Tell(to=address, body=body) for address in self._watched()]
+            commands += [SendMessage(to=address, body=body) for address in self._watched()]
         return commands
 
-    def _tell_mesh(self, *, now: float) -> list:
+    def _send_to_mesh(self, *, now: float) -> list:
         """A beat to every daemon known to live.
 
         The whole roster to the seeds now and then, and to all lost ones in turn.
@@ -113,48 +113,52 @@
             "kind": "beat",
             "id": self.place.name,
             "start": self.start,
-            "beat": self.beat,
+            "beat": self.heartbeat,
             "fit": self.fit,
             "identity": self.identity,
             **({} if self.contact else {"contact": False}),
         }
-        commands = [Tell(to=known.entry["post"], body=self._with_echo(body=body, known=known)) for known in alive]
+        commands = [
+            SendMessage(to=known.entry["post"], body=self._with_echo(body=body, known=known)) for known in alive
+        ]
         lost = sorted(known.entry["post"] for known in self.known.values() if known.lost)
         if lost:
             # each lost one in turn: after a cut both sides find each other with the next beats
-            commands.append(Tell(to=lost[self.beat % len(lost)], body=body))
-        if not alive or self.beat <= constants.MESH_FIRST or self.beat % constants.MESH_SEEDS == 0:
+            commands.append(SendMessage(to=lost[self.heartbeat % len(lost)], body=body))
+        if not alive or self.heartbeat <= constants.MESH_FIRST or self.heartbeat % constants.MESH_SEEDS == 0:
             known = {one.entry["post"] for one in alive}
-            whole = {"kind": "gossip", "entries": self._entries(now=now), "reply": False}
+            announcement = {"kind": "gossip", "entries": self._entries(now=now), "reply": False}
             commands += [
-                Tell(to=seed, body=whole) for seed in self.place.seeds if seed != self.place.post and seed not in known
+                SendMessage(to=seed, body=announcement)
+                for seed in self.place.seeds
+                if seed != self.place.post and seed not in known
             ]
         return commands
 
     def echo_number(self) -> int:
         """By what an answer to this heartbeat is known."""
-        return echo_number(start=self.start, beat=self.beat)
+        return echo_number(start=self.start, heartbeat=self.heartbeat)
 
-    def _with_echo(self, *, body: dict, known: Known) -> dict:
+    def _with_echo(self, *, body: dict, known: PeerState) -> dict:
         """A voter's heartbeat answers the last one that came from its receiver itself.
 
         And tells the numbers voted for.
         """
-        return {**body, "echo": [known.heard, *self.voted]} if self.fit and known.heard else body
+        return {**body, "echo": [known.echoed_heartbeat, *self.voted]} if self.fit and known.echoed_heartbeat else body
 
-    def _fold_beat(self, *, now: float, sender: str, body: dict) -> list:
+    def _fold_heartbeat(self, *, now: float, sender: str, body: dict) -> list:
         known = self.known.get(body["id"])
         if known is None or known.entry["start"] != body["start"] or known.entry["post"] != sender:
             # another start, or one not heard of: its whole entry is wanted
-            return [Tell(to=sender, body={"kind": "gossip", "entries": [self.own_entry()], "reply": False})]
+            return [SendMessage(to=sender, body={"kind": "gossip", "entries": [self.own_entry()], "reply": False})]
         if body["beat"] <= known.entry["beat"]:
             return []
         entry = {**known.entry, "beat": body["beat"], "fit": body["fit"], "identity": body["identity"]}
-        commands = [Log(event="daemon-found", fields={"daemon": body["id"], "at": sender})] if known.lost else []
-        self.known[body["id"]] = Known(
+        commands = [LogEvent(event="daemon-found", fields={"daemon": body["id"], "at": sender})] if known.lost else []
+        self.known[body["id"]] = PeerState(
             entry=entry,
-            seen=now,
-            heard=echo_number(start=body["start"], beat=body["beat"]),
+            last_seen_at=now,
+            echoed_heartbeat=echo_number(start=body["start"], heartbeat=body["beat"]),
             contact=body.get("contact") is not False,
         )
         return commands
@@ -165,12 +169,12 @@
         return {
             "id": place.name,
             "kind": KINDS_ON_WIRE.get(place.kind, place.kind),
-            "hall": place.hall,
+            "hall": place.zone,
             "region": place.region,
             "post": place.post,
             "http": place.http,
             "start": self.start,
-            "beat": self.beat,
+            "beat": self.heartbeat,
             "fit": self.fit,
             "version": place.version,
             "identity": self.identity,
@@ -188,7 +192,7 @@
         names = choose_names(key=self.place.name, names=others, count=constants.WATCHED)
         addresses = [others[name] for name in names]
         alive = sum(not known.lost for known in self.known.values())
-        if alive < constants.WATCHED or self.beat % 10 == 0:
+        if alive < constants.WATCHED or self.heartbeat % 10 == 0:
             addresses += [seed for seed in self.place.seeds if seed not in addresses]
         return [address for address in addresses if address != self.place.post]
 
@@ -205,30 +209,30 @@
             if known and not _is_newer(entry=entry, known=known):
                 continue
             if known is None or known.lost:
-                commands.append(Log(event="daemon-found", fields={"daemon": entry["id"], "at": entry["post"]}))
-            heard = known.heard if known else 0
+                commands.append(LogEvent(event="daemon-found", fields={"daemon": entry["id"], "at": entry["post"]}))
+            echoed_heartbeat = known.echoed_heartbeat if known else 0
             if entry["post"] == sender:
-                heard = echo_number(start=entry["start"], beat=entry["beat"])
-            self.known[entry["id"]] = Known(entry=entry, seen=now, heard=heard)
+                echoed_heartbeat = echo_number(start=entry["start"], heartbeat=entry["beat"])
+            self.known[entry["id"]] = PeerState(entry=entry, last_seen_at=now, echoed_heartbeat=echoed_heartbeat)
         return commands
 
     def _judge(self, *, now: float) -> list:
         commands = []
         for name, known in list(self.known.items()):
-            if not known.lost and now - known.seen > self.suspect:
+            if not known.lost and now - known.last_seen_at > self.suspect:
                 known.lost = True
-                commands.append(Log(event="daemon-lost", fields={"daemon": name}))
-            if now - known.seen > constants.FORGET:
+                commands.append(LogEvent(event="daemon-lost", fields={"daemon": name}))
+            if now - known.last_seen_at > constants.FORGET:
                 del self.known[name]
         return commands
 
 
-def echo_number(*, start: int, beat: int) -> int:
+def echo_number(*, start: int, heartbeat: int) -> int:
     """The number by which a heartbeat is answered, never 0: two starts share one by a chance of one in ECHO_NUMBERS."""
-    return (start + beat) % constants.ECHO_NUMBERS + 1
+    return (start + heartbeat) % constants.ECHO_NUMBERS + 1
 
 
-def _is_newer(*, entry: dict, known: Known) -> bool:
+def _is_newer(*, entry: dict, known: PeerState) -> bool:
     if known.lost and entry["start"] != known.entry["start"]:
         # a start is a wall time: after the clock was turned back, the new one is the lower
         return True
--- a/sailward/events.py
+++ b/sailward/events.py
@@ -8,14 +8,14 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Ticked:
+class TimerFired:
     """Time went on; `wall` is the machine's clock, which may jump."""
 
     wall: float = 0.0
 
 
 @dataclass(frozen=True, kw_only=True)
-class Heard:
+class MessageReceived:
     """A message came from the daemon that listens at `sender`."""
 
     sender: str
@@ -23,14 +23,14 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Synced:
+class RecordsSynced:
     """All records up to the one with this number are on the disk."""
 
     seq: int
 
 
 @dataclass(frozen=True, kw_only=True)
-class DiskFailed:
+class DiskWriteFailed:
     """Records could not be stored; `full` if for want of room."""
 
     seq: int
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Asked:
+class RequestReceived:
     """An HTTP exchange arrived; `body` is None if it is over the bound.
 
     `target` is the request target as the caller wrote it, where the edge keeps it.
@@ -55,14 +55,14 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class CallerLeft:
+class ClientDisconnected:
     """The caller's connection ended before this exchange's answer was given."""
 
     token: str
 
 
 @dataclass(frozen=True, kw_only=True)
-class Called:
+class CallFinished:
     """An HTTP call ended: `code` 0 with a `fault`, or the result whole.
 
     `sent` says whether a byte of the exchange may have left.
@@ -77,7 +77,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Checked:
+class ConfigValidated:
     """A configuration was checked: Sound or Unsound."""
 
     token: str
@@ -85,12 +85,12 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class StopAsked:
+class ShutdownRequested:
     """The platform wants this process to stop within its grace."""
 
 
 @dataclass(frozen=True, kw_only=True)
-class Tell:
+class SendMessage:
     """Send a message to the daemon that listens at `to`; it may be lost."""
 
     to: str
@@ -98,7 +98,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Store:
+class AppendRecords:
     """Append records, sync, then report `seq`."""
 
     seq: int
@@ -106,7 +106,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Rewrite:
+class RewriteRecords:
     """Replace the whole file by these records, synced, then report `seq`."""
 
     seq: int
@@ -114,7 +114,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Answer:
+class Respond:
     """Give an HTTP exchange its result; `close` ends its connection behind it."""
 
     token: str
@@ -125,7 +125,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Call:
+class StartCall:
     """Make an HTTP call. `owner` names whose connection it is; `fresh` asks for one of its own.
 
     It is not begun after `begin_by`. `dial` is how long its connection may take to come up, in s; 0 for the usual
@@ -139,7 +139,7 @@
     path: str
     headers: dict
     body: bytes
-    wait: float
+    timeout: float
     fresh: bool
     begin_by: float = float("inf")
     dial: float = 0.0
@@ -147,13 +147,13 @@
 
 @dataclass(frozen=True, kw_only=True)
 class CancelCall:
-    """Give up a call: its connection is closed, and no Called follows."""
+    """Give up a call: its connection is closed, and no CallFinished follows."""
 
     token: str
 
 
 @dataclass(frozen=True, kw_only=True)
-class Check:
+class ValidateConfig:
     """Check a configuration, beside the owner: a large one takes seconds."""
 
     token: str
@@ -161,21 +161,21 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class HangUp:
+class CloseConnections:
     """Close every connection that belongs to `owner`."""
 
     owner: str
 
 
 @dataclass(frozen=True, kw_only=True)
-class Leave:
+class DrainConnections:
     """End each caller's connection behind its next answer; with `shut`, take no new connections either."""
 
     shut: bool = False
 
 
 @dataclass(frozen=True, kw_only=True)
-class Log:
+class LogEvent:
     """Write one line to the log."""
 
     event: str
@@ -183,17 +183,39 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Stop:
+class ExitProcess:
     """End the process with this exit code."""
 
     code: int
 
 
-Event = Ticked | Heard | Synced | DiskFailed | Asked | CallerLeft | Called | Checked | StopAsked
+Event = (
+    TimerFired
+    | MessageReceived
+    | RecordsSynced
+    | DiskWriteFailed
+    | RequestReceived
+    | ClientDisconnected
+    | CallFinished
+    | ConfigValidated
+    | ShutdownRequested
+)
 """All that an edge can tell an owner. An owner's `step` matches each of them; the type checker finds one that is left
 out."""
 
-Command = Tell | Store | Rewrite | Answer | Call | CancelCall | Check | HangUp | Leave | Log | Stop
+Command = (
+    SendMessage
+    | AppendRecords
+    | RewriteRecords
+    | Respond
+    | StartCall
+    | CancelCall
+    | ValidateConfig
+    | CloseConnections
+    | DrainConnections
+    | LogEvent
+    | ExitProcess
+)
 """All that an owner can answer with."""
 
 
@@ -207,7 +229,9 @@
         """Count one and write it to the log with the reason."""
         self.counts[kind] += 1
         return [
-            Log(event="input-refused", fields={"kind": kind, "reason": reason, "count": self.counts[kind], **fields})
+            LogEvent(
+                event="input-refused", fields={"kind": kind, "reason": reason, "count": self.counts[kind], **fields}
+            )
         ]
 
 
@@ -224,7 +248,7 @@
         """Count an event and write it to the log; the owner's state stays as it is."""
         name = type(event).__name__
         self.counts[name] += 1
-        return [Log(event="event-unexpected", fields={"type": name, "count": self.counts[name]})]
+        return [LogEvent(event="event-unexpected", fields={"type": name, "count": self.counts[name]})]
 
     def add_unknown(self, *, event: Never) -> list[Command]:
         """The same at the end of a match over all events: `Never` lets the type checker prove that none is left out."""
--- a/sailward/json_text.py
+++ b/sailward/json_text.py
@@ -26,9 +26,9 @@
         decoded = text.decode("utf-8-sig") if isinstance(text, bytes) else text
         value = json.loads(
             decoded,
-            object_pairs_hook=None if twice is None else lambda pairs: _note_twice(pairs=pairs, twice=twice),
+            object_pairs_hook=None if twice is None else lambda pairs: _report_duplicates(pairs=pairs, twice=twice),
             parse_constant=_refuse_constant,
-            parse_int=_read_whole,
+            parse_int=_read_integer,
             parse_float=_read_float,
         )
     except (ValueError, RecursionError) as fault:
@@ -39,7 +39,7 @@
     return value
 
 
-def _note_twice(*, pairs: list, twice: list[str]) -> dict:
+def _report_duplicates(*, pairs: list, twice: list[str]) -> dict:
     names = [name for name, _ in pairs]
     if len(set(names)) < len(names):
         twice += sorted({name for name in names if names.count(name) > 1})
@@ -50,7 +50,7 @@
     raise ValueError(f"{name} is not JSON")
 
 
-def _read_whole(digits: str) -> int:
+def _read_integer(digits: str) -> int:
     if len(digits) > constants.JSON_DIGITS:
         raise ValueError(f"a number of {len(digits)} digits")
     return int(digits)
--- a/sailward/programs/common.py
+++ b/sailward/programs/common.py
@@ -11,7 +11,7 @@
 
 import sailward
 from sailward import constants
-from sailward.discovery.peer_table import Place
+from sailward.discovery.peer_table import Location
 from sailward.runtime.logs import start_logs, write_log
 from sailward.runtime.loop import Edges, Loop, run_guarded
 from sailward.runtime.startup import BadStartup, read_startup
@@ -41,12 +41,12 @@
     return settings
 
 
-def make_place(*, settings: dict, kind: str) -> Place:
+def make_location(*, settings: dict, kind: str) -> Location:
     """The place that the settings tell."""
-    return Place(
+    return Location(
         name=settings["name"],
         kind=kind,
-        hall=settings["hall"],
+        zone=settings["hall"],
         region=settings["region"],
         post=settings["post"],
         http=settings["http"],
@@ -69,11 +69,11 @@
     """Open the sockets and begin to serve; an address in use ends the process."""
     threads = ThreadPoolExecutor(max_workers=2 * constants.HTTP_THREADS)
     try:
-        post = Post(address=settings["post"], tell=loop.tell, threads=threads)
+        post = Post(address=settings["post"], deliver=loop.deliver, threads=threads)
         web = Web(
             address=settings["http"],
             limit=limit,
-            tell=loop.tell,
+            deliver=loop.deliver,
             threads=ThreadPoolExecutor(max_workers=constants.HTTP_THREADS),
         )
     except (OSError, SystemExit) as fault:
@@ -83,7 +83,7 @@
             level="error",
         )
         os._exit(constants.EXIT_TAKEN)
-    calls = Calls(tell=loop.tell) if calling else None
+    calls = Calls(deliver=loop.deliver) if calling else None
     edges = Edges(loop=loop, post=post, web=web, calls=calls, disk=disk, checks=ThreadPoolExecutor(max_workers=1))
     edges.connect()
     post.start()
--- a/sailward/programs/controller.py
+++ b/sailward/programs/controller.py
@@ -31,7 +31,7 @@
 
 from sailward import constants
 from sailward.control.controller import Controller
-from sailward.programs.common import make_nonce, make_place, make_start, read_flags, read_settings, start_edges
+from sailward.programs.common import make_location, make_nonce, make_start, read_flags, read_settings, start_edges
 from sailward.programs.data_folder import open_folder
 from sailward.runtime.loop import Loop, end_process
 from sailward.runtime.startup import CONTROLLER
@@ -42,11 +42,11 @@
     """Run a controller until it is told to stop."""
     settings = read_settings(flags=read_flags(doc=__doc__, argv=argv), schema=CONTROLLER)
     loop = Loop()
-    disk = Disk(folder=Path(settings["data"]), tell=loop.tell)
+    disk = Disk(folder=Path(settings["data"]), deliver=loop.deliver)
     records = open_folder(disk=disk, folder=settings["data"])
     nonce = make_nonce()
     owner = Controller(
-        place=make_place(settings=settings, kind="controller"),
+        place=make_location(settings=settings, kind="controller"),
         platform=settings["platform"],
         nonce=nonce,
         start=make_start(),
--- a/sailward/programs/hosted.py
+++ b/sailward/programs/hosted.py
@@ -11,15 +11,15 @@
 
 import sailward
 from sailward import constants
-from sailward.discovery.peer_table import Place
-from sailward.events import Answer, Asked, Call, CancelCall, HangUp, Tell
+from sailward.discovery.peer_table import Location
+from sailward.events import CancelCall, CloseConnections, RequestReceived, Respond, SendMessage, StartCall
 from sailward.routing.plan import Limits
 from sailward.runtime.host import Host
 from sailward.runtime.logs import start_logs, write_log
 from sailward.runtime.reactor import Reactor
-from sailward.transport.http_client import Outbound
+from sailward.transport.http_client import HttpClient
 from sailward.transport.http_server import Front
-from sailward.transport.message_transport import Courier
+from sailward.transport.message_transport import MessageTransport
 from sailward.transport.wire_names import WireNames
 
 
@@ -30,8 +30,8 @@
     `ask` turns what came into the product's, `answer` its answer back.
     """
 
-    ask: Callable[[Asked], Asked] = lambda event: event
-    answer: Callable[[Answer], Answer] = lambda command: command
+    ask: Callable[[RequestReceived], RequestReceived] = lambda event: event
+    answer: Callable[[Respond], Respond] = lambda command: command
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -42,7 +42,7 @@
     are of the daemon's kind.
     """
 
-    place: Place
+    place: Location
     names: WireNames
     listen: dict
     words: Words = Words()
@@ -68,15 +68,15 @@
 def open_front(*, hosted: Hosted, edge: str, reactor: Reactor, host: Host, limits: Callable[[], Limits]) -> Front:
     """Open one of the daemon's listeners; an address in use ends the process with EXIT_TAKEN."""
 
-    def tell(event: object) -> None:
-        host.tell(hosted.words.ask(event) if isinstance(event, Asked) and edge != "front" else event)
+    def deliver(event: object) -> None:
+        host.deliver(hosted.words.ask(event) if isinstance(event, RequestReceived) and edge != "front" else event)
 
     try:
         return Front(
             reactor=reactor,
             address=hosted.listen[edge],
             name=edge,
-            tell=tell,
+            deliver=deliver,
             limits=limits,
             tells_half_close=edge == "desk",
         )
@@ -90,36 +90,36 @@
 def answer_handlers(*, hosted: Hosted, fronts: dict) -> dict:
     """What carries out the owner's answers, by the listener that their token names."""
 
-    def answer(command: Answer) -> None:
+    def answer(command: Respond) -> None:
         edge = command.token.split(" ", 1)[0]
         fronts[edge].answer(command=command if edge == "front" else hosted.words.answer(command))
 
-    return {Answer: answer}
+    return {Respond: answer}
 
 
 def serve_owner(*, hosted: Hosted, reactor: Reactor, host: Host, step: Callable, handlers: dict) -> None:
     """Serve the owner until it stops, and end the process with its code."""
-    outbound = Outbound(reactor=reactor, tell=host.tell, names=hosted.names)
+    http_client = HttpClient(reactor=reactor, deliver=host.deliver, names=hosted.names)
     try:
-        courier = Courier(reactor=reactor, address=hosted.place.post, tell=host.tell)
+        message_transport = MessageTransport(reactor=reactor, address=hosted.place.post, deliver=host.deliver)
     except OSError as fault:
         write_log(event="address-taken", fields={"address": hosted.place.post, "reason": fault}, level="error")
         sys.exit(constants.EXIT_TAKEN)
     host.handlers = {
-        Tell: lambda one: courier.send(to=one.to, body=one.body),
-        Call: lambda one: outbound.give(call=one),
-        CancelCall: lambda one: outbound.cancel(token=one.token),
-        HangUp: lambda one: outbound.hang_up(owner=one.owner),
+        SendMessage: lambda one: message_transport.send(to=one.to, body=one.body),
+        StartCall: lambda one: http_client.give(call=one),
+        CancelCall: lambda one: http_client.cancel(token=one.token),
+        CloseConnections: lambda one: http_client.hang_up(owner=one.owner),
         **handlers,
     }
     write_log(
         event="started",
-        fields={"post": hosted.place.post, "hall": hosted.place.hall, "version": sailward.__version__, **hosted.listen},
+        fields={"post": hosted.place.post, "hall": hosted.place.zone, "version": sailward.__version__, **hosted.listen},
     )
     # what start-up made lives as long as the process: it need not be looked at again
     gc.collect()
     gc.freeze()
     code = host.run(step=step)
-    write_log(event="ended", fields={"code": code, **courier.counts})
+    write_log(event="ended", fields={"code": code, **message_transport.counts})
     sys.stderr.flush()
     os._exit(code)
--- a/sailward/programs/hosted_controller.py
+++ b/sailward/programs/hosted_controller.py
@@ -11,7 +11,7 @@
 from sailward import constants
 from sailward.config.check import check_config
 from sailward.control.controller import Controller
-from sailward.events import Check, Checked, Rewrite, Store, Synced
+from sailward.events import AppendRecords, ConfigValidated, RecordsSynced, RewriteRecords, ValidateConfig
 from sailward.programs.data_folder import open_folder
 from sailward.programs.hosted import Hosted, answer_handlers, begin_host, open_front, serve_owner, start_number
 from sailward.routing.plan import Limits
@@ -26,7 +26,7 @@
     disk: Disk | NoDisk = NoDisk(host=host)
     records = []
     if hosted.data:
-        disk = Disk(folder=Path(hosted.data), tell=host.tell_from_thread)
+        disk = Disk(folder=Path(hosted.data), deliver=host.deliver_from_thread)
         records = open_folder(disk=disk, folder=hosted.data)
     nonce = os.urandom(constants.NONCE_BYTES).hex()
     owner = Controller(
@@ -47,9 +47,9 @@
     if isinstance(disk, Disk):
         checks.submit(disk.run)
     handlers = {
-        Store: lambda one: disk.give(command=one),
-        Rewrite: lambda one: disk.give(command=one),
-        Check: lambda one: checks.submit(_check, host, one),
+        AppendRecords: lambda one: disk.give(command=one),
+        RewriteRecords: lambda one: disk.give(command=one),
+        ValidateConfig: lambda one: checks.submit(_check, host, one),
         **answer_handlers(hosted=hosted, fronts=fronts),
     }
     serve_owner(hosted=hosted, reactor=reactor, host=host, step=owner.step, handlers=handlers)
@@ -64,11 +64,11 @@
 
     host: Host
 
-    def give(self, *, command: Store | Rewrite) -> None:
+    def give(self, *, command: AppendRecords | RewriteRecords) -> None:
         """Take records as stored."""
-        self.host.tell(Synced(seq=command.seq))
+        self.host.deliver(RecordsSynced(seq=command.seq))
 
 
-def _check(host: Host, command: Check) -> None:
+def _check(host: Host, command: ValidateConfig) -> None:
     verdict = check_config(config=command.config)
-    host.tell_from_thread(Checked(token=command.token, verdict=verdict))
+    host.deliver_from_thread(ConfigValidated(token=command.token, verdict=verdict))
--- a/sailward/programs/hosted_proxy.py
+++ b/sailward/programs/hosted_proxy.py
@@ -4,7 +4,7 @@
 
 import random
 
-from sailward.events import Leave
+from sailward.events import DrainConnections
 from sailward.programs.hosted import Hosted, answer_handlers, begin_host, open_front, serve_owner, start_number
 from sailward.proxy.proxy import Proxy
 
@@ -14,22 +14,22 @@
     reactor, host = begin_host(hosted=hosted)
     owner = Proxy(place=hosted.place, start=start_number(), rng=random.Random(), options=hosted.options)
     fronts = {
-        edge: open_front(hosted=hosted, edge=edge, reactor=reactor, host=host, limits=lambda: owner.scene.plan.limits)
+        edge: open_front(hosted=hosted, edge=edge, reactor=reactor, host=host, limits=lambda: owner.context.plan.limits)
         for edge in hosted.listen
     }
 
-    def leave(command: Leave) -> None:
+    def leave(command: DrainConnections) -> None:
         for front in fronts.values():
             front.leave()
             if command.shut:
                 front.close_listener()
 
     if hosted.changed:
-        host.changed = lambda: setattr(owner.uplink, "seeds", hosted.changed())
+        host.changed = lambda: setattr(owner.control_client, "seeds", hosted.changed())
     serve_owner(
         hosted=hosted,
         reactor=reactor,
         host=host,
         step=owner.step,
-        handlers={Leave: leave, **answer_handlers(hosted=hosted, fronts=fronts)},
+        handlers={DrainConnections: leave, **answer_handlers(hosted=hosted, fronts=fronts)},
     )
--- a/sailward/programs/proxy.py
+++ b/sailward/programs/proxy.py
@@ -26,7 +26,7 @@
 import time
 
 from sailward import constants
-from sailward.programs.common import make_nonce, make_place, make_start, read_flags, read_settings, start_edges
+from sailward.programs.common import make_location, make_nonce, make_start, read_flags, read_settings, start_edges
 from sailward.proxy.tenant_proxy import TenantProxy
 from sailward.runtime.loop import Loop, end_process
 from sailward.runtime.startup import COMMON
@@ -37,7 +37,7 @@
     settings = read_settings(flags=read_flags(doc=__doc__, argv=argv), schema=COMMON)
     loop, nonce = Loop(), make_nonce()
     owner = TenantProxy(
-        place=make_place(settings=settings, kind="proxy"),
+        place=make_location(settings=settings, kind="proxy"),
         nonce=nonce,
         start=make_start(),
         rng=random.Random(nonce),
--- a/sailward/programs/sailctl.py
+++ b/sailward/programs/sailctl.py
@@ -46,7 +46,7 @@
 from urllib.parse import quote, urlencode
 
 from sailward import constants
-from sailward.client.client import Client, Reply, Unreachable, ask_once
+from sailward.client.client import Client, Reply, Unreachable, request_once
 from sailward.client.forecast import Finding, forecast
 from sailward.config.check import Sound, Unsound, check_config, read_config
 from sailward.programs.common import read_flags
@@ -62,14 +62,14 @@
     if flags["found"]:
         _found(controllers=controllers)
     elif flags["found-anew"]:
-        _found_anew(controllers=controllers, names=flags["CONTROLLER"], is_confirmed=flags["--confirm"])
+        _order_recovery(controllers=controllers, names=flags["CONTROLLER"], is_confirmed=flags["--confirm"])
     elif flags["put"] or flags["patch"]:
         _change(client=client, flags=flags)
     elif flags["check"]:
         _check(text=_read(path=flags["FILE"]), client=None if flags["--offline"] else client)
     elif flags["explain"]:
         query = urlencode({"tenant": flags["TENANT"], "method": flags["METHOD"], "path": flags["PATH"]})
-        _show(reply=ask_once(address=flags["--proxy"], method="GET", path=f"/sailward/explain?{query}"))
+        _show(reply=request_once(address=flags["--proxy"], method="GET", path=f"/sailward/explain?{query}"))
     elif flags["join"] or flags["part"]:
         _show(
             reply=client.step(
@@ -88,7 +88,7 @@
 def _found(*, controllers: list[str]) -> None:
     members = {}
     for controller in controllers:
-        reply = ask_once(address=controller, method="GET", path="/status")
+        reply = request_once(address=controller, method="GET", path="/status")
         if isinstance(reply, Unreachable) or "identity" not in reply.body:
             _end(code=constants.EXIT_UNREACHABLE, message=f"every controller named must answer; {controller} does not")
         members[reply.body["identity"]] = reply.body["post"]
@@ -96,7 +96,7 @@
         _end(code=constants.EXIT_USAGE, message="a controller is named twice")
     for controller in controllers:
         body = json.dumps({"members": members}).encode()
-        reply = ask_once(address=controller, method="POST", path="/found", body=body)
+        reply = request_once(address=controller, method="POST", path="/found", body=body)
         if isinstance(reply, Unreachable):
             _end(code=constants.EXIT_UNKNOWN, message=f"{controller} did not answer: give the same command again")
         if reply.code != 200:
@@ -104,11 +104,11 @@
     print(json.dumps({"outcome": "founded", "members": members}, indent=2))
 
 
-def _found_anew(*, controllers: list[str], names: list[str], is_confirmed: bool) -> None:
+def _order_recovery(*, controllers: list[str], names: list[str], is_confirmed: bool) -> None:
     """Each survivor must answer before any is told; one takes the order and tells the others."""
     answering: dict[str, str] = {}
     for controller in controllers:
-        reply = ask_once(address=controller, method="GET", path="/status")
+        reply = request_once(address=controller, method="GET", path="/status")
         if isinstance(reply, Reply) and "identity" in reply.body:
             answering |= {reply.body["id"]: controller, reply.body["identity"]: controller}
     missing = [name for name in names if name not in answering]
@@ -116,7 +116,7 @@
         _end(code=constants.EXIT_UNREACHABLE, message=f"no answer from {missing} at --controllers; nothing was changed")
     body = json.dumps({"survivors": names}).encode()
     _show(
-        reply=ask_once(
+        reply=request_once(
             address=answering[names[0]],
             method="POST",
             body=body,
@@ -145,7 +145,7 @@
         sys.exit(1)
     findings = [Finding(kind="warning", path=fault.path, text=fault.reason) for fault in sound.warnings]
     if client is not None:
-        findings += _ask_fleet(client=client, full=sound.full)
+        findings += _request_fleet(client=client, full=sound.full)
     for kind in ("fault", "warning", "note"):
         for finding in findings:
             if finding.kind == kind:
@@ -155,7 +155,7 @@
     sys.exit(1 if faults else 0)
 
 
-def _ask_fleet(*, client: Client, full: dict) -> list[Finding]:
+def _request_fleet(*, client: Client, full: dict) -> list[Finding]:
     config, workers, status = (_read_or_end(client=client, path=path) for path in ("/config", "/workers", "/status"))
     old = check_config(config=config["config"]) if config.get("config") else None
     keys = [f"{worker['id']}/{worker['generation']}" for worker in workers["workers"]]
--- a/sailward/proxy/directory.py
+++ b/sailward/proxy/directory.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, field
 
 from sailward import constants
-from sailward.discovery.peer_table import Place
-from sailward.events import Answer, Asked
+from sailward.discovery.peer_table import Location
+from sailward.events import RequestReceived, Respond
 from sailward.routing.proxied_request import answer_json
 
 
@@ -14,7 +14,7 @@
 class Directory:
     """Owner of the fleet as the directory tells it. `step` answers who asks for addresses."""
 
-    place: Place
+    place: Location
     rows: list = field(default_factory=list)
     number: int = -1
 
@@ -22,16 +22,16 @@
         """Take the proxies: [[name, address, hall, region, is_fit], ...]."""
         self.rows = rows
 
-    def step(self, *, event: Asked, is_ready: bool) -> Answer:
+    def step(self, *, event: RequestReceived, is_ready: bool) -> Respond:
         """The proxies of the caller's region, or all if it has none."""
         if event.method != "GET" or event.path != "/proxies":
             return answer_json(token=event.token, code=404, body={"error": "unknown", "detail": "GET /proxies"})
-        hall, region = event.query.get("hall", self.place.hall), event.query.get("region", self.place.region)
+        zone, region = event.query.get("hall", self.place.zone), event.query.get("region", self.place.region)
         fit = [row for row in self.rows if row[4] and row[0] != self.place.name]
         if is_ready:
-            fit.append([self.place.name, self.place.http, self.place.hall, self.place.region, True])
+            fit.append([self.place.name, self.place.http, self.place.zone, self.place.region, True])
         near = [row for row in fit if row[3] == region] or fit
-        near.sort(key=lambda row: (row[2] != hall, row[0]))
+        near.sort(key=lambda row: (row[2] != zone, row[0]))
         proxies = [{"id": row[0], "address": row[1], "hall": row[2], "region": row[3]} for row in near]
         if not proxies:
             return answer_json(
--- a/sailward/proxy/proxy.py
+++ b/sailward/proxy/proxy.py
@@ -10,40 +10,40 @@
 from dataclasses import dataclass
 
 from sailward import constants
-from sailward.consensus.learner import HeldBook, is_control
-from sailward.discovery.endpoint_rows import UNREADABLE_LIST, is_life, read_fleet, read_workers
-from sailward.discovery.endpoint_table import WorkerBook
-from sailward.discovery.peer_table import KINDS_ON_WIRE, Place
+from sailward.consensus.learner import Learner, is_control
+from sailward.discovery.endpoint_rows import UNREADABLE_LIST, is_incarnation, read_fleet, read_workers
+from sailward.discovery.endpoint_table import EndpointTable
+from sailward.discovery.peer_table import KINDS_ON_WIRE, Location
 from sailward.events import (
-    Asked,
-    Called,
-    CallerLeft,
-    Checked,
+    CallFinished,
+    ClientDisconnected,
     Command,
-    DiskFailed,
+    ConfigValidated,
+    DiskWriteFailed,
+    DrainConnections,
     Event,
-    Heard,
-    Leave,
-    Log,
+    ExitProcess,
+    LogEvent,
+    MessageReceived,
+    RecordsSynced,
     RefusedInput,
-    Stop,
-    StopAsked,
-    Synced,
-    Tell,
-    Ticked,
+    RequestReceived,
+    SendMessage,
+    ShutdownRequested,
+    TimerFired,
     UnexpectedEvents,
 )
-from sailward.proxy.control_client import Uplink
+from sailward.proxy.control_client import ControlClient
 from sailward.proxy.directory import Directory
-from sailward.routing.endpoint_selection import Placer, Scene
+from sailward.routing.endpoint_selection import EndpointSelector, SelectionContext
 from sailward.routing.forwarding import Forwarder
-from sailward.routing.passive_health import Evidence
+from sailward.routing.passive_health import PassiveHealth
 from sailward.routing.plan import Unreadable, load_config
 from sailward.routing.proxied_request import answer_json
 from sailward.routing.retry_budget import RetryBudget
 from sailward.routing.routing_state import read_orders
 from sailward.routing.shard_owners import PREFIX as SLOTS
-from sailward.routing.zone_health import HallBook
+from sailward.routing.zone_health import ZoneHealthTable
 from sailward.state_machines import Chart
 from sailward.transport.wire_names import WireNames
 
@@ -57,10 +57,10 @@
     names: WireNames = WireNames()
     regions: tuple = ()
     expand: Callable | None = None
-    retry_ratio: float = constants.TRY_SHARE
-    retry_slack: float = constants.TRY_FLOOR
-    retry_window: float = constants.TRY_WINDOW
-    hold: float = constants.HOLD
+    retry_ratio: float = constants.ATTEMPT_SHARE
+    retry_slack: float = constants.ATTEMPT_FLOOR
+    retry_window: float = constants.ATTEMPT_WINDOW
+    hold: float = constants.ZONE_HOLD_DOWN
     leave_after: float = constants.LEASE
     leave_wait: float = constants.LEAVE_WAIT
     stop_grace: float = constants.STOP_GRACE
@@ -69,48 +69,50 @@
 class Proxy:
     """Owner of a proxy process. `step` takes one event and gives commands."""
 
-    def __init__(self, *, place: Place, start: int, rng: random.Random, options: ProxyOptions) -> None:
+    def __init__(self, *, place: Location, start: int, rng: random.Random, options: ProxyOptions) -> None:
         self.place, self.start, self.options = place, start, options
-        self.held = HeldBook()
-        self.book = WorkerBook()
-        self.uplink = Uplink(hall=place.hall, region=place.region, seeds=place.seeds)
-        self.evidence = Evidence(names=options.names, rng=rng)
-        self.scene = Scene(
+        self.learner = Learner()
+        self.endpoint_table = EndpointTable()
+        self.control_client = ControlClient(zone=place.zone, region=place.region, seeds=place.seeds)
+        self.passive_health = PassiveHealth(names=options.names, rng=rng)
+        self.context = SelectionContext(
             name=place.name,
-            hall=place.hall,
+            zone=place.zone,
             region=place.region,
             regions=dict(options.regions),
-            evidence=self.evidence,
-            halls=HallBook(hold=options.hold),
+            passive_health=self.passive_health,
+            zones=ZoneHealthTable(hold=options.hold),
             leave_after=options.leave_after,
         )
         budget = RetryBudget(ratio=options.retry_ratio, slack=options.retry_slack, window=options.retry_window)
-        self.forwarder = Forwarder(placer=Placer(scene=self.scene, rng=rng), names=options.names, budget=budget)
+        self.forwarder = Forwarder(
+            endpoint_selector=EndpointSelector(context=self.context, rng=rng), names=options.names, budget=budget
+        )
         self.directory = Directory(place=place)
         self.stopping, self.stop_at = STOPPING.initial, 0.0
         self.lists: dict = {"workers": ("", -1), "fleet": ("", -1)}
         self.unexpected, self.refused = UnexpectedEvents(), RefusedInput()
         self._counted = -1e9
-        self._beat = 0
+        self._heartbeat = 0
 
     def step(self, *, now: float, event: Event) -> list[Command]:
         """Answer one event with commands."""
         match event:
-            case Asked():
-                return self._ask(now=now, event=event)
-            case Called():
+            case RequestReceived():
+                return self._on_request(now=now, event=event)
+            case CallFinished():
                 if event.token.startswith("probe "):
-                    return self.evidence.step(now=now, event=event, plan=self.scene.plan)
+                    return self.passive_health.step(now=now, event=event, plan=self.context.plan)
                 return self.forwarder.step(now=now, event=event)
-            case CallerLeft():
+            case ClientDisconnected():
                 return self.forwarder.step(now=now, event=event)
-            case Heard():
-                return self._hear(now=now, sender=event.sender, body=event.body)
-            case StopAsked():
+            case MessageReceived():
+                return self._on_message(now=now, sender=event.sender, body=event.body)
+            case ShutdownRequested():
                 return self._begin_stop(now=now)
-            case Ticked():
-                return self._look_at_alarms(now=now)
-            case Synced() | DiskFailed() | Checked():
+            case TimerFired():
+                return self._on_timer(now=now)
+            case RecordsSynced() | DiskWriteFailed() | ConfigValidated():
                 # a proxy has no disk, and checks no configuration
                 return self.unexpected.add(event=event)
             case _:
@@ -120,10 +122,12 @@
     def is_ready(self) -> bool:
         """May callers be sent here?"""
         return (
-            bool(self.scene.plan.number) and self.lists["workers"][1] >= 0 and self.stopping in STOPPING.marks["named"]
+            bool(self.context.plan.number)
+            and self.lists["workers"][1] >= 0
+            and self.stopping in STOPPING.marks["named"]
         )
 
-    def _ask(self, *, now: float, event: Asked) -> list:
+    def _on_request(self, *, now: float, event: RequestReceived) -> list:
         edge = event.token.split(" ", 1)[0]
         if edge == "front":
             return self.forwarder.step(now=now, event=event)
@@ -134,19 +138,19 @@
             return [answer_json(token=event.token, code=200, body=self._show(now=now))]
         return [self.directory.step(event=event, is_ready=self.is_ready)]
 
-    def _hear(self, *, now: float, sender: str, body: dict) -> list:
+    def _on_message(self, *, now: float, sender: str, body: dict) -> list:
         if body["kind"] == "grant":
-            return self.uplink.step(now=now, sender=sender, body=body) + self._ask_core(now=now)
+            return self.control_client.step(now=now, sender=sender, body=body) + self._request_core(now=now)
         if body["kind"] == "want":
-            return self.held.tell(to=sender, name=body["register"])
+            return self.learner.send(to=sender, name=body["register"])
         if body["kind"] != "push":
-            return [Log(event="message-unexpected", fields={"kind": body["kind"], "from": sender})]
-        if body.get("contact") is False and not self.uplink.is_last_resort(now=now):
+            return [LogEvent(event="message-unexpected", fields={"kind": body["kind"], "from": sender})]
+        if body.get("contact") is False and not self.control_client.is_last_resort(now=now):
             return []
         name, value = body["name"], body["value"]
-        ack = Tell(to=sender, body={"kind": "ack", "seq": body["seq"], "name": name, "number": body["number"]})
+        ack = SendMessage(to=sender, body={"kind": "ack", "seq": body["seq"], "name": name, "number": body["number"]})
         if name in self.lists:
-            if sender != self.uplink.lead or self.lists[name] == (sender, value["number"]):
+            if sender != self.control_client.lead or self.lists[name] == (sender, value["number"]):
                 return [ack]
             commands = (self._take_workers if name == "workers" else self._take_fleet)(now=now, value=value)
             if commands is None:
@@ -155,94 +159,97 @@
             self.lists[name] = (sender, value["number"])
             return [*commands, ack]
         if not is_control(name=name):
-            return [Log(event="push-unexpected", fields={"name": name})]
+            return [LogEvent(event="push-unexpected", fields={"name": name})]
         commands = self._keep(now=now, name=name, ballot=body["ballot"], value=value)
-        return [*commands, ack] if self.held.number(name=name) >= value["number"] else commands
+        return [*commands, ack] if self.learner.number(name=name) >= value["number"] else commands
 
     def _take_workers(self, *, now: float, value: dict) -> list[Command] | None:
-        rows = read_workers(text=value["text"], check=is_life)
+        rows = read_workers(text=value["text"], check=is_incarnation)
         if rows is None:
             return None
-        came, went = self.book.replace(now=now, workers=rows)
-        commands = self.evidence.follow(now=now, workers=self.book.workers)
-        self.scene.follow(workers=self.book.workers)
+        came, went = self.endpoint_table.replace(now=now, workers=rows)
+        commands = self.passive_health.follow(now=now, workers=self.endpoint_table.workers)
+        self.context.follow(workers=self.endpoint_table.workers)
         if came or went:
             commands.append(
-                Log(event="workers", fields={"came": len(came), "went": len(went), "all": len(self.book.workers)})
+                LogEvent(
+                    event="workers",
+                    fields={"came": len(came), "went": len(went), "all": len(self.endpoint_table.workers)},
+                )
             )
-        return commands + self._count_halls(now=now)
+        return commands + self._count_zones(now=now)
 
     def _take_fleet(self, *, now: float, value: dict) -> list[Command] | None:
         told = read_fleet(text=value["text"])
         if told is None:
             return None
-        self.uplink.learn(controllers=told.controllers)
+        self.control_client.learn(controllers=told.controllers)
         self.directory.learn(rows=told.proxies)
-        self.scene.peers = {name: region for name, _, _, region, is_fit in told.proxies if is_fit}
-        self.scene.proxies = max(1, len(self.scene.peers))
-        self.evidence.hint(now=now, down=told.down)
+        self.context.peers = {name: region for name, _, _, region, is_fit in told.proxies if is_fit}
+        self.context.proxies = max(1, len(self.context.peers))
+        self.passive_health.hint(now=now, down=told.down)
         return []
 
     def _keep(self, *, now: float, name: str, ballot: list, value: dict) -> list:
-        plan = self.scene.plan
-        if name == "config" and self.held.is_news(name=name, value=value):
+        plan = self.context.plan
+        if name == "config" and self.learner.is_newer(name=name, value=value):
             config = load_config(value=value, expand=self.options.expand)
             if isinstance(config, Unreadable):
                 return self.refused.add(kind="config", reason=config.reason, number=value["number"])
             _, plan = config
-        if not self.held.step(name=name, ballot=ballot, value=value):
+        if not self.learner.step(name=name, ballot=ballot, value=value):
             return []
         if name == "config":
-            self.scene.plan = plan
+            self.context.plan = plan
         elif name == "orders":
             emptied = read_orders(value=value)
-            for hall in self.scene.emptied - emptied:
-                self.evidence.chill(now=now, hall=hall, plan=self.scene.plan)
-            self.scene.emptied = emptied
+            for zone in self.context.emptied - emptied:
+                self.passive_health.chill(now=now, zone=zone, plan=self.context.plan)
+            self.context.emptied = emptied
         elif name.startswith(SLOTS):
-            self.scene.shards.step(name=name, value=value)
-        log = Log(event="in-force", fields={"register": name, "number": value["number"]})
+            self.context.shards.step(name=name, value=value)
+        log = LogEvent(event="in-force", fields={"register": name, "number": value["number"]})
         return [log, *self.forwarder.step(now=now, event=None)]
 
-    def _look_at_alarms(self, *, now: float) -> list:
-        commands = self._ask_core(now=now)
-        commands += self.evidence.step(now=now, event=None, plan=self.scene.plan)
+    def _on_timer(self, *, now: float) -> list:
+        commands = self._request_core(now=now)
+        commands += self.passive_health.step(now=now, event=None, plan=self.context.plan)
         commands += self.forwarder.step(now=now, event=None)
         if now - self._counted >= constants.COUNT_EVERY:
-            commands += self._count_halls(now=now)
-        return commands + self._look_at_stop(now=now)
+            commands += self._count_zones(now=now)
+        return commands + self._check_shutdown(now=now)
 
-    def _ask_core(self, *, now: float) -> list:
-        if now < self.uplink.next_at:
+    def _request_core(self, *, now: float) -> list:
+        if now < self.control_client.next_at:
             return []
-        self._beat += 1
+        self._heartbeat += 1
         place = self.place
         daemon = {
             "id": place.name,
             "kind": KINDS_ON_WIRE[place.kind],
-            "hall": place.hall,
+            "hall": place.zone,
             "region": place.region,
             "http": place.http,
             "start": self.start,
             "fit": self.is_ready,
             "version": place.version,
         }
-        lead = self.uplink.lead
-        have = {name: [held.value["number"]] for name, held in self.held.held.items()}
+        lead = self.control_client.lead
+        have = {name: [learned.value["number"]] for name, learned in self.learner.values.items()}
         # lists have numbers of each controller's own: only the leading one's are wanted, and none before there is one
         have |= {
             name: [number if teller == lead else -1, lead or "none"] for name, (teller, number) in self.lists.items()
         }
-        down = [key for key, shown in self.evidence.shown.items() if not shown.is_healthy]
+        down = [key for key, shown in self.passive_health.shown.items() if not shown.is_healthy]
         report = {
             "down": down,
             "loads": self.forwarder.take_loads(),
-            "turn": self._beat,
+            "turn": self._heartbeat,
             "lead": lead,
             "paces": self._take_paces(),
-            **({"last_resort": True} if self.uplink.is_last_resort(now=now) else {}),
+            **({"last_resort": True} if self.control_client.is_last_resort(now=now) else {}),
         }
-        return self.uplink.step(
+        return self.control_client.step(
             now=now, sender=None, body={"kind": "ask", "have": have, "report": report, "daemon": daemon}
         )
 
@@ -251,26 +258,30 @@
 
         Only of this region's workers, as others' times hold the way there.
         """
-        workers = {key: self.evidence.shown[key].worker for key in self.evidence.shown}
-        divided = {name for name, service in self.scene.plan.services.items() if service.ranged}
+        workers = {key: self.passive_health.shown[key].worker for key in self.passive_health.shown}
+        divided = {name for name, service in self.context.plan.services.items() if service.ranged}
         return {
             key: times[-constants.PACES_SENT :]
-            for key, times in self.evidence.take_times().items()
+            for key, times in self.passive_health.take_times().items()
             if key in workers
             and workers[key].service in divided
-            and self.scene.regions.get(workers[key].hall) == self.place.region
+            and self.context.regions.get(workers[key].zone) == self.place.region
         }
 
-    def _count_halls(self, *, now: float) -> list:
+    def _count_zones(self, *, now: float) -> list:
         self._counted = now
-        return self.scene.halls.step(now=now, counts=self.scene.counts())
+        return self.context.zones.step(now=now, counts=self.context.counts())
 
     def _begin_stop(self, *, now: float) -> list:
         self.stopping, self.stop_at = STOPPING.step(state=self.stopping, event="stop_asked"), now
-        self.uplink.next_at = -1e9
-        return [Log(event="stopping", fields={"open": len(self.forwarder.live)}), Leave(), *self._ask_core(now=now)]
+        self.control_client.next_at = -1e9
+        return [
+            LogEvent(event="stopping", fields={"open": len(self.forwarder.live)}),
+            DrainConnections(),
+            *self._request_core(now=now),
+        ]
 
-    def _look_at_stop(self, *, now: float) -> list:
+    def _check_shutdown(self, *, now: float) -> list:
         if self.stopping == STOPPING.initial:
             return []
         before, since = self.stopping, now - self.stop_at
@@ -279,30 +290,30 @@
         is_over = since >= self.options.stop_grace
         event = "grace_over" if is_over else "" if self.forwarder.live else "all_done"
         self.stopping = STOPPING.step(state=self.stopping, event=event)
-        commands = [Leave(shut=True)] if before == "leaving" and self.stopping != "leaving" else []
+        commands = [DrainConnections(shut=True)] if before == "leaving" and self.stopping != "leaving" else []
         if self.stopping != "over":
             return commands
         # what no worker has answered by now gets its answer from here: a closed connection would say nothing
-        return [*commands, *self.forwarder.end_all(now=now), Stop(code=0)]
+        return [*commands, *self.forwarder.end_all(now=now), ExitProcess(code=0)]
 
     def _show(self, *, now: float) -> dict:
-        halls = {
-            f"{service}|{hall}": [state.state, round(state.fraction, 3)]
-            for (service, hall), state in self.scene.halls.halls.items()
+        zones = {
+            f"{service}|{zone}": [state.state, round(state.fraction, 3)]
+            for (service, zone), state in self.context.zones.zones.items()
         }
-        workers = {key: shown.state for key, shown in self.evidence.shown.items()}
-        registers = {name: held.value["number"] for name, held in self.held.held.items()}
+        workers = {key: shown.state for key, shown in self.passive_health.shown.items()}
+        registers = {name: learned.value["number"] for name, learned in self.learner.values.items()}
         return {
             "id": self.place.name,
             "ready": self.is_ready,
             "stopping": self.stopping,
             "registers": registers,
-            "halls": halls,
-            "label": self.scene.plan.label,
-            "lead": self.uplink.lead,
-            "in_touch": self.uplink.answers(now=now),
-            "last_resort": self.uplink.is_last_resort(now=now),
-            "proxies": self.scene.proxies,
+            "halls": zones,
+            "label": self.context.plan.label,
+            "lead": self.control_client.lead,
+            "in_touch": self.control_client.answers(now=now),
+            "last_resort": self.control_client.is_last_resort(now=now),
+            "proxies": self.context.proxies,
             "workers": workers,
             "tally": dict(self.forwarder.tally),
             "open": len(self.forwarder.calls),
--- a/sailward/routing/active_health.py
+++ b/sailward/routing/active_health.py
@@ -7,7 +7,7 @@
 
 from sailward import constants
 from sailward.discovery.endpoint_table import Worker
-from sailward.events import Call, Called, HangUp, Log
+from sailward.events import CallFinished, CloseConnections, LogEvent, StartCall
 from sailward.state_machines import Chart
 
 CHART = Chart(name="worker")
@@ -21,7 +21,7 @@
     state: str = CHART.initial
     next_at: float = 0.0
     token: str = ""
-    warm_since: float = 0.0
+    slow_start_began_at: float = 0.0
     listed: float = 0.0
 
     @property
@@ -43,7 +43,7 @@
         self.probed: dict[str, Probed] = {}
         self._probes = 0
 
-    def step(self, *, now: float, event: Called | None) -> list:
+    def step(self, *, now: float, event: CallFinished | None) -> list:
         """Judge one probe, or begin those that are due."""
         if event is not None:
             return self._judge(now=now, event=event)
@@ -57,13 +57,13 @@
 
     def follow(self, *, now: float, workers: dict[str, Worker], warm: dict) -> list:
         """Take the newest list; `warm` tells how long others have seen a worker in good status."""
-        commands = [HangUp(owner=key) for key in self.probed if key not in workers]
+        commands = [CloseConnections(owner=key) for key in self.probed if key not in workers]
         self.probed = {key: probed for key, probed in self.probed.items() if key in workers}
         for key, worker in workers.items():
             probed = self.probed.get(key)
             if probed is None:
                 self.probed[key] = Probed(worker=worker, next_at=now, listed=now)
-                self.probed[key].warm_since = now - warm.get(key, 0.0)
+                self.probed[key].slow_start_began_at = now - warm.get(key, 0.0)
             else:
                 probed.worker = worker
         return commands
@@ -73,10 +73,10 @@
         probed = self.probed.get(key)
         return self._move(now=now, probed=probed, event=event) if probed else []
 
-    def _probe(self, *, now: float, key: str, probed: Probed) -> Call:
+    def _probe(self, *, now: float, key: str, probed: Probed) -> StartCall:
         self._probes += 1
         probed.token, probed.next_at = f"probe {key} {self._probes}", now + constants.PROBE_WAIT
-        return Call(
+        return StartCall(
             token=probed.token,
             owner=key,
             address=probed.worker.address,
@@ -84,11 +84,11 @@
             path="/status",
             headers={"Sailward-Worker": key},
             body=b"",
-            wait=constants.PROBE_WAIT,
+            timeout=constants.PROBE_WAIT,
             fresh=False,
         )
 
-    def _judge(self, *, now: float, event: Called) -> list:
+    def _judge(self, *, now: float, event: CallFinished) -> list:
         key = event.token.removeprefix("probe ").rpartition(" ")[0]
         probed = self.probed.get(key)
         if probed is None or probed.token != event.token:
@@ -98,7 +98,7 @@
         if verdict == "pass" and event.headers.get("sailward-worker") != key:
             verdict = "stranger"
         commands = self._move(now=now, probed=probed, event=verdict)
-        every = constants.PROBE_EVERY if probed.state in ("good", "down") else constants.PROBE_DOUBT
+        every = constants.PROBE_EVERY if probed.state in ("good", "down") else constants.PROBE_UNCERTAIN_AFTER
         probed.next_at = now + every * (0.9 + 0.2 * self._rng.random())
         return commands
 
@@ -108,11 +108,11 @@
         if before == probed.state:
             return []
         if before == "rising" and probed.state == "good":
-            probed.warm_since = now
+            probed.slow_start_began_at = now
         if {before, probed.state} <= {"good", "doubt"}:
             return []
         return [
-            Log(
+            LogEvent(
                 event="worker-status",
                 fields={"worker": probed.worker.key, "from": before, "to": probed.state, "by": event},
             )
--- a/sailward/routing/attempt_budget.py
+++ b/sailward/routing/attempt_budget.py
@@ -6,10 +6,10 @@
 
 from sailward import constants
 
-FIRST, CREDIT, BUDGET, LOOK = "first", "credit", "budget", "look"
+FIRST, CREDIT, BUDGET, LOOKUP = "first", "credit", "budget", "look"
 
 
-class Tries:
+class AttemptBudget:
     """Owner of the counts. `step` pays for one sending-on, or gives "" if nothing is left.
 
     A first try always pays for itself. A caller's repeat pays with the credit of a first try that was
@@ -26,9 +26,9 @@
     def step(self, *, now: float, first: bool, caller: bool = False) -> str:
         """What this sending-on was paid with."""
         for line, life in (
-            (self._firsts, constants.TRY_WINDOW),
-            (self._mores, constants.TRY_WINDOW),
-            (self._credits, constants.CREDIT_LIFE),
+            (self._firsts, constants.ATTEMPT_WINDOW),
+            (self._mores, constants.ATTEMPT_WINDOW),
+            (self._credits, constants.CREDIT_TTL),
         ):
             while line and line[0] <= now - life:
                 line.popleft()
@@ -39,23 +39,23 @@
             self._credits.popleft()
             self._firsts.append(now)
             return CREDIT
-        if len(self._mores) + 1 > max(constants.TRY_FLOOR, constants.TRY_SHARE * len(self._firsts)):
+        if len(self._mores) + 1 > max(constants.ATTEMPT_FLOOR, constants.ATTEMPT_SHARE * len(self._firsts)):
             return ""
         self._mores.append(now)
         return BUDGET
 
-    def look(self, *, now: float) -> str:
+    def lookup(self, *, now: float) -> str:
         """May a repeat look up its claim? It pays like any other when it must be sent on."""
-        while self._looks and self._looks[0] <= now - constants.TRY_WINDOW:
+        while self._looks and self._looks[0] <= now - constants.ATTEMPT_WINDOW:
             self._looks.popleft()
-        if len(self._looks) >= max(constants.TRY_FLOOR, constants.LOOK_SHARE * len(self._firsts)):
+        if len(self._looks) >= max(constants.ATTEMPT_FLOOR, constants.LOOKUP_SHARE * len(self._firsts)):
             return ""
         self._looks.append(now)
-        return LOOK
+        return LOOKUP
 
     def refund(self, *, now: float, paid: str, swells: bool) -> None:
         """What was paid for was refused and sent to no worker. `swells`: an earlier sending did reach one."""
-        if paid == LOOK:
+        if paid == LOOKUP:
             return
         line = self._mores if paid == BUDGET else self._firsts
         if line:
--- a/sailward/routing/concurrency_limits.py
+++ b/sailward/routing/concurrency_limits.py
@@ -16,7 +16,7 @@
     at: float
 
 
-class Bounds:
+class ConcurrencyLimits:
     """Owner of this proxy's part of each worker's bound. `step` asks for one exchange's place."""
 
     def __init__(self) -> None:
@@ -35,7 +35,7 @@
         self._buckets = {
             key: bucket
             for key, bucket in self._buckets.items()
-            if key in keep or (key.startswith("key ") and now - bucket.at < constants.TRY_WINDOW)
+            if key in keep or (key.startswith("key ") and now - bucket.at < constants.ATTEMPT_WINDOW)
         }
 
     def _fill(self, *, now: float, key: str, service: Service, warm: float, proxies: int) -> Bucket:
@@ -51,7 +51,7 @@
 
 def rate_of(*, service: Service, warm: float) -> float:
     """The bound of a worker that has been in good status for `warm` seconds."""
-    if service.cold_ramp <= 0 or warm >= service.cold_ramp:
+    if service.slow_start_ramp <= 0 or warm >= service.slow_start_ramp:
         return service.rate
-    cold = min(service.cold_rate, service.rate)
-    return cold + (service.rate - cold) * max(0.0, warm) / service.cold_ramp
+    slow_start = min(service.slow_start_rate, service.rate)
+    return slow_start + (service.rate - slow_start) * max(0.0, warm) / service.slow_start_ramp
--- a/sailward/routing/forwarding.py
+++ b/sailward/routing/forwarding.py
@@ -7,13 +7,22 @@
 
 from sailward import constants
 from sailward.discovery.endpoint_table import Worker
-from sailward.events import Answer, Asked, Call, Called, CallerLeft, CancelCall, Command, Log
-from sailward.routing.endpoint_selection import Placer
+from sailward.events import (
+    CallFinished,
+    CancelCall,
+    ClientDisconnected,
+    Command,
+    LogEvent,
+    RequestReceived,
+    Respond,
+    StartCall,
+)
+from sailward.routing.endpoint_selection import EndpointSelector
 from sailward.routing.passive_health import EVENTS
 from sailward.routing.proxied_request import Refusal, answer_json
 from sailward.routing.request import Attempt, Request, headers_to_caller, headers_to_worker, take_request
 from sailward.routing.retry_budget import RetryBudget
-from sailward.routing.worker_response import Broken, NotSent, TurnedAway, Whole, judge_reply
+from sailward.routing.worker_response import Broken, NotSent, Whole, WorkerRejected, judge_reply
 from sailward.transport.wire_names import WireNames
 
 SHORT = frozenset({"no-room", "key-moving", "key-unowned", "owner-lost", "owner-cold", "no-worker"})
@@ -22,9 +31,12 @@
 
 @dataclass(kw_only=True)
 class Forwarder:
-    """Owner of the requests of this proxy. `step` takes an Asked, a Called, a CallerLeft, or None for time going on."""
+    """Owner of the requests of this proxy.
 
-    placer: Placer
+    `step` takes RequestReceived, CallFinished, ClientDisconnected, or None for time going on.
+    """
+
+    endpoint_selector: EndpointSelector
     names: WireNames
     budget: RetryBudget
     live: dict = field(default_factory=dict)
@@ -35,17 +47,17 @@
     tally: Counter = field(default_factory=Counter)
     count: int = 0
 
-    def step(self, *, now: float, event: Asked | Called | CallerLeft | None) -> list[Command]:
+    def step(self, *, now: float, event: RequestReceived | CallFinished | ClientDisconnected | None) -> list[Command]:
         """Answer one event with commands."""
         match event:
-            case Asked():
+            case RequestReceived():
                 return self._arrive(now=now, event=event)
-            case Called():
+            case CallFinished():
                 return self._return(now=now, event=event) + self._pump(now=now)
-            case CallerLeft():
+            case ClientDisconnected():
                 return self._leave(token=event.token)
             case None:
-                return self._look_at_alarms(now=now)
+                return self._on_timer(now=now)
 
     def take_loads(self) -> dict:
         """{service: {bucket: requests}} for divided services since it was asked last."""
@@ -64,8 +76,8 @@
             )
         ]
 
-    def _arrive(self, *, now: float, event: Asked) -> list:
-        taken = take_request(event=event, plan=self.placer.scene.plan, now=now, names=self.names)
+    def _arrive(self, *, now: float, event: RequestReceived) -> list:
+        taken = take_request(event=event, plan=self.endpoint_selector.context.plan, now=now, names=self.names)
         if isinstance(taken, Refusal):
             return [self._refusal(token=event.token, refusal=taken)]
         self.live[taken.token] = taken
@@ -77,7 +89,7 @@
 
     def _place(self, *, now: float, request: Request) -> list:
         """Send it on now, let it wait for a moment, or refuse it."""
-        choice = self.placer.step(now=now, request=request)
+        choice = self.endpoint_selector.step(now=now, request=request)
         if not isinstance(choice, Refusal):
             self.waiting.pop(request.token, None)
             return self._send_on(now=now, request=request, worker=choice)
@@ -113,7 +125,7 @@
             now=now,
             service=request.service.name,
             first=is_first,
-            proxies=self.placer.scene.proxies,
+            proxies=self.endpoint_selector.context.proxies,
             is_hedge=is_hedge,
         )
 
@@ -125,15 +137,15 @@
         request.attempts[token] = Attempt(worker=worker.key, at=now)
         if not request.service.ranged:
             request.tried.add(worker.key)
-        may_hedge = request.match.is_repeatable and request.sent < request.tries
+        may_hedge = request.match.is_repeatable and request.sent < request.max_attempts
         request.hedge_at = now + self._hedge_after(request=request) if may_hedge else float("inf")
         self.calls[token] = request
         self.by_worker.setdefault(worker.key, {})[token] = None
-        self.placer.took(key=worker.key)
+        self.endpoint_selector.took(key=worker.key)
         self.tally["sent"] += 1
-        scene, left = self.placer.scene, request.expiry - now
+        context, left = self.endpoint_selector.context, request.expiry - now
         return [
-            Call(
+            StartCall(
                 token=token,
                 owner=worker.key,
                 address=worker.address,
@@ -141,29 +153,29 @@
                 path=request.target,
                 headers=headers_to_worker(request=request, worker=worker.key, within=left, names=self.names),
                 body=request.body,
-                wait=left,
+                timeout=left,
                 # a kept connection may hold a late answer, or end under the request: never for one that may not run
                 # twice
                 fresh=not request.match.is_repeatable,
-                dial=constants.DIAL_NEAR if scene.regions.get(worker.hall) == scene.region else 0.0,
+                dial=constants.DIAL_NEAR if context.regions.get(worker.zone) == context.region else 0.0,
             )
         ]
 
     def _hedge_after(self, *, request: Request) -> float:
         # a key has one owner: it is asked again only when its answer has most likely been lost
-        share = constants.ASK_AGAIN_SHARE if request.service.ranged else constants.HEDGE_SHARE
+        share = constants.REPEATED_POLL_SHARE if request.service.ranged else constants.HEDGE_SHARE
         return max(constants.HEDGE_LEAST, share * (request.match.target or constants.HEDGE_LEAST))
 
-    def _return(self, *, now: float, event: Called) -> list:  # noqa: C901 - one branch over the bound
+    def _return(self, *, now: float, event: CallFinished) -> list:  # noqa: C901 - one branch over the bound
         request = self.calls.pop(event.token, None)
         if request is None:
             return []
         attempt = request.attempts.pop(event.token)
         self._forget(token=event.token, worker=attempt.worker)
         verdict = judge_reply(request=request, worker=attempt.worker, event=event, names=self.names)
-        commands = self._note(now=now, attempt=attempt, verdict=verdict)
+        commands = self._record(now=now, attempt=attempt, verdict=verdict)
         if isinstance(verdict, Whole):
-            self._note_overtaken(now=now, attempt=attempt)
+            self._record_overtaken(now=now, attempt=attempt)
         if request.token not in self.live:
             return commands
         if isinstance(verdict, Whole) and not verdict.is_failure:
@@ -173,37 +185,37 @@
         elif isinstance(verdict, (Broken, Whole)):
             request.ran = True
         elif verdict.why == "not-owner":
-            request.turned_away.add(attempt.worker)
+            request.rejected.add(attempt.worker)
         if request.attempts:
             return commands
-        if self._may_try_again(now=now, request=request, verdict=verdict):
+        if self._may_retry(now=now, request=request, verdict=verdict):
             return commands + self._place(now=now, request=request)
         if isinstance(verdict, Whole):
             return commands + self._answer(request=request, verdict=verdict)
         return commands + self._give_up(now=now, request=request, refusal=_refusal_of(verdict=verdict))
 
     def _forget(self, *, token: str, worker: str) -> None:
-        self.placer.left(key=worker)
+        self.endpoint_selector.left(key=worker)
         tokens = self.by_worker.get(worker, {})
         tokens.pop(token, None)
         if not tokens:
             self.by_worker.pop(worker, None)
 
-    def _may_try_again(self, *, now: float, request: Request, verdict: object) -> bool:
+    def _may_retry(self, *, now: float, request: Request, verdict: object) -> bool:
         if now >= request.expiry - constants.LEAST_LEFT:
             return False
         if isinstance(verdict, NotSent):
             return request.unsent <= constants.MAX_UNSENT
-        if request.sent >= request.tries or (request.ran and not request.match.is_repeatable):
+        if request.sent >= request.max_attempts or (request.ran and not request.match.is_repeatable):
             return False
-        return not (isinstance(verdict, TurnedAway) and verdict.why == "refused")
+        return not (isinstance(verdict, WorkerRejected) and verdict.why == "refused")
 
-    def _note_overtaken(self, *, now: float, attempt: Attempt) -> None:
+    def _record_overtaken(self, *, now: float, attempt: Attempt) -> None:
         """Requests that were sent to this worker before the one that it answered.
 
         One that many overtake is likely lost there.
         """
-        shown = self.placer.scene.evidence.shown.get(attempt.worker)
+        shown = self.endpoint_selector.context.passive_health.shown.get(attempt.worker)
         for token in self.by_worker.get(attempt.worker, ()):
             request = self.calls.get(token)
             other = request.attempts.get(token) if request is not None else None
@@ -212,23 +224,25 @@
             other.overtaken += 1
             if other.overtaken == constants.OVERTAKEN and shown is not None:
                 self.tally["overtaken"] += 1
-                self.placer.scene.evidence.note(now=now, key=attempt.worker, event="lost")
+                self.endpoint_selector.context.passive_health.record_event(now=now, key=attempt.worker, event="lost")
                 if request.hedge_at < float("inf"):
                     request.hedge_at = min(
                         request.hedge_at, max(now, other.at + constants.OVERTAKEN_PACES * shown.calm)
                     )
 
-    def _note(self, *, now: float, attempt: Attempt, verdict: object) -> list:
+    def _record(self, *, now: float, attempt: Attempt, verdict: object) -> list:
         if isinstance(verdict, Whole):
             event = "pass"
-        elif isinstance(verdict, TurnedAway):
+        elif isinstance(verdict, WorkerRejected):
             event = verdict.why if verdict.why in ("full", "stranger") else ""
         else:
             event = EVENTS.get(verdict.reason, "" if verdict.reason == "too-late" else "fail")
-        if isinstance(verdict, (Broken, NotSent, TurnedAway)):
+        if isinstance(verdict, (Broken, NotSent, WorkerRejected)):
             self.tally[f"{type(verdict).__name__}-{getattr(verdict, 'reason', getattr(verdict, 'why', ''))}"] += 1
         return (
-            self.placer.scene.evidence.note(now=now, key=attempt.worker, event=event, took=now - attempt.at)
+            self.endpoint_selector.context.passive_health.record_event(
+                now=now, key=attempt.worker, event=event, took=now - attempt.at
+            )
             if event
             else []
         )
@@ -237,7 +251,7 @@
         commands = self._end(request=request)
         self.tally["answered"] += 1
         return [
-            Answer(
+            Respond(
                 token=request.token,
                 code=verdict.code,
                 headers=headers_to_caller(headers=verdict.headers),
@@ -253,7 +267,7 @@
             # it may have run: no promise may be made
             code = 502
         self.tally[f"refused-{refusal.reason}"] += 1
-        log = Log(
+        log = LogEvent(
             event="given-up",
             fields={
                 "reason": refusal.reason,
@@ -287,7 +301,7 @@
         self.tally["left"] += 1
         return self._end(request=request)
 
-    def _refusal(self, *, token: str, refusal: Refusal) -> Answer:
+    def _refusal(self, *, token: str, refusal: Refusal) -> Respond:
         headers = (
             {"Retry-After": str(constants.COME_BACK.get(refusal.reason, constants.COME_BACK[""]))}
             if refusal.code in (429, 503)
@@ -304,7 +318,7 @@
                 commands += self._place(now=now, request=request)
         return commands
 
-    def _look_at_alarms(self, *, now: float) -> list:
+    def _on_timer(self, *, now: float) -> list:
         commands = self._pump(now=now)
         for request in list(self.live.values()):
             if now >= request.expiry:
@@ -322,7 +336,7 @@
         request.hedge_at = float("inf")
         if request.expiry - now <= constants.LEAST_LEFT:
             return []
-        choice = self.placer.step(now=now, request=request)
+        choice = self.endpoint_selector.step(now=now, request=request)
         if isinstance(choice, Refusal) or not self._take_budget(
             now=now, request=request, is_first=False, is_hedge=True
         ):
@@ -332,7 +346,7 @@
 
 
 def _refusal_of(*, verdict: object) -> Refusal:
-    if isinstance(verdict, TurnedAway):
+    if isinstance(verdict, WorkerRejected):
         return Refusal(code=verdict.code if verdict.why == "refused" else 503, reason=f"worker-{verdict.why}")
     if isinstance(verdict, NotSent):
         return Refusal(code=503, reason="unreachable")
--- a/sailward/routing/idempotency.py
+++ b/sailward/routing/idempotency.py
@@ -7,25 +7,25 @@
 
 from sailward import constants
 from sailward.consensus.acceptor import CLAIM as PREFIX
-from sailward.consensus.proposer import Accepted, Begin, Refused, Settled
-from sailward.events import Tell
+from sailward.consensus.proposer import Accepted, OperationFinished, Refused, StartOperation
+from sailward.events import SendMessage
 from sailward.routing.idempotency_cache import ClaimMemory, Memory
-from sailward.routing.proxied_request import Exchange, Refusal
-from sailward.routing.result_replicas import Copies, Peer, may_keep, spread_copy
+from sailward.routing.proxied_request import ProxiedRequest, Refusal
+from sailward.routing.result_replicas import Peer, ResultReplicas, may_keep, spread_copy
 
 
 @dataclass(frozen=True, kw_only=True)
 class Won:
     """The claim is this exchange's: it may be sent on, once."""
 
-    exchange: Exchange
+    exchange: ProxiedRequest
 
 
 @dataclass(frozen=True, kw_only=True)
 class Lost:
     """It may not be sent on."""
 
-    exchange: Exchange
+    exchange: ProxiedRequest
     refusal: Refusal
 
 
@@ -33,7 +33,7 @@
 class Replayed:
     """It ran already: this is its kept result."""
 
-    exchange: Exchange
+    exchange: ProxiedRequest
     code: int
     headers: dict
     body: bytes
@@ -43,11 +43,11 @@
 class Peeking:
     """Waiting for the owner of an earlier claim to tell what became of it."""
 
-    exchange: Exchange
+    exchange: ProxiedRequest
     number: int
     expiry: float
     owner: str
-    asked: set
+    pending_peers: set
     state: str = "unknown"
 
 
@@ -58,33 +58,33 @@
     identity: str
     post: str
     region: str
-    hall: str
-    copies: Copies
+    zone: str
+    replicas: ResultReplicas
     peers: list[Peer] = field(default_factory=list)
     memory: ClaimMemory = field(default_factory=ClaimMemory)
     claiming: dict = field(default_factory=dict)
     peeking: dict = field(default_factory=dict)
     count: int = 0
 
-    def step(self, *, now: float, event: object) -> tuple[list, list[Begin], list]:
+    def step(self, *, now: float, event: object) -> tuple[list, list[StartOperation], list]:
         """Take an Exchange to claim, a Settled, a (sender, peek or peeked), or None."""
-        if isinstance(event, Exchange):
+        if isinstance(event, ProxiedRequest):
             return self._begin(now=now, exchange=event)
-        if isinstance(event, Settled):
-            return self._settle(now=now, event=event)
+        if isinstance(event, OperationFinished):
+            return self._on_operation_finished(now=now, event=event)
         if event is None:
-            return [], [], self._look_at_alarms(now=now)
+            return [], [], self._on_timer(now=now)
         sender, body = event
         if body["kind"] == "keep":
-            self.copies.step(now=now, event=body)
+            self.replicas.step(now=now, event=body)
             return [], [], []
         if body["kind"] == "peek":
-            copy = self.copies.find(digest=body["key"], number=body["number"])
+            copy = self.replicas.find(digest=body["key"], number=body["number"])
             reply = self.memory.peeked(token=body["token"], digest=body["key"], region=body["region"], copy=copy)
-            return [Tell(to=sender, body=reply)], [], []
+            return [SendMessage(to=sender, body=reply)], [], []
         return self._take_peeked(now=now, sender=sender, body=body)
 
-    def finish(self, *, exchange: Exchange, code: int, headers: dict, body: bytes) -> list:
+    def finish(self, *, exchange: ProxiedRequest, code: int, headers: dict, body: bytes) -> list:
         """Keep the result for repeats, here if this place may, and with one proxy more."""
         memory = self.memory.by_digest.get(exchange.digest)
         self.memory.finish(
@@ -101,19 +101,19 @@
                 code=code,
                 headers=headers,
                 body=body,
-                hall=self.hall,
+                zone=self.zone,
                 peers=self.peers,
             )
             if memory
             else []
         )
 
-    def remembers(self, *, exchange: Exchange) -> bool:
+    def remembers(self, *, exchange: ProxiedRequest) -> bool:
         """Is the key known here as sent on before, so that no worker is needed?"""
         memory = self.memory.by_digest.get(exchange.digest) if exchange.unsafe else None
         return memory is not None and memory.state != "unsent" and not exchange.claim
 
-    def _begin(self, *, now: float, exchange: Exchange) -> tuple[list, list[Begin], list]:
+    def _begin(self, *, now: float, exchange: ProxiedRequest) -> tuple[list, list[StartOperation], list]:
         memory = self.memory.by_digest.get(exchange.digest)
         if memory is None:
             return [], [self._claim(now=now, exchange=exchange, expected=0)], []
@@ -129,7 +129,7 @@
             body=memory.body,
         )
 
-    def _claim(self, *, now: float, exchange: Exchange, expected: int) -> Begin:
+    def _claim(self, *, now: float, exchange: ProxiedRequest, expected: int) -> StartOperation:
         self.count += 1
         self.memory.begin(
             now=now,
@@ -141,12 +141,14 @@
         op = f"{self.identity}/claim{self.count}"
         self.claiming[op] = exchange
         text = json.dumps({"o": self.post, "i": self.identity, "f": exchange.fingerprint, "n": self.count})
-        wait = min(constants.CLAIM_EXPIRY, max(0.05, exchange.expiry - now))
-        return Begin(
-            op=op, register=PREFIX + exchange.digest, expected=expected, text=text, first=expected == 0, wait=wait
+        timeout = min(constants.CLAIM_EXPIRY, max(0.05, exchange.expiry - now))
+        return StartOperation(
+            op=op, register=PREFIX + exchange.digest, expected=expected, text=text, first=expected == 0, timeout=timeout
         )
 
-    def _settle(self, *, now: float, event: Settled) -> tuple[list, list[Begin], list]:
+    def _on_operation_finished(
+        self, *, now: float, event: OperationFinished
+    ) -> tuple[list, list[StartOperation], list]:
         exchange = self.claiming.pop(event.op, None)
         if exchange is None:
             return [], [], []
@@ -164,8 +166,8 @@
         return [], [], [Lost(exchange=exchange, refusal=refusal)]
 
     def _take_other(
-        self, *, now: float, exchange: Exchange, value: dict, memory: Memory | None
-    ) -> tuple[list, list[Begin], list]:
+        self, *, now: float, exchange: ProxiedRequest, value: dict, memory: Memory | None
+    ) -> tuple[list, list[StartOperation], list]:
         claim = json.loads(value["text"])
         if claim["i"] == self.identity:
             # ours: unsent if it is no older than what is remembered, else it may have run
@@ -176,19 +178,19 @@
         self.memory.by_digest.pop(exchange.digest, None)
         if claim["f"] != exchange.fingerprint:
             return [], [], [_lost_to_other(exchange=exchange)]
-        copy = self.copies.find(digest=exchange.digest, number=value["number"])
+        copy = self.replicas.find(digest=exchange.digest, number=value["number"])
         if copy is not None:
             return [], [], [Replayed(exchange=exchange, code=copy.code, headers=copy.headers, body=copy.body)]
         self.count += 1
         token = f"{self.identity}/peek{self.count}"
-        asked = {
+        pending_peers = {
             address for address in (claim["o"], *(peer.post for peer in self.peers)) if address not in ("", self.post)
         }
         self.peeking[token] = Peeking(
             exchange=exchange,
             number=value["number"],
             owner=claim["o"],
-            asked=asked,
+            pending_peers=pending_peers,
             expiry=now + constants.ROUND_WAIT * 2,
         )
         body = {
@@ -198,18 +200,22 @@
             "number": value["number"],
             "region": self.region,
         }
-        return [Tell(to=address, body=body) for address in sorted(asked)], [], []
+        return [SendMessage(to=address, body=body) for address in sorted(pending_peers)], [], []
 
-    def _take_peeked(self, *, now: float, sender: str, body: dict) -> tuple[list, list[Begin], list]:
+    def _take_peeked(self, *, now: float, sender: str, body: dict) -> tuple[list, list[StartOperation], list]:
         peeking = self.peeking.get(body["token"])
         if peeking is None:
             return [], [], []
-        peeking.asked.discard(sender)
+        peeking.pending_peers.discard(sender)
         if sender == peeking.owner:
             peeking.state = body["state"]
         # the claim's own proxy knows; one that only lost its memory, or may not keep the result, leaves it to the
         # others
-        if not body["code"] and peeking.asked and (sender != peeking.owner or body["state"] in ("unknown", "done")):
+        if (
+            not body["code"]
+            and peeking.pending_peers
+            and (sender != peeking.owner or body["state"] in ("unknown", "done"))
+        ):
             return [], [], []
         del self.peeking[body["token"]]
         headers = body["headers"] if body["code"] else None
@@ -228,13 +234,13 @@
         self,
         *,
         now: float,
-        exchange: Exchange,
+        exchange: ProxiedRequest,
         state: str,
         number: int,
         code: int = 0,
         headers: dict | None = None,
         body: bytes = b"",
-    ) -> tuple[list, list[Begin], list]:
+    ) -> tuple[list, list[StartOperation], list]:
         if state == "unsent":
             return [], [self._claim(now=now, exchange=exchange, expected=number)], []
         if state == "done" and headers is not None:
@@ -243,7 +249,7 @@
         refusal = Refusal(code=409, reason="repeat", state=shown, detail="this key was sent on before")
         return [], [], [Lost(exchange=exchange, refusal=refusal)]
 
-    def _look_at_alarms(self, *, now: float) -> list:
+    def _on_timer(self, *, now: float) -> list:
         verdicts = []
         for token, peeking in list(self.peeking.items()):
             if now >= peeking.expiry:
@@ -256,11 +262,11 @@
                 )
                 verdicts.append(Lost(exchange=peeking.exchange, refusal=refusal))
         self.memory.step(now=now)
-        self.copies.step(now=now, event=None)
+        self.replicas.step(now=now, event=None)
         return verdicts
 
 
-def _lost_to_other(*, exchange: Exchange) -> Lost:
+def _lost_to_other(*, exchange: ProxiedRequest) -> Lost:
     return Lost(
         exchange=exchange,
         refusal=Refusal(code=422, reason="key-reused", detail="this key was given with another request"),
--- a/sailward/routing/idempotency_cache.py
+++ b/sailward/routing/idempotency_cache.py
@@ -35,12 +35,12 @@
         """Forget what is older than a claim's life; drop the oldest results over the bound."""
         while self.by_digest:
             digest, memory = next(iter(self.by_digest.items()))
-            if now - memory.at < constants.CLAIM_LIFE:
+            if now - memory.at < constants.CLAIM_TTL:
                 break
             del self.by_digest[digest]
             self._bytes -= len(memory.body)
         for memory in self.by_digest.values():
-            if self._bytes <= constants.KEPT_BYTES:
+            if self._bytes <= constants.CACHED_BYTES:
                 return
             self._bytes -= len(memory.body)
             memory.body, memory.headers = b"", None
--- a/sailward/routing/lease.py
+++ b/sailward/routing/lease.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass
 
 from sailward import constants
-from sailward.consensus.learner import HeldBook
+from sailward.consensus.learner import Learner
 from sailward.consensus.proposer import blocking_of
-from sailward.events import Log, Tell
+from sailward.events import LogEvent, SendMessage
 from sailward.state_machines import Chart
 
 CHART = Chart(name="lease")
@@ -17,7 +17,7 @@
 class Grant:
     """The last thing one voter said, and until when its consent holds."""
 
-    asked: float
+    requested_at: float
     newest: dict
     until: float = -1e9
 
@@ -25,11 +25,11 @@
 class Lease:
     """Owner of the lease. `step` takes a grant (sender, body), or None for time going on."""
 
-    def __init__(self, *, held: HeldBook) -> None:
-        self._held = held
+    def __init__(self, *, learner: Learner) -> None:
+        self._learner = learner
         self.state = CHART.initial
         self.behind: dict[str, float] = {}
-        self._asked: dict[int, float] = {}
+        self._requested_at: dict[int, float] = {}
         self._grants: dict[str, Grant] = {}
         self._seq = 0
         self._next = -1e9
@@ -42,7 +42,7 @@
             self._take_grant(body=event[1], voters=voters)
         commands = self._judge(now=now, voters=voters)
         if event is None and now >= self._next:
-            commands += self._ask(now=now, addresses=addresses, report=report, daemon=daemon, have=have)
+            commands += self._request_lease(now=now, addresses=addresses, report=report, daemon=daemon, have=have)
         return commands
 
     def review(self) -> None:
@@ -57,39 +57,39 @@
         need = blocking_of(members=members)
         return ends[need - 1] if members and len(ends) >= need else -1e9
 
-    def is_held(self, *, now: float, voters: dict) -> bool:
+    def is_valid(self, *, now: float, voters: dict) -> bool:
         """May the proxy act now?"""
-        return now < self.until(voters=voters) and all(self._held.number(name=name) for name in ("config", "voters"))
+        return now < self.until(voters=voters) and all(self._learner.number(name=name) for name in ("config", "voters"))
 
-    def _ask(self, *, now: float, addresses: list, report: dict, daemon: dict, have: dict) -> list:
-        self._seq, self._next = self._seq + 1, now + constants.LEASE_ASK
-        self._asked[self._seq] = now
-        self._asked.pop(self._seq - 50, None)
+    def _request_lease(self, *, now: float, addresses: list, report: dict, daemon: dict, have: dict) -> list:
+        self._seq, self._next = self._seq + 1, now + constants.LEASE_REQUEST_INTERVAL
+        self._requested_at[self._seq] = now
+        self._requested_at.pop(self._seq - 50, None)
         body = {"kind": "ask", "seq": self._seq, "have": have, "report": report, "daemon": daemon}
-        return [Tell(to=address, body=body) for address in addresses]
+        return [SendMessage(to=address, body=body) for address in addresses]
 
     def _take_grant(self, *, body: dict, voters: dict) -> None:
-        asked = self._asked.get(body["seq"])
-        if asked is None or not body["voting"] or body["identity"] not in (voters.get("members") or {}):
+        requested_at = self._requested_at.get(body["seq"])
+        if requested_at is None or not body["voting"] or body["identity"] not in (voters.get("members") or {}):
             return
-        grant = self._grants.setdefault(body["identity"], Grant(asked=asked, newest={}))
-        if asked < grant.asked:
+        grant = self._grants.setdefault(body["identity"], Grant(requested_at=requested_at, newest={}))
+        if requested_at < grant.requested_at:
             return
-        grant.asked, grant.newest = asked, body["newest"]
+        grant.requested_at, grant.newest = requested_at, body["newest"]
         grant.until = max(grant.until, self._end_of(grant=grant))
 
     def _behind_in(self, *, grant: Grant) -> list[str]:
-        return [name for name, newest in grant.newest.items() if not self._held.covers(name=name, newest=newest)]
+        return [name for name, newest in grant.newest.items() if not self._learner.covers(name=name, newest=newest)]
 
     def _end_of(self, *, grant: Grant) -> float:
-        return -1e9 if self._behind_in(grant=grant) else grant.asked + constants.LEASE
+        return -1e9 if self._behind_in(grant=grant) else grant.requested_at + constants.LEASE
 
     def _judge(self, *, now: float, voters: dict) -> list:
-        live = [grant for grant in self._grants.values() if now - grant.asked < constants.LEASE]
+        live = [grant for grant in self._grants.values() if now - grant.requested_at < constants.LEASE]
         names = {name for grant in live for name in self._behind_in(grant=grant)}
         self.behind = {name: self.behind.get(name, now) for name in names}
         before = self.state
-        self.state = CHART.step(state=before, event="granted" if self.is_held(now=now, voters=voters) else "run_out")
+        self.state = CHART.step(state=before, event="granted" if self.is_valid(now=now, voters=voters) else "run_out")
         if before == self.state:
             return []
-        return [Log(event=f"lease-{self.state}", fields={"behind": ",".join(self.behind) or "none"})]
+        return [LogEvent(event=f"lease-{self.state}", fields={"behind": ",".join(self.behind) or "none"})]
--- a/sailward/routing/passive_health.py
+++ b/sailward/routing/passive_health.py
@@ -7,7 +7,7 @@
 
 from sailward import constants
 from sailward.discovery.endpoint_table import Worker
-from sailward.events import Call, Called, HangUp, Log
+from sailward.events import CallFinished, CloseConnections, LogEvent, StartCall
 from sailward.routing.plan import Plan
 from sailward.state_machines import Chart
 from sailward.transport.wire_names import WireNames
@@ -23,7 +23,7 @@
     worker: Worker
     state: str = CHART.initial
     since: float = 0.0
-    cold_until: float = 0.0
+    slow_start_until: float = 0.0
     pace: float = 0.0
     calm: float = 0.0
     window: float = constants.WINDOW_FIRST
@@ -47,7 +47,7 @@
         return self.state in CHART.marks["healthy"]
 
 
-class Evidence:
+class PassiveHealth:
     """Owner of the workers' conditions. `step` takes a probe's end, or None for time going on."""
 
     def __init__(self, *, names: WireNames, rng: random.Random) -> None:
@@ -56,7 +56,7 @@
         self._times: dict[str, list] = {}
         self._probes = 0
 
-    def step(self, *, now: float, event: Called | None, plan: Plan) -> list:
+    def step(self, *, now: float, event: CallFinished | None, plan: Plan) -> list:
         """Judge one probe, or begin those that are due."""
         if event is not None:
             return self._judge(now=now, event=event)
@@ -68,23 +68,27 @@
 
     def follow(self, *, now: float, workers: dict[str, Worker]) -> list:
         """Take the newest list."""
-        commands = [HangUp(owner=key) for key in self.shown if key not in workers]
+        commands = [CloseConnections(owner=key) for key in self.shown if key not in workers]
         self.shown = {key: shown for key, shown in self.shown.items() if key in workers}
         for key, worker in workers.items():
             shown = self.shown.setdefault(key, Shown(worker=worker, since=now))
-            if (worker.cold > 0 and shown.worker.cold != worker.cold) or (worker.cold > 0 and shown.since == now):
-                shown.cold_until = max(shown.cold_until, now + worker.cold)
+            if (worker.slow_start > 0 and shown.worker.slow_start != worker.slow_start) or (
+                worker.slow_start > 0 and shown.since == now
+            ):
+                shown.slow_start_until = max(shown.slow_start_until, now + worker.slow_start)
             if worker.leaving:
                 shown.leaving_since = min(shown.leaving_since, now)
             shown.worker = worker
         return commands
 
-    def chill(self, *, now: float, hall: str, plan: Plan) -> None:
+    def chill(self, *, now: float, zone: str, plan: Plan) -> None:
         """The workers of this hall may have gone cold: its emptying has ended."""
         for shown in self.shown.values():
             service = plan.services.get(shown.worker.service)
-            if shown.worker.hall == hall and service is not None:
-                shown.cold_until = max(shown.cold_until, now + service.cold + constants.COLD_MARGIN)
+            if shown.worker.zone == zone and service is not None:
+                shown.slow_start_until = max(
+                    shown.slow_start_until, now + service.slow_start + constants.SLOW_START_MARGIN
+                )
 
     def hint(self, *, now: float, down: list) -> None:
         """Others call these workers unreachable.
@@ -93,26 +97,26 @@
         """
         for key in down:
             shown = self.shown.get(key)
-            if shown is not None and now - shown.answered > constants.HINT_DOUBT:
-                shown.shunned_until = now + constants.HINT_LIFE
+            if shown is not None and now - shown.answered > constants.HINT_UNCERTAIN_AFTER:
+                shown.shunned_until = now + constants.HINT_TTL
 
     def take_times(self) -> dict:
         """{worker: [ms, ...]}: the times of answers since it was asked last."""
         times, self._times = self._times, {}
         return times
 
-    def note(self, *, now: float, key: str, event: str, took: float = 0.0) -> list:
+    def record_event(self, *, now: float, key: str, event: str, took: float = 0.0) -> list:
         """Fold what an exchange showed: pass (in `took` s), fail, late, lost, refused, dark, stranger or full."""
         shown = self.shown.get(key)
         if shown is None:
             return []
         if event == "full":
-            shown.busy_until = now + constants.FULL_PAUSE
+            shown.busy_until = now + constants.DISK_FULL_BACKOFF
             return []
         if event == "pass":
             shown.answered, shown.shunned_until = now, 0.0
             self._times.setdefault(key, []).append(round(took * 1000))
-            self._note_pace(shown=shown, took=took)
+            self._record_pace(shown=shown, took=took)
         elif event == "lost":
             shown.window = max(1.0, shown.window / 2)
             return []
@@ -121,7 +125,7 @@
             event = "fail"
         return self._move(now=now, key=key, shown=shown, event=event)
 
-    def _note_pace(self, *, shown: Shown, took: float) -> None:
+    def _record_pace(self, *, shown: Shown, took: float) -> None:
         """The mean of its times, its calm mean, and how many requests it may be given from here at once.
 
         Fewer while it queues.
@@ -133,11 +137,11 @@
         else:
             shown.window = min(constants.WINDOW_MOST, shown.window + constants.WINDOW_MORE)
 
-    def _probe(self, *, now: float, key: str, shown: Shown, plan: Plan) -> Call:
+    def _probe(self, *, now: float, key: str, shown: Shown, plan: Plan) -> StartCall:
         self._probes += 1
         shown.probe = f"probe {key} {self._probes}"
         service = plan.services.get(shown.worker.service)
-        return Call(
+        return StartCall(
             token=shown.probe,
             owner=key,
             address=shown.worker.address,
@@ -145,24 +149,24 @@
             path=service.health_path if service else "/status",
             headers={self._names.expect: key},
             body=b"",
-            wait=constants.PROBE_WAIT,
+            timeout=constants.PROBE_WAIT,
             fresh=False,
         )
 
-    def _judge(self, *, now: float, event: Called) -> list:
+    def _judge(self, *, now: float, event: CallFinished) -> list:
         key = event.token.removeprefix("probe ").rpartition(" ")[0]
         shown = self.shown.get(key)
         if shown is None or shown.probe != event.token:
             return []
         shown.probe = ""
-        told = event.headers.get(self._names.told, key)
-        verdict = "pass" if event.code == 200 and told == key else "stranger" if told != key else "fail"
+        answered_by = event.headers.get(self._names.answered_by, key)
+        verdict = "pass" if event.code == 200 and answered_by == key else "stranger" if answered_by != key else "fail"
         shown.missed = 0 if verdict == "pass" else shown.missed + 1
-        pause = min(constants.PROBE_LONGEST, constants.PROBE_FIRST * 2 ** min(shown.missed, 4))
-        shown.probe_at = now + pause * (0.8 + 0.4 * self._rng.random())
-        cold = event.headers.get(self._names.cold, "")
-        if verdict == "pass" and _is_seconds(text=cold):
-            shown.cold_until = max(shown.cold_until, now + float(cold))
+        backoff = min(constants.PROBE_LONGEST, constants.PROBE_FIRST * 2 ** min(shown.missed, 4))
+        shown.probe_at = now + backoff * (0.8 + 0.4 * self._rng.random())
+        slow_start = event.headers.get(self._names.slow_start, "")
+        if verdict == "pass" and _is_seconds(text=slow_start):
+            shown.slow_start_until = max(shown.slow_start_until, now + float(slow_start))
         return self._move(now=now, key=key, shown=shown, event=verdict)
 
     def _move(self, *, now: float, key: str, shown: Shown, event: str) -> list:
@@ -175,7 +179,7 @@
             shown.probe_at, shown.missed = now + constants.PROBE_FIRST * self._rng.random(), 0
         if {before, shown.state} <= {"good", "doubt", "wary"}:
             return []
-        return [Log(event="worker-status", fields={"worker": key, "from": before, "to": shown.state, "by": event})]
+        return [LogEvent(event="worker-status", fields={"worker": key, "from": before, "to": shown.state, "by": event})]
 
 
 def _is_seconds(*, text: str) -> bool:
--- a/sailward/routing/plan.py
+++ b/sailward/routing/plan.py
@@ -35,8 +35,8 @@
     name: str
     expiry: float
     rate: float
-    cold_rate: float
-    cold_ramp: float
+    slow_start_rate: float
+    slow_start_ramp: float
     result_bytes: int
     digest_required: bool
     timed_keys: bool
@@ -45,7 +45,7 @@
     ranged: bool = False
     health_path: str = "/status"
     connections: int = 0
-    cold: float = 0.0
+    slow_start: float = 0.0
     warm_up: float = 0.0
 
 
@@ -69,7 +69,7 @@
     host: str = ""
     kind: str = ""
     expiry: float = 0.0
-    tries: int = 0
+    max_attempts: int = 0
     target: float = 0.0
     rank: int = 0
     homes: frozenset = frozenset()
@@ -152,8 +152,8 @@
             name=name,
             expiry=one["expiry_s"],
             rate=one["rate"],
-            cold_rate=one["cold_rate"],
-            cold_ramp=one["cold_ramp_s"],
+            slow_start_rate=one["cold_rate"],
+            slow_start_ramp=one["cold_ramp_s"],
             result_bytes=one["result_bytes"],
             digest_required=one["digest_required"],
             timed_keys=one.get("timed_keys", False),
@@ -162,7 +162,7 @@
             ranged=one["keys"] == "ranged",
             health_path=one.get("health_path", "/status"),
             connections=one.get("connections", 0),
-            cold=one.get("cold_s", 0.0),
+            slow_start=one.get("cold_s", 0.0),
             warm_up=one.get("warm_s", 0.0),
         )
         for name, one in full["services"].items()
@@ -190,7 +190,7 @@
             host=one.get("host", ""),
             kind=one.get("kind", ""),
             expiry=one.get("expiry_s", 0.0),
-            tries=one.get("tries", 0),
+            max_attempts=one.get("tries", 0),
             target=one.get("target_s", 0.0),
             rank=one.get("rank", 0),
             homes=frozenset(one.get("homes", ())),
@@ -207,5 +207,5 @@
         index=groupby(lambda match: (match.host, _first_part(path=match.path)), matches),
         limits=Limits(**full.get("limits", {})),
         label=full.get("label", 0),
-        regions={name: hall["region"] for name, hall in full["halls"].items()},
+        regions={name: zone["region"] for name, zone in full["halls"].items()},
     )
--- a/sailward/routing/proxied_request.py
+++ b/sailward/routing/proxied_request.py
@@ -9,7 +9,7 @@
 
 from sailward import constants
 from sailward.discovery.endpoint_table import Worker
-from sailward.events import Answer, Asked
+from sailward.events import RequestReceived, Respond
 from sailward.routing.idempotency_key_time import judge_key
 from sailward.routing.plan import Match, Plan, Service, Tenant
 
@@ -43,7 +43,7 @@
 
 
 @dataclass(kw_only=True)
-class Exchange:
+class ProxiedRequest:
     """One exchange under way."""
 
     token: str
@@ -64,7 +64,7 @@
     pool: str = ""
     state: str = "arrived"
     worker: str = ""
-    tries: int = 0
+    attempts: int = 0
     tried: set = field(default_factory=set)
     sent: bool = False
     may_have_run: bool = False
@@ -105,7 +105,9 @@
     return hashlib.blake2b(f"{tenant}\0{key}".encode(), digest_size=16).hexdigest()
 
 
-def take_exchange(*, event: Asked, plan: Plan, now: float, name: str, clock: float | None = None) -> Exchange | Refusal:
+def take_exchange(
+    *, event: RequestReceived, plan: Plan, now: float, name: str, clock: float | None = None
+) -> ProxiedRequest | Refusal:
     """The exchange that a caller asked for, or why it can't be one."""
     if event.body is None:
         return Refusal(code=413, reason="too-large", detail=f"at most {constants.BODY_BYTES} bytes")
@@ -135,7 +137,7 @@
     path = quote(event.path, safe="/%:@!$&'()*+,;=~-._") + (
         "?" + urlencode(event.query, doseq=True) if event.query else ""
     )
-    return Exchange(
+    return ProxiedRequest(
         token=event.token,
         name=name,
         tenant=tenant,
@@ -160,7 +162,7 @@
     return path[len(match.path.rstrip("/")) :].strip("/").split("/")[0]
 
 
-def refit_exchange(*, exchange: Exchange, plan: Plan) -> Refusal | None:
+def refit_exchange(*, exchange: ProxiedRequest, plan: Plan) -> Refusal | None:
     """Match again under the configuration in force: a later one may be since the exchange was taken."""
     if exchange.plan == plan.number:
         return None
@@ -177,7 +179,7 @@
     return None
 
 
-def is_promise_safe(*, event: Asked) -> bool:
+def is_promise_safe(*, event: RequestReceived) -> bool:
     """May `not-run` be said of an exchange that this proxy did not send on?
 
     Of a safe one always. Of an unsafe one only if the caller says that it is the first sending:
@@ -190,7 +192,7 @@
     )
 
 
-def answer_refusal(*, token: str, refusal: Refusal, not_run: bool) -> Answer:
+def answer_refusal(*, token: str, refusal: Refusal, not_run: bool) -> Respond:
     """The final result of an exchange that is given up: whether it ran, and when to come back."""
     body = {"error": refusal.reason, "detail": refusal.detail, "ran": "not-run" if not_run else "unknown"}
     if refusal.state:
@@ -201,9 +203,9 @@
     return answer_json(token=token, code=refusal.code, body=body, headers=headers)
 
 
-def answer_json(*, token: str, code: int, body: object, headers: dict | None = None) -> Answer:
+def answer_json(*, token: str, code: int, body: object, headers: dict | None = None) -> Respond:
     """A result in JSON."""
-    return Answer(
+    return Respond(
         token=token,
         code=code,
         body=json.dumps(body).encode() + b"\n",
@@ -211,8 +213,8 @@
     )
 
 
-def headers_onward(*, exchange: Exchange, worker: str, wait: float) -> dict:
-    """The headers that go to the worker, which has `wait` seconds to begin and end."""
+def headers_onward(*, exchange: ProxiedRequest, worker: str, timeout: float) -> dict:
+    """The headers that go to the worker, which has `timeout` seconds to begin and end."""
     headers = {
         name: value for name, value in exchange.headers.items() if name not in HOP and not name.startswith("sailward-")
     }
@@ -221,7 +223,7 @@
         "sailward-worker": worker,
         "sailward-tenant": exchange.tenant.name,
         "sailward-service": exchange.service.name,
-        "sailward-within": str(int(wait * 1000)),
+        "sailward-within": str(int(timeout * 1000)),
     }
     if exchange.slot >= 0:
         headers |= {
--- a/sailward/routing/proxied_requests.py
+++ b/sailward/routing/proxied_requests.py
@@ -6,13 +6,13 @@
 from dataclasses import dataclass, field
 
 from sailward import constants
-from sailward.events import Answer, Asked, Call, Called, Log
-from sailward.routing.attempt_budget import LOOK, Tries
+from sailward.events import CallFinished, LogEvent, RequestReceived, Respond, StartCall
+from sailward.routing.attempt_budget import LOOKUP, AttemptBudget
 from sailward.routing.fair_queues import FairQueues
 from sailward.routing.idempotency import Claims, Lost, Replayed, Won
-from sailward.routing.load_balancer import Chooser
+from sailward.routing.load_balancer import LoadBalancer
 from sailward.routing.proxied_request import (
-    Exchange,
+    ProxiedRequest,
     Refusal,
     answer_refusal,
     headers_onward,
@@ -24,14 +24,14 @@
 
 
 @dataclass(kw_only=True)
-class Exchanges:
+class ProxiedRequests:
     """Owner of all exchanges of this proxy. `step` gives (commands, proposer's begins)."""
 
     identity: str
-    chooser: Chooser
+    load_balancer: LoadBalancer
     claims: Claims
     queues: FairQueues = field(default_factory=FairQueues)
-    tries: Tries = field(default_factory=Tries)
+    attempt_budget: AttemptBudget = field(default_factory=AttemptBudget)
     live: dict = field(default_factory=dict)
     sent: dict = field(default_factory=dict)
     calls: dict = field(default_factory=dict)
@@ -42,46 +42,46 @@
     loads: deque = field(default_factory=deque)
 
     def step(self, *, now: float, event: object, acting: bool) -> tuple[list, list]:
-        """Take an Asked, a Called, a Settled, a peek, or None; `acting` says whether the lease is held."""
+        """Take an event, the end of an operation, a peek, or None; `acting` says whether the lease is held."""
         self.now = now
-        if isinstance(event, Asked):
+        if isinstance(event, RequestReceived):
             return self._arrive(now=now, event=event, acting=acting)
-        if isinstance(event, Called):
+        if isinstance(event, CallFinished):
             commands, begins = self._return(now=now, event=event, acting=acting)
         elif event is None:
-            commands, begins = self._look_at_alarms(now=now, acting=acting), []
+            commands, begins = self._on_timer(now=now, acting=acting), []
             verdicts = self.claims.step(now=now, event=None)[2]
-            commands += self._hear_verdicts(now=now, verdicts=verdicts, acting=acting)
+            commands += self._on_verdicts(now=now, verdicts=verdicts, acting=acting)
         else:
             commands, begins, verdicts = self.claims.step(now=now, event=event)
-            commands += self._hear_verdicts(now=now, verdicts=verdicts, acting=acting)
+            commands += self._on_verdicts(now=now, verdicts=verdicts, acting=acting)
         more, others = self._pump(now=now, acting=acting)
         return commands + more, begins + others
 
     def rates(self, *, now: float) -> dict[str, float]:
-        """Exchanges a second sent on for each service, over the last TRY_WINDOW."""
-        while self.loads and self.loads[0][0] < now - constants.TRY_WINDOW:
+        """Exchanges a second sent on for each service, over the last ATTEMPT_WINDOW."""
+        while self.loads and self.loads[0][0] < now - constants.ATTEMPT_WINDOW:
             self.loads.popleft()
         counts = Counter(service for _, service in self.loads)
-        return {service: round(count / constants.TRY_WINDOW, 1) for service, count in counts.items()}
+        return {service: round(count / constants.ATTEMPT_WINDOW, 1) for service, count in counts.items()}
 
     def busy(self, *, now: float) -> list[str]:
         """The slots in which something sent on from here may still run."""
         self.lingering = {place: end for place, end in self.lingering.items() if now < end}
-        sent = {self._place(exchange=one) for one in self.sent.values() if one.slot >= 0}
+        sent = {self._select_pool(exchange=one) for one in self.sent.values() if one.slot >= 0}
         return sorted({*sent, *self.lingering})
 
-    def _place(self, *, exchange: Exchange) -> str:
+    def _select_pool(self, *, exchange: ProxiedRequest) -> str:
         return f"{exchange.service.name}|{exchange.space}/{exchange.slot}"
 
-    def _arrive(self, *, now: float, event: Asked, acting: bool) -> tuple[list, list]:
+    def _arrive(self, *, now: float, event: RequestReceived, acting: bool) -> tuple[list, list]:
         self.count += 1
         taken = take_exchange(
             event=event,
-            plan=self.chooser.world.plan,
+            plan=self.load_balancer.routing_state.plan,
             now=now,
             name=f"{self.identity}.{self.count}",
-            clock=self.chooser.world.clock(now=now),
+            clock=self.load_balancer.routing_state.clock(now=now),
         )
         promise = is_promise_safe(event=event)
         if not acting and not (isinstance(taken, Refusal) and taken.code == 413):
@@ -90,7 +90,7 @@
         if isinstance(taken, Refusal):
             self._count_refusal(reason=taken.reason)
             if taken.code == 503 and event.headers.get("sailward-try", "1") == "1":
-                self.tries.credit(now=now)
+                self.attempt_budget.credit(now=now)
             return [answer_refusal(token=event.token, refusal=taken, not_run=promise)], []
         memory = self.claims.memory.by_digest.get(taken.digest) if taken.key else None
         repeat = taken.turn > 1 or (memory is not None and memory.state == "unsent")
@@ -99,9 +99,9 @@
         taken.paid = (
             ""
             if replay
-            else self.tries.look(now=now)
+            else self.attempt_budget.lookup(now=now)
             if taken.unsafe and repeat and memory is None
-            else self.tries.step(now=now, first=not repeat, caller=True)
+            else self.attempt_budget.step(now=now, first=not repeat, caller=True)
         )
         if not replay and not taken.paid:
             return [
@@ -109,7 +109,12 @@
                     exchange=taken, reason="too-many-repeats", detail="repeats are over their share of the traffic"
                 )
             ], []
-        if taken.unsafe and memory is None and taken.turn != 1 and self.chooser.world.in_doubt(now=now):
+        if (
+            taken.unsafe
+            and memory is None
+            and taken.turn != 1
+            and self.load_balancer.routing_state.has_unknown_outcomes(now=now)
+        ):
             return [
                 self._refuse(
                     exchange=taken,
@@ -128,7 +133,7 @@
             return [self._refuse(exchange=taken, reason="line-full", detail="this tenant's line is full")], []
         return [], []
 
-    def _dispatch(self, *, now: float, exchange: Exchange) -> tuple[list, list] | None:
+    def _dispatch(self, *, now: float, exchange: ProxiedRequest) -> tuple[list, list] | None:
         """Choose, claim if it must be, send on; None if it must wait for room at a worker."""
         if not self.claims.remembers(exchange=exchange):
             choice = self._choose(now=now, exchange=exchange)
@@ -137,60 +142,60 @@
         if exchange.unsafe and not exchange.claim:
             exchange.state = "claiming"
             commands, begins, verdicts = self.claims.step(now=now, event=exchange)
-            return commands + self._hear_verdicts(now=now, verdicts=verdicts, acting=True), begins
+            return commands + self._on_verdicts(now=now, verdicts=verdicts, acting=True), begins
         return self._send_on(now=now, exchange=exchange), []
 
-    def _choose(self, *, now: float, exchange: Exchange) -> Refusal | None:
-        refusal = refit_exchange(exchange=exchange, plan=self.chooser.world.plan)
-        choice = refusal or self.chooser.step(now=now, exchange=exchange)
+    def _choose(self, *, now: float, exchange: ProxiedRequest) -> Refusal | None:
+        refusal = refit_exchange(exchange=exchange, plan=self.load_balancer.routing_state.plan)
+        choice = refusal or self.load_balancer.step(now=now, exchange=exchange)
         if isinstance(choice, Refusal):
             return choice
         exchange.chosen = choice
         return None
 
-    def _send_on(self, *, now: float, exchange: Exchange) -> list:
-        plan_moved = exchange.plan != self.chooser.world.plan.number
-        if exchange.chosen is None or plan_moved or not self.chooser.stands(exchange=exchange):
+    def _send_on(self, *, now: float, exchange: ProxiedRequest) -> list:
+        plan_moved = exchange.plan != self.load_balancer.routing_state.plan.number
+        if exchange.chosen is None or plan_moved or not self.load_balancer.stands(exchange=exchange):
             refusal = self._choose(now=now, exchange=exchange)
             if refusal is not None:
                 return [self._refuse(exchange=exchange, refusal=refusal)]
         worker, exchange.chosen = exchange.chosen, None
-        if exchange.tries == 0:
+        if exchange.attempts == 0:
             self.tally["sent-on"] += 1
-        exchange.tries += 1
+        exchange.attempts += 1
         exchange.worker, exchange.state, exchange.sent = worker.key, "sent", True
         exchange.tried.add(worker.key)
-        self.chooser.took(key=worker.key)
-        token = f"x {exchange.name} {exchange.tries}"
+        self.load_balancer.took(key=worker.key)
+        token = f"x {exchange.name} {exchange.attempts}"
         self.sent[token] = exchange
         left = max(0.05, exchange.expiry - now)
-        wait = left if exchange.unsafe or exchange.tries >= constants.MAX_TRIES else left / 2
+        timeout = left if exchange.unsafe or exchange.attempts >= constants.MAX_ATTEMPTS else left / 2
         exchange.sent_at = now
         self.loads.append((now, exchange.service.name))
-        self.calls[token] = now + wait + constants.LINE_WAIT
-        most = min(wait, exchange.service.expiry)
+        self.calls[token] = now + timeout + constants.LINE_WAIT
+        most = min(timeout, exchange.service.expiry)
         return [
-            Call(
+            StartCall(
                 token=token,
                 owner=worker.key,
                 address=worker.address,
                 method=exchange.method,
                 path=exchange.path,
-                headers=headers_onward(exchange=exchange, worker=worker.key, wait=most),
+                headers=headers_onward(exchange=exchange, worker=worker.key, timeout=most),
                 body=exchange.body,
-                wait=most,
+                timeout=most,
                 fresh=exchange.unsafe,
             )
         ]
 
-    def _hear_verdicts(self, *, now: float, verdicts: list, acting: bool) -> list:
+    def _on_verdicts(self, *, now: float, verdicts: list, acting: bool) -> list:
         commands = []
         for verdict in verdicts:
             exchange = verdict.exchange
             if isinstance(verdict, Won):
                 exchange.claim = 1
-                if exchange.paid == LOOK:
-                    exchange.paid = self.tries.step(now=now, first=False, caller=True)
+                if exchange.paid == LOOKUP:
+                    exchange.paid = self.attempt_budget.step(now=now, first=False, caller=True)
                     if not exchange.paid and not exchange.answered:
                         commands.append(
                             self._refuse(
@@ -223,23 +228,25 @@
                 commands.append(self._refuse(exchange=exchange, refusal=verdict.refusal))
         return commands
 
-    def _return(self, *, now: float, event: Called, acting: bool) -> tuple[list, list]:
+    def _return(self, *, now: float, event: CallFinished, acting: bool) -> tuple[list, list]:
         exchange = self.sent.pop(event.token, None)
         self.calls.pop(event.token, None)
         if exchange is None:
             return [], []
-        self.chooser.left(key=exchange.worker)
+        self.load_balancer.left(key=exchange.worker)
         verdict = judge_result(exchange=exchange, event=event)
-        if isinstance(verdict, Good) and not self._try_better(exchange=exchange, verdict=verdict):
+        if isinstance(verdict, Good) and not self._retry_elsewhere(exchange=exchange, verdict=verdict):
             return self._finish(exchange=exchange, verdict=verdict), []
-        commands = [] if isinstance(verdict, Good) else self._mark_worker(now=now, exchange=exchange, verdict=verdict)
-        ran = self._note_verdict(exchange=exchange, verdict=verdict)
+        commands = (
+            [] if isinstance(verdict, Good) else self._update_worker_health(now=now, exchange=exchange, verdict=verdict)
+        )
+        ran = self._record_verdict(exchange=exchange, verdict=verdict)
         if exchange.answered:
             if exchange.unsafe and not ran:
                 self._unsend(exchange=exchange)
             return commands, []
-        again = not ran and acting and exchange.tries < constants.MAX_TRIES and now < exchange.expiry
-        if again and self.tries.step(now=now, first=False):
+        may_retry = not ran and acting and exchange.attempts < constants.MAX_ATTEMPTS and now < exchange.expiry
+        if may_retry and self.attempt_budget.step(now=now, first=False):
             self.tally["tried-again"] += 1
             return commands + self._send_on(now=now, exchange=exchange), []
         if isinstance(verdict, Good):
@@ -248,13 +255,13 @@
         refusal = Refusal(code=code if isinstance(verdict, Bad) else 503, reason="worker-failed", detail=verdict.reason)
         return [*commands, self._refuse(exchange=exchange, refusal=refusal)], []
 
-    def _note_verdict(self, *, exchange: Exchange, verdict: object) -> bool:
+    def _record_verdict(self, *, exchange: ProxiedRequest, verdict: object) -> bool:
         """Keep what the verdict says of the exchange; True if it is unsafe and may have run without a whole answer."""
         ran = exchange.unsafe and isinstance(verdict, Bad)
         exchange.may_have_run = exchange.may_have_run or isinstance(verdict, (Bad, Good))
         if exchange.slot >= 0 and isinstance(verdict, Bad):
             # its worker may run on, though nobody hears of it
-            self.lingering[self._place(exchange=exchange)] = exchange.sent_at + exchange.service.expiry
+            self.lingering[self._select_pool(exchange=exchange)] = exchange.sent_at + exchange.service.expiry
         if ran:
             memory = self.claims.memory.by_digest.get(exchange.digest)
             if memory is not None:
@@ -263,23 +270,25 @@
             exchange.sent = exchange.may_have_run
         return ran
 
-    def _try_better(self, *, exchange: Exchange, verdict: Good) -> bool:
+    def _retry_elsewhere(self, *, exchange: ProxiedRequest, verdict: Good) -> bool:
         return (
             not exchange.unsafe
             and verdict.code in (502, 503, 504)
             and not exchange.answered
-            and exchange.tries < constants.MAX_TRIES
+            and exchange.attempts < constants.MAX_ATTEMPTS
         )
 
-    def _mark_worker(self, *, now: float, exchange: Exchange, verdict: object) -> list:
+    def _update_worker_health(self, *, now: float, exchange: ProxiedRequest, verdict: object) -> list:
         event = {"Unsent": "refused"}.get(type(verdict).__name__, "")
         if isinstance(verdict, Bad):
             event = "stranger" if verdict.stranger else "fail"
-        commands = self.chooser.world.prober.mark(now=now, key=exchange.worker, event=event) if event else []
+        commands = (
+            self.load_balancer.routing_state.prober.mark(now=now, key=exchange.worker, event=event) if event else []
+        )
         fields = {"exchange": exchange.name, "worker": exchange.worker, "reason": verdict.reason}
-        return [*commands, Log(event="sending-on-failed", fields=fields)]
+        return [*commands, LogEvent(event="sending-on-failed", fields=fields)]
 
-    def _finish(self, *, exchange: Exchange, verdict: Good) -> list:
+    def _finish(self, *, exchange: ProxiedRequest, verdict: Good) -> list:
         commands = (
             self.claims.finish(exchange=exchange, code=verdict.code, headers=verdict.headers, body=verdict.body)
             if exchange.unsafe
@@ -292,19 +301,19 @@
             self._answer(exchange=exchange, code=verdict.code, headers=verdict.headers, body=verdict.body),
         ]
 
-    def _answer(self, *, exchange: Exchange, code: int, headers: dict, body: bytes) -> Answer:
+    def _answer(self, *, exchange: ProxiedRequest, code: int, headers: dict, body: bytes) -> Respond:
         self.tally["answered"] += 1
         exchange.answered = True
         self.live.pop(exchange.token, None)
-        return Answer(token=exchange.token, code=code, body=body, headers=headers)
+        return Respond(token=exchange.token, code=code, body=body, headers=headers)
 
     def _refuse(
-        self, *, exchange: Exchange, reason: str = "", detail: str = "", refusal: Refusal | None = None
-    ) -> Answer:
+        self, *, exchange: ProxiedRequest, reason: str = "", detail: str = "", refusal: Refusal | None = None
+    ) -> Respond:
         refusal = refusal or Refusal(code=503, reason=reason, detail=detail)
         self._count_refusal(reason=refusal.reason)
-        if exchange.paid and exchange.tries == 0:
-            self.tries.refund(now=self.now, paid=exchange.paid, swells=refusal.code != 503)
+        if exchange.paid and exchange.attempts == 0:
+            self.attempt_budget.refund(now=self.now, paid=exchange.paid, swells=refusal.code != 503)
             exchange.paid = ""
         if exchange.state == "waiting":
             self.queues.drop(item=exchange.token)
@@ -315,7 +324,7 @@
         promise = not exchange.sent and (not exchange.unsafe or exchange.turn == 1) and not refusal.state
         return answer_refusal(token=exchange.token, refusal=refusal, not_run=promise)
 
-    def _unsend(self, *, exchange: Exchange) -> None:
+    def _unsend(self, *, exchange: ProxiedRequest) -> None:
         memory = self.claims.memory.by_digest.get(exchange.digest)
         if memory is not None and memory.state == "running":
             memory.state = "unsent"
@@ -340,7 +349,7 @@
             commands, begins = commands + dispatched[0], begins + dispatched[1]
         return commands, begins
 
-    def _look_at_alarms(self, *, now: float, acting: bool) -> list:
+    def _on_timer(self, *, now: float, acting: bool) -> list:
         commands = []
         for exchange in list(self.live.values()):
             if exchange.state == "waiting" and (not acting or now - exchange.arrived >= constants.LINE_WAIT):
@@ -360,6 +369,6 @@
         for token, end in list(self.calls.items()):
             if now >= end:
                 # its end was lost on the way; what came of it is not known
-                lost = Called(token=token, code=0, headers={}, body=b"", fault="timed-out", sent=True)
+                lost = CallFinished(token=token, code=0, headers={}, body=b"", fault="timed-out", sent=True)
                 commands += self._return(now=now, event=lost, acting=False)[0]
         return commands
--- a/sailward/routing/request.py
+++ b/sailward/routing/request.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from sailward import constants
-from sailward.events import Asked
+from sailward.events import RequestReceived
 from sailward.routing.plan import Match, Plan, Service
 from sailward.routing.proxied_request import Refusal
 from sailward.transport.wire_names import WireNames
@@ -61,15 +61,15 @@
     hedge_at: float = float("inf")
     attempts: dict = field(default_factory=dict)
     tried: set = field(default_factory=set)
-    turned_away: set = field(default_factory=set)
+    rejected: set = field(default_factory=set)
 
     @property
-    def tries(self) -> int:
+    def max_attempts(self) -> int:
         """Workers to which it may be sent at the most."""
-        return self.match.tries or constants.MAX_TRIES
+        return self.match.max_attempts or constants.MAX_ATTEMPTS
 
 
-def take_request(*, event: Asked, plan: Plan, now: float, names: WireNames) -> Request | Refusal:
+def take_request(*, event: RequestReceived, plan: Plan, now: float, names: WireNames) -> Request | Refusal:
     """The request that a caller made, or why it can't be one."""
     if not plan.number:
         return Refusal(code=503, reason="no-configuration")
