--- a/sailward/routing/response_check.py
+++ b/sailward/routing/response_check.py
@@ -7,8 +7,8 @@
 import json
 from dataclasses import dataclass
 
-from sailward.events import Called
-from sailward.routing.proxied_request import HOP, Exchange
+from sailward.events import CallFinished
+from sailward.routing.proxied_request import HOP, ProxiedRequest
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -42,7 +42,7 @@
     stranger: bool = False
 
 
-def judge_result(*, exchange: Exchange, event: Called) -> Good | WorkerRefused | Unsent | Bad:
+def judge_result(*, exchange: ProxiedRequest, event: CallFinished) -> Good | WorkerRefused | Unsent | Bad:
     """Judge the end of one sending-on."""
     if event.code == 0:
         return Bad(reason=event.fault) if event.sent else Unsent(reason=event.fault)
@@ -56,11 +56,13 @@
     fault = _find_fault(exchange=exchange, event=event)
     if fault:
         return Bad(reason=fault)
-    kept = {name: value for name, value in headers.items() if name not in HOP and not name.startswith("sailward-")}
-    return Good(code=event.code, headers=kept, body=event.body)
+    end_to_end_headers = {
+        name: value for name, value in headers.items() if name not in HOP and not name.startswith("sailward-")
+    }
+    return Good(code=event.code, headers=end_to_end_headers, body=event.body)
 
 
-def _find_fault(*, exchange: Exchange, event: Called) -> str:
+def _find_fault(*, exchange: ProxiedRequest, event: CallFinished) -> str:
     headers, body = event.headers, event.body
     if event.code < 200:
         return "code"
@@ -74,8 +76,8 @@
         return "too-large"
     digest = headers.get("content-digest", "")
     if digest or exchange.service.digest_required:
-        wanted = "sha-256=:" + base64.b64encode(hashlib.sha256(body).digest()).decode() + ":"
-        if wanted not in [part.strip() for part in digest.split(",")]:
+        expected = "sha-256=:" + base64.b64encode(hashlib.sha256(body).digest()).decode() + ":"
+        if expected not in [part.strip() for part in digest.split(",")]:
             return "wrong-bytes"
     if headers.get("content-type", "").split(";")[0].strip() == "application/json":
         try:
--- a/sailward/routing/result_replicas.py
+++ b/sailward/routing/result_replicas.py
@@ -7,8 +7,8 @@
 
 from sailward import constants
 from sailward.discovery.rendezvous import choose_names
-from sailward.events import Tell
-from sailward.routing.proxied_request import Exchange
+from sailward.events import SendMessage
+from sailward.routing.proxied_request import ProxiedRequest
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -18,7 +18,7 @@
     name: str
     post: str
     region: str
-    hall: str
+    zone: str
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -35,18 +35,18 @@
 
 
 @dataclass(kw_only=True)
-class Copies:
+class ResultReplicas:
     """Owner of the copies, bounded by age and bytes. `step` takes a copy, or None for time going on."""
 
     region: str
-    held: OrderedDict = field(default_factory=OrderedDict)
+    replicas: OrderedDict = field(default_factory=OrderedDict)
     size: int = 0
 
     def step(self, *, now: float, event: dict | None) -> None:
         """Keep one if this place may, let old ones go."""
         if event is not None and may_keep(region=self.region, homes=frozenset(event["homes"])):
             self._drop(digest=event["key"])
-            self.held[event["key"]] = Copy(
+            self.replicas[event["key"]] = Copy(
                 at=now,
                 number=event["number"],
                 fingerprint=event["print"],
@@ -56,19 +56,19 @@
                 body=bytes(event["body"]),
             )
             self.size += len(event["body"])
-        while self.held:
-            digest, oldest = next(iter(self.held.items()))
-            if now - oldest.at < constants.CLAIM_LIFE and self.size <= constants.COPIES_BYTES:
+        while self.replicas:
+            digest, oldest = next(iter(self.replicas.items()))
+            if now - oldest.at < constants.CLAIM_TTL and self.size <= constants.REPLICAS_BYTES:
                 break
             self._drop(digest=digest)
 
     def find(self, *, digest: str, number: int) -> Copy | None:
         """The result of this very claim, if it is kept here."""
-        copy = self.held.get(digest)
+        copy = self.replicas.get(digest)
         return copy if copy is not None and copy.number == number else None
 
     def _drop(self, *, digest: str) -> None:
-        old = self.held.pop(digest, None)
+        old = self.replicas.pop(digest, None)
         self.size -= len(old.body) if old else 0
 
 
@@ -78,18 +78,18 @@
 
 
 def spread_copy(
-    *, exchange: Exchange, number: int, code: int, headers: dict, body: bytes, hall: str, peers: list[Peer]
+    *, exchange: ProxiedRequest, number: int, code: int, headers: dict, body: bytes, zone: str, peers: list[Peer]
 ) -> list:
     """Give the result to the one proxy that hashing names, at home, in another hall if there is one."""
     homes = exchange.tenant.homes
     able = [peer for peer in peers if may_keep(region=peer.region, homes=homes)]
-    able = [peer for peer in able if peer.hall != hall] or able
+    able = [peer for peer in able if peer.zone != zone] or able
     if not able or len(body) > constants.COPY_BYTES:
         return []
     posts = {peer.name: peer.post for peer in able}
     name = choose_names(key=exchange.digest, names=posts, count=1)[0]
     return [
-        Tell(
+        SendMessage(
             to=posts[name],
             body={
                 "kind": "keep",
--- a/sailward/routing/retry_budget.py
+++ b/sailward/routing/retry_budget.py
@@ -27,9 +27,9 @@
     slack divided by the number of proxies.
     """
 
-    ratio: float = constants.TRY_SHARE
-    slack: float = constants.TRY_FLOOR
-    window: float = constants.TRY_WINDOW
+    ratio: float = constants.ATTEMPT_SHARE
+    slack: float = constants.ATTEMPT_FLOOR
+    window: float = constants.ATTEMPT_WINDOW
     accounts: dict = field(default_factory=dict)
 
     def step(self, *, now: float, service: str, first: bool, proxies: int, is_hedge: bool = False) -> bool:
@@ -39,8 +39,8 @@
         if first:
             account.firsts.append(now)
             return True
-        room = constants.RETRY_MARGIN * (self.ratio * len(account.firsts) + self.slack / max(1, proxies))
-        if len(account.mores) + 1 > room:
+        allowance = constants.RETRY_MARGIN * (self.ratio * len(account.firsts) + self.slack / max(1, proxies))
+        if len(account.mores) + 1 > allowance:
             return False
         if is_hedge and len(account.mores) >= constants.HEDGE_OF_BUDGET * self.ratio * len(account.firsts):
             return False
--- a/sailward/routing/routing_state.py
+++ b/sailward/routing/routing_state.py
@@ -6,38 +6,38 @@
 from dataclasses import dataclass, field
 
 from sailward import constants
-from sailward.discovery.endpoint_table import WorkerBook
+from sailward.discovery.endpoint_table import EndpointTable
 from sailward.routing.active_health import Prober
 from sailward.routing.plan import Plan, Tenant
-from sailward.routing.shard_owners import SlotBook
-from sailward.routing.weighted_draw import HallView
-from sailward.routing.zone_health import HallBook
+from sailward.routing.shard_owners import ShardOwners
+from sailward.routing.weighted_draw import ZoneView
+from sailward.routing.zone_health import ZoneHealthTable
 
 
 @dataclass(kw_only=True)
-class World:
+class RoutingState:
     """The owner's views, folded from what it heard; the choosing reads them and changes nothing."""
 
     prober: Prober
-    book: WorkerBook = field(default_factory=WorkerBook)
-    halls: HallBook = field(default_factory=HallBook)
+    endpoint_table: EndpointTable = field(default_factory=EndpointTable)
+    zones: ZoneHealthTable = field(default_factory=ZoneHealthTable)
     plan: Plan = field(default_factory=Plan)
     emptied: frozenset = frozenset()
     views: dict = field(default_factory=dict)
     walls: dict = field(default_factory=dict)
     proxies: int = 1
-    slots: SlotBook = field(default_factory=SlotBook)
+    slots: ShardOwners = field(default_factory=ShardOwners)
 
     def counts(self) -> dict[tuple[str, str], tuple[int, int, int]]:
         """{(service, hall): (listed, healthy, known)}; a leaving worker is listed and unhealthy."""
         counts: dict = {}
-        for key, worker in self.book.workers.items():
+        for key, worker in self.endpoint_table.workers.items():
             probed = self.prober.probed.get(key)
-            place = (worker.service, worker.hall)
-            listed, healthy, known = counts.get(place, (0, 0, 0))
+            zone_key = (worker.service, worker.zone)
+            listed, healthy, known = counts.get(zone_key, (0, 0, 0))
             good = probed is not None and probed.healthy and not worker.leaving
-            seen = worker.leaving or (probed is not None and probed.known)
-            counts[place] = (listed + 1, healthy + good, known + seen)
+            is_known = worker.leaving or (probed is not None and probed.known)
+            counts[zone_key] = (listed + 1, healthy + good, known + is_known)
         return counts
 
     def keep_view(self, *, now: float, identity: str, view: dict) -> None:
@@ -46,10 +46,10 @@
         if isinstance(view.get("wall"), float):
             self.walls[identity] = (now, view["wall"] - now)
 
-    def standing_drained(self, *, now: float, service: str, hall: str) -> bool:
+    def drained_by_aggregated_health(self, *, now: float, service: str, zone: str) -> bool:
         """Do most controllers heard of late keep this hall drained?"""
-        fresh = [view for at, view in self.views.values() if now - at < constants.REPORT_LIFE]
-        name = f"{service}|{hall}"
+        fresh = [view for at, view in self.views.values() if now - at < constants.REPORT_TTL]
+        name = f"{service}|{zone}"
         return bool(fresh) and 2 * sum(name in view.get("drained", ()) for view in fresh) > len(fresh)
 
     def clock(self, *, now: float) -> float | None:
@@ -57,15 +57,13 @@
 
         No single jump can turn it back.
         """
-        self.walls = {
-            name: (at, offset) for name, (at, offset) in self.walls.items() if now - at < constants.CLOCK_LIFE
-        }
+        self.walls = {name: (at, offset) for name, (at, offset) in self.walls.items() if now - at < constants.CLOCK_TTL}
         offsets = sorted(offset for _, offset in self.walls.values())
         return now + offsets[len(offsets) // 2] if offsets else None
 
-    def in_doubt(self, *, now: float) -> bool:
+    def has_unknown_outcomes(self, *, now: float) -> bool:
         """Does every controller heard of late say that claims may have been lost?"""
-        fresh = [view for at, view in self.views.values() if now - at < constants.REPORT_LIFE]
+        fresh = [view for at, view in self.views.values() if now - at < constants.REPORT_TTL]
         return bool(fresh) and all(view.get("doubt") for view in fresh)
 
     def warm(self) -> dict[str, float]:
@@ -76,32 +74,36 @@
                 warm[key] = max(age, warm.get(key, 0.0))
         return warm
 
-    def views_of(self, *, now: float, service: str, tenant: Tenant | None) -> dict[str, HallView]:
+    def views_of(self, *, now: float, service: str, tenant: Tenant | None) -> dict[str, ZoneView]:
         """The halls of a service as this tenant's draw sees them."""
         views = {}
-        for (name, hall), state in self.halls.halls.items():
+        for (name, zone), state in self.zones.zones.items():
             if name != service:
                 continue
-            region = self.plan.regions.get(hall)
+            region = self.plan.regions.get(zone)
             home = tenant is None or not tenant.homes or region in tenant.homes
-            drained = state.drained or self.standing_drained(now=now, service=service, hall=hall)
-            views[hall] = HallView(
+            drained = state.drained or self.drained_by_aggregated_health(now=now, service=service, zone=zone)
+            views[zone] = ZoneView(
                 fraction=state.fraction,
                 healthy=state.healthy,
                 listed=state.listed,
                 drained=drained,
-                allowed=home and hall not in self.emptied and region is not None,
+                allowed=home and zone not in self.emptied and region is not None,
             )
         return views
 
     def report(self, *, now: float, suspect: bool) -> dict:
         """This proxy's digest for the standing view."""
-        halls = {
-            f"{service}|{hall}": [state.listed, state.healthy, state.state]
-            for (service, hall), state in self.halls.halls.items()
+        zones = {
+            f"{service}|{zone}": [state.listed, state.healthy, state.state]
+            for (service, zone), state in self.zones.zones.items()
+        }
+        warm = {
+            key: round(now - probed.slow_start_began_at, 1)
+            for key, probed in self.prober.probed.items()
+            if probed.healthy
         }
-        warm = {key: round(now - probed.warm_since, 1) for key, probed in self.prober.probed.items() if probed.healthy}
-        return {"halls": halls, "warm": warm, "suspect": suspect}
+        return {"halls": zones, "warm": warm, "suspect": suspect}
 
 
 def read_orders(*, value: dict) -> frozenset:
--- a/sailward/routing/shard_owners.py
+++ b/sailward/routing/shard_owners.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(kw_only=True)
-class SlotBook:
+class ShardOwners:
     """Fold of the slot registers; `step` takes a chosen value of one."""
 
     tables: dict = field(default_factory=dict)
--- a/sailward/routing/shards.py
+++ b/sailward/routing/shards.py
@@ -22,7 +22,7 @@
     start: int
     end: int
     owner: str
-    fence: int
+    fencing_token: int
     state: str
     next_owner: str = ""
 
@@ -38,12 +38,12 @@
 
     granter: str
     since: int
-    fence: int
+    fencing_token: int
     shards: tuple
 
 
 @dataclass(kw_only=True)
-class ShardBook:
+class ShardTables:
     """Fold of the registers of ranged services; `step` takes a chosen value of one. Tables of slots are passed over."""
 
     tables: dict = field(default_factory=dict)
@@ -77,21 +77,22 @@
             start=row[0],
             end=row[1],
             owner=row[2],
-            fence=row[3],
+            fencing_token=row[3],
             state=row[4],
             next_owner=row[5] if len(row) > 5 else "",
         )
         for row in body["ranges"]
     )
-    return ShardTable(granter=body["granter"], since=body["since"], fence=body["fence"], shards=shards)
+    return ShardTable(granter=body["granter"], since=body["since"], fencing_token=body["fence"], shards=shards)
 
 
 def write_shards(*, table: ShardTable) -> str:
     """The register's text of a table."""
     rows = [
-        [one.start, one.end, one.owner, one.fence, one.state, *([] if one.is_open else [one.next_owner])]
+        [one.start, one.end, one.owner, one.fencing_token, one.state, *([] if one.is_open else [one.next_owner])]
         for one in table.shards
     ]
     return json.dumps(
-        {"granter": table.granter, "since": table.since, "fence": table.fence, "ranges": rows}, separators=(",", ":")
+        {"granter": table.granter, "since": table.since, "fence": table.fencing_token, "ranges": rows},
+        separators=(",", ":"),
     )
--- a/sailward/routing/weighted_draw.py
+++ b/sailward/routing/weighted_draw.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class HallView:
+class ZoneView:
     """A hall of the pool's service as the draw sees it: overrides are already applied by `allowed`.
 
     `weight` is its part of the spray beside its tier's other halls: even by default.
@@ -35,7 +35,7 @@
     return [name for name, weight in match.shares if weight][-1]
 
 
-def share_halls(*, pool: Pool, views: dict[str, HallView]) -> dict[str, float]:
+def share_zones(*, pool: Pool, views: dict[str, ZoneView]) -> dict[str, float]:
     """The share of each hall of the pool; empty if nothing may serve.
 
     Overrides go first and ignore the cap. Marked halls leave, up to the cap, and the others of the tier
@@ -45,43 +45,44 @@
     """
     marked = _marked(pool=pool, views=views)
     usable = [
-        hall
-        for hall in (*pool.preferred, *pool.fallback)
-        if hall in views and views[hall].allowed and views[hall].listed
+        zone
+        for zone in (*pool.preferred, *pool.fallback)
+        if zone in views and views[zone].allowed and views[zone].listed
     ]
-    standing = [hall for hall in usable if hall not in marked]
-    if not any(views[hall].healthy for hall in standing):
-        standing = [hall for hall in usable if views[hall].healthy]
-    preferred = [hall for hall in pool.preferred if hall in standing]
-    fallback = [hall for hall in pool.fallback if hall in standing]
+    aggregated_health = [zone for zone in usable if zone not in marked]
+    if not any(views[zone].healthy for zone in aggregated_health):
+        aggregated_health = [zone for zone in usable if views[zone].healthy]
+    preferred = [zone for zone in pool.preferred if zone in aggregated_health]
+    fallback = [zone for zone in pool.fallback if zone in aggregated_health]
     keeps = {
-        hall: min(1.0, views[hall].fraction / constants.SPILL) if views[hall].healthy else 0.0 for hall in standing
+        zone: min(1.0, views[zone].fraction / constants.SPILL) if views[zone].healthy else 0.0
+        for zone in aggregated_health
     }
-    if not any(keeps[hall] for hall in preferred) or not any(keeps[hall] for hall in fallback):
-        preferred, fallback = [hall for hall in standing if keeps[hall]], []
+    if not any(keeps[zone] for zone in preferred) or not any(keeps[zone] for zone in fallback):
+        preferred, fallback = [zone for zone in aggregated_health if keeps[zone]], []
     if not fallback:
-        return _normalize(shares={hall: keeps[hall] * views[hall].weight for hall in preferred})
-    whole = sum(views[hall].weight for hall in preferred)
-    shares = {hall: keeps[hall] * views[hall].weight / whole for hall in preferred}
+        return _normalize(shares={zone: keeps[zone] * views[zone].weight for zone in preferred})
+    total = sum(views[zone].weight for zone in preferred)
+    shares = {zone: keeps[zone] * views[zone].weight / total for zone in preferred}
     spill = 1.0 - sum(shares.values())
     if spill > 1e-9:
-        taken = _normalize(shares={hall: keeps[hall] * views[hall].weight for hall in fallback})
-        shares.update({hall: spill * part for hall, part in taken.items()})
+        taken = _normalize(shares={zone: keeps[zone] * views[zone].weight for zone in fallback})
+        shares.update({zone: spill * part for zone, part in taken.items()})
     return shares
 
 
-def draw_hall(*, shares: dict[str, float], rng: random.Random) -> str:
+def draw_zone(*, shares: dict[str, float], rng: random.Random) -> str:
     """A hall by its share: the spray."""
     return rng.choices(list(shares), weights=list(shares.values()))[0]
 
 
-def _marked(*, pool: Pool, views: dict[str, HallView]) -> set[str]:
-    halls = [hall for hall in (*pool.preferred, *pool.fallback) if hall in views and views[hall].listed]
-    room = int(constants.DRAIN_CAP * len(halls))
-    drained = sorted((hall for hall in halls if views[hall].drained), key=lambda hall: (views[hall].fraction, hall))
-    return set(drained[:room])
+def _marked(*, pool: Pool, views: dict[str, ZoneView]) -> set[str]:
+    zones = [zone for zone in (*pool.preferred, *pool.fallback) if zone in views and views[zone].listed]
+    capacity = int(constants.DRAIN_CAP * len(zones))
+    drained = sorted((zone for zone in zones if views[zone].drained), key=lambda zone: (views[zone].fraction, zone))
+    return set(drained[:capacity])
 
 
 def _normalize(*, shares: dict[str, float]) -> dict[str, float]:
     total = sum(shares.values())
-    return {hall: share / total for hall, share in shares.items()} if total else {}
+    return {zone: share / total for zone, share in shares.items()} if total else {}
--- a/sailward/routing/worker_response.py
+++ b/sailward/routing/worker_response.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from sailward.events import Called
+from sailward.events import CallFinished
 from sailward.routing.request import Request
 from sailward.transport.wire_names import WireNames, names_another
 
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class TurnedAway:
+class WorkerRejected:
     """The worker says that it did not run it.
 
     `full`, `stranger` (not the worker that was meant), `not-owner`, `refused`.
@@ -48,8 +48,8 @@
 
 
 def judge_reply(
-    *, request: Request, worker: str, event: Called, names: WireNames
-) -> Whole | TurnedAway | NotSent | Broken:
+    *, request: Request, worker: str, event: CallFinished, names: WireNames
+) -> Whole | WorkerRejected | NotSent | Broken:
     """Judge the end of one sending-on."""
     if event.code == 0:
         return Broken(reason=event.fault) if event.sent else NotSent(reason=event.fault)
@@ -58,11 +58,11 @@
         return Broken(reason="another-exchange")
     if names.not_run in headers and names.not_run_value in ("", headers[names.not_run]):
         if event.code == 421:
-            is_other = headers.get(names.told, worker) != worker
-            return TurnedAway(code=421, why="stranger" if is_other or not request.service.ranged else "not-owner")
-        return TurnedAway(code=event.code, why="full" if event.code in (429, 503) else "refused")
-    if event.code == 421 and headers.get(names.told, worker) != worker:
-        return TurnedAway(code=421, why="stranger")
+            is_other = headers.get(names.answered_by, worker) != worker
+            return WorkerRejected(code=421, why="stranger" if is_other or not request.service.ranged else "not-owner")
+        return WorkerRejected(code=event.code, why="full" if event.code in (429, 503) else "refused")
+    if event.code == 421 and headers.get(names.answered_by, worker) != worker:
+        return WorkerRejected(code=421, why="stranger")
     if headers.get(names.exchange, "") != request.name:
         # it names no request: only what says that nothing ran is believed without that
         return Broken(reason="another-exchange")
--- a/sailward/routing/zone_health.py
+++ b/sailward/routing/zone_health.py
@@ -5,14 +5,14 @@
 from dataclasses import dataclass
 
 from sailward import constants
-from sailward.events import Log
+from sailward.events import LogEvent
 from sailward.state_machines import Chart
 
 CHART = Chart(name="hall")
 
 
 @dataclass(kw_only=True)
-class HallState:
+class ZoneHealth:
     """One hall of one service."""
 
     state: str = CHART.initial
@@ -27,54 +27,56 @@
         return self.state in CHART.marks["drained"]
 
 
-class HallBook:
+class ZoneHealthTable:
     """Owner of the halls' states. `step` folds the counts of one moment."""
 
     def __init__(self, *, hold: float | None = None) -> None:
-        self.halls: dict[tuple[str, str], HallState] = {}
+        self.zones: dict[tuple[str, str], ZoneHealth] = {}
         self._hold = hold
 
     def step(self, *, now: float, counts: dict[tuple[str, str], tuple[int, int, int]]) -> list:
         """Fold {(service, hall): (listed, healthy, known)}; halls with no worker listed are forgotten."""
         commands = []
-        self.halls = {key: hall for key, hall in self.halls.items() if key in counts}
+        self.zones = {key: zone for key, zone in self.zones.items() if key in counts}
         for key, (listed, healthy, known) in counts.items():
-            hall = self.halls.setdefault(key, HallState(since=now))
-            hall.listed, hall.healthy = listed, healthy
-            hall.fraction = healthy / listed if listed else 0.0
-            if known < listed and hall.state == CHART.initial:
+            zone = self.zones.setdefault(key, ZoneHealth(since=now))
+            zone.listed, zone.healthy = listed, healthy
+            zone.fraction = healthy / listed if listed else 0.0
+            if known < listed and zone.state == CHART.initial:
                 # not all probed yet: no ground for a mark, only for spreading
-                hall.fraction = healthy / known if known else 0.0
+                zone.fraction = healthy / known if known else 0.0
                 continue
-            commands += self._move(now=now, key=key, hall=hall)
+            commands += self._move(now=now, key=key, zone=zone)
         return commands
 
-    def _move(self, *, now: float, key: tuple[str, str], hall: HallState) -> list:
-        before = hall.state
-        for event in self._events(now=now, hall=hall):
-            after = CHART.step(state=hall.state, event=event)
-            if after != hall.state:
-                hall.state, hall.since = after, now
-        if before == hall.state:
+    def _move(self, *, now: float, key: tuple[str, str], zone: ZoneHealth) -> list:
+        before = zone.state
+        for event in self._events(now=now, zone=zone):
+            after = CHART.step(state=zone.state, event=event)
+            if after != zone.state:
+                zone.state, zone.since = after, now
+        if before == zone.state:
             return []
         return [
-            Log(
+            LogEvent(
                 event="hall-state",
                 fields={
                     "service": key[0],
                     "hall": key[1],
                     "from": before,
-                    "to": hall.state,
-                    "fraction": round(hall.fraction, 2),
+                    "to": zone.state,
+                    "fraction": round(zone.fraction, 2),
                 },
             )
         ]
 
-    def _events(self, *, now: float, hall: HallState) -> list[str]:
-        if hall.fraction < constants.DRAIN:
+    def _events(self, *, now: float, zone: ZoneHealth) -> list[str]:
+        if zone.fraction < constants.DRAIN:
             return ["under_drain"]
-        if hall.fraction < constants.RESTORE:
+        if zone.fraction < constants.RESTORE:
             return ["under_restore"]
-        if hall.state == "holding" and now - hall.since >= (constants.HOLD if self._hold is None else self._hold):
+        if zone.state == "holding" and now - zone.since >= (
+            constants.ZONE_HOLD_DOWN if self._hold is None else self._hold
+        ):
             return ["held"]
         return ["at_restore"]
--- a/sailward/runtime/host.py
+++ b/sailward/runtime/host.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from sailward import constants
-from sailward.events import Stop, StopAsked, Ticked
+from sailward.events import ExitProcess, ShutdownRequested, TimerFired
 from sailward.runtime.journal import Journal, carry_out
 from sailward.runtime.logs import write_log
 from sailward.runtime.reactor import Reactor
@@ -17,7 +17,7 @@
 
 @dataclass(kw_only=True)
 class Host:
-    """Task that runs the owner on the reactor's thread. `tell` gives it an event; `run` serves until it stops."""
+    """Task that runs the owner on the reactor's thread. `deliver` gives it an event; `run` serves until it stops."""
 
     reactor: Reactor
     handlers: dict[type, Callable] = field(default_factory=dict)
@@ -28,7 +28,7 @@
     _is_busy: bool = False
     _journal: Journal = field(default_factory=lambda: Journal(shown=constants.JOURNAL_SHOWN))
 
-    def tell(self, event: object) -> None:
+    def deliver(self, event: object) -> None:
         """Give the owner an event, after those already in line. Only from the reactor's thread."""
         self._line.append(event)
         if self._is_busy or self.step is None:
@@ -40,15 +40,15 @@
         finally:
             self._is_busy = False
 
-    def tell_from_thread(self, event: object) -> None:
+    def deliver_from_thread(self, event: object) -> None:
         """The same from any other thread."""
-        self.reactor.give(call=lambda: self.tell(event))
+        self.reactor.give(call=lambda: self.deliver(event))
 
     def run(self, *, step: Callable) -> int:
         """Run the owner until it stops; gives the exit code."""
         self.step = step
         for number in (signal.SIGTERM, signal.SIGINT):
-            signal.signal(number, lambda *_: self.tell_from_thread(StopAsked()))
+            signal.signal(number, lambda *_: self.deliver_from_thread(ShutdownRequested()))
         signal.signal(
             signal.SIGHUP, lambda *_: self.reactor.give(call=lambda: self.changed() if self.changed else None)
         )
@@ -58,14 +58,14 @@
 
     def _tick(self) -> None:
         self.reactor.later(delay=constants.TICK, call=self._tick)
-        self.tell(Ticked(wall=time.time()))
+        self.deliver(TimerFired(wall=time.time()))
 
     def _take(self, *, event: object) -> None:
         now = self.reactor.clock()
         self._journal.add(now=now, event=event)
         try:
             for command in self.step(now=now, event=event):
-                if isinstance(command, Stop):
+                if isinstance(command, ExitProcess):
                     write_log(event="stopped", fields={"code": command.code})
                     self.code = command.code
                     self.step = None
--- a/sailward/runtime/journal.py
+++ b/sailward/runtime/journal.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Mapping
 
 from sailward import constants
-from sailward.events import Heard, Log, Ticked
+from sailward.events import LogEvent, MessageReceived, TimerFired
 from sailward.runtime.logs import write_log
 
 SHOWN = ("token", "method", "seq", "code", "fault")
@@ -30,20 +30,20 @@
         fields = {"on": type(event).__name__, "trace": traceback.format_exc()}
         write_log(event="fault", fields=fields, level="error")
         for at, row in list(self._rows)[-self._shown :]:
-            if not isinstance(row, Ticked):
+            if not isinstance(row, TimerFired):
                 fields = {"at": f"{at:.3f}", "event": type(row).__name__, **_shown(event=row)}
                 write_log(event="journal", fields=fields, level="error")
 
 
 def _shown(*, event: object) -> dict:
-    if isinstance(event, Heard):
+    if isinstance(event, MessageReceived):
         return {"from": event.sender, "kind": event.body["kind"]}
     return {name: getattr(event, name) for name in SHOWN if hasattr(event, name)}
 
 
 def carry_out(*, command: object, handlers: Mapping[type, Callable]) -> None:
     """Log, or hand the command to the edge that is there for its type."""
-    if isinstance(command, Log):
+    if isinstance(command, LogEvent):
         write_log(event=command.event, fields=command.fields)
         return
     handler = handlers.get(type(command))
--- a/sailward/runtime/loop.py
+++ b/sailward/runtime/loop.py
@@ -14,17 +14,17 @@
 from sailward import constants
 from sailward.config.check import Fault, Unsound, check_config
 from sailward.events import (
-    Answer,
-    Call,
-    Check,
-    Checked,
-    HangUp,
-    Rewrite,
-    Stop,
-    StopAsked,
-    Store,
-    Tell,
-    Ticked,
+    AppendRecords,
+    CloseConnections,
+    ConfigValidated,
+    ExitProcess,
+    Respond,
+    RewriteRecords,
+    SendMessage,
+    ShutdownRequested,
+    StartCall,
+    TimerFired,
+    ValidateConfig,
 )
 from sailward.runtime.journal import Journal, carry_out
 from sailward.runtime.logs import write_log
@@ -38,19 +38,19 @@
     line: queue.SimpleQueue = field(default_factory=queue.SimpleQueue)
     journal: Journal = field(default_factory=Journal)
 
-    def tell(self, event: object) -> None:
+    def deliver(self, event: object) -> None:
         """Put an event in the owner's line."""
         self.line.put(event)
 
     def run(self, *, step: Callable) -> int:
         """Run the owner until it stops; gives the exit code."""
-        signal.signal(signal.SIGTERM, lambda *_: self.tell(StopAsked()))
-        signal.signal(signal.SIGINT, lambda *_: self.tell(StopAsked()))
+        signal.signal(signal.SIGTERM, lambda *_: self.deliver(ShutdownRequested()))
+        signal.signal(signal.SIGINT, lambda *_: self.deliver(ShutdownRequested()))
         tick_at = time.monotonic()
         while True:
             now = time.monotonic()
             if now >= tick_at:
-                event: object = Ticked(wall=time.time())
+                event: object = TimerFired(wall=time.time())
                 tick_at = now + constants.TICK
             else:
                 try:
@@ -61,7 +61,7 @@
             try:
                 commands = step(now=time.monotonic(), event=event)
                 for command in commands:
-                    if isinstance(command, Stop):
+                    if isinstance(command, ExitProcess):
                         write_log(event="stopped", fields={"code": command.code})
                         return command.code
                     carry_out(command=command, handlers=self.handlers)
@@ -84,22 +84,22 @@
     def connect(self) -> None:
         """Tell the loop which edge carries out which command."""
         self.loop.handlers = {
-            Tell: lambda one: self.post.send(to=one.to, body=one.body),
-            Answer: lambda one: self.web.answer(command=one),
-            Call: lambda one: self.calls.give(call=one),
-            Check: lambda one: self.checks.submit(self._check, one),
-            HangUp: lambda one: None,
-            Store: lambda one: self.disk.give(command=one),
-            Rewrite: lambda one: self.disk.give(command=one),
+            SendMessage: lambda one: self.post.send(to=one.to, body=one.body),
+            Respond: lambda one: self.web.answer(command=one),
+            StartCall: lambda one: self.calls.give(call=one),
+            ValidateConfig: lambda one: self.checks.submit(self._check, one),
+            CloseConnections: lambda one: None,
+            AppendRecords: lambda one: self.disk.give(command=one),
+            RewriteRecords: lambda one: self.disk.give(command=one),
         }
 
-    def _check(self, command: Check) -> None:
+    def _check(self, command: ValidateConfig) -> None:
         try:
             verdict = check_config(config=command.config)
         except Exception as fault:  # noqa: BLE001 - what can't be checked can't be accepted
             write_log(event="check-fault", fields={"trace": traceback.format_exc()}, level="error")
             verdict = Unsound(faults=(Fault(path="", reason=f"can't be checked: {fault}"),))
-        self.loop.tell(Checked(token=command.token, verdict=verdict))
+        self.loop.deliver(ConfigValidated(token=command.token, verdict=verdict))
 
 
 def run_guarded(*, threads: ThreadPoolExecutor, loop: Loop, name: str, run: Callable) -> None:
--- a/sailward/shapes.py
+++ b/sailward/shapes.py
@@ -10,7 +10,7 @@
 
 Check = Callable[[object], bool]
 
-WHOLE_MAX = 1 << 62
+INTEGER_MAX = 1 << 62
 """The largest whole number that is taken: two of them can be added in the 64 bits of a message."""
 
 
@@ -29,19 +29,19 @@
     return isinstance(given, (bytes, bytearray))
 
 
-def is_whole(given: object) -> bool:
+def is_complete(given: object) -> bool:
     """Is it a whole number of a size that can be reckoned with?"""
-    return isinstance(given, int) and not isinstance(given, bool) and -WHOLE_MAX <= given <= WHOLE_MAX
+    return isinstance(given, int) and not isinstance(given, bool) and -INTEGER_MAX <= given <= INTEGER_MAX
 
 
 def is_count(given: object) -> bool:
     """Is it a whole number, at least 0?"""
-    return is_whole(given) and given >= 0  # type: ignore[operator]
+    return is_complete(given) and given >= 0  # type: ignore[operator]
 
 
 def is_number(given: object) -> bool:
     """Is it a finite number?"""
-    return is_whole(given) or (isinstance(given, float) and math.isfinite(given))
+    return is_complete(given) or (isinstance(given, float) and math.isfinite(given))
 
 
 def is_amount(given: object) -> bool:
--- a/sailward/storage/disk.py
+++ b/sailward/storage/disk.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 from sailward import constants
-from sailward.events import DiskFailed, Rewrite, Store, Synced
+from sailward.events import AppendRecords, DiskWriteFailed, RecordsSynced, RewriteRecords
 from sailward.storage.files import Files
 from sailward.storage.records import RECORDS, is_record
 
@@ -119,8 +119,8 @@
     At any moment at most one write of the data file is not synced: a loss of power can tear only the last frame.
     """
 
-    def __init__(self, *, folder: Path, tell: Callable[[object], None], files: Files | None = None) -> None:
-        self._files, self._tell = files or Files(folder=folder), tell
+    def __init__(self, *, folder: Path, deliver: Callable[[object], None], files: Files | None = None) -> None:
+        self._files, self._send_update = files or Files(folder=folder), deliver
         self._folder = folder
         self._line: queue.Queue = queue.Queue()
         self._file = -1
@@ -142,7 +142,7 @@
         self._make_reserve()
         return found
 
-    def give(self, *, command: Store | Rewrite) -> None:
+    def give(self, *, command: AppendRecords | RewriteRecords) -> None:
         """Put a command in line."""
         self._line.put(command)
 
@@ -172,7 +172,7 @@
 
     def _take_batch(self) -> list:
         batch = [self._line.get()]
-        while not isinstance(batch[-1], Rewrite):
+        while not isinstance(batch[-1], RewriteRecords):
             try:
                 batch.append(self._line.get_nowait())
             except queue.Empty:
@@ -180,13 +180,13 @@
         return batch
 
     def _carry_out(self, *, batch: list) -> None:
-        stores = [command for command in batch if isinstance(command, Store)]
+        stores = [command for command in batch if isinstance(command, AppendRecords)]
         if stores:
             self._append(stores=stores)
-        if isinstance(batch[-1], Rewrite):
+        if isinstance(batch[-1], RewriteRecords):
             self._rewrite(command=batch[-1])
 
-    def _append(self, *, stores: list[Store]) -> None:
+    def _append(self, *, stores: list[AppendRecords]) -> None:
         frame = pack_frame(records=[record for store in stores for record in store.records])
         try:
             # at the end of what is known to be sound: what an earlier write left behind it is written over
@@ -194,40 +194,40 @@
         except OSError as fault:
             with contextlib.suppress(OSError):
                 self._files.truncate(file=self._file, length=self._length)
-            return self._tell(DiskFailed(seq=stores[-1].seq, full=_is_full(fault=fault), reason=str(fault)))
+            return self._send_update(DiskWriteFailed(seq=stores[-1].seq, full=_is_full(fault=fault), reason=str(fault)))
         try:
             self._files.sync(file=self._file)
         except OSError as fault:
-            return self._tell(DiskFailed(seq=stores[-1].seq, full=False, reason=str(fault)))
+            return self._send_update(DiskWriteFailed(seq=stores[-1].seq, full=False, reason=str(fault)))
         self._length += len(frame)
-        return self._tell(Synced(seq=stores[-1].seq))
+        return self._send_update(RecordsSynced(seq=stores[-1].seq))
 
-    def _rewrite(self, *, command: Rewrite) -> None:
+    def _rewrite(self, *, command: RewriteRecords) -> None:
         frame = pack_frame(records=command.records)
         try:
             file = self._write_fresh(frame=frame)
         except OSError as fault:
-            return self._tell(DiskFailed(seq=command.seq, full=True, reason=str(fault)))
+            return self._send_update(DiskWriteFailed(seq=command.seq, full=True, reason=str(fault)))
         try:
             self._files.sync(file=file)
             self._files.rename(old=FRESH, new=DATA)
             self._files.sync_names()
         except OSError as fault:
-            return self._tell(DiskFailed(seq=command.seq, full=False, reason=str(fault)))
+            return self._send_update(DiskWriteFailed(seq=command.seq, full=False, reason=str(fault)))
         self._files.close(file=self._file)
         self._file, self._length = file, len(frame)
         self._make_reserve()
-        return self._tell(Synced(seq=command.seq))
+        return self._send_update(RecordsSynced(seq=command.seq))
 
     def _write_fresh(self, *, frame: bytes) -> int:
         """The new file, written and open; if there is no room, the reserve is given up for it."""
         try:
-            return self._try_fresh(frame=frame)
+            return self._rewrite_in_place(frame=frame)
         except OSError:
             self._files.remove(name=RESERVE)
-            return self._try_fresh(frame=frame)
+            return self._rewrite_in_place(frame=frame)
 
-    def _try_fresh(self, *, frame: bytes) -> int:
+    def _rewrite_in_place(self, *, frame: bytes) -> int:
         file = self._files.open(name=FRESH, is_empty=True)
         try:
             self._files.write_at(file=file, data=frame, offset=0)
--- a/sailward/transport/address.py
+++ b/sailward/transport/address.py
@@ -13,7 +13,7 @@
 
 from sailward import constants
 from sailward.consensus.messages import BadMessage, pack_message, read_message
-from sailward.events import Heard
+from sailward.events import MessageReceived
 from sailward.runtime.logs import write_log
 
 LENGTH = struct.Struct(">I")
@@ -23,8 +23,8 @@
 class Post:
     """Task that owns the message sockets. `send` puts a message in its peer's line."""
 
-    def __init__(self, *, address: str, tell: Callable[[object], None], threads: ThreadPoolExecutor) -> None:
-        self._address, self._tell, self._threads = address, tell, threads
+    def __init__(self, *, address: str, deliver: Callable[[object], None], threads: ThreadPoolExecutor) -> None:
+        self._address, self._send_update, self._threads = address, deliver, threads
         self._lines: dict[str, queue.Queue] = {}
         self.counts: collections.Counter = collections.Counter()
         host, port = split_address(address=address)
@@ -37,7 +37,7 @@
     def send(self, *, to: str, body: dict) -> None:
         """Send, or lose, a message."""
         if to == self._address:
-            self._tell(Heard(sender=to, body=body))
+            self._send_update(MessageReceived(sender=to, body=body))
             return
         line = self._lines.get(to)
         if line is None:
@@ -80,7 +80,7 @@
                     return
                 self.counts["heard"] += 1
                 self.counts["heard-bytes"] += length
-                self._tell(Heard(sender=sender, body=body))
+                self._send_update(MessageReceived(sender=sender, body=body))
 
     def _complain(self, *, sender: str, reason: str) -> None:
         self.counts["bad"] += 1
@@ -120,7 +120,7 @@
             return connection
         except (OSError, ValueError):
             # what waited through the pause is stale: the owners ask again by themselves
-            time.sleep(constants.DIAL_PAUSE)
+            time.sleep(constants.DIAL_BACKOFF)
             with contextlib.suppress(queue.Empty):
                 while True:
                     line.get_nowait()
--- a/sailward/transport/curl_client.py
+++ b/sailward/transport/curl_client.py
@@ -17,7 +17,7 @@
 import pycurl
 
 from sailward import constants
-from sailward.events import Call, Called
+from sailward.events import CallFinished, StartCall
 from sailward.transport.wire_names import WireNames, names_another
 
 NAMES = WireNames()
@@ -37,7 +37,7 @@
 class Live:
     """One call under way, and its answer as far as it has come."""
 
-    call: Call
+    call: StartCall
     handle: pycurl.Curl
     body: io.BytesIO = field(default_factory=io.BytesIO)
     headers: dict = field(default_factory=dict)
@@ -104,8 +104,8 @@
 class Calls:
     """Task that makes the calls. `give` puts one in line; `run` makes them for ever."""
 
-    def __init__(self, *, tell: Callable[[object], None]) -> None:
-        self._tell = tell
+    def __init__(self, *, deliver: Callable[[object], None]) -> None:
+        self._send_update = deliver
         self._line: collections.deque = collections.deque()
         self._wake_in, self._wake_out = socket.socketpair()
         self._wake_in.setblocking(False)
@@ -116,7 +116,7 @@
         self._openers: dict[int, Live] = {}
         self._clean: dict[int, str] = {}
 
-    def give(self, *, call: Call) -> None:
+    def give(self, *, call: StartCall) -> None:
         """Put a call in line."""
         self._line.append(call)
         with contextlib.suppress(BlockingIOError):
@@ -140,16 +140,20 @@
             if self._wake_in in ready:
                 self._wake_in.recv(4096)
 
-    def _begin_or_refuse(self, *, call: Call) -> None:
+    def _begin_or_refuse(self, *, call: StartCall) -> None:
         """Begin a call, or say at once that it can't be made: its address or headers may be of any shape."""
         try:
             self._begin(call=call)
         except (ValueError, TypeError, pycurl.error):
-            self._tell(Called(token=call.token, code=0, headers={}, body=b"", fault="malformed", sent=False))
+            self._send_update(
+                CallFinished(token=call.token, code=0, headers={}, body=b"", fault="malformed", sent=False)
+            )
 
-    def _begin(self, *, call: Call) -> None:
+    def _begin(self, *, call: StartCall) -> None:
         if time.monotonic() > call.begin_by:
-            self._tell(Called(token=call.token, code=0, headers={}, body=b"", fault="too-late", sent=False))
+            self._send_update(
+                CallFinished(token=call.token, code=0, headers={}, body=b"", fault="too-late", sent=False)
+            )
             return
         handle = self._spare.pop() if self._spare else pycurl.Curl()
         live = Live(call=call, handle=handle)
@@ -166,8 +170,8 @@
         handle.setopt(pycurl.HTTP_VERSION, pycurl.CURL_HTTP_VERSION_1_1)
         handle.setopt(pycurl.NOSIGNAL, 1)
         handle.setopt(pycurl.MAXAGE_CONN, constants.IDLE_CALL)
-        handle.setopt(pycurl.TIMEOUT_MS, max(1, int(call.wait * 1000)))
-        handle.setopt(pycurl.CONNECTTIMEOUT_MS, max(1, int(min(call.wait, constants.DIAL_WAIT) * 1000)))
+        handle.setopt(pycurl.TIMEOUT_MS, max(1, int(call.timeout * 1000)))
+        handle.setopt(pycurl.CONNECTTIMEOUT_MS, max(1, int(min(call.timeout, constants.DIAL_WAIT) * 1000)))
         if call.fresh:
             # a kept connection that dies is tried again by the library: never for an unsafe exchange
             handle.setopt(pycurl.FRESH_CONNECT, 1)
@@ -227,11 +231,11 @@
         fault = live.find_fault(errno=errno)
         if fault:
             is_sent = live.may_be_sent(errno=errno)
-            called = Called(token=token, code=0, headers={}, body=b"", sent=is_sent, fault=fault)
+            called = CallFinished(token=token, code=0, headers={}, body=b"", sent=is_sent, fault=fault)
         else:
             if not live.call.fresh:
                 self._clean[handle.getinfo(pycurl.LASTSOCKET)] = live.call.owner
-            called = Called(
+            called = CallFinished(
                 token=token,
                 code=handle.getinfo(pycurl.RESPONSE_CODE),
                 headers=live.headers,
@@ -243,7 +247,7 @@
         handle.reset()
         if len(self._spare) < constants.CALL_THREADS:
             self._spare.append(handle)
-        self._tell(called)
+        self._send_update(called)
 
 
 @contextlib.contextmanager
--- a/sailward/transport/http_client.py
+++ b/sailward/transport/http_client.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 
 from sailward import constants
-from sailward.events import Call, Called
+from sailward.events import CallFinished, StartCall
 from sailward.runtime.reactor import Alarm, Reactor
 from sailward.transport.http_exchange import Broken, Exchange, Whole
 from sailward.transport.wire_names import WireNames
@@ -34,7 +34,7 @@
     sock: socket.socket
     running: Running | None = None
     is_open: bool = False
-    is_kept: bool = False
+    is_kept_alive: bool = False
     is_last: bool = False
     idle_until: float = 0.0
 
@@ -43,7 +43,7 @@
 class Running:
     """A call under way. `is_sent` says whether the system accepted a byte of it."""
 
-    call: Call
+    call: StartCall
     deadline: float
     dial_by: float = float("inf")
     exchange: Exchange | None = None
@@ -54,17 +54,17 @@
     alarm: Alarm | None = None
 
 
-class Outbound:
+class HttpClient:
     """Makes the calls on the reactor's thread.
 
-    Tells one Called for each call that isn't cancelled, never from within `give`.
+    Delivers one CallFinished for each call that isn't cancelled, never from within `give`.
 
     A request of which the system accepted a byte is never sent again by itself.
     """
 
-    def __init__(self, *, reactor: Reactor, tell: Callable[[object], None], names: WireNames) -> None:
+    def __init__(self, *, reactor: Reactor, deliver: Callable[[object], None], names: WireNames) -> None:
         self._reactor = reactor
-        self._tell = tell
+        self._send_update = deliver
         self._names = names
         self._running: dict[str, Running] = {}
         self._idle: dict[str, list[Connection]] = {}
@@ -74,18 +74,20 @@
         self._stale = 0
         self._surplus = 0
 
-    def give(self, *, call: Call) -> None:
+    def give(self, *, call: StartCall) -> None:
         """Make a call. One that is under way under the same token is cancelled first: a token names one call."""
         self.cancel(token=call.token)
-        running = Running(call=call, deadline=self._reactor.clock() + call.wait)
+        running = Running(call=call, deadline=self._reactor.clock() + call.timeout)
         self._running[call.token] = running
-        if call.wait < constants.OUT_SHORT:
-            running.alarm = self._reactor.later(delay=call.wait, call=functools.partial(self._check, running=running))
+        if call.timeout < constants.OUT_SHORT:
+            running.alarm = self._reactor.later(
+                delay=call.timeout, call=functools.partial(self._check, running=running)
+            )
         self._arm()
         self._reactor.soon(call=functools.partial(self._begin, running=running))
 
     def cancel(self, *, token: str) -> None:
-        """Abort a call's connection; no Called follows. A call that has ended is none of its business."""
+        """Abort a call's connection; no CallFinished follows. A call that has ended is none of its business."""
         running = self._running.get(token)
         if running is not None:
             self._forget(running=running, is_aborted=True)
@@ -232,7 +234,7 @@
             self._reactor.watch(
                 sock=connection.sock, readable=functools.partial(self._on_readable, connection=connection)
             )
-        elif connection.is_kept:
+        elif connection.is_kept_alive:
             self._stale += 1
             running.connection = None
             self._close(connection=connection, is_aborted=True)
@@ -262,26 +264,31 @@
         if isinstance(result, Broken):
             self._fail(running=running, fault=result.fault)
         elif isinstance(result, Whole):
-            self._finish(running=running, whole=result)
+            self._finish(running=running, response=result)
 
-    def _finish(self, *, running: Running, whole: Whole) -> None:
+    def _finish(self, *, running: Running, response: Whole) -> None:
         connection = running.connection
         if running.unsent or running.is_broken:
             self._forget(running=running, is_aborted=True)
         else:
             running.connection = connection.running = None
             self._forget(running=running, is_aborted=False)
-            self._keep(connection=connection, idle=whole.idle)
-        self._tell(
-            Called(
-                token=running.call.token, code=whole.code, headers=whole.headers, body=whole.body, fault="", sent=True
+            self._keep(connection=connection, idle=response.idle)
+        self._send_update(
+            CallFinished(
+                token=running.call.token,
+                code=response.code,
+                headers=response.headers,
+                body=response.body,
+                fault="",
+                sent=True,
             )
         )
 
     def _fail(self, *, running: Running, fault: str) -> None:
         self._forget(running=running, is_aborted=True)
-        self._tell(
-            Called(
+        self._send_update(
+            CallFinished(
                 token=running.call.token,
                 code=0,
                 headers={},
@@ -304,7 +311,7 @@
         if connection.is_last or idle <= 0:
             self._close(connection=connection, is_aborted=False)
             return
-        connection.is_kept = True
+        connection.is_kept_alive = True
         connection.idle_until = self._reactor.clock() + idle
         pool = self._idle.setdefault(connection.owner, [])
         pool.append(connection)
--- a/sailward/transport/http_exchange.py
+++ b/sailward/transport/http_exchange.py
@@ -8,7 +8,7 @@
 import h11
 
 from sailward import constants
-from sailward.events import Call
+from sailward.events import StartCall
 from sailward.transport.wire_names import names_another
 
 BODY_METHODS = frozenset(("POST", "PUT", "PATCH"))
@@ -21,8 +21,7 @@
     """A whole answer. `idle` is how many s its connection may be kept idle, 0 if it must be closed.
 
     It must be closed behind an answer that doesn't bear the id of its request: that may have been a surplus one, and
-    the
-    request's own would then be taken for the next one's.
+    the request's own would then be taken for the next one's.
     """
 
     code: int
@@ -41,7 +40,7 @@
 class Exchange:
     """A request's bytes and the reader of its answer. Making one raises ValueError if the call can't be a request."""
 
-    def __init__(self, *, call: Call, exchange_name: str) -> None:
+    def __init__(self, *, call: StartCall, exchange_name: str) -> None:
         self._method = call.method
         self._exchange_name = exchange_name
         self._parser = h11.Connection(our_role=h11.CLIENT, max_incomplete_event_size=constants.OUT_HEAD_BYTES)
@@ -50,7 +49,7 @@
         self._parts: list[bytes] = []
         self._size = 0
         self._is_named = False
-        self.is_heard = False
+        self.is_received = False
         given = {name.lower(): value for name, value in call.headers.items()}
         self._id = given.get(exchange_name, "") if exchange_name else ""
         headers = [("host", given.get("host") or call.address)]
@@ -73,7 +72,7 @@
 
     def feed(self, *, data: bytes) -> Whole | Broken | None:
         """Read what came; `data` is never empty. None while the answer is unfinished."""
-        self.is_heard = True
+        self.is_received = True
         try:
             self._parser.receive_data(data)
             while True:
@@ -97,7 +96,7 @@
 
     def end(self) -> Broken:
         """The connection ended before the answer was whole."""
-        return Broken(fault="cut-short" if self.is_heard else "connection-lost")
+        return Broken(fault="cut-short" if self.is_received else "connection-lost")
 
     def _take_head(self, *, response: h11.Response) -> str:
         self._code = response.status_code
@@ -128,7 +127,7 @@
         return "too-large" if self._size > constants.RESULT_BYTES else ""
 
     def _finish(self) -> Whole:
-        is_kept = (
+        is_kept_alive = (
             self._parser.their_state is h11.DONE
             and self._parser.our_state is h11.DONE
             and not self._parser.trailing_data[0]
@@ -138,7 +137,7 @@
             code=self._code,
             headers=self._headers,
             body=b"".join(self._parts),
-            idle=_read_idle(keep_alive=self._headers.get("keep-alive", "")) if is_kept else 0.0,
+            idle=_read_idle(keep_alive=self._headers.get("keep-alive", "")) if is_kept_alive else 0.0,
         )
 
 
--- a/sailward/transport/http_server.py
+++ b/sailward/transport/http_server.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 
 from sailward import constants
-from sailward.events import Answer, Asked, CallerLeft
+from sailward.events import ClientDisconnected, RequestReceived, Respond
 from sailward.routing.plan import Limits
 from sailward.runtime.reactor import Reactor
 from sailward.transport.http_server_head import Refused, write_response
@@ -24,7 +24,9 @@
 
 
 class Front:
-    """Listens at `address` ("ip:port", port 0 for any), tells Asked and CallerLeft; all on the reactor's thread.
+    """Listens at `address` ("ip:port", port 0 for any); all on the reactor's thread.
+
+    Delivers RequestReceived and ClientDisconnected.
 
     Raises OSError if the address can't be had. `limits` is asked for anew with each request. With `tells_half_close`, a
     caller that closes its side counts as left, as most that do have given up; one that still reads is answered all
@@ -37,18 +39,18 @@
         reactor: Reactor,
         address: str,
         name: str,
-        tell: Callable[[object], None],
+        deliver: Callable[[object], None],
         limits: Callable[[], Limits],
         tells_half_close: bool = False,
     ) -> None:
         self._reactor = reactor
         self._name = name
-        self._tell = tell
+        self._send_update = deliver
         self._limits = limits
         self._tells_half_close = tells_half_close
         self._numbers = itertools.count(1)
         self._connections: set[Connection] = set()
-        self._asked: dict[str, tuple[Connection, Exchange]] = {}
+        self._pending: dict[str, tuple[Connection, Exchange]] = {}
         self._open = 0
         self._is_leaving = False
         host, _, port = address.rpartition(":")
@@ -65,9 +67,9 @@
         self._reactor.watch(sock=self._listener, readable=self._accept)
         self._reactor.later(delay=constants.FRONT_SWEEP, call=self._sweep)
 
-    def answer(self, *, command: Answer) -> bool:
+    def answer(self, *, command: Respond) -> bool:
         """Give a told request its answer; False if its connection is gone or it has one."""
-        connection, exchange = self._asked.pop(command.token, (None, None))
+        connection, exchange = self._pending.pop(command.token, (None, None))
         if connection is None:
             return False
         exchange.answer = command
@@ -91,7 +93,7 @@
                 self._update(connection=connection)
             elif connection.reading is not None:
                 connection.reading.is_last = True
-            elif connection.is_idle() and connection.has_asked:
+            elif connection.is_idle() and connection.has_requested:
                 self._reactor.soon(call=functools.partial(self._close_idle, connection=connection))
 
     def close_listener(self) -> None:
@@ -118,7 +120,7 @@
             except OSError as error:
                 if error.errno in _FULL:
                     self._reactor.watch(sock=self._listener)
-                    self._reactor.later(delay=constants.FRONT_ACCEPT_PAUSE, call=self._accept_again)
+                    self._reactor.later(delay=constants.FRONT_ACCEPT_BACKOFF, call=self._accept_again)
                     return
                 continue
             if len(self._connections) >= constants.FRONT_CONNECTIONS:
@@ -162,13 +164,13 @@
             return
         self._drop_reading(connection=connection)
         if self._tells_half_close:
-            self._tell_left(connection=connection)
+            self._report_disconnect(connection=connection)
         self._flush(connection=connection)
 
-    def _tell_left(self, *, connection: Connection) -> None:
+    def _report_disconnect(self, *, connection: Connection) -> None:
         for exchange in connection.exchanges:
-            if exchange.token in self._asked:
-                self._reactor.soon(call=functools.partial(self._tell, CallerLeft(token=exchange.token)))
+            if exchange.token in self._pending:
+                self._reactor.soon(call=functools.partial(self._send_update, ClientDisconnected(token=exchange.token)))
 
     def _advance(self, *, connection: Connection) -> None:
         if connection.is_busy or connection.is_gone:
@@ -191,7 +193,7 @@
             return False
         body = connection.reader.read_body()
         if body is not None:
-            self._ask(connection=connection, body=body)
+            self._deliver_request(connection=connection, body=body)
             return True
         if is_new:
             self._continue(connection=connection)
@@ -205,7 +207,7 @@
         head = connection.reader.read_head(limits=limits)
         if head is None:
             return False
-        connection.has_asked, connection.moved = True, self._reactor.clock()
+        connection.has_requested, connection.moved = True, self._reactor.clock()
         connection.reading = Exchange(head=head, is_last=head.is_last or self._is_leaving)
         connection.exchanges.append(connection.reading)
         self._open += 1
@@ -213,7 +215,7 @@
         connection.may_continue = head.may_continue and not connection.reader.has_bytes
         return True
 
-    def _ask(self, *, connection: Connection, body: bytes) -> None:
+    def _deliver_request(self, *, connection: Connection, body: bytes) -> None:
         exchange, connection.reading = connection.reading, None
         connection.may_continue = False
         head, exchange.head.parser = exchange.head, None
@@ -222,9 +224,9 @@
         if exchange.is_last:
             connection.is_ending = True
             connection.reader.clear()
-        self._asked[exchange.token] = (connection, exchange)
-        self._tell(
-            Asked(
+        self._pending[exchange.token] = (connection, exchange)
+        self._send_update(
+            RequestReceived(
                 token=exchange.token,
                 method=head.method,
                 path=head.path,
@@ -246,7 +248,7 @@
         headers = {"Content-Type": "application/json"}
         if refused.code == 408:
             headers["Retry-After"] = str(constants.FRONT_RETRY_AFTER)
-        exchange.answer = Answer(
+        exchange.answer = Respond(
             token="", code=refused.code, headers=headers, body=json.dumps({"error": refused.reason}).encode()
         )
         exchange.is_last = connection.is_ending = True
@@ -326,16 +328,16 @@
         may_read = not connection.is_eof and (
             connection.is_ending or connection.reading is not None or not connection.is_full()
         )
-        wanted = (may_read, bool(connection.out))
-        if wanted == connection.watched:
+        interest = (may_read, bool(connection.out))
+        if interest == connection.watched:
             return
         if may_read and not connection.watched[0]:
             connection.moved = self._reactor.clock()
-        connection.watched = wanted
+        connection.watched = interest
         self._reactor.watch(
             sock=connection.sock,
-            readable=connection.readable if wanted[0] else None,
-            writable=connection.writable if wanted[1] else None,
+            readable=connection.readable if interest[0] else None,
+            writable=connection.writable if interest[1] else None,
         )
 
     def _drop_reading(self, *, connection: Connection) -> None:
@@ -353,8 +355,8 @@
 
     def _forget(self, *, exchange: Exchange) -> None:
         self._open -= 1
-        if self._asked.pop(exchange.token, None) is not None:
-            self._reactor.soon(call=functools.partial(self._tell, CallerLeft(token=exchange.token)))
+        if self._pending.pop(exchange.token, None) is not None:
+            self._reactor.soon(call=functools.partial(self._send_update, ClientDisconnected(token=exchange.token)))
 
     def _close(self, *, connection: Connection) -> None:
         if connection.is_gone:
--- a/sailward/transport/http_server_state.py
+++ b/sailward/transport/http_server_state.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 from sailward import constants
-from sailward.events import Answer
+from sailward.events import Respond
 from sailward.transport.http_server_head import Head
 from sailward.transport.http_server_reading import RequestReader
 
@@ -19,7 +19,7 @@
 
     head: Head | None = None
     token: str = ""
-    answer: Answer | None = None
+    answer: Respond | None = None
     is_last: bool = False
 
 
@@ -27,9 +27,8 @@
 class Connection:
     """One caller's connection; moments in s of the reactor's clock.
 
-    `exchanges` holds the requests whose answers are not written, in order; `reading` is the last of them while its
-    body is
-    missing. `out` holds (bytes, answers that end with them). `idle_promise` is the idle time in force at the last
+    `exchanges` holds the requests whose answers are not written, in order; `reading` is the last of them while its body
+    is missing. `out` holds (bytes, answers that end with them). `idle_promise` is the idle time in force at the last
     answer.
     """
 
@@ -47,7 +46,7 @@
     is_eof: bool = False
     is_gone: bool = False
     is_busy: bool = False
-    has_asked: bool = False
+    has_requested: bool = False
     linger: float | None = None
     watched: tuple = (False, False)
     readable: Callable | None = None
--- a/sailward/transport/http_server_timing.py
+++ b/sailward/transport/http_server_timing.py
@@ -36,7 +36,7 @@
 
 
 def _judge_idle(*, connection: Connection, now: float, limits: Limits, is_leaving: bool) -> Verdict:
-    if is_leaving and (connection.has_asked or now - connection.since > constants.FRONT_FRESH):
+    if is_leaving and (connection.has_requested or now - connection.since > constants.FRONT_FRESH):
         return Verdict.IDLE_ENDS
     # the caller counts from the time that it was told with its last answer, and from when that answer reached it
     allowed = max(limits.idle_wait, connection.idle_promise) + constants.FRONT_IDLE_GRACE
--- a/sailward/transport/message_transport.py
+++ b/sailward/transport/message_transport.py
@@ -14,7 +14,7 @@
 
 from sailward import constants
 from sailward.consensus.messages import FIELDS, BadMessage, check_message
-from sailward.events import Heard
+from sailward.events import MessageReceived
 from sailward.runtime.logs import write_log
 from sailward.runtime.reactor import Reactor
 from sailward.transport.address import split_address
@@ -34,11 +34,11 @@
     not_before: float = 0.0
 
 
-class Courier:
+class MessageTransport:
     """Task that owns the message sockets. `send` puts a message on its way, or loses it."""
 
-    def __init__(self, *, reactor: Reactor, address: str, tell: Callable[[object], None]) -> None:
-        self._reactor, self._address, self._tell = reactor, address, tell
+    def __init__(self, *, reactor: Reactor, address: str, deliver: Callable[[object], None]) -> None:
+        self._reactor, self._address, self._send_update = reactor, address, deliver
         self._peers: dict[str, Peer] = {}
         self.counts: collections.Counter = collections.Counter()
         host, port = split_address(address=address)
@@ -50,7 +50,7 @@
     def send(self, *, to: str, body: dict) -> None:
         """Send, or lose, a message."""
         if to == self._address:
-            self._reactor.soon(call=lambda: self._tell(Heard(sender=to, body=body)))
+            self._reactor.soon(call=lambda: self._send_update(MessageReceived(sender=to, body=body)))
             return
         peer = self._peers.setdefault(to, Peer())
         if len(peer.out) > constants.FRAME_BYTES or self._reactor.clock() < peer.not_before:
@@ -88,32 +88,32 @@
             pass
         except (OSError, ValueError, TypeError, OverflowError):
             sock.close()
-            self._pause(peer=peer)
+            self._back_off(peer=peer)
             return False
         own = self._address.encode()
         peer.sock, peer.is_up, peer.since = sock, False, self._reactor.clock()
         peer.out = bytearray(LENGTH.pack(len(own), PLAIN) + own)
         self._reactor.watch(
             sock=sock,
-            readable=lambda: self._look(to=to, peer=peer, sock=sock),
+            readable=lambda: self._check_connection(to=to, peer=peer, sock=sock),
             writable=lambda: self._flush(to=to, peer=peer),
         )
         return True
 
-    def _pause(self, *, peer: Peer) -> None:
+    def _back_off(self, *, peer: Peer) -> None:
         peer.sock, peer.is_up = None, False
         peer.out = bytearray()
         # what waited is stale: the owners ask again by themselves
-        peer.not_before = self._reactor.clock() + constants.DIAL_PAUSE
+        peer.not_before = self._reactor.clock() + constants.DIAL_BACKOFF
 
     def _drop(self, *, peer: Peer) -> None:
         if peer.sock is not None:
             self._reactor.watch(sock=peer.sock)
             peer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             peer.sock.close()
-        self._pause(peer=peer)
+        self._back_off(peer=peer)
 
-    def _look(self, *, to: str, peer: Peer, sock: socket.socket) -> None:
+    def _check_connection(self, *, to: str, peer: Peer, sock: socket.socket) -> None:
         # nothing is ever said on this side: what can be read is the end
         try:
             if sock.recv(4096):
@@ -145,7 +145,7 @@
             return self._drop(peer=peer)
         self._reactor.watch(
             sock=sock,
-            readable=lambda: self._look(to=to, peer=peer, sock=sock),
+            readable=lambda: self._check_connection(to=to, peer=peer, sock=sock),
             writable=(lambda: self._flush(to=to, peer=peer)) if peer.out else None,
         )
         return None
@@ -161,10 +161,10 @@
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, constants.COURIER_ALIVE)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, constants.COURIER_ALIVE)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 3)
-            reader = Reader(sock=sock, courier=self)
+            reader = Reader(sock=sock, message_transport=self)
             self._reactor.watch(sock=sock, readable=reader.read)
 
-    def hear(self, *, sender: str, payload: bytes, form: int) -> bool:
+    def receive(self, *, sender: str, payload: bytes, form: int) -> bool:
         """Take one message that came; False if its connection can't be believed any more."""
         body = read_body(payload=payload, form=form)
         if isinstance(body, BadMessage):
@@ -176,7 +176,7 @@
             )
             return False
         self.counts["heard"] += 1
-        self._tell(Heard(sender=sender, body=body))
+        self._send_update(MessageReceived(sender=sender, body=body))
         return True
 
     def forget(self, *, sock: socket.socket) -> None:
@@ -200,7 +200,7 @@
     """One connection that came in; the first frame names its sender."""
 
     sock: socket.socket
-    courier: Courier
+    message_transport: MessageTransport
     sender: str = ""
     data: bytearray = field(default_factory=bytearray)
 
@@ -213,20 +213,20 @@
         except OSError:
             chunk = b""
         if not chunk:
-            return self.courier.forget(sock=self.sock)
+            return self.message_transport.forget(sock=self.sock)
         self.data += chunk
         while len(self.data) >= LENGTH.size:
             length, form = LENGTH.unpack_from(self.data)
             if length > constants.FRAME_BYTES:
-                return self.courier.forget(sock=self.sock)
+                return self.message_transport.forget(sock=self.sock)
             if len(self.data) < LENGTH.size + length:
                 return None
             payload = bytes(memoryview(self.data)[LENGTH.size : LENGTH.size + length])
             del self.data[: LENGTH.size + length]
             if not self.sender:
                 self.sender = payload.decode("ascii", "replace")
-            elif not self.courier.hear(sender=self.sender, payload=payload, form=form):
-                return self.courier.forget(sock=self.sock)
+            elif not self.message_transport.receive(sender=self.sender, payload=payload, form=form):
+                return self.message_transport.forget(sock=self.sock)
         return None
 
 
--- a/sailward/transport/wsgi_server.py
+++ b/sailward/transport/wsgi_server.py
@@ -16,7 +16,7 @@
 
 import sailward
 from sailward import constants
-from sailward.events import Answer, Asked
+from sailward.events import RequestReceived, Respond
 from sailward.runtime.logs import write_log
 from sailward.transport.address import split_address
 
@@ -67,12 +67,12 @@
 
     def __init__(self, *, host: str, port: int, app: Callable, threads: ThreadPoolExecutor) -> None:
         self._threads = threads
-        self._room = threading.BoundedSemaphore(constants.HTTP_THREADS)
+        self._capacity = threading.BoundedSemaphore(constants.HTTP_THREADS)
         super().__init__(host, port, app, handler=Handler)
 
     def process_request(self, request, client_address) -> None:
         """Serve a connection on a thread of the pool, or close it at once if there is none."""
-        if not self._room.acquire(blocking=False):
+        if not self._capacity.acquire(blocking=False):
             self.shutdown_request(request)
             return
         self._threads.submit(self._serve, request, client_address)
@@ -84,16 +84,16 @@
             self.handle_error(request, client_address)
         finally:
             self.shutdown_request(request)
-            self._room.release()
+            self._capacity.release()
 
 
 class Web:
     """Task that owns the HTTP listener. Each request is told to the owner and waits for its answer."""
 
     def __init__(
-        self, *, address: str, limit: int, tell: Callable[[object], None], threads: ThreadPoolExecutor
+        self, *, address: str, limit: int, deliver: Callable[[object], None], threads: ThreadPoolExecutor
     ) -> None:
-        self._tell, self._limit = tell, limit
+        self._send_update, self._limit = deliver, limit
         self._waiting: dict[str, Future] = {}
         self._count = itertools.count(1)
         self._closing = False
@@ -104,7 +104,7 @@
         """Accept connections for ever."""
         self._server.serve_forever(poll_interval=0.2)
 
-    def answer(self, *, command: Answer) -> None:
+    def answer(self, *, command: Respond) -> None:
         """Give a waiting request its answer."""
         future = self._waiting.pop(command.token, None)
         if future is not None:
@@ -131,8 +131,8 @@
         future: Future = Future()
         self._waiting[token] = future
         headers = {name.lower(): value for name, value in request.headers.items()}
-        self._tell(
-            Asked(
+        self._send_update(
+            RequestReceived(
                 token=token,
                 method=request.method,
                 path=request.path,
@@ -146,7 +146,7 @@
         except WaitedOut:
             self._waiting.pop(token, None)
             text = json.dumps({"error": "no-answer", "detail": "the owner gave none", "ran": "unknown"}).encode()
-            answer = Answer(token=token, code=500, body=text, headers={"Sailward-Ran": "unknown"})
+            answer = Respond(token=token, code=500, body=text, headers={"Sailward-Ran": "unknown"})
         rows = [(name, value) for name, value in answer.headers.items() if name.lower() != "content-length"]
         rows.append(("Content-Length", str(len(answer.body))))
         if body is None or self._closing:
--- a/simulation/checker.py
+++ b/simulation/checker.py
@@ -22,7 +22,7 @@
 
 def check_history(*, history: History, deployment: Deployment) -> list[Broken]:
     """Every breach of what must never happen."""
-    runs, halls, daemons = history.of(k="run"), deployment.halls, list(deployment.daemons)
+    runs, zones, daemons = history.of(k="run"), deployment.zones, list(deployment.daemons)
     proxies = sum(kind == "proxy" for kind, _, _ in daemons)
     changes = Changes(history=history)
     return [
@@ -34,9 +34,9 @@
         *check_in_force(changes=changes, runs=runs),
         *check_registers(history=history, changes=changes),
         *check_operator_orders(history=history),
-        *check_weights(history=history, changes=changes, runs=runs, halls=halls),
+        *check_weights(history=history, changes=changes, runs=runs, zones=zones),
         *check_emptied(history=history, runs=runs),
-        *check_homes(history=history, runs=runs, halls=halls),
+        *check_homes(history=history, runs=runs, zones=zones),
         *check_retries(history=history, runs=runs, proxies=proxies),
         *check_flood(history=history, runs=runs, proxies=proxies),
         *check_bounds(history=history, runs=runs, proxies=proxies),
@@ -44,6 +44,6 @@
         *check_crashes(history=history),
         *check_stops(history=history),
         *check_recovery(history=history, daemons=daemons),
-        *check_borne(history=history, daemons=daemons, halls=halls),
+        *check_borne(history=history, daemons=daemons, zones=zones),
         *check_fairness(history=history),
     ]
--- a/simulation/core_group.py
+++ b/simulation/core_group.py
@@ -14,12 +14,12 @@
 
 from sailward import constants
 from sailward.consensus.messages import pack_message
-from sailward.consensus.proposer import Begin
+from sailward.consensus.proposer import StartOperation
 from sailward.control.controller import Controller
 from sailward.control.controller_options import ControllerOptions
 from sailward.control.group.bootstrap import Bootstrap
-from sailward.discovery.peer_table import Place
-from sailward.events import Heard, Rewrite, Stop, Store, Tell, Ticked
+from sailward.discovery.peer_table import Location
+from sailward.events import AppendRecords, ExitProcess, MessageReceived, RewriteRecords, SendMessage, TimerFired
 from sailward.storage.disk import Disk, Read
 from sailward.storage.files import Files
 from simulation.simulated_files import SimulatedFiles
@@ -64,9 +64,8 @@
 class CoreGroup:
     """Members, their messages and their clock. The first `founders` of them found the group.
 
-    Without a `folder` the files are simulated. `delays` gives, for each message, after how long it arrives: none if
-    it is lost,
-    several if it is doubled. `watch` is called with each member that starts, before its first event.
+    Without a `folder` the files are simulated. `delays` gives, for each message, after how long it arrives: none if it
+    is lost, several if it is doubled. `watch` is called with each member that starts, before its first event.
     """
 
     def __init__(self, *, folder: Path | None, size: int, founders: int = 3, seed: int = 1) -> None:
@@ -101,15 +100,15 @@
         """Start a controller on what its folder holds."""
         member.life += 1
         member.events = []
-        member.disk = Disk(folder=Path(member.name), tell=member.events.append, files=member.files)
+        member.disk = Disk(folder=Path(member.name), deliver=member.events.append, files=member.files)
         found = member.disk.open()
         assert isinstance(found, Read), found
         nonce = f"{self._random.getrandbits(48):012x}"
         member.controller = Controller(
-            place=Place(
+            place=Location(
                 name=member.name,
                 kind="controller",
-                hall=f"z{member.name}",
+                zone=f"z{member.name}",
                 region="r",
                 post=member.post,
                 http=member.post,
@@ -163,17 +162,17 @@
 
     def change(self, *, text: str, at: Member, wait: float = 3.0) -> bool:
         """Change the configuration's register through one member; was it accepted?"""
-        expected = at.controller.held.number(name="config")
+        expected = at.controller.learner.number(name="config")
         self.begin_change(text=text, at=at, wait=wait)
-        self.run(seconds=wait, until=lambda: at.controller.held.number(name="config") > expected)
-        return at.controller.held.number(name="config") > expected
+        self.run(seconds=wait, until=lambda: at.controller.learner.number(name="config") > expected)
+        return at.controller.learner.number(name="config") > expected
 
     def begin_change(self, *, text: str, at: Member, wait: float = 3.0) -> None:
         """Begin a change of the configuration's register, on top of what this member holds."""
         self._changes += 1
         operation = f"{at.controller.proposer.identity}/measure{self._changes}"
-        expected = at.controller.held.number(name="config")
-        begin = Begin(op=operation, register="config", expected=expected, text=text, wait=wait)
+        expected = at.controller.learner.number(name="config")
+        begin = StartOperation(op=operation, register="config", expected=expected, text=text, timeout=wait)
         self._carry_out_all(member=at, commands=at.controller.registers.begin(now=self.now, begins=[begin]))
 
     def run(self, *, seconds: float, until: Callable[[], bool] | None = None) -> bool:
@@ -194,14 +193,14 @@
     def _tick(self, *, member: Member, life: int) -> None:
         if member.life != life or member.frozen is not None:
             return
-        self._give(member=member, event=Ticked(wall=1000.0 + self.now))
+        self._give(member=member, event=TimerFired(wall=1000.0 + self.now))
         self._after(delay=constants.TICK, act=lambda: self._tick(member=member, life=life))
 
     def _give(self, *, member: Member, event: object) -> None:
         if member.controller is None:
             return
         if member.frozen is not None:
-            if not isinstance(event, Ticked) and len(member.frozen) < constants.OUT_LINE:
+            if not isinstance(event, TimerFired) and len(member.frozen) < constants.OUT_LINE:
                 member.frozen.append(event)
             return
         self._carry_out_all(member=member, commands=member.controller.step(now=self.now, event=event))
@@ -213,22 +212,22 @@
                 self._carry_out(member=member, command=command)
 
     def _carry_out(self, *, member: Member, command: object) -> None:
-        if isinstance(command, Tell):
-            self._tell(member=member, command=command)
-        elif isinstance(command, (Store, Rewrite)):
+        if isinstance(command, SendMessage):
+            self._send_update(member=member, command=command)
+        elif isinstance(command, (AppendRecords, RewriteRecords)):
             member.disk.give(command=command)
             self._after(delay=self.sync_time(), act=lambda life=member.life: self._sync(member=member, life=life))
-        elif isinstance(command, Stop):
+        elif isinstance(command, ExitProcess):
             self.kill(member=member)
 
-    def _tell(self, *, member: Member, command: Tell) -> None:
+    def _send_update(self, *, member: Member, command: SendMessage) -> None:
         to = next((one for one in self.members if one.post == command.to), None)
         if to is None or to.controller is None or (to is not member and (to.is_cut or member.is_cut)):
             return
         if to is self.measured and to is not member:
             to.received[command.body["kind"]] += 1
             to.received_bytes[command.body["kind"]] += len(pack_message(body=command.body))
-        event, life = Heard(sender=member.post, body=command.body), to.life
+        event, life = MessageReceived(sender=member.post, body=command.body), to.life
         for delay in [0.0001] if to is member else self.delays():
             self._after(delay=delay, act=lambda: self._give(member=to, event=event) if to.life == life else None)
 
--- a/simulation/deployments.py
+++ b/simulation/deployments.py
@@ -10,7 +10,7 @@
     """One user's fleet."""
 
     name: str
-    halls: dict
+    zones: dict
     daemons: tuple
     workers: tuple
     config: dict
@@ -31,31 +31,31 @@
     keys: int = 0
 
 
-def _halls(*regions: tuple) -> dict:
+def _zones(*regions: tuple) -> dict:
     return {f"{short}-{letter}": region for region, short in regions for letter in "ab"}
 
 
-def _daemons(*, halls: dict, proxies: int, directories: int) -> tuple:
-    names = list(halls)
+def _daemons(*, zones: dict, proxies: int, directories: int) -> tuple:
+    names = list(zones)
     rows = [("controller", f"controller-{i}", names[i % 4]) for i in range(4)]
     rows += [("proxy", f"proxy-{i}", names[i % 4]) for i in range(proxies)]
     rows += [("directory", f"directory-{i}", names[(i + 1) % 4]) for i in range(directories)]
     return tuple(rows)
 
 
-def _workers(*, halls: dict, services: tuple, extra: int = 0) -> tuple:
-    rows = [(f"{service}-{hall}-{i}", service, hall) for service in services for hall in halls for i in range(2)]
-    first = next(iter(halls))
+def _workers(*, zones: dict, services: tuple, extra: int = 0) -> tuple:
+    rows = [(f"{service}-{zone}-{i}", service, zone) for service in services for zone in zones for i in range(2)]
+    first = next(iter(zones))
     rows += [(f"{services[0]}-{first}-{2 + i}", services[0], first) for i in range(extra)]
     return tuple(rows)
 
 
 def _config(
-    *, halls: dict, services: tuple, tenants: dict, split: tuple, expiry: float = 2.0, divided: str = ""
+    *, zones: dict, services: tuple, tenants: dict, split: tuple, expiry: float = 2.0, divided: str = ""
 ) -> dict:
-    first, second = list(dict.fromkeys(halls.values()))
-    ours = [hall for hall, region in halls.items() if region == first]
-    theirs = [hall for hall, region in halls.items() if region == second]
+    first, second = list(dict.fromkeys(zones.values()))
+    ours = [zone for zone, region in zones.items() if region == first]
+    theirs = [zone for zone, region in zones.items() if region == second]
     pools, matches = {}, []
     for service in services:
         pools[f"{service}-{first}"] = {"service": service, "preferred": ours, "fallback": theirs}
@@ -70,7 +70,7 @@
             }
         )
     return {
-        "halls": {hall: {"region": region} for hall, region in halls.items()},
+        "halls": {zone: {"region": region} for zone, region in zones.items()},
         "services": {
             service: {"expiry_s": expiry, "rate": 100, "cold_rate": 10, "cold_ramp_s": 10}
             | ({"slots": 32} if service == divided else {})
@@ -84,7 +84,7 @@
 
 def make_arriaga() -> Deployment:
     """Wine: 11 machines, 4 halls in 2 regions, 32 workers in 4 services, 155 exchanges/s."""
-    halls = _halls(("guadalajara", "gdl"), ("ensenada", "ens"))
+    zones = _zones(("guadalajara", "gdl"), ("ensenada", "ens"))
     services = ("stock", "orders", "notes", "deliveries")
     tenants = {"restaurants": {}, "hotels": {}, "shops": {}, "tapatia": {"homes": ["guadalajara"]}}
     callers = (
@@ -97,18 +97,18 @@
     )
     return Deployment(
         name="arriaga",
-        halls=halls,
-        daemons=_daemons(halls=halls, proxies=5, directories=2),
-        workers=_workers(halls=halls, services=services),
+        zones=zones,
+        daemons=_daemons(zones=zones, proxies=5, directories=2),
+        workers=_workers(zones=zones, services=services),
         callers=callers,
         rate=155.0,
-        config=_config(halls=halls, services=services, tenants=tenants, split=(70, 30), divided="deliveries"),
+        config=_config(zones=zones, services=services, tenants=tenants, split=(70, 30), divided="deliveries"),
     )
 
 
 def make_peachtree() -> Deployment:
     """Desks: 12 machines, 4 halls in 2 regions, 33 workers in 4 services, 225 exchanges/s."""
-    halls = _halls(("atlanta", "atl"), ("savannah", "sav"))
+    zones = _zones(("atlanta", "atl"), ("savannah", "sav"))
     services = ("lookup", "booking", "usage", "occupancy")
     tenants = {"brand-a": {"share": 1}, "brand-b": {"share": 1}, "brand-c": {"share": 1, "homes": ["savannah"]}}
     callers = (
@@ -121,31 +121,31 @@
     )
     return Deployment(
         name="peachtree",
-        halls=halls,
-        daemons=_daemons(halls=halls, proxies=6, directories=2),
-        workers=_workers(halls=halls, services=services, extra=1),
+        zones=zones,
+        daemons=_daemons(zones=zones, proxies=6, directories=2),
+        workers=_workers(zones=zones, services=services, extra=1),
         callers=callers,
         rate=225.0,
-        config=_config(halls=halls, services=services, tenants=tenants, split=(60, 40), divided="booking"),
+        config=_config(zones=zones, services=services, tenants=tenants, split=(60, 40), divided="booking"),
     )
 
 
 def make_source() -> Deployment:
     """The source's laboratory: three halls in each of two regions, one service, 70/30."""
-    halls = {f"{region}-{letter}": region for region in ("south", "east") for letter in "abc"}
+    zones = {f"{region}-{letter}": region for region in ("south", "east") for letter in "abc"}
     callers = (CallerKind(tenant="lab", path="/lab", unsafe=False, part=1.0, region="south"),)
-    daemons = [("controller", f"controller-{i}", list(halls)[i]) for i in range(4)]
-    daemons += [("proxy", f"proxy-{i}", list(halls)[2 * i]) for i in range(3)]
+    daemons = [("controller", f"controller-{i}", list(zones)[i]) for i in range(4)]
+    daemons += [("proxy", f"proxy-{i}", list(zones)[2 * i]) for i in range(3)]
     daemons.append(("directory", "directory-0", "east-a"))
-    workers = tuple((f"lab-{hall}-{i}", "lab", hall) for hall in halls for i in range(4))
+    workers = tuple((f"lab-{zone}-{i}", "lab", zone) for zone in zones for i in range(4))
     return Deployment(
         name="source",
-        halls=halls,
+        zones=zones,
         daemons=tuple(daemons),
         workers=workers,
         callers=callers,
         rate=50.0,
-        config=_config(halls=halls, services=("lab",), tenants={"lab": {}}, split=(70, 30)),
+        config=_config(zones=zones, services=("lab",), tenants={"lab": {}}, split=(70, 30)),
     )
 
 
--- a/simulation/hollow_fleet/added.py
+++ b/simulation/hollow_fleet/added.py
@@ -14,11 +14,11 @@
 import statistics
 import time
 
-from sailward.events import Answer, Call, CancelCall, HangUp, Heard, Tell
+from sailward.events import CancelCall, CloseConnections, MessageReceived, Respond, SendMessage, StartCall
 from sailward.proxy.proxy import Proxy
 from sailward.runtime.host import Host
 from sailward.runtime.reactor import Reactor
-from sailward.transport.http_client import Outbound
+from sailward.transport.http_client import HttpClient
 from sailward.transport.http_server import Front
 
 from .deployment import Size, hosted_of, told_fleet, told_rows, zones_of
@@ -110,7 +110,7 @@
             sock.sendall(request)
         for key, _ in selector.select(max(0.0, due[-1] - time.perf_counter()) if due else 1.0):
             data = got.pop(key.fileobj, b"") + key.fileobj.recv(65536)
-            if not _is_whole(data=data):
+            if not _is_complete(data=data):
                 got[key.fileobj] = data
                 continue
             refused += not data.startswith(OK)
@@ -142,7 +142,7 @@
     while done < count:
         for key, _ in selector.select():
             data = got.pop(key.fileobj, b"") + key.fileobj.recv(65536)
-            if not _is_whole(data=data):
+            if not _is_complete(data=data):
                 got[key.fileobj] = data
                 continue
             refused += not data.startswith(OK)
@@ -169,7 +169,7 @@
     """Was it served?"""
     sock.sendall(request)
     data = b""
-    while not _is_whole(data=data):
+    while not _is_complete(data=data):
         chunk = sock.recv(65536)
         if not chunk:
             raise RuntimeError("the connection ended")
@@ -177,7 +177,7 @@
     return data.startswith(OK)
 
 
-def _is_whole(*, data: bytes) -> bool:
+def _is_complete(*, data: bytes) -> bool:
     head, end, body = data.lower().partition(HEAD_END)
     length = re.search(rb"content-length: *(\d+)", head)
     return bool(end) and len(body) >= (int(length.group(1)) if length else 0)
@@ -232,7 +232,7 @@
     host = Host(reactor=reactor)
     hosted = hosted_of(size=size, role="proxy", index=0, zones=zones_of(size=size))
     owner = Proxy(place=hosted.place, start=1, rng=random.Random(1), options=hosted.options)
-    owner.uplink.lead = LEAD
+    owner.control_client.lead = LEAD
     rows = told_rows(size=size)
     for row in {part.split('"')[0] for part in rows.split('"address":"')[1:]}:
         rows = rows.replace(f'"{row}"', f'"127.0.0.1:{worker_port}"')
@@ -241,17 +241,23 @@
         ("workers", rows),
         ("fleet", told_fleet(size=size, zones=zones_of(size=size))),
     ):
-        owner.step(now=reactor.clock(), event=Heard(sender=LEAD, body=push_of(name=name, number=1, text=text)))
+        owner.step(
+            now=reactor.clock(), event=MessageReceived(sender=LEAD, body=push_of(name=name, number=1, text=text))
+        )
     front = Front(
-        reactor=reactor, address="127.0.0.1:0", name="front", tell=host.tell, limits=lambda: owner.scene.plan.limits
+        reactor=reactor,
+        address="127.0.0.1:0",
+        name="front",
+        deliver=host.deliver,
+        limits=lambda: owner.context.plan.limits,
     )
-    outbound = Outbound(reactor=reactor, tell=host.tell, names=hosted.names)
+    http_client = HttpClient(reactor=reactor, deliver=host.deliver, names=hosted.names)
     host.handlers = {
-        Answer: lambda one: front.answer(command=one),
-        Call: lambda one: outbound.give(call=one),
-        Tell: lambda one: None,
-        CancelCall: lambda one: outbound.cancel(token=one.token),
-        HangUp: lambda one: outbound.hang_up(owner=one.owner),
+        Respond: lambda one: front.answer(command=one),
+        StartCall: lambda one: http_client.give(call=one),
+        SendMessage: lambda one: None,
+        CancelCall: lambda one: http_client.cancel(token=one.token),
+        CloseConnections: lambda one: http_client.hang_up(owner=one.owner),
     }
 
     def tell_cpu() -> None:
--- a/simulation/hollow_fleet/flags.py
+++ b/simulation/hollow_fleet/flags.py
@@ -118,8 +118,8 @@
             continue
         folder = Path(flags[name]).parent if name == "--out" else Path(flags[name])
         is_bad = name == "--out" and Path(flags[name]).is_dir()
-        is_kept = Path(flags[name]).exists() and not os.access(flags[name], os.W_OK)
-        if is_bad or is_kept or not folder.is_dir() or not os.access(folder, os.W_OK):
+        is_kept_alive = Path(flags[name]).exists() and not os.access(flags[name], os.W_OK)
+        if is_bad or is_kept_alive or not folder.is_dir() or not os.access(folder, os.W_OK):
             what = "file" if name == "--out" else "folder"
             return BadInput(
                 reason=f"{name} {flags[name]}: can't be written; "
--- a/simulation/hollow_fleet/fleet.py
+++ b/simulation/hollow_fleet/fleet.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from sailward.control.controller import Controller
-from sailward.events import Log
+from sailward.events import LogEvent
 from sailward.proxy.proxy import Proxy
 
 from .deployment import Size, hosted_of, list_pages, make_document, make_patch, zones_of
@@ -91,7 +91,7 @@
     def _build(self, *, rng: random.Random) -> None:
         size, zones = self.size, zones_of(size=self.size)
         self.network = Network(delays=self.plan.delays, pages=list_pages(size=size))
-        self.network.watch = self._note
+        self.network.watch = self._record
 
         def make(member: Member, now: float, hosted) -> object:
             start, nonce = int(1e12 + now * 1e6), f"{rng.getrandbits(48):012x}"
@@ -118,7 +118,7 @@
                 member = Member(
                     name=place.name,
                     role=role,
-                    zone=place.hall,
+                    zone=place.zone,
                     region=place.region,
                     post=place.post,
                     make=lambda member, now, hosted=hosted: make(member, now, hosted),
@@ -126,7 +126,7 @@
                 self.network.add(member=member)
                 members.append(member)
 
-    def _note(self, member: Member, log: Log) -> None:
+    def _record(self, member: Member, log: LogEvent) -> None:
         if log.event == "in-force" and log.fields.get("register") == "config" and member.role == "proxy":
             self.in_force[member.post] = (log.fields["number"], self.network.now)
 
@@ -270,7 +270,7 @@
         return all(self.in_force.get(one.post, (0, 0))[0] >= number for one in self.proxies if one.owner is not None)
 
     def _names(self, *, dead: Member) -> bool:
-        return any(dead.name in one.owner.scene.peers for one in self.proxies if one.owner is not None)
+        return any(dead.name in one.owner.context.peers for one in self.proxies if one.owner is not None)
 
     def _tally(self) -> Tally:
         network, members = self.network, [*self.controllers, *self.proxies]
--- a/simulation/hollow_fleet/network.py
+++ b/simulation/hollow_fleet/network.py
@@ -16,20 +16,20 @@
 from sailward.config.check import check_config
 from sailward.consensus.messages import BadMessage
 from sailward.events import (
-    Answer,
-    Asked,
-    Call,
-    Called,
-    Check,
-    Checked,
-    Heard,
-    Log,
-    Rewrite,
-    Stop,
-    Store,
-    Synced,
-    Tell,
-    Ticked,
+    AppendRecords,
+    CallFinished,
+    ConfigValidated,
+    ExitProcess,
+    LogEvent,
+    MessageReceived,
+    RecordsSynced,
+    RequestReceived,
+    Respond,
+    RewriteRecords,
+    SendMessage,
+    StartCall,
+    TimerFired,
+    ValidateConfig,
 )
 from sailward.storage.disk import pack_frame
 from sailward.transport.message_transport import LENGTH, pack_body, read_body
@@ -132,8 +132,8 @@
     def __init__(self, *, delays: tuple[float, float, float], pages: list[bytes], is_charged: bool = True) -> None:
         self.now = 0.0
         self.members: dict[str, Member] = {}
-        self.watch: Callable[[Member, Log], None] = lambda member, log: None
-        self.answers: dict[str, Answer] = {}
+        self.watch: Callable[[Member, LogEvent], None] = lambda member, log: None
+        self.answers: dict[str, Respond] = {}
         self.cut: set[str] = set()
         self.messages: Counter = Counter()
         self.bytes: Counter = Counter()
@@ -198,7 +198,7 @@
 
     def _tick(self, *, member: Member, life: int) -> None:
         if member.life == life:
-            self._arrive(member=member, life=life, event=Ticked(wall=1000.0 + self.now), cost=0.0)
+            self._arrive(member=member, life=life, event=TimerFired(wall=1000.0 + self.now), cost=0.0)
             member.tick_at = max(member.tick_at + constants.TICK, member.busy_until)
             self.after(delay=member.tick_at - self.now, act=lambda: self._tick(member=member, life=life))
 
@@ -228,7 +228,7 @@
                 return
 
     def _take(self, *, member: Member, event: object, cost: float) -> None:
-        what = event.body["kind"] if isinstance(event, Heard) else type(event).__name__
+        what = event.body["kind"] if isinstance(event, MessageReceived) else type(event).__name__
         begun = time.process_time()
         commands = member.owner.step(now=self.now, event=event)
         took = time.process_time() - begun
@@ -247,29 +247,29 @@
 
     def _carry_out(self, *, member: Member, command: object, ready: float) -> float:
         ready = ready if self._is_charged else 0.0
-        if isinstance(command, Tell):
+        if isinstance(command, SendMessage):
             return self._send(member=member, to=self.members.get(command.to), body=command.body, ready=ready)
-        if isinstance(command, Log):
+        if isinstance(command, LogEvent):
             self.watch(member, command)
-        elif isinstance(command, Answer):
+        elif isinstance(command, Respond):
             self.answers[command.token] = command
-        elif isinstance(command, (Store, Rewrite)):
+        elif isinstance(command, (AppendRecords, RewriteRecords)):
             self._store(member=member, command=command, ready=ready)
-        elif isinstance(command, Check):
+        elif isinstance(command, ValidateConfig):
             begun = time.process_time()
             verdict = check_config(config=command.config)
             took = time.process_time() - begun
             member.cost["check"] += took
-            self.give(member=member, event=Checked(token=command.token, verdict=verdict), delay=ready + took)
-        elif isinstance(command, Call):
+            self.give(member=member, event=ConfigValidated(token=command.token, verdict=verdict), delay=ready + took)
+        elif isinstance(command, StartCall):
             self._call(member=member, command=command, ready=ready)
-        elif isinstance(command, Stop):
+        elif isinstance(command, ExitProcess):
             self.kill(member=member)
         return 0.0
 
     def _send(self, *, member: Member, to: Member | None, body: dict, ready: float) -> float:
         if to is member:
-            self.give(member=member, event=Heard(sender=member.post, body=body), delay=ready)
+            self.give(member=member, event=MessageReceived(sender=member.post, body=body), delay=ready)
             return 0.0
         weight = self._scale.step(body=body)
         member.cost["pack"] += weight.pack
@@ -287,17 +287,17 @@
             self.lost["unreadable"] += 1
             return weight.pack
         delay = ready + self._delays[link] + (weight.pack if self._is_charged else 0.0)
-        self.give(member=to, event=Heard(sender=member.post, body=body), cost=weight.unpack, delay=delay)
+        self.give(member=to, event=MessageReceived(sender=member.post, body=body), cost=weight.unpack, delay=delay)
         return weight.pack
 
-    def _store(self, *, member: Member, command: Store | Rewrite, ready: float) -> None:
+    def _store(self, *, member: Member, command: AppendRecords | RewriteRecords, ready: float) -> None:
         size = len(pack_frame(records=command.records))
         self.disk["syncs"] += 1
         self.disk["bytes"] += size
-        member.records = (member.records if isinstance(command, Store) else []) + list(command.records)
-        self.give(member=member, event=Synced(seq=command.seq), delay=ready + SYNC)
+        member.records = (member.records if isinstance(command, AppendRecords) else []) + list(command.records)
+        self.give(member=member, event=RecordsSynced(seq=command.seq), delay=ready + SYNC)
 
-    def _call(self, *, member: Member, command: Call, ready: float) -> None:
+    def _call(self, *, member: Member, command: StartCall, ready: float) -> None:
         is_list = command.owner == "platform"
         self.calls["list" if is_list else "worker"] += 1
         if is_list:
@@ -306,7 +306,7 @@
         else:
             body = b"{}"
         headers = {} if is_list else {"instance-id": command.owner}
-        called = Called(token=command.token, code=200, headers=headers, body=body, fault="", sent=True)
+        called = CallFinished(token=command.token, code=200, headers=headers, body=body, fault="", sent=True)
         self.give(member=member, event=called, delay=ready + API)
 
 
@@ -321,5 +321,7 @@
     given = body if len(body) <= constants.CONFIG_BYTES else None
     network.give(
         member=member,
-        event=Asked(token=token, method=method, path=path, query={}, headers={"if-match": if_match}, body=given),
+        event=RequestReceived(
+            token=token, method=method, path=path, query={}, headers={"if-match": if_match}, body=given
+        ),
     )
--- a/simulation/hollow_fleet/parts.py
+++ b/simulation/hollow_fleet/parts.py
@@ -15,7 +15,7 @@
 from sailward.consensus.messages import BadMessage
 from sailward.control.controller import Controller
 from sailward.discovery.peer_table import KINDS_ON_WIRE
-from sailward.events import Answer, Asked, Call, Called, Heard, Ticked
+from sailward.events import CallFinished, MessageReceived, RequestReceived, Respond, StartCall, TimerFired
 from sailward.proxy.proxy import Proxy
 from sailward.transport.message_transport import LENGTH, pack_body, read_body
 
@@ -58,7 +58,7 @@
         "config": _config,
         "tenants": _tenants,
         "place": _place,
-        "halls": _halls,
+        "halls": _zones,
         "core": _core,
         "askers": _askers,
     }[name]
@@ -81,7 +81,7 @@
     """A proxy that has heard a controller."""
     hosted = hosted_of(size=size, role="proxy", index=0, zones=zones_of(size=size))
     proxy = Proxy(place=hosted.place, start=1, rng=random.Random(1), options=hosted.options)
-    proxy.uplink.lead = LEAD
+    proxy.control_client.lead = LEAD
     return proxy
 
 
@@ -109,7 +109,7 @@
 
 
 def _give(*, proxy: Proxy, body: dict, now: float) -> list:
-    return proxy.step(now=now, event=Heard(sender=LEAD, body=body))
+    return proxy.step(now=now, event=MessageReceived(sender=LEAD, body=body))
 
 
 def _push_figures(*, size: Size, name: str, texts: tuple[str, str]) -> tuple[dict, Proxy]:
@@ -135,7 +135,8 @@
         "readable": 0 if isinstance(reads[0], BadMessage) or length > constants.FRAME_BYTES else 1,
     }
     ticks = [
-        _seconds(lambda at=at: proxy.step(now=3.0 + at * constants.TICK, event=Ticked(wall=1.0))) for at in range(40)
+        _seconds(lambda at=at: proxy.step(now=3.0 + at * constants.TICK, event=TimerFired(wall=1.0)))
+        for at in range(40)
     ]
     return {**figures, "tick_s": statistics.fmean(ticks)}, proxy
 
@@ -164,7 +165,9 @@
     shape = Size(daemons=size, zones=max(4, size // 136), regions=4)
     text = told_fleet(size=shape, zones=zones_of(size=shape))
     figures, proxy = _push_figures(size=shape, name="fleet", texts=(text, text))
-    asked = Asked(token="directory 1", method="GET", path="/proxies", query={}, headers={}, body=b"", target="/proxies")
+    asked = RequestReceived(
+        token="directory 1", method="GET", path="/proxies", query={}, headers={}, body=b"", target="/proxies"
+    )
     figures["resolve_s"] = _seconds(lambda: [proxy.step(now=9.0, event=asked) for _ in range(20)]) / 20
     return {**figures, "held_bytes": _held_bytes(size=shape, name="fleet", text=text)}
 
@@ -231,13 +234,15 @@
         ("fleet", told_fleet(size=size, zones=zones_of(size=size))),
     ):
         _give(proxy=proxy, body=push_of(name=name, number=1, text=text), now=1.0)
-    proxy.step(now=1.1, event=Ticked(wall=1.0))
+    proxy.step(now=1.1, event=TimerFired(wall=1.0))
     path, headers = free_route(size=size)
 
     def one(at: int) -> None:
-        asked = Asked(token=f"front {at}", method="GET", path=path, query={}, headers=headers, body=b"", target=path)
-        call = next(command for command in proxy.step(now=1.2, event=asked) if isinstance(command, Call))
-        called = Called(
+        asked = RequestReceived(
+            token=f"front {at}", method="GET", path=path, query={}, headers=headers, body=b"", target=path
+        )
+        call = next(command for command in proxy.step(now=1.2, event=asked) if isinstance(command, StartCall))
+        called = CallFinished(
             token=call.token,
             code=200,
             headers={"attempt-id": "a", "server-seal": "s", "instance-id": call.owner},
@@ -245,12 +250,12 @@
             fault="",
             sent=True,
         )
-        answer = next(command for command in proxy.step(now=1.25, event=called) if isinstance(command, Answer))
+        answer = next(command for command in proxy.step(now=1.25, event=called) if isinstance(command, Respond))
         assert answer.code == 200, answer
 
     one(0)
     took = _seconds(lambda: [one(at + 1) for at in range(count)])
-    counting = _seconds(proxy.scene.counts)
+    counting = _seconds(proxy.context.counts)
     return {"request_s": took / count, "count_s": counting}
 
 
@@ -260,7 +265,7 @@
     )
 
 
-def _halls(*, size: int) -> dict:
+def _zones(*, size: int) -> dict:
     # one worker in each zone of each service at the least, as each place with a worker is a hall of the service
     services = max(2, size // 88)
     zones = min(88, size // 2)
@@ -284,24 +289,26 @@
     ]
     for name, text in (("config", config_text(size=shape)), ("workers", json.dumps(rows))):
         _give(proxy=proxy, body=push_of(name=name, number=1, text=text), now=1.0)
-    proxy.step(now=1.1, event=Ticked(wall=1.0))
+    proxy.step(now=1.1, event=TimerFired(wall=1.0))
     path, headers = free_route(size=shape)
 
     def one(at: int) -> None:
-        asked = Asked(token=f"front {at}", method="GET", path=path, query={}, headers=headers, body=b"", target=path)
-        call = next(command for command in proxy.step(now=1.2, event=asked) if isinstance(command, Call))
+        asked = RequestReceived(
+            token=f"front {at}", method="GET", path=path, query={}, headers=headers, body=b"", target=path
+        )
+        call = next(command for command in proxy.step(now=1.2, event=asked) if isinstance(command, StartCall))
         answered = {"attempt-id": "a", "server-seal": "s"}
         proxy.step(
-            now=1.25, event=Called(token=call.token, code=200, headers=answered, body=b"{}", fault="", sent=True)
+            now=1.25, event=CallFinished(token=call.token, code=200, headers=answered, body=b"{}", fault="", sent=True)
         )
 
     one(0)
     took = _seconds(lambda: [one(at + 1) for at in range(10)])
-    count = _seconds(lambda: proxy.step(now=1.3, event=Ticked(wall=1.0)))
+    count = _seconds(lambda: proxy.step(now=1.3, event=TimerFired(wall=1.0)))
     return {"request_s": took / 10, "count_and_tick_s": count}
 
 
-def make_core(*, size: Size, askers: int) -> tuple[Controller, list[Heard]]:
+def make_core(*, size: Size, askers: int) -> tuple[Controller, list[MessageReceived]]:
     """A controller of a core of one, with this many proxies of its own and all others told by the other controllers."""
     one = Size(**{**vars(size), "controllers": 1})
     zones = zones_of(size=size)
@@ -322,7 +329,7 @@
         daemon = {
             "id": place.name,
             "kind": KINDS_ON_WIRE[place.kind],
-            "hall": place.hall,
+            "hall": place.zone,
             "region": place.region,
             "http": place.http,
             "start": 1,
@@ -331,7 +338,7 @@
         }
         have = {"workers": [-1, "elsewhere"], "fleet": [1, "elsewhere"]}
         asks.append(
-            Heard(
+            MessageReceived(
                 sender=place.post,
                 body={
                     "kind": "ask",
@@ -357,12 +364,12 @@
     for at in range(others):
         body = {"kind": "fleet", "number": 1, "rows": rows[at * share : (at + 1) * share], "loads": {}, "down": {}}
         frames.append(len(pack_body(body=body)))
-        controller.step(now=1.0, event=Heard(sender=f"10.9.{at}.1:7000", body=body))
+        controller.step(now=1.0, event=MessageReceived(sender=f"10.9.{at}.1:7000", body=body))
     for ask in asks:
         controller.step(now=1.0, event=ask)
-    controller.step(now=1.05, event=Ticked(wall=1.0))
+    controller.step(now=1.05, event=TimerFired(wall=1.0))
     ticks = [
-        _seconds(lambda at=at: controller.step(now=1.1 + at * constants.TICK, event=Ticked(wall=1.0)))
+        _seconds(lambda at=at: controller.step(now=1.1 + at * constants.TICK, event=TimerFired(wall=1.0)))
         for at in range(10)
     ]
     ask = _seconds(lambda: [controller.step(now=1.7, event=one) for one in asks]) / len(asks)
@@ -378,10 +385,10 @@
     controller, asks = make_core(size=Size(daemons=size, zones=4), askers=size)
     for ask in asks:
         controller.step(now=1.0, event=ask)
-    controller.step(now=1.05, event=Ticked(wall=1.0))
+    controller.step(now=1.05, event=TimerFired(wall=1.0))
     ask = _seconds(lambda: [controller.step(now=1.2, event=one) for one in asks]) / len(asks)
     ticks = [
-        _seconds(lambda at=at: controller.step(now=1.3 + at * constants.TICK, event=Ticked(wall=1.0)))
+        _seconds(lambda at=at: controller.step(now=1.3 + at * constants.TICK, event=TimerFired(wall=1.0)))
         for at in range(10)
     ]
     return {"ask_s": ask, "tick_s": statistics.fmean(ticks)}
--- a/simulation/hollow_fleet/real.py
+++ b/simulation/hollow_fleet/real.py
@@ -31,7 +31,7 @@
 PATIENCE = 30.0
 
 
-class CountedCourier(courier_module.Courier):
+class CountedCourier(courier_module.MessageTransport):
     """A courier that writes its counts into a file now and then."""
 
     file = ""
@@ -187,7 +187,7 @@
 def main() -> None:
     """Run one daemon with counted messages."""
     role, CountedCourier.file = sys.argv[1:]
-    hosted_module.Courier = CountedCourier
+    hosted_module.MessageTransport = CountedCourier
     settings = yaml.safe_load(Path(os.environ["SAILWARD_NODE_FILE"]).read_text("utf-8"))
     hosted = HOSTING.host_of(settings=settings, role=role)
     getattr(importlib.import_module(f"sailward.programs.hosted_{role}"), f"run_{role}")(hosted=hosted)
--- a/simulation/hosted/calls.py
+++ b/simulation/hosted/calls.py
@@ -12,7 +12,7 @@
 from urllib.parse import parse_qs, urlsplit
 
 from sailward import constants
-from sailward.events import Call, Called
+from sailward.events import CallFinished, StartCall
 from sailward.transport.wire_names import names_another
 
 if TYPE_CHECKING:
@@ -36,7 +36,7 @@
 class Line:
     """One call under way, from one process to whoever listens at an address."""
 
-    def __init__(self, *, calls: Calls, process: Process, command: Call) -> None:
+    def __init__(self, *, calls: Calls, process: Process, command: StartCall) -> None:
         self.calls, self.process, self.command = calls, process, command
         self.headers = {name.lower(): value for name, value in command.headers.items()}
         self.life = process.life
@@ -72,7 +72,7 @@
         if self.calls.may_keep(code=code, is_named=asked == echoed):
             self.calls.keep(line=self)
         self.finish(
-            called=Called(token=self.command.token, code=code, headers=headers, body=body, fault=fault, sent=True)
+            called=CallFinished(token=self.command.token, code=code, headers=headers, body=body, fault=fault, sent=True)
         )
 
     def leave_surplus(self, *, code: int, headers: dict, body: bytes) -> None:
@@ -84,7 +84,7 @@
     def fail(self, *, fault: str) -> None:
         """It ends on this side."""
         self.finish(
-            called=Called(
+            called=CallFinished(
                 token=self.command.token,
                 code=0,
                 headers={},
@@ -95,7 +95,7 @@
             is_aborted=True,
         )
 
-    def finish(self, *, called: Called | None, is_aborted: bool = False) -> None:
+    def finish(self, *, called: CallFinished | None, is_aborted: bool = False) -> None:
         """It is over: the owner hears it, unless it gave it up itself."""
         if self.is_over:
             return
@@ -118,7 +118,7 @@
         self.lines: dict = {}
         self._kept: dict = {}
 
-    def give(self, *, process: Process, command: Call) -> None:
+    def give(self, *, process: Process, command: StartCall) -> None:
         """Make a call."""
         line = Line(calls=self, process=process, command=command)
         self.lines[(process, command.token)] = line
@@ -126,7 +126,7 @@
         if process.now() > command.begin_by:
             clock.after(0.0, lambda: line.fail(fault="too-late"))
             return
-        clock.after(command.wait, lambda: line.fail(fault="timed-out"))
+        clock.after(command.timeout, lambda: line.fail(fault="timed-out"))
         if command.address == self.world.list_address:
             self._ask_list(line=line)
             return
@@ -218,7 +218,7 @@
         worker = line.worker = connection.worker
         line.connection, line.is_sent, line.sent_at = connection, True, self.world.clock.now
         here, network = line.process.machine.spot, self.world.network
-        is_held = network.is_cut(a=here, b=worker.spot)
+        is_valid = network.is_cut(a=here, b=worker.spot)
         if network.is_refused(a=here, b=worker.spot):
             self.world.clock.after(0.001, lambda: line.fail(fault="connection-lost"))
             return
@@ -233,7 +233,10 @@
             self.world.clock.after(constants.LEASE, lambda: line.fail(fault="connection-lost"))
         # bytes that a cut holds are lost with a connection that is given up; those on their way arrive
         network.send(
-            a=here, b=worker.spot, act=lambda: None if line.is_over and is_held else worker.arrive(line=line), line=line
+            a=here,
+            b=worker.spot,
+            act=lambda: None if line.is_over and is_valid else worker.arrive(line=line),
+            line=line,
         )
 
     def _ask_list(self, *, line: Line) -> None:
@@ -249,7 +252,7 @@
             world=world,
             delay=world.rng.uniform(0.005, 0.03),
             act=lambda: line.finish(
-                called=Called(token=line.command.token, code=code, headers={}, body=body, fault="", sent=True)
+                called=CallFinished(token=line.command.token, code=code, headers={}, body=body, fault="", sent=True)
             ),
         )
 
--- a/simulation/hosted/clients.py
+++ b/simulation/hosted/clients.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from sailward.events import Answer
+from sailward.events import Respond
 from simulation.hosted.deployment import Kind
 from simulation.hosted.exchange import CONNECT
 from simulation.hosted.network import Spot
@@ -52,7 +52,7 @@
     method: str
     work: float
     key: int
-    tries: int = TRIES
+    attempts: int = TRIES
 
 
 @dataclass(kw_only=True)
@@ -116,12 +116,12 @@
         if not directories:
             self._resolved(addresses=None, ttl=0.5)
             return
-        process, settled = directories[0], []
+        process, finished = directories[0], []
 
-        def take(answer: Answer | None) -> None:
-            if settled:
+        def take(answer: Respond | None) -> None:
+            if finished:
                 return
-            settled.append(1)
+            finished.append(1)
             told = json.loads(answer.body) if answer is not None and answer.code == 200 else {}
             if told.get("addresses") and "ttl_s" in told:
                 self._resolved(
@@ -203,7 +203,7 @@
                 t=self.world.clock.now, k="read", id=attempt.id, proxy=process.machine.spot.name, life=process.life
             )
 
-        def done(answer: Answer | None) -> None:
+        def done(answer: Respond | None) -> None:
             self._take(attempt=attempt, address=address, answer=answer)
 
         leave = self.world.exchange(
@@ -233,7 +233,7 @@
         if not kind.is_once:
             self.world.clock.after(min(1.0, left / 3) + 0.05, look)
 
-    def _take(self, *, attempt: Attempt, address: str, answer: Answer | None, why: str = "closed") -> None:
+    def _take(self, *, attempt: Attempt, address: str, answer: Respond | None, why: str = "closed") -> None:
         if attempt.is_over:
             return
         attempt.is_over = True
@@ -268,13 +268,13 @@
         may_again = code not in FINAL and (not request.kind.is_once or is_free) and why != "deadline"
         left = request.begun + request.kind.deadline - now
         eager = 3 if self.is_eager else 1
-        if not may_again or attempt.turn >= request.tries * eager or left < 0.05:
+        if not may_again or attempt.turn >= request.attempts * eager or left < 0.05:
             self._end(request=request, is_good=False, why=why if not code else str(code))
             return
         pause = 0.0 if self.is_eager else self._pause(answer=answer, left=left)
         self.world.clock.after(pause, lambda: self._go(request=request, turn=attempt.turn + 1))
 
-    def _pause(self, *, answer: Answer | None, left: float) -> float:
+    def _pause(self, *, answer: Respond | None, left: float) -> float:
         told = (
             next((value for name, value in answer.headers.items() if name.lower() == "retry-after"), "")
             if answer is not None
--- a/simulation/hosted/deployment.py
+++ b/simulation/hosted/deployment.py
@@ -45,7 +45,7 @@
     work: float
     aim: float
     deadline: float
-    tries: int = 2
+    attempts: int = 2
     homes: tuple = ()
 
 
@@ -59,8 +59,8 @@
     queue: int = 16
     is_sharded: bool = False
     hangs: bool = True
-    cold: float = 3.0
-    cold_rate: float = 6.0
+    slow_start: float = 3.0
+    slow_start_rate: float = 6.0
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -214,7 +214,12 @@
         "target_s": kind.aim,
         "priority": 1,
         "matcher": {"path_prefix": kind.prefix},
-        "verdict": {**verdict, "deadline_s": kind.deadline, "max_tries": kind.tries, "home_regions": list(kind.homes)},
+        "verdict": {
+            **verdict,
+            "deadline_s": kind.deadline,
+            "max_tries": kind.attempts,
+            "home_regions": list(kind.homes),
+        },
     }
 
 
@@ -225,7 +230,7 @@
         "max_conns": 130,
         "protocol": "h1",
         "tls": False,
-        "cold_s": served.cold,
-        "cold_rate_s": served.cold_rate,
+        "cold_s": served.slow_start,
+        "cold_rate_s": served.slow_start_rate,
     }
     return {**pool, "sharded": True, "warm_s": 3.0, "grants": "direct_call"} if served.is_sharded else pool
--- a/simulation/hosted/exchange.py
+++ b/simulation/hosted/exchange.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from sailward import constants
-from sailward.events import Answer, Asked
+from sailward.events import RequestReceived, Respond
 from simulation.hosted.network import Spot
 
 if TYPE_CHECKING:
@@ -73,7 +73,7 @@
         self.done(answer)
 
     def _come_back(self, answer: object) -> None:
-        if self.made is not None and isinstance(answer, Answer):
+        if self.made is not None and isinstance(answer, Respond):
             self.made(answer)
         if answer != "silent" and self.process is not None:
             self.world.network.send(
@@ -105,7 +105,7 @@
             return
         if self.read:
             self.read()
-        event = Asked(
+        event = RequestReceived(
             token=self.token,
             method=self.method,
             path=self.path,
--- a/simulation/hosted/expect.py
+++ b/simulation/hosted/expect.py
@@ -121,7 +121,7 @@
 def _judge_caught_up(*, words: list[str], world: World) -> tuple[str, object]:
     """caught-up: every controller and proxy that runs holds the newest configuration at the end."""
     numbers = {
-        process.name: process.owner.held.number(name="config")
+        process.name: process.owner.learner.number(name="config")
         for machine in world.machines.values()
         for process in machine.processes.values()
         if process.owner is not None
--- a/simulation/hosted/judge.py
+++ b/simulation/hosted/judge.py
@@ -28,7 +28,7 @@
 def judge(*, world: World) -> list[Broken]:
     """Every breach, in the order of the rules."""
     touch = Touch(world=world)
-    runs, arrivals, tries = (
+    runs, arrivals, attempts = (
         world.history.of(k="run"),
         world.history.of(k="arrival"),
         {row["id"]: row for row in world.history.of(k="try")},
@@ -36,15 +36,15 @@
     got = {row["id"]: row for row in world.history.of(k="got")}
     return [
         *judge_answers(world=world, runs=runs, got=got),
-        *judge_asked(world=world, runs=runs, tries=tries),
+        *judge_asked(world=world, runs=runs, attempts=attempts),
         *judge_stops(world=world, touch=touch, got=got),
         *judge_drain(world=world, arrivals=arrivals, touch=touch),
-        *judge_config(world=world, runs=runs, tries=tries, got=got, touch=touch),
+        *judge_config(world=world, runs=runs, attempts=attempts, got=got, touch=touch),
         *judge_reads(world=world, touch=touch),
         *judge_orders(world=world),
-        *judge_budget(world=world, arrivals=arrivals, tries=tries),
+        *judge_budget(world=world, arrivals=arrivals, attempts=attempts),
         *judge_cold(world=world, arrivals=arrivals),
-        *judge_homes(world=world, arrivals=arrivals, tries=tries),
+        *judge_homes(world=world, arrivals=arrivals, attempts=attempts),
         *judge_evacuations(world=world, arrivals=arrivals, touch=touch),
         *judge_owners(world=world, runs=runs),
         *judge_contact(world=world),
@@ -85,7 +85,7 @@
             )
 
 
-def judge_asked(*, world: World, runs: list, tries: dict):
+def judge_asked(*, world: World, runs: list, attempts: dict):
     """UNASKED, and DENIED as far as a single refusal of a proper request is one too many."""
     for row in runs:
         attempt = world.attempts.get(row["id"])
@@ -102,9 +102,11 @@
     denied = [
         row for row in world.history.of(k="got") if 300 <= row["code"] < 500 and row["code"] not in (404, *PROMISES)
     ]
-    if len(denied) > 5 + len(tries) / 500:
+    if len(denied) > 5 + len(attempts) / 500:
         yield Broken(
-            rule="DENIED", t=denied[0]["t"], detail=f"{len(denied)} of {len(tries)}, the first with {denied[0]['code']}"
+            rule="DENIED",
+            t=denied[0]["t"],
+            detail=f"{len(denied)} of {len(attempts)}, the first with {denied[0]['code']}",
         )
 
 
--- a/simulation/hosted/judge_config.py
+++ b/simulation/hosted/judge_config.py
@@ -45,12 +45,12 @@
         return [one for one in self.all if service in (self.services(version=one, host=host, path=path) or ())]
 
 
-def judge_config(*, world: World, runs: list, tries: dict, got: dict, touch: Touch):
+def judge_config(*, world: World, runs: list, attempts: dict, got: dict, touch: Touch):
     """ROUTE and CONFIG by what was run and what was refused."""
     versions, bounds = Versions(world=world), world.deployment.bounds
     newest: dict = {}
     for run in runs:
-        sent = tries.get(run["id"])
+        sent = attempts.get(run["id"])
         if sent is None:
             continue
         allowing = versions.allowing(service=run["service"], host=sent["host"], path=sent["path"])
@@ -86,7 +86,7 @@
         newest.setdefault(place, []).append((least, run["t"]))
         newest[place] = newest[place][-200:]
     for row in got.values():
-        sent = tries[row["id"]]
+        sent = attempts[row["id"]]
         if row["code"] != 404:
             continue
         due = versions.may_hold(since=sent["t"] - bounds["config_apply_s"], until=row["t"])
--- a/simulation/hosted/judge_places.py
+++ b/simulation/hosted/judge_places.py
@@ -45,17 +45,17 @@
 def judge_cold(*, world: World, arrivals: list):
     """FAILBACK: a cold worker gets more in one second than it bears."""
     bounds = world.deployment.bounds
-    rates = {one.name: one.cold_rate for one in world.deployment.services}
-    cold = collections.defaultdict(list)
+    rates = {one.name: one.slow_start_rate for one in world.deployment.services}
+    slow_start = collections.defaultdict(list)
     chilled = collections.defaultdict(list)
     for row in world.history.of(k="chilled"):
         chilled[row["worker"]].append(row["t"])
     known = KNOWN + world.deployment.list_lag
     for row in arrivals:
-        is_news = any(t <= row["sent"] < t + known for t in chilled[row["worker"]])
-        if row["is_cold"] and row["code"] != 421 and not is_news:
-            cold[row["worker"]].append(row)
-    for worker, rows in cold.items():
+        is_newer = any(t <= row["sent"] < t + known for t in chilled[row["worker"]])
+        if row["is_cold"] and row["code"] != 421 and not is_newer:
+            slow_start[row["worker"]].append(row)
+    for worker, rows in slow_start.items():
         most = rates[rows[0]["service"]] * bounds["cold_excess"] + bounds["cold_slack"]
         for at, row in enumerate(rows):
             count = sum(
@@ -66,11 +66,11 @@
                 break
 
 
-def judge_homes(*, world: World, arrivals: list, tries: dict):
+def judge_homes(*, world: World, arrivals: list, attempts: dict):
     """HOME: a request of a route with homes arrives at a worker elsewhere."""
     homes = {kind.name: kind.homes for kind in world.deployment.kinds if kind.homes}
     for row in arrivals:
-        sent = tries.get(row["id"])
+        sent = attempts.get(row["id"])
         if sent is not None and sent["kind"] in homes and row["region"] not in homes[sent["kind"]]:
             yield Broken(
                 rule="HOME", t=row["t"], detail=f"{row['id']} at {row['worker']} in {row['region']}, by {row['proxy']}"
@@ -137,7 +137,7 @@
                     )
 
 
-def judge_budget(*, world: World, arrivals: list, tries: dict):
+def judge_budget(*, world: World, arrivals: list, attempts: dict):
     """BUDGET: a service gets more further tries than its share in some window."""
     bounds = world.deployment.bounds
     window = bounds["retry_window_s"]
@@ -148,7 +148,7 @@
             more[row["service"]].append(row["t"])
         seen.add(row["id"])
     asked = collections.defaultdict(list)
-    for row in sorted(tries.values(), key=lambda one: one["t"]):
+    for row in sorted(attempts.values(), key=lambda one: one["t"]):
         for service in _services(world=world, kind=row["kind"]):
             asked[service].append(row["t"])
     for service, times in more.items():
--- a/simulation/hosted/listing.py
+++ b/simulation/hosted/listing.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(kw_only=True)
-class Listing:
+class EndpointPoller:
     """Owner of the list. `change` folds what a worker became, `page` gives what a caller is told."""
 
     lag: float
@@ -60,7 +60,7 @@
                     "generation": "v1",
                     "capacity": worker.capacity,
                     "state": state,
-                    "cold_left_s": round(max(0.0, worker.cold_until - now), 3),
+                    "cold_left_s": round(max(0.0, worker.slow_start_until - now), 3),
                 }
             )
         follow = f"p-{start + PAGE}" if start + PAGE < len(names) else None
--- a/simulation/hosted/machine_verbs.py
+++ b/simulation/hosted/machine_verbs.py
@@ -36,14 +36,14 @@
     def do_kill(self, process: str) -> None:
         """Processes are killed; they come back after a moment."""
         for one in self._processes(process):
-            self._note(machine=one.machine, seconds=RESTART + 0.1)
+            self._record(machine=one.machine, seconds=RESTART + 0.1)
             one.kill()
 
     def do_stop(self, process: str) -> None:
         """SIGTERM."""
         for one in self._processes(process):
             grace = self._world.deployment.bounds["grace_s"]
-            self._note(machine=one.machine, seconds=grace + RESTART, planned=True)
+            self._record(machine=one.machine, seconds=grace + RESTART, planned=True)
             one.stop()
 
     def do_remove(self, machine: str) -> None:
@@ -52,7 +52,7 @@
         grace = world.deployment.bounds["grace_s"]
         for one in self._machines(machine):
             one.listed_until = world.clock.now
-            self._note(machine=one, seconds=grace, planned=True)
+            self._record(machine=one, seconds=grace, planned=True)
             for process in one.processes.values():
                 process.is_leaving = True
                 process.stop()
@@ -61,14 +61,14 @@
     def do_freeze(self, process: str, seconds: str) -> None:
         """Processes stand still for some seconds."""
         for one in self._processes(process):
-            self._note(machine=one.machine, seconds=float(seconds) + 0.1)
+            self._record(machine=one.machine, seconds=float(seconds) + 0.1)
             one.freeze()
             self._world.clock.after(float(seconds), one.thaw)
 
     def do_slow_node(self, machine: str, times: str, seconds: str) -> None:
         """Machines run so many times slower."""
         for one in self._machines(machine):
-            self._note(machine=one, seconds=float(seconds))
+            self._record(machine=one, seconds=float(seconds))
             for process in one.processes.values():
                 process.lag = SLOW_EVENT * float(times)
                 self._world.clock.after(float(seconds), lambda process=process: setattr(process, "lag", 0.0))
@@ -76,13 +76,13 @@
     def do_dark(self, machine: str, *how: str) -> None:
         """Machines lose power; `wipe` takes their disks along. They stay dark until `light`."""
         for one in self._machines(machine):
-            self._note(machine=one, seconds=float("inf"))
+            self._record(machine=one, seconds=float("inf"))
             one.lose_power(wipe="wipe" in how)
 
     def do_outage(self, machine: str, seconds: str, *how: str) -> None:
         """Machines lose power for so long, each by itself; `wipe` takes their disks along."""
         for one in self._machines(machine):
-            row = self._note(machine=one, seconds=float("inf"))
+            row = self._record(machine=one, seconds=float("inf"))
             one.lose_power(wipe="wipe" in how)
             self._world.clock.after(float(seconds), lambda one=one, row=row: self._power(machine=one, row=row))
 
@@ -104,7 +104,7 @@
                 back = float(seconds) + world.rng.uniform(0.0, ALL_BACK)
                 world.restart(worker=worker, seconds=back, is_silent=True)
         for one in self._machines(zone):
-            row = self._note(machine=one, seconds=float("inf"))
+            row = self._record(machine=one, seconds=float("inf"))
             one.lose_power()
             back = float(seconds) + world.rng.uniform(0.0, ALL_BACK)
             world.clock.after(back, lambda one=one, row=row: self._power(machine=one, row=row))
@@ -121,7 +121,7 @@
                 self._add(old=old, delay=0.0)
                 world.clock.after(delay, lambda old=old: self.do_remove(old.spot.name))
             else:
-                self._note(machine=old, seconds=float("inf"))
+                self._record(machine=old, seconds=float("inf"))
                 self._bury(machine=old)
                 self._add(old=old, delay=delay)
 
@@ -147,21 +147,21 @@
     def do_reset_conns(self, machine: str, share: str) -> None:
         """A share of the machines' connections to workers is reset, kept ones and those of calls under way."""
         for one in self._machines(machine):
-            self._note(machine=one, seconds=0.0)
+            self._record(machine=one, seconds=0.0)
             for process in one.processes.values():
                 self._world.calls.reset(process=process, share=float(share))
 
     def do_reset_connections(self, machine: str, share: str) -> None:
         """So many of the connections of machines are reset, those of callers too."""
         for one in self._machines(machine):
-            self._note(machine=one, seconds=0.0)
+            self._record(machine=one, seconds=0.0)
             for process in one.processes.values():
                 process.reset(share=float(share))
 
     def do_fill(self, machine: str, seconds: str) -> None:
         """Disks are full for some seconds."""
         for one in self._machines(machine):
-            self._note(machine=one, seconds=float(seconds))
+            self._record(machine=one, seconds=float(seconds))
             one.disk.is_full = True
             self._world.clock.after(float(seconds), lambda one=one: setattr(one.disk, "is_full", False))
 
@@ -170,20 +170,20 @@
         for one in self._machines(machine):
             one.disk.slow = float(times)
             if seconds:
-                self._note(machine=one, seconds=float(seconds))
+                self._record(machine=one, seconds=float(seconds))
                 self._world.clock.after(float(seconds), lambda one=one: setattr(one.disk, "slow", 1.0))
 
     def do_stall_disk(self, machine: str, seconds: str) -> None:
         """Disks answer nothing for some seconds; what was written then is synced at the end."""
         for one in self._machines(machine):
-            self._note(machine=one, seconds=float(seconds))
+            self._record(machine=one, seconds=float(seconds))
             for process in one.processes.values():
                 process.stall(until=self._world.clock.now + float(seconds))
 
     def do_clock_step(self, machine: str, seconds: str, back_after: str = "") -> None:
         """The time of day jumps on machines, and back after some seconds."""
         for one in self._machines(machine):
-            self._note(machine=one, seconds=0.0)
+            self._record(machine=one, seconds=0.0)
             one.skew += float(seconds)
             if back_after:
                 name = one.spot.name
@@ -230,7 +230,7 @@
         )
         fresh = world.add_machine(name=name, zone=old.spot.zone, has_disk="controller" in old.processes)
         fresh.listed_from = world.clock.now + delay + world.deployment.bounds["seed_lag_s"]
-        self._note(machine=fresh, seconds=delay)
+        self._record(machine=fresh, seconds=delay)
         fresh.is_dark = True
         world.clock.after(delay, fresh.start)
 
@@ -238,9 +238,9 @@
         machine.lose_power(wipe=True)
         machine.is_gone = True
         machine.listed_until = min(machine.listed_until, self._world.clock.now)
-        self._note(machine=machine, seconds=0.0)
+        self._record(machine=machine, seconds=0.0)
 
-    def _note(self, *, machine: Machine, seconds: float, planned: bool = False) -> dict:
+    def _record(self, *, machine: Machine, seconds: float, planned: bool = False) -> dict:
         return self._world.trouble(
             names={machine.spot.name},
             seconds=seconds,
--- a/simulation/hosted/network.py
+++ b/simulation/hosted/network.py
@@ -67,17 +67,17 @@
 
     def is_cut(self, *, a: Spot, b: Spot) -> bool:
         """Do bytes from `a` to `b` meet a cut now?"""
-        return any(cut.blocks(a=a, b=b, now=self.clock.now) for cut in self._standing())
+        return any(cut.blocks(a=a, b=b, now=self.clock.now) for cut in self._aggregated_health())
 
     def is_severed(self, *, a: Spot, b: Spot) -> bool:
         """Can no new connection come up between them now?"""
-        return any(cut.parts(a=a, b=b) for cut in self._standing())
+        return any(cut.parts(a=a, b=b) for cut in self._aggregated_health())
 
     def is_refused(self, *, a: Spot, b: Spot) -> bool:
         """Is a new connection between them refused at once?"""
-        return any(cut.is_loud and cut.parts(a=a, b=b) for cut in self._standing())
+        return any(cut.is_loud and cut.parts(a=a, b=b) for cut in self._aggregated_health())
 
-    def _standing(self) -> list:
+    def _aggregated_health(self) -> list:
         return [cut for cut in self.cuts if cut.end == float("inf")]
 
     def delay(self, *, a: Spot, b: Spot) -> float:
--- a/simulation/hosted/operator_call.py
+++ b/simulation/hosted/operator_call.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from sailward.events import Answer
+from sailward.events import Respond
 
 if TYPE_CHECKING:
     from simulation.hosted.operators import Operator
@@ -62,7 +62,7 @@
     def _send(self, *, process: Process | None) -> None:
         _Sending(call=self, process=process).begin()
 
-    def take(self, *, answer: Answer | None, process: Process | None) -> None:
+    def take(self, *, answer: Respond | None, process: Process | None) -> None:
         """Judge the answer of one sending, None if none came: end, or go on to another controller."""
         code = answer.code if answer is not None else 0
         if code == MOVED and self.moves < REDIRECTS:
@@ -86,7 +86,7 @@
         """The s that it waits for an answer before it closes the connection."""
         return self.operator.patience * (2 if len(self.body) > LARGE else 1)
 
-    def is_lost(self, *, answer: Answer | None) -> bool:
+    def is_lost(self, *, answer: Respond | None) -> bool:
         """Is this an acknowledgement that never reaches the operator?"""
         if answer is None or answer.code != 200 or self.wants_body:
             return False
@@ -138,7 +138,7 @@
         self.leave()
         self._take(None)
 
-    def _take(self, answer: Answer | None) -> None:
+    def _take(self, answer: Respond | None) -> None:
         if self.is_settled or self.call.is_lost(answer=answer):
             return
         self.is_settled = True
--- a/simulation/hosted/operators.py
+++ b/simulation/hosted/operators.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from sailward.events import Answer
+from sailward.events import Respond
 from simulation.hosted.deployment import make_written
 from simulation.hosted.network import Spot
 from simulation.hosted.operator_call import ENDS, OperatorCall
@@ -328,7 +328,7 @@
         def lose() -> None:
             version.lost += 1
 
-        def made(answer: Answer) -> None:
+        def made(answer: Respond) -> None:
             now = world.clock.now
             if answer.code == 200:
                 version.taken = min(version.taken, now)
--- a/simulation/hosted/process.py
+++ b/simulation/hosted/process.py
@@ -16,25 +16,25 @@
 from sailward.consensus.messages import BadMessage, check_message
 from sailward.control.controller import Controller
 from sailward.events import (
-    Answer,
-    Asked,
-    Call,
-    CallerLeft,
+    AppendRecords,
     CancelCall,
-    Check,
-    Checked,
-    DiskFailed,
-    HangUp,
-    Heard,
-    Leave,
-    Log,
-    Rewrite,
-    Stop,
-    StopAsked,
-    Store,
-    Synced,
-    Tell,
-    Ticked,
+    ClientDisconnected,
+    CloseConnections,
+    ConfigValidated,
+    DiskWriteFailed,
+    DrainConnections,
+    ExitProcess,
+    LogEvent,
+    MessageReceived,
+    RecordsSynced,
+    RequestReceived,
+    Respond,
+    RewriteRecords,
+    SendMessage,
+    ShutdownRequested,
+    StartCall,
+    TimerFired,
+    ValidateConfig,
 )
 from sailward.proxy.proxy import Proxy
 from simulation.hosted.network import Spot
@@ -135,7 +135,7 @@
             self.owner = Proxy(
                 place=self.hosted.place, start=start, rng=random.Random(nonce), options=self.hosted.options
             )
-        self._note(k="up")
+        self._record(k="up")
         self._tick(life=self.life)
 
     def kill(self) -> None:
@@ -150,8 +150,8 @@
         if self.owner is None:
             return
         self.is_stopping = True
-        self._note(k="term")
-        self.give(event=StopAsked())
+        self._record(k="term")
+        self.give(event=ShutdownRequested())
         self.world.clock.after(
             bounds["grace_s"], lambda: self.kill() if self.life == life and self.owner is not None else None
         )
@@ -171,7 +171,7 @@
         """The process ends; its connections close, or stay silent."""
         if self.owner is None:
             return
-        self._note(k="down", stopped=self.is_stopping)
+        self._record(k="down", stopped=self.is_stopping)
         self.owner, self.frozen = None, None
         self.life += 1
         self.world.calls.end(process=self, is_dark=is_dark)
@@ -196,7 +196,7 @@
     def hang_up_signal(self) -> None:
         """SIGHUP: the settings file has changed. The proxies read the seeds again, as their host does."""
         if self.owner is not None and self.role == "proxy":
-            self.owner.uplink.seeds = self.world.host(machine=self.machine, role=self.role).place.seeds
+            self.owner.control_client.seeds = self.world.host(machine=self.machine, role=self.role).place.seeds
 
     def give(self, *, event: object) -> None:
         """Let the owner answer an event; on a slowed machine it comes late, in order."""
@@ -211,7 +211,7 @@
         if self.owner is None:
             return
         if self.frozen is not None:
-            if not isinstance(event, Ticked):
+            if not isinstance(event, TimerFired):
                 self.frozen.append(lambda: self.give(event=event))
             return
         life = self.life
@@ -231,7 +231,7 @@
                 return
             self._carry_out(command=command)
 
-    def ask(self, *, event: Asked, answer: Callable) -> None:
+    def ask(self, *, event: RequestReceived, answer: Callable) -> None:
         """An exchange arrived at an edge.
 
         `answer` gets an Answer, None when the connection closed, or "silent" when nothing comes.
@@ -250,7 +250,7 @@
                 return
         self.give(event=event if edge == "front" else self.hosted.words.ask(event))
 
-    def _noted(self, *, event: Asked, answer: Callable) -> Callable:
+    def _noted(self, *, event: RequestReceived, answer: Callable) -> Callable:
         """An operator's exchange, written down with its answer as it leaves the controller."""
         if not event.token.startswith("desk "):
             return answer
@@ -269,9 +269,9 @@
     def leave(self, *, token: str) -> None:
         """A caller closed its connection."""
         if self.waiting.pop(token, None) is not None:
-            self.give(event=CallerLeft(token=token))
+            self.give(event=ClientDisconnected(token=token))
 
-    def _note(self, *, k: str, **more: object) -> None:
+    def _record(self, *, k: str, **more: object) -> None:
         self.world.history.add(
             t=self.world.clock.now,
             k=k,
@@ -285,30 +285,30 @@
     def _tick(self, *, life: int) -> None:
         if self.life != life:
             return
-        self.give(event=Ticked(wall=self.world.wall() + self.machine.skew))
+        self.give(event=TimerFired(wall=self.world.wall() + self.machine.skew))
         self.world.clock.after(constants.TICK * self.machine.rng.uniform(0.98, 1.1), lambda: self._tick(life=life))
 
     def _carry_out(self, *, command: object) -> None:
-        if isinstance(command, Tell):
-            self._tell(command=command)
-        elif isinstance(command, Answer):
+        if isinstance(command, SendMessage):
+            self._send_update(command=command)
+        elif isinstance(command, Respond):
             self._answer(command=command)
-        elif isinstance(command, (Call, CancelCall, HangUp)):
+        elif isinstance(command, (StartCall, CancelCall, CloseConnections)):
             self._change_calls(command=command)
-        elif isinstance(command, (Store, Rewrite)):
+        elif isinstance(command, (AppendRecords, RewriteRecords)):
             self._store(command=command)
-        elif isinstance(command, Check):
+        elif isinstance(command, ValidateConfig):
             self._check(command=command)
-        elif isinstance(command, Leave):
+        elif isinstance(command, DrainConnections):
             self.is_shut = self.is_shut or command.shut
-        elif isinstance(command, Log):
+        elif isinstance(command, LogEvent):
             self.logs.append((self.world.clock.now, command.event, command.fields))
-        elif isinstance(command, Stop):
+        elif isinstance(command, ExitProcess):
             self._stop()
 
-    def _change_calls(self, *, command: Call | CancelCall | HangUp) -> None:
+    def _change_calls(self, *, command: StartCall | CancelCall | CloseConnections) -> None:
         calls = self.world.calls
-        if isinstance(command, Call):
+        if isinstance(command, StartCall):
             calls.give(process=self, command=command)
         elif isinstance(command, CancelCall):
             calls.cancel(process=self, token=command.token)
@@ -319,21 +319,23 @@
         self.end(is_dark=False)
         self.world.clock.after(RESTART, self.start)
 
-    def _answer(self, *, command: Answer) -> None:
+    def _answer(self, *, command: Respond) -> None:
         answer = self.waiting.pop(command.token, None)
         if answer is not None:
             self._note_order(command=command)
             answer(command if command.token.startswith("front ") else self.hosted.words.answer(command))
 
-    def _check(self, *, command: Check) -> None:
+    def _check(self, *, command: ValidateConfig) -> None:
         life = self.life
         verdict = check_config(config=command.config)
         self.world.clock.after(
             CHECK_TIME,
-            lambda: self.give(event=Checked(token=command.token, verdict=verdict)) if self.life == life else None,
+            lambda: (
+                self.give(event=ConfigValidated(token=command.token, verdict=verdict)) if self.life == life else None
+            ),
         )
 
-    def _note_order(self, *, command: Answer) -> None:
+    def _note_order(self, *, command: Respond) -> None:
         if command.token not in self.orders:
             return
         self.orders.discard(command.token)
@@ -344,7 +346,7 @@
                 self.world.moments.uniform(0.0, 0.004), lambda: self.world.happens(moment="answered")
             )
 
-    def _tell(self, *, command: Tell) -> None:
+    def _send_update(self, *, command: SendMessage) -> None:
         to = self.world.by_post.get(command.to)
         if to is None:
             return
@@ -353,7 +355,7 @@
             raise AssertionError(f"{self.name} sent a bad message: {body.reason} {command.body}")
         self.world.count[f"told-{body['kind']}"] += 1
         self._note_push(to=to, body=body)
-        event, life, own = Heard(sender=self.hosted.place.post, body=body), to.life, self.life
+        event, life, own = MessageReceived(sender=self.hosted.place.post, body=body), to.life, self.life
         self.world.network.send(
             a=self.machine.spot,
             b=to.machine.spot,
@@ -376,10 +378,10 @@
             contact=body.get("contact") is not False,
         )
 
-    def _store(self, *, command: Store | Rewrite) -> None:
+    def _store(self, *, command: AppendRecords | RewriteRecords) -> None:
         disk, life, clock = self.machine.disk, self.life, self.world.clock
         if not disk.takes(command=command):
-            failed = DiskFailed(seq=command.seq, full=True, reason="no room")
+            failed = DiskWriteFailed(seq=command.seq, full=True, reason="no room")
             clock.after(0.001, lambda: self.give(event=failed) if self.life == life else None)
             return
 
@@ -388,7 +390,7 @@
                 return
             if command in disk.pending:
                 disk.sync(command=command)
-            self.give(event=Synced(seq=command.seq))
+            self.give(event=RecordsSynced(seq=command.seq))
 
         # syncs end in order
         self._sync_end = max(self._sync_end, max(clock.now, self._stalled_until) + disk.write(command=command))
--- a/simulation/hosted/sabotage.py
+++ b/simulation/hosted/sabotage.py
@@ -14,7 +14,7 @@
 from sailward.control.group import catch_up, contact_watch, graceful_shutdown, membership, quorum_contact, write_ahead
 from sailward.control.shards import granting, shard_leases
 from sailward.discovery import endpoint_table
-from sailward.events import Stop
+from sailward.events import ExitProcess
 from sailward.proxy import control_client, proxy
 from sailward.routing import endpoint_selection, forwarding, passive_health, plan, retry_budget, worker_response
 from simulation.hosted import calls as hosted_calls
@@ -62,7 +62,7 @@
 
 def _never_leaving(old):
     def replace(self, *, now, workers):
-        return old(self, now=now, workers=[{**row, "leaving": False} for row in endpoint_table])
+        return old(self, now=now, workers=[{**row, "leaving": False} for row in workers])
 
     return replace
 
@@ -79,7 +79,7 @@
 def _takes_unmarked(old):
     def judge_reply(*, request, worker, event, names):
         if event.code in worker_response.PROMISES:
-            return worker_response.TurnedAway(code=event.code, why="full")
+            return worker_response.WorkerRejected(code=event.code, why="full")
         return old(request=request, worker=worker, event=event, names=names)
 
     return judge_reply
@@ -109,7 +109,7 @@
 
 def _stops_at_once(old):
     def begin_stop(self, *, now):
-        return [*old(self, now=now), Stop(code=0)]
+        return [*old(self, now=now), ExitProcess(code=0)]
 
     return begin_stop
 
@@ -151,27 +151,27 @@
 SABOTAGE: dict[str, Callable] = {
     "fence-wait": _all(
         _patch(granting.Granting, "_is_free", lambda old: lambda self, *, now, shard: True),
-        _patch(granting.Granting, "_release", lambda old: lambda self, *, now, scene: []),
+        _patch(granting.Granting, "_release", lambda old: lambda self, *, now, context: []),
     ),
     "lease": _all(_patch(shard_leases.Freshness, "until", lambda old: lambda self, *, now, **fields: now + 9.0)),
     "once-only": _all(lambda: mock.patch.object(plan.Match, "is_repeatable", property(lambda self: True))),
     "promise": _all(_patch(forwarding.Forwarder, "_give_up", _promises_all)),
     "promise-mark": _all(_patch(forwarding, "judge_reply", _takes_unmarked)),
-    "drain-mark": _all(_patch(endpoint_table.WorkerBook, "replace", _never_leaving)),
+    "drain-mark": _all(_patch(endpoint_table.EndpointTable, "replace", _never_leaving)),
     "homes": _all(
         _patch(
-            endpoint_selection.Placer,
+            endpoint_selection.EndpointSelector,
             "_may_serve",
-            lambda old: lambda self, *, hall, homes: old(self, hall=hall, homes=frozenset()),
+            lambda old: lambda self, *, zone, homes: old(self, zone=zone, homes=frozenset()),
         ),
         _patch(
-            endpoint_selection.Placer,
+            endpoint_selection.EndpointSelector,
             "_near",
             lambda old: lambda self, *, pool, homes: old(self, pool=pool, homes=frozenset()),
         ),
     ),
-    "cold-bound": _all(_patch(endpoint_selection.Placer, "_bears", lambda old: lambda self, **fields: True)),
-    "cold-news": _all(_patch(passive_health.Evidence, "chill", lambda old: lambda self, **fields: None)),
+    "cold-bound": _all(_patch(endpoint_selection.EndpointSelector, "_bears", lambda old: lambda self, **fields: True)),
+    "cold-news": _all(_patch(passive_health.PassiveHealth, "chill", lambda old: lambda self, **fields: None)),
     "evacuation": _all(_patch(proxy, "read_orders", _no_zone_emptied)),
     "late-orders": _all(_patch(admin_api.AdminApi, "drop", lambda old: lambda self, *, token: None)),
     "zone-counts": _all(_patch(zone_orders.ZoneOrders, "count", lambda old: lambda self, *, kind, zone: 0)),
@@ -183,7 +183,7 @@
     "expect": _all(_patch(forwarding, "headers_to_worker", _without_expect)),
     "budget": _all(_patch(retry_budget.RetryBudget, "step", lambda old: lambda self, **fields: True)),
     "contact": _all(_patch(contact_watch.ContactWatch, "may_serve", _always_serves)),
-    "contact-word": _all(_patch(control_client.Uplink, "is_last_resort", lambda old: lambda self, *, now: True)),
+    "contact-word": _all(_patch(control_client.ControlClient, "is_last_resort", lambda old: lambda self, *, now: True)),
     "contact-read": _all(
         _patch(quorum_contact.QuorumContact, "_lose", _forgets_to_read),
         _patch(catch_up.CatchUp, "step", _reads_once),
@@ -198,7 +198,9 @@
     "hang-up": _all(_patch(hosted_calls.Calls, "may_keep", lambda old: lambda self, *, code, is_named: True)),
     "sync": _all(_patch(write_ahead.WriteAhead, "step", _told_unsynced)),
     "majority": _all(_patch(proposer, "majority_of", lambda old: lambda *, members: 1)),
-    "hand-over": _all(_patch(graceful_shutdown.Leaving, "begin", lambda old: lambda self, *, now: [Stop(code=0)])),
+    "hand-over": _all(
+        _patch(graceful_shutdown.GracefulShutdown, "begin", lambda old: lambda self, *, now: [ExitProcess(code=0)])
+    ),
     "stop": _all(_patch(proxy.Proxy, "_begin_stop", _stops_at_once)),
     # as before events were matched by type: what is not known is taken for a tick
     "caller-left": _all(
--- a/simulation/hosted/touch.py
+++ b/simulation/hosted/touch.py
@@ -23,7 +23,7 @@
         self._contact = world.deployment.bounds["contact_s"]
         self._core = [one for one in world.machines.values() if "controller" in one.processes]
 
-    def settled(self, *, t: float) -> bool:
+    def finished(self, *, t: float) -> bool:
         """Has no core machine been in trouble for `contact_s`?"""
         if any(row["core"] and row["t"] <= t and t - self._contact <= row["until"] for row in self._world.troubles):
             return False
@@ -39,7 +39,7 @@
             return False
         since, t = None, begun
         while t < ended:
-            is_well = self.settled(t=t) and not self._is_any_link_troubled(t=t)
+            is_well = self.finished(t=t) and not self._is_any_link_troubled(t=t)
             since = (t if since is None else since) if is_well else None
             if since is not None and t - since >= patience:
                 return True
@@ -53,7 +53,7 @@
 
     def holds(self, *, machine: str, t: float) -> bool:
         """Was the machine in touch at this moment?"""
-        if not machine or not self.settled(t=t):
+        if not machine or not self.finished(t=t):
             return False
         spot = self._world.machines[machine].spot
         if any(
--- a/simulation/hosted/workers.py
+++ b/simulation/hosted/workers.py
@@ -33,7 +33,7 @@
 
     start: int
     end: int
-    fence: int
+    fencing_token: int
     since: float
     until: float
 
@@ -51,11 +51,11 @@
     queue: int
     hangs: bool
     is_sharded: bool
-    cold_rate: float
+    slow_start_rate: float
     rng: random.Random
     born: float
     speed: float = 1.0
-    cold_until: float = 0.0
+    slow_start_until: float = 0.0
     is_up: bool = True
     is_silent: bool = False
     is_draining: bool = False
@@ -118,7 +118,7 @@
             del self.running[line]
             self._go_on()
 
-    def _note(self, *, k: str, line: Line, **more: object) -> None:
+    def _record(self, *, k: str, line: Line, **more: object) -> None:
         self.world.history.add(
             t=self.world.clock.now,
             k=k,
@@ -138,18 +138,18 @@
             if not self.hangs:
                 line.answer(code=503, headers={"not-executed": "1"})
             return
-        cold = max(0.0, self.cold_until - self.world.clock.now)
-        headers = {"instance-id": self.id, **({"cold-remaining": f"{cold:.2f}"} if cold else {})}
+        slow_start = max(0.0, self.slow_start_until - self.world.clock.now)
+        headers = {"instance-id": self.id, **({"cold-remaining": f"{slow_start:.2f}"} if slow_start else {})}
         is_ill = self.is_draining or self.ailments.says_ill(now=self.world.clock.now)
         line.answer(code=503 if is_ill else 200, headers=headers)
 
     def _take_request(self, *, line: Line, headers: dict, is_meant: bool) -> None:
         now = self.world.clock.now
         key = int(headers["shard-key"]) if headers.get("shard-key", "").isdigit() else -1
-        is_held = not self.is_sharded or self.holds_key(key=key) is not None
-        is_cold = now < self.cold_until
-        code = 421 if not is_meant or not is_held else 400 if not headers.get("attempt-id") else 0
-        self._note(k="arrival", line=line, code=code, is_cold=is_cold, sent=line.sent_at)
+        is_valid = not self.is_sharded or self.holds_key(key=key) is not None
+        is_cold = now < self.slow_start_until
+        code = 421 if not is_meant or not is_valid else 400 if not headers.get("attempt-id") else 0
+        self._record(k="arrival", line=line, code=code, is_cold=is_cold, sent=line.sent_at)
         if code:
             line.answer(code=code, headers={"not-executed": "1", "attempt-id": headers.get("attempt-id", "")})
             return
@@ -180,7 +180,7 @@
         while self.recent[0] < now - 1.0:
             self.recent.popleft()
         bounds = self.world.deployment.bounds
-        return len(self.recent) > FALLS * (self.cold_rate * bounds["cold_excess"] + bounds["cold_slack"])
+        return len(self.recent) > FALLS * (self.slow_start_rate * bounds["cold_excess"] + bounds["cold_slack"])
 
     def _begin(self, *, line: Line) -> None:
         now = self.world.clock.now
@@ -189,7 +189,7 @@
             return
         command = line.command
         attempt = self.world.attempts.get(line.headers.get("attempt-id", ""))
-        self._note(
+        self._record(
             k="run",
             line=line,
             method=command.method,
@@ -248,7 +248,7 @@
     def _answer(self, *, line: Line, code: int, headers: dict) -> None:
         name = line.headers.get("attempt-id", "")
         seal = f"{self.id}.{name}.{code}"
-        self._note(k="done", line=line, code=code, seal=seal, not_run="not-executed" in headers)
+        self._record(k="done", line=line, code=code, seal=seal, not_run="not-executed" in headers)
         body = f"body of {name}".encode() if code == 200 else b""
         headers = {"attempt-id": name, "server-seal": seal, **headers}
         line.answer(code=code, headers=headers, body=body)
@@ -271,16 +271,25 @@
                 line.answer(code=200, headers={"handover": f"h.{self.id}.{start}"})
 
     def _take_grant(self, *, line: Line, body: dict) -> None:
-        now, start, end, fence = self.world.clock.now, body["from_rev"], body["target_version"], body["fence_token"]
+        now, start, end, fencing_token = (
+            self.world.clock.now,
+            body["from_rev"],
+            body["target_version"],
+            body["fence_token"],
+        )
         if body["hold_s"] > self.world.deployment.bounds["hold_max_s"]:
             line.answer(code=400)
             return
-        if any(a <= end and start <= b and seen > fence for a, b, seen in self.fences):
+        if any(a <= end and start <= b and seen > fencing_token for a, b, seen in self.fences):
             line.answer(code=409)
             return
-        self.fences = [(a, b, seen) for a, b, seen in self.fences if (a, b) != (start, end)] + [(start, end, fence)]
+        self.fences = [(a, b, seen) for a, b, seen in self.fences if (a, b) != (start, end)] + [
+            (start, end, fencing_token)
+        ]
         self._drop(start=start, end=end)
-        self.holds.append(Hold(start=start, end=end, fence=fence, since=now, until=now + body["hold_s"] * SLOW_CLOCK))
+        self.holds.append(
+            Hold(start=start, end=end, fencing_token=fencing_token, since=now, until=now + body["hold_s"] * SLOW_CLOCK)
+        )
         line.answer(code=200)
 
     def _take_release(self, *, line: Line, body: dict) -> None:
@@ -297,9 +306,19 @@
                 continue
             self._note_hold(hold=one, start=max(one.start, start), end=min(one.end, end), until=min(now, one.until))
             if one.start < start:
-                kept.append(Hold(start=one.start, end=start - 1, fence=one.fence, since=one.since, until=one.until))
+                kept.append(
+                    Hold(
+                        start=one.start,
+                        end=start - 1,
+                        fencing_token=one.fencing_token,
+                        since=one.since,
+                        until=one.until,
+                    )
+                )
             if end < one.end:
-                kept.append(Hold(start=end + 1, end=one.end, fence=one.fence, since=one.since, until=one.until))
+                kept.append(
+                    Hold(start=end + 1, end=one.end, fencing_token=one.fencing_token, since=one.since, until=one.until)
+                )
         self.holds = kept
 
     def _note_holds(self) -> None:
--- a/simulation/hosted/world.py
+++ b/simulation/hosted/world.py
@@ -17,7 +17,7 @@
 from simulation.hosted.clients import Client
 from simulation.hosted.deployment import Deployment, Kind
 from simulation.hosted.exchange import Exchange
-from simulation.hosted.listing import CRASHED_STAYS, Listing
+from simulation.hosted.listing import CRASHED_STAYS, EndpointPoller
 from simulation.hosted.network import Network, Spot
 from simulation.hosted.operators import Operator
 from simulation.hosted.process import Machine, Process
@@ -47,7 +47,7 @@
         self.attempts: dict = {}
         self.calls = Calls(world=self)
         self.list_address, self.list_spot = "10.200.0.1:8642", _spot(name="list", zone="", region="", kind="list")
-        self.listing = Listing(lag=deployment.list_lag, rate=deployment.list_rate)
+        self.listing = EndpointPoller(lag=deployment.list_lag, rate=deployment.list_rate)
         self.machines: dict[str, Machine] = {}
         self.by_post: dict[str, Process] = {}
         self.by_front: dict[str, Process] = {}
@@ -162,11 +162,11 @@
             queue=served.queue,
             hangs=served.hangs,
             is_sharded=served.is_sharded,
-            cold_rate=served.cold_rate,
+            slow_start_rate=served.slow_start_rate,
             rng=rng,
             born=now if is_day else now - 100.0,
             speed=rng.uniform(0.8, 1.3),
-            cold_until=now + served.cold if is_day or is_cold else 0.0,
+            slow_start_until=now + served.slow_start if is_day or is_cold else 0.0,
             spot=_spot(
                 name=name,
                 zone=zone,
@@ -218,7 +218,7 @@
     def chill(self, *, worker: Worker) -> None:
         """A worker goes cold; its health answers say so."""
         served = next(one for one in self.deployment.services if one.name == worker.service)
-        worker.cold_until = self.clock.now + served.cold
+        worker.slow_start_until = self.clock.now + served.slow_start
         if worker.spot.zone not in self.operator.emptied:
             self.history.add(t=self.clock.now, k="chilled", worker=worker.id)
 
--- a/simulation/many_changes.py
+++ b/simulation/many_changes.py
@@ -118,12 +118,12 @@
     group.run(seconds=SETTLE)
     begun = group.now
     back = _come_back(group=group, member=away, case=case)
-    newest = first.controller.held.number(name="config")
+    newest = first.controller.learner.number(name="config")
     older = _catch_up(group=group, member=back, newest=newest)
     catch_up = group.now - begun if older >= 0 else float("inf")
     is_voting = group.run(seconds=CATCH_UP_WAIT, until=lambda: back.controller.voting) or back.controller.voting
     group.measured = None
-    own_file, present_file, rewrites = back.file_bytes(), first.file_bytes(), first.controller.ledger.rewrites
+    own_file, present_file, rewrites = back.file_bytes(), first.file_bytes(), first.controller.write_ahead.rewrites
     start_time = _time_start(group=group, member=first)
     return Row(
         case=case,
@@ -180,10 +180,10 @@
 
 def _catch_up(*, group: CoreGroup, member: Member, newest: int) -> int:
     """How many older values it took up on its way to the newest; -1 if it never got there."""
-    seen = {member.controller.held.number(name="config")}
+    seen = {member.controller.learner.number(name="config")}
 
     def is_there() -> bool:
-        number = member.controller.held.number(name="config")
+        number = member.controller.learner.number(name="config")
         seen.add(number)
         return number >= newest
 
--- a/simulation/mind.py
+++ b/simulation/mind.py
@@ -28,7 +28,7 @@
     name: str
     generation: int
     service: str
-    hall: str
+    zone: str
     rng: random.Random
     mode: str = "well"
     chance: float = 1.0
@@ -76,7 +76,7 @@
         body = json.dumps(
             {
                 "worker": self.key,
-                "hall": self.hall,
+                "hall": self.zone,
                 "service": self.service,
                 "nonce": headers.get("x-caller", ""),
                 "method": method,
--- a/simulation/model/__main__.py
+++ b/simulation/model/__main__.py
@@ -45,14 +45,14 @@
 def _search(*, name: str, given: dict) -> Found:
     begun, bounds = time.process_time(), CASES[name]
 
-    def tell(states: int, line: int, depth: int) -> None:
+    def deliver(states: int, line: int, depth: int) -> None:
         print(f"  {name}: {states} states, {line} in line, depth {depth}", file=sys.stderr, flush=True)
 
     if int(given["--walks"]):
-        found = walk(bounds=bounds, walks=int(given["--walks"]), seed=int(given["--seed"]), tell=tell)
+        found = walk(bounds=bounds, walks=int(given["--walks"]), seed=int(given["--seed"]), deliver=deliver)
     else:
-        found = explore(bounds=bounds, most=int(given["--most"]), depth=int(given["--depth"]), tell=tell)
-    extent = "all" if found.is_whole else "not all"
+        found = explore(bounds=bounds, most=int(given["--most"]), depth=int(given["--depth"]), deliver=deliver)
+    extent = "all" if found.is_complete else "not all"
     print(
         f"{name}: {found.states} states ({extent}), {found.steps} steps, depth {found.depth}, "
         f"{time.process_time() - begun:.1f} s of a core: {found.broken or 'nothing broken'}",
--- a/simulation/model/actions.py
+++ b/simulation/model/actions.py
@@ -6,11 +6,11 @@
 from collections.abc import Iterator
 from itertools import combinations
 
-from sailward.consensus.proposer import Begin, fast_of, majority_of
+from sailward.consensus.proposer import StartOperation, fast_of, majority_of
 from sailward.control.controller import Controller
 from simulation.model.changes import text_of
 from simulation.model.checks import note_outcome
-from simulation.model.node import NEVER, Node, Stepped, act, boot, hear
+from simulation.model.node import NEVER, Node, Stepped, act, boot, receive
 from simulation.model.space import DATA, Bounds, State
 
 KINDS = ("put", "read", "change")
@@ -146,15 +146,17 @@
     begun = tuple(done + (index == at) for index, done in enumerate(state.begun))
     confirmed = max((one for one, _ in state.confirmed), default=0)
     if kind == "put":
-        start = Begin(op=op, register=DATA, expected=confirmed, text=op, first=bounds.is_first, wait=NEVER)
+        start = StartOperation(op=op, register=DATA, expected=confirmed, text=op, first=bounds.is_first, timeout=NEVER)
     elif kind == "read":
-        start = Begin(op=op, register=DATA, wait=NEVER)
+        start = StartOperation(op=op, register=DATA, timeout=NEVER)
         state = state.but(wanted=(*state.wanted, (op, confirmed)))
     else:
         text = text_of(state=state, change=bounds.changes[state.begun[at]])
         if not text:
             return None
-        start = Begin(op=op, register="voters", expected=state.node(name).facts.number, text=text, wait=NEVER)
+        start = StartOperation(
+            op=op, register="voters", expected=state.node(name).facts.number, text=text, timeout=NEVER
+        )
 
     def call(controller: Controller) -> list:
         controller.catch_up._reading[start.op] = start.register
@@ -214,7 +216,7 @@
     sender, to, body = MESSAGES[message]
     state = _learn(state=state, name=to, number=body["voters"])
     node = state.node(to)
-    stepped = hear(node=node, sender=sender, word=message, body=body, is_synced=not is_torn)
+    stepped = receive(node=node, sender=sender, word=message, body=body, is_synced=not is_torn)
     is_refused = any(one.body["kind"] == "nack" and one.body["reason"] != "promised" for one in stepped.sent)
     if is_refused or (not stepped.sent and stepped.node.key == node.key):
         return None
@@ -228,7 +230,7 @@
     state = state.but(votes=tuple(one for one in state.votes if one not in votes))
     for vote in votes:
         sender, to, body = MESSAGES[vote]
-        state = _after(state=state, stepped=hear(node=state.node(to), sender=sender, word=vote, body=body))
+        state = _after(state=state, stepped=receive(node=state.node(to), sender=sender, word=vote, body=body))
     return state
 
 
@@ -267,9 +269,9 @@
     state = state.put(asked.node)
     line = [(name, one) for one in asked.sent if one.to == f"{source}:1"]
     while line:
-        sender, tell = line.pop(0)
-        to = tell.to.split(":")[0]
-        stepped = hear(node=state.node(to), sender=sender, word=repr(tell.body), body=tell.body)
+        sender, deliver = line.pop(0)
+        to = deliver.to.split(":")[0]
+        stepped = receive(node=state.node(to), sender=sender, word=repr(deliver.body), body=deliver.body)
         state = _after(state=state, stepped=stepped)
         line += [(to, one) for one in stepped.sent if one.body["kind"] in ("copy", "copied")]
     return state
@@ -282,7 +284,7 @@
         return state
     body = teller.facts.told
     return _after(
-        state=state, stepped=hear(node=state.node(name), sender=teller.name, word=f"chosen {number}", body=body)
+        state=state, stepped=receive(node=state.node(name), sender=teller.name, word=f"chosen {number}", body=body)
     )
 
 
@@ -308,20 +310,20 @@
 def _after(*, state: State, stepped: Stepped) -> State:
     """Fold what a step did: its node, its messages, and what its proposer settled."""
     state = state.put(stepped.node)
-    for one in stepped.settled:
+    for one in stepped.finished:
         state = note_outcome(state=state, op=one.op, register=one.register, outcome=one.outcome)
     requests, votes, answers = set(state.requests), set(state.votes), []
-    for tell in stepped.sent:
-        to, kind = tell.to.split(":")[0], tell.body["kind"]
+    for deliver in stepped.sent:
+        to, kind = deliver.to.split(":")[0], deliver.body["kind"]
         if kind in ("promise", "told", "nack"):
-            answers.append((to, tell.body))
+            answers.append((to, deliver.body))
         elif kind == "voted":
-            votes.add(_name(sender=stepped.node.name, to=to, body=tell.body))
+            votes.add(_name(sender=stepped.node.name, to=to, body=deliver.body))
         elif kind in ("prepare", "accept", "read", "first"):
-            requests.add(_name(sender=stepped.node.name, to=to, body=tell.body))
+            requests.add(_name(sender=stepped.node.name, to=to, body=deliver.body))
     state = state.but(requests=tuple(sorted(requests)), votes=tuple(sorted(votes)))
     for to, body in answers:
-        heard = hear(node=state.node(to), sender=stepped.node.name, word=repr(body), body=body)
+        heard = receive(node=state.node(to), sender=stepped.node.name, word=repr(body), body=body)
         state = _after(state=state, stepped=heard)
     return state
 
--- a/simulation/model/changes.py
+++ b/simulation/model/changes.py
@@ -13,7 +13,7 @@
     acting = state.node(change.at)
     if not acting.facts.is_voting:
         return ""
-    text = acting.open().held.held["voters"].value["text"]
+    text = acting.open().learner.values["voters"].value["text"]
     members = dict(acting.facts.members)
     lost = next((one for one, post in members.items() if post == f"{change.drop}:1"), "")
     if change.drop and not lost:
--- a/simulation/model/explore.py
+++ b/simulation/model/explore.py
@@ -15,26 +15,26 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Found:
-    """What a search showed: `trace` leads to the breach; `is_whole` if no state within the bounds is left."""
+    """What a search showed: `trace` leads to the breach; `is_complete` if no state within the bounds is left."""
 
     states: int
     steps: int
     depth: int
     seconds: float
-    is_whole: bool
+    is_complete: bool
     broken: Broken | None = None
     trace: tuple[str, ...] = ()
 
 
 def explore(
-    *, bounds: Bounds, most: int = 0, depth: int = 0, tell: Callable[[int, int, int], None] | None = None
+    *, bounds: Bounds, most: int = 0, depth: int = 0, deliver: Callable[[int, int, int], None] | None = None
 ) -> Found:
     """Visit the states breadth first until one is broken, none is left, or `most` were visited (0: no bound)."""
     forget_steps()
     first, begun = begin(bounds=bounds), time.monotonic()
     parents: dict = {first.key(): None}
     line: deque[tuple[State, int]] = deque([(first, 0)])
-    steps, deepest, is_whole = 0, 0, True
+    steps, deepest, is_complete = 0, 0, True
 
     def result(*, broken: Broken | None, trace: tuple) -> Found:
         return Found(
@@ -42,7 +42,7 @@
             steps=steps,
             depth=deepest,
             seconds=time.monotonic() - begun,
-            is_whole=is_whole and broken is None,
+            is_complete=is_complete and broken is None,
             broken=broken,
             trace=trace,
         )
@@ -51,7 +51,7 @@
         state, deep = line.popleft()
         deepest = max(deepest, deep)
         if depth and deep >= depth:
-            is_whole = False
+            is_complete = False
             continue
         for words, after in actions(state=state, bounds=bounds):
             steps += 1
@@ -62,10 +62,10 @@
             if after.broken is not None:
                 return result(broken=after.broken, trace=_trace(parents=parents, key=key))
             line.append((after, deep + 1))
-            if tell is not None and len(parents) % 2000 == 0:
-                tell(len(parents), len(line), deep)
+            if deliver is not None and len(parents) % 2000 == 0:
+                deliver(len(parents), len(line), deep)
         if most and len(parents) >= most:
-            is_whole = False
+            is_complete = False
             break
     return result(broken=None, trace=())
 
@@ -97,7 +97,7 @@
     bounds: Bounds,
     walks: int,
     seed: int = 1,
-    tell: Callable[[int, int, int], None] | None = None,
+    deliver: Callable[[int, int, int], None] | None = None,
 ) -> Found:
     """Walk at random from the beginning, again and again: deep histories soon, without a claim to have seen all."""
     forget_steps()
@@ -117,14 +117,14 @@
         if state.broken is not None:
             broken = state.broken
             break
-        if tell is not None and (number + 1) % 500 == 0:
-            tell(len(seen), number + 1, deepest)
+        if deliver is not None and (number + 1) % 500 == 0:
+            deliver(len(seen), number + 1, deepest)
     return Found(
         states=len(seen),
         steps=steps,
         depth=deepest,
         seconds=time.monotonic() - begun,
-        is_whole=False,
+        is_complete=False,
         broken=broken,
         trace=tuple(trace) if broken else (),
     )
--- a/simulation/model/faults.py
+++ b/simulation/model/faults.py
@@ -53,9 +53,11 @@
     # a newcomer copies from one voter
     "copy-from-one": lambda: [mock.patch.object(copying, "majority_of", lambda *, members: 1)],
     # a newcomer counts before it has copied
-    "counts-at-once": lambda: [mock.patch.object(Voter, "is_whole", property(lambda self: True))],
+    "counts-at-once": lambda: [mock.patch.object(Voter, "is_complete", property(lambda self: True))],
     # a member that was out and is in again goes on with what it voted for before
-    "keeps-old-slots": lambda: [mock.patch.object(Voter, "is_whole", property(lambda self: self.ledger.copied))],
+    "keeps-old-slots": lambda: [
+        mock.patch.object(Voter, "is_complete", property(lambda self: self.write_ahead.copied))
+    ],
     # members of a smaller set go on without a copy
     "smaller-without-copy": lambda: [
         _patch(repair, "change_members", _no_copy_of_smaller_sets),
--- a/simulation/model/node.py
+++ b/simulation/model/node.py
@@ -10,11 +10,11 @@
 from dataclasses import dataclass, field
 
 from sailward.consensus.acceptor import Slot, Slots
-from sailward.consensus.proposer import Operation, Proposer, Settled, majority_of
+from sailward.consensus.proposer import Operation, OperationFinished, Proposer, majority_of
 from sailward.control.controller import Controller
 from sailward.control.controller_options import ControllerOptions
-from sailward.discovery.peer_table import Place
-from sailward.events import Asked, Heard, Rewrite, Store, Synced, Tell
+from sailward.discovery.peer_table import Location
+from sailward.events import AppendRecords, MessageReceived, RecordsSynced, RequestReceived, RewriteRecords, SendMessage
 
 KEYS: dict[tuple, int] = {}
 """A number for each state of a node: equal for states that act alike."""
@@ -46,13 +46,13 @@
 class RecordingProposer(Proposer):
     """The product's proposer; what it settles is noted for the checks."""
 
-    settled: list[Settled]
+    finished: list[OperationFinished]
 
-    def step(self, *, now: float, voters: dict, event: object) -> tuple[list, list[Settled]]:
+    def step(self, *, now: float, voters: dict, event: object) -> tuple[list, list[OperationFinished]]:
         """As the product's."""
-        commands, settled = super().step(now=now, voters=voters, event=event)
-        self.settled = [*getattr(self, "settled", []), *settled]
-        return commands, settled
+        commands, finished = super().step(now=now, voters=voters, event=event)
+        self.finished = [*getattr(self, "finished", []), *finished]
+        return commands, finished
 
 
 class Mold:
@@ -66,19 +66,19 @@
         self.controller = controller
         self.parts = {
             "voter": controller.voter,
-            "held": controller.held,
+            "held": controller.learner,
             "acceptor": controller.acceptor,
-            "ledger": controller.ledger,
+            "ledger": controller.write_ahead,
             "proposer": controller.proposer,
             "membership": membership,
             "copying": membership.copying,
-            "anew": membership.anew,
-            "anew-copying": membership.anew.copying,
+            "anew": membership.recovery,
+            "anew-copying": membership.recovery.copying,
             "catch-up": controller.catch_up,
         }
         shared = [
             controller.options,
-            controller.roster,
+            controller.peer_table,
             controller.place,
             membership.repair,
             controller.proposer._rng,
@@ -150,14 +150,14 @@
 
     node: Node
     sent: list
-    settled: list
+    finished: list
 
 
 def boot(*, name: str, starts: int, disk: tuple) -> Node:
     """Start a node on what its disk holds."""
     post = f"{name}:1"
     controller = Controller(
-        place=Place(name=name, kind="controller", hall="h", region="r", post=post, http=post),
+        place=Location(name=name, kind="controller", zone="h", region="r", post=post, http=post),
         platform="p:1",
         nonce=f"n{starts}",
         start=starts,
@@ -171,24 +171,24 @@
     MOLDS[name, starts] = Mold(controller=controller)
     node = Node(name=name, starts=starts, blob=b"", key=-1, facts=Facts(), disk=disk)
     # the first event stores the identity
-    commands = controller.step(now=0.0, event=Synced(seq=0))
-    return _settle(node=node, controller=controller, commands=commands).node
+    commands = controller.step(now=0.0, event=RecordsSynced(seq=0))
+    return _finish(node=node, controller=controller, commands=commands).node
 
 
 def found(*, node: Node, members: dict) -> Node:
     """Let a node found a core with these members, by the operators' order."""
-    event = Asked(
+    event = RequestReceived(
         token="t", method="POST", path="/found", query={}, headers={}, body=json.dumps({"members": members}).encode()
     )
     controller = node.open()
-    return _settle(node=node, controller=controller, commands=controller.step(now=0.0, event=event)).node
+    return _finish(node=node, controller=controller, commands=controller.step(now=0.0, event=event)).node
 
 
-def hear(*, node: Node, sender: str, word: str, body: dict, is_synced: bool = True) -> Stepped:
+def receive(*, node: Node, sender: str, word: str, body: dict, is_synced: bool = True) -> Stepped:
     """Deliver a message of the node `sender`; `word` is its name, equal only for equal ones."""
 
     def call(controller: Controller) -> list:
-        return controller.step(now=0.0, event=Heard(sender=f"{sender}:1", body=body))
+        return controller.step(now=0.0, event=MessageReceived(sender=f"{sender}:1", body=body))
 
     return act(node=node, word=f"{sender} {word}", call=call, is_synced=is_synced)
 
@@ -198,7 +198,7 @@
     known = (node.name, node.key, word, is_synced)
     if known not in STEPS:
         controller = node.open()
-        STEPS[known] = _settle(node=node, controller=controller, commands=call(controller), is_synced=is_synced)
+        STEPS[known] = _finish(node=node, controller=controller, commands=call(controller), is_synced=is_synced)
     return STEPS[known]
 
 
@@ -208,18 +208,18 @@
     KEYS.clear()
 
 
-def _settle(*, node: Node, controller: Controller, commands: list, is_synced: bool = True) -> Stepped:
+def _finish(*, node: Node, controller: Controller, commands: list, is_synced: bool = True) -> Stepped:
     """Carry out the commands and close the node again; without `is_synced` its stores are never written."""
     sent, disk, line = [], node.disk, list(commands)
     while line:
         command = line.pop(0)
-        if isinstance(command, Tell):
+        if isinstance(command, SendMessage):
             sent.append(command)
-        elif isinstance(command, (Store, Rewrite)) and is_synced:
-            disk = (disk if isinstance(command, Store) else ()) + tuple(command.records)
-            line = [*controller.step(now=0.0, event=Synced(seq=command.seq)), *line]
-    settled = getattr(controller.proposer, "settled", [])
-    controller.proposer.settled = []
+        elif isinstance(command, (AppendRecords, RewriteRecords)) and is_synced:
+            disk = (disk if isinstance(command, AppendRecords) else ()) + tuple(command.records)
+            line = [*controller.step(now=0.0, event=RecordsSynced(seq=command.seq)), *line]
+    finished = getattr(controller.proposer, "finished", [])
+    controller.proposer.finished = []
     after = Node(
         name=node.name,
         starts=node.starts,
@@ -228,12 +228,12 @@
         facts=_facts(controller=controller),
         disk=disk,
     )
-    return Stepped(node=after, sent=sent, settled=settled)
+    return Stepped(node=after, sent=sent, finished=finished)
 
 
 def _facts(*, controller: Controller) -> Facts:
     voters = controller.voters
-    told = controller.held.tell(to="", name="voters")
+    told = controller.learner.send(to="", name="voters")
     return Facts(
         identity=controller.identity,
         number=voters["number"],
@@ -250,19 +250,21 @@
 
 def fingerprint(*, controller: Controller) -> str:
     """All that later steps depend on, as a text that is equal for equal states."""
-    ledger, copying = controller.ledger, controller.membership.copying
+    write_ahead, copying = controller.write_ahead, controller.membership.copying
     proposer = (controller.proposer._count, controller.proposer._round)
     operations = sorted(
-        (op, work.phase, work.number, work.ballot, sorted(work.answers.items()), work.value, work.tries)
+        (op, work.phase, work.number, work.ballot, sorted(work.answers.items()), work.value, work.attempts)
         for op, work in controller.proposer._live.items()
     )
     slots = sorted((name, _slot(slot=slot)) for name, slot in controller.acceptor.slots.items())
     held = sorted(
-        (name, one.ballot, one.value["number"], one.value["mark"]) for name, one in controller.held.held.items()
+        (name, one.ballot, one.value["number"], one.value["mark"]) for name, one in controller.learner.values.items()
+    )
+    copied = (copying.number, sorted(copying.done), repr(sorted(copying.copied.items())))
+    waiting = [(seq, len(replies)) for seq, replies in write_ahead.waiting]
+    return repr(
+        (controller.identity, write_ahead.copied, write_ahead.known, waiting, proposer, operations, slots, held, copied)
     )
-    copied = (copying.number, sorted(copying.done), repr(sorted(copying.told.items())))
-    waiting = [(seq, len(replies)) for seq, replies in ledger.waiting]
-    return repr((controller.identity, ledger.copied, ledger.known, waiting, proposer, operations, slots, held, copied))
 
 
 def _slot(*, slot: Slot) -> tuple:
--- a/simulation/model/space.py
+++ b/simulation/model/space.py
@@ -39,10 +39,9 @@
 class Bounds:
     """What the explorer may do in one history.
 
-    `puts`, `reads` and `changes` say where operations may begin, each kind in its order. `crashes` and `wipes` name
-    the nodes that
-    may lose their memory, or their disk as well, each once and in any order. `retries` are new rounds, `doubles` second
-    deliveries of one request. With `is_first`, puts try the shared first ballot. With `keeps_old`,
+    `puts`, `reads` and `changes` say where operations may begin, each kind in its order. `crashes` and `wipes` name the
+    nodes that may lose their memory, or their disk as well, each once and in any order. `retries` are new rounds,
+    `doubles` second deliveries of one request. With `is_first`, puts try the shared first ballot. With `keeps_old`,
     requests under a set reach also those that know a newer one: the product refuses them.
     """
 
@@ -73,9 +72,8 @@
     """All nodes, the messages under way, and what has been seen so far.
 
     `requests` and `votes` are names of messages, `begun` how many operations of each kind there were, `left` the
-    threads that
-    were left, `chosen` each value that was seen to be chosen, `confirmed` what a caller was told, `wanted` what each
-    read must give at least.
+    threads that were left, `chosen` each value that was seen to be chosen, `confirmed` what a caller was told, `wanted`
+    what each read must give at least.
     """
 
     nodes: tuple[Node, ...]
--- a/simulation/real/fleet.py
+++ b/simulation/real/fleet.py
@@ -46,13 +46,13 @@
         self.processes: dict[str, subprocess.Popen] = {}
         self.workers: dict[str, dict] = {}
         self.kinds = {name: kind for kind, name, _ in deployment.daemons}
-        for (name, service, hall), address in zip(deployment.workers, self._spare, strict=False):
+        for (name, service, zone), address in zip(deployment.workers, self._spare, strict=False):
             self.workers[name] = {
                 "id": name,
                 "generation": 1,
                 "service": service,
                 "address": address,
-                "hall": hall,
+                "hall": zone,
                 "leaving": False,
             }
 
@@ -73,12 +73,12 @@
 
     def start_daemon(self, *, name: str) -> None:
         """Start one daemon with its settings file."""
-        kind, hall = self.kinds[name], next(hall for _, one, hall in self.deployment.daemons if one == name)
+        kind, zone = self.kinds[name], next(zone for _, one, zone in self.deployment.daemons if one == name)
         seeds = [self.posts[one] for one in [*list(self.kinds)[:2], self.names_of(kind="proxy")[0]]]
         settings = {
             "name": name,
-            "hall": hall,
-            "region": self.deployment.halls[hall],
+            "hall": zone,
+            "region": self.deployment.zones[zone],
             "post": self.posts[name],
             "http": self.https[name],
             "seeds": seeds,
@@ -88,7 +88,7 @@
         path = self.folder / f"{name}.toml"
         path.write_text("".join(f"{key} = {json.dumps(value)}\n" for key, value in settings.items()), "utf-8")
         self._start(name=name, words=["-m", self._program(name=name, kind=kind), "--settings", str(path)])
-        self._note(name=name, k="daemon-up")
+        self._record(name=name, k="daemon-up")
 
     def _program(self, *, name: str, kind: str) -> str:
         """The module of a daemon's program in the checkout that it runs from."""
@@ -113,7 +113,7 @@
                 "--hall",
                 row["hall"],
                 "--region",
-                self.deployment.halls[row["hall"]],
+                self.deployment.zones[row["hall"]],
                 "--address",
                 row["address"],
                 "--history",
@@ -131,7 +131,7 @@
     def kill(self, *, name: str) -> None:
         """End one process at once."""
         process = self.processes.pop(name)
-        self._note(name=name, k="daemon-down")
+        self._record(name=name, k="daemon-down")
         process.kill()
         process.wait()
 
@@ -146,12 +146,12 @@
 
     def freeze(self, *, name: str) -> None:
         """Let a process stand still."""
-        self._note(name=name, k="daemon-frozen")
+        self._record(name=name, k="daemon-frozen")
         os.kill(self.processes[name].pid, signal.SIGSTOP)
 
     def thaw(self, *, name: str) -> None:
         """Let it go on."""
-        self._note(name=name, k="daemon-thawed")
+        self._record(name=name, k="daemon-thawed")
         os.kill(self.processes[name].pid, signal.SIGCONT)
 
     def end(self) -> None:
@@ -198,7 +198,7 @@
         whole.add(t=0.0, k="homes", homes=homes)
         return whole
 
-    def _note(self, *, name: str, k: str) -> None:
+    def _record(self, *, name: str, k: str) -> None:
         """Callers know a daemon by its address, the judge of losses by its name."""
         if name in self.kinds:
             self.history.add(t=time.monotonic(), k=k, daemon=self.https[name], name=name)
--- a/simulation/real/worker.py
+++ b/simulation/real/worker.py
@@ -82,7 +82,7 @@
             "k": "run",
             "worker": mind.key,
             "service": mind.service,
-            "hall": mind.hall,
+            "hall": mind.zone,
             "region": self.server.place["region"],
             "asked": headers.get("sailward-service", ""),
             "key": headers.get("idempotency-key", ""),
@@ -107,7 +107,7 @@
         name=flags["--name"],
         generation=int(flags["--generation"]),
         service=flags["--service"],
-        hall=flags["--hall"],
+        zone=flags["--hall"],
         rng=random.Random(flags["--name"]),
     )
     server.place = {"region": flags["--region"]}
--- a/simulation/rules/control.py
+++ b/simulation/rules/control.py
@@ -92,7 +92,7 @@
     return fits
 
 
-def check_weights(*, history: History, changes: Changes, runs: list, halls: dict):
+def check_weights(*, history: History, changes: Changes, runs: list, zones: dict):
     """The split of a configuration in force is not that of its weights, while nothing troubles the fleet."""
     troubles = [row["t"] for row in history.of(k="trouble")]
     starts = [row["t"] for row in [*history.of(k="worker-started"), *history.of(k="refilled")]]
@@ -124,20 +124,20 @@
             if match["path"] in full:
                 continue
             yield from _judge_split(
-                match=match, count=counts[(match["path"], tuple(match["tenants"]))], halls=halls, t=until
+                match=match, count=counts[(match["path"], tuple(match["tenants"]))], zones=zones, t=until
             )
 
 
-def _judge_split(*, match: dict, count: collections.Counter, halls: dict, t: float):
+def _judge_split(*, match: dict, count: collections.Counter, zones: dict, t: float):
     total, weights = sum(count.values()), sum(weight for weight, _, _ in match["weights"])
     if not weights:
         return
-    for region in set(halls.values()):
+    for region in set(zones.values()):
         part = sum(
-            weight / weights * sum(halls.get(hall) == region for hall in preferred) / len(preferred)
+            weight / weights * sum(zones.get(zone) == region for zone in preferred) / len(preferred)
             for weight, preferred, _ in match["weights"]
         )
-        got = sum(number for hall, number in count.items() if halls.get(hall) == region)
+        got = sum(number for zone, number in count.items() if zones.get(zone) == region)
         # five deviations of so many draws: one false alarm in a million; at least 3 for shares next to 0 or 1
         if total >= 50 and abs(got - part * total) > max(3.0, 5 * math.sqrt(total * part * (1 - part))):
             yield Broken(
--- a/simulation/rules/meaning.py
+++ b/simulation/rules/meaning.py
@@ -34,10 +34,10 @@
                     "weights": [(weight, pool["preferred"], pool.get("fallback", [])) for weight, pool in pools],
                     "halls": sorted(
                         {
-                            hall
+                            zone
                             for weight, pool in pools
                             if weight
-                            for hall in (*pool["preferred"], *pool.get("fallback", []))
+                            for zone in (*pool["preferred"], *pool.get("fallback", []))
                         }
                     ),
                 }
--- a/simulation/rules/places.py
+++ b/simulation/rules/places.py
@@ -32,13 +32,13 @@
             )
 
 
-def check_homes(*, history: History, runs: list, halls: dict):
+def check_homes(*, history: History, runs: list, zones: dict):
     """A bound tenant is served, or stored, outside its home regions."""
     rows = history.of(k="homes")
     homes = rows[-1]["homes"] if rows else {}
     for run in runs:
         bound = homes.get(run["tenant"])
-        if bound and halls.get(run["hall"]) not in bound:
+        if bound and zones.get(run["hall"]) not in bound:
             yield Broken(
                 rule="served-abroad", t=run["t"], detail=f"{run['tenant']} at {run['worker']} in {run['hall']}"
             )
--- a/simulation/rules/service.py
+++ b/simulation/rules/service.py
@@ -9,7 +9,7 @@
 
 BACK = 15.0
 """s from the return of the machines until service must be back."""
-LOOK = 8.0
+LOOKUP = 8.0
 """s that are looked at, from then on or from a loss that must be borne."""
 BACK_GOOD = 0.90
 """of first tries: workers are still within their cold ramps, and callers' backlog is being served."""
@@ -28,7 +28,7 @@
     troubles = [row["t"] for row in history.of(k="trouble")]
     for back in _find_returns(history=history, daemons=daemons):
         low = back + BACK
-        high = min([low + LOOK, *[t for t in troubles if t > back + 0.6]])
+        high = min([low + LOOKUP, *[t for t in troubles if t > back + 0.6]])
         good, total, reasons = _count(history=history, low=low, high=high)
         if total >= FEWEST and good < BACK_GOOD * total:
             yield Broken(
@@ -63,7 +63,7 @@
     return returns
 
 
-def check_borne(*, history: History, daemons: list, halls: dict):
+def check_borne(*, history: History, daemons: list, zones: dict):
     """The loss of one disk machine, or of one hall, with nothing else wrong, is not borne at once."""
     troubles = history.of(k="trouble")
     downs = history.of(k="daemon-down")
@@ -73,11 +73,11 @@
             continue
         lost = {down["daemon"] for down in downs if abs(down["t"] - row["t"]) < 0.05}
         kinds = {kind for kind, name, _ in daemons if name in lost}
-        places = {hall for _, name, hall in daemons if name in lost}
-        high = min([row["t"] + LOOK, *[other["t"] for other in troubles if other["t"] > row["t"] + 0.6]])
+        places = {zone for _, name, zone in daemons if name in lost}
+        high = min([row["t"] + LOOKUP, *[other["t"] for other in troubles if other["t"] > row["t"] + 0.6]])
         if len(places) != 1 or not lost:
             continue
-        whole = {name for _, name, hall in daemons if hall in places} <= lost
+        whole = {name for _, name, zone in daemons if zone in places} <= lost
         least = HALL_GOOD if whole else CONTROLLER_GOOD if kinds == {"controller"} and len(lost) == 1 else 0.0
         good, total, reasons = _count(history=history, low=row["t"], high=high)
         if total >= FEWEST and good < least * total:
