--- a/simulation/sim/callers.py
+++ b/simulation/sim/callers.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from sailward.events import Answer, Asked
+from sailward.events import RequestReceived, Respond
 from simulation.deployments import CallerKind
 from simulation.mind import judge_body
 
@@ -113,8 +113,8 @@
         for node in nodes:
             if not node.up:
                 continue
-            answers: list[Answer | None] = []
-            event = Asked(
+            answers: list[Respond | None] = []
+            event = RequestReceived(
                 token=f"ask {next(self._count)}",
                 method="GET",
                 path="/proxies",
@@ -158,7 +158,7 @@
         }
         if order.key:
             headers["idempotency-key"] = order.key
-        event = Asked(
+        event = RequestReceived(
             token=token,
             method="POST" if order.kind.unsafe else "GET",
             path=f"{order.kind.path}/{order.hot}",
@@ -181,7 +181,7 @@
         ended: list = []
         refused: list = []
 
-        def got(answer: Answer | None) -> None:
+        def got(answer: Respond | None) -> None:
             if ended:
                 return
             ended.append(1)
@@ -208,7 +208,7 @@
         return self._rng.uniform(0.0003, 0.003)
 
     def _got(
-        self, *, order: Order, answer: Answer | None, proxy: str, most: int, held: bool = False, taken: bool = True
+        self, *, order: Order, answer: Respond | None, proxy: str, most: int, held: bool = False, taken: bool = True
     ) -> None:
         world = self._world
         if answer and self._rng.random() < self.losing:
@@ -249,7 +249,7 @@
         wait = 0.02 if eager else float(headers.get("retry-after") or 1.0) * self._rng.uniform(1.0, 1.5)
         self._again(order=order, most=most, wait=wait)
 
-    def _worker(self, *, answer: Answer | None) -> str:
+    def _worker(self, *, answer: Respond | None) -> str:
         try:
             return json.loads(answer.body).get("worker", "") if answer and answer.code < 400 else ""
         except (ValueError, AttributeError):
--- a/simulation/sim/chaos.py
+++ b/simulation/sim/chaos.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from simulation.sim.chaos_machines import MACHINE_KINDS
-from simulation.sim.chaos_scene import NobodyUp, Scene
+from simulation.sim.chaos_scene import ChaosContext, NobodyUp
 from simulation.sim.chaos_workers import WORKER_KINDS
 
 if TYPE_CHECKING:
@@ -23,7 +23,7 @@
     def __init__(self, *, world: World, step: Callable) -> None:
         self._world = world
         self._rng = random.Random(f"{world.seed}/chaos")
-        self._scene = Scene(world=world, rng=self._rng, step=step)
+        self._context = ChaosContext(world=world, rng=self._rng, step=step)
         self._deck: list = []
 
     def step(self, *, until: float) -> None:
@@ -34,7 +34,7 @@
         kind = self._deal()
         # some kinds have to wait until what was lost before is repaired
         try:
-            did_happen = KINDS[kind](self._scene)
+            did_happen = KINDS[kind](self._context)
         except NobodyUp:
             did_happen = False
         if did_happen:
@@ -47,7 +47,7 @@
         """A major loss, another for each seed, and ten seconds later the return of the machines."""
         kind = CLOSINGS[self._world.seed % len(CLOSINGS)]
         self._world.history.add(t=self._world.clock.now, k="closing", kind=kind)
-        scene, regions = self._scene, sorted(set(self._world.deployment.halls.values()))
+        context, regions = self._context, sorted(set(self._world.deployment.zones.values()))
         lost = {
             "everything": ["all"],
             "region": [regions[0]],
@@ -56,13 +56,13 @@
             "disks": ["all"],
         }[kind]
         controller = next(name for name, node in self._world.nodes.items() if node.place.kind == "controller")
-        scene.do("power-off" if kind != "proxies" else "kill", *lost)
+        context.do("power-off" if kind != "proxies" else "kill", *lost)
         if kind in ("everything", "region", "disks"):
-            scene.do("worker-down", *lost)
-            scene.later(10.0, 10.0, "worker-up", *lost)
-        if kind == "disks" and self._world.clock.now >= scene.disks_from:
-            scene.do("wipe", controller)
-        scene.later(10.0, 10.0, "start", *lost)
+            context.do("worker-down", *lost)
+            context.later(10.0, 10.0, "worker-up", *lost)
+        if kind == "disks" and self._world.clock.now >= context.disks_from:
+            context.do("wipe", controller)
+        context.later(10.0, 10.0, "start", *lost)
 
     def _deal(self) -> str:
         if not self._deck:
--- a/simulation/sim/chaos_machines.py
+++ b/simulation/sim/chaos_machines.py
@@ -2,170 +2,172 @@
 
 from __future__ import annotations
 
-from simulation.sim.chaos_scene import Scene
+from simulation.sim.chaos_scene import ChaosContext
 
 
-def _proxy_lost(scene: Scene) -> bool:
-    name = scene.daemon("proxy", "directory")
+def _proxy_lost(context: ChaosContext) -> bool:
+    name = context.daemon("proxy", "directory")
     if name:
-        scene.do(scene.rng.choice(["kill", "power-off", "stop"]), name)
-        scene.later(7.0, 9.0, "start", name)
+        context.do(context.rng.choice(["kill", "power-off", "stop"]), name)
+        context.later(7.0, 9.0, "start", name)
     return bool(name)
 
 
-def _controller_lost(scene: Scene) -> bool:
-    if not scene.may_lose_controller(seconds=8.0):
+def _controller_lost(context: ChaosContext) -> bool:
+    if not context.may_lose_controller(seconds=8.0):
         return False
-    name = scene.daemon("controller")
-    scene.do(scene.rng.choice(["kill", "power-off", "stop"]), name)
-    scene.later(0.5, 5.0, "start", name)
+    name = context.daemon("controller")
+    context.do(context.rng.choice(["kill", "power-off", "stop"]), name)
+    context.later(0.5, 5.0, "start", name)
     return True
 
 
-def _disk_wiped(scene: Scene) -> bool:
-    if not scene.may_lose_disk():
+def _disk_wiped(context: ChaosContext) -> bool:
+    if not context.may_lose_disk():
         return False
-    name = scene.daemon("controller")
-    scene.do("wipe", name)
-    scene.later(0.5, 4.0, "start", name)
+    name = context.daemon("controller")
+    context.do("wipe", name)
+    context.later(0.5, 4.0, "start", name)
     return True
 
 
-def _machine_replaced(scene: Scene) -> bool:
-    if not scene.may_lose_disk():
+def _machine_replaced(context: ChaosContext) -> bool:
+    if not context.may_lose_disk():
         return False
-    name = scene.daemon("controller")
-    scene.do("wipe", name)
-    index = scene.next_index()
-    scene.later(0.5, 3.0, "machine-new", f"controller-{index}", "controller", scene.world.nodes[name].place.hall, index)
+    name = context.daemon("controller")
+    context.do("wipe", name)
+    index = context.next_index()
+    context.later(
+        0.5, 3.0, "machine-new", f"controller-{index}", "controller", context.world.nodes[name].place.zone, index
+    )
     return True
 
 
-def _disk_full(scene: Scene) -> bool:
-    if not scene.may_lose_controller(seconds=10.0):
+def _disk_full(context: ChaosContext) -> bool:
+    if not context.may_lose_controller(seconds=10.0):
         return False
-    name = scene.daemon("controller")
-    scene.do("fill-disk", name)
-    scene.later(3.0, 8.0, "free-disk", name)
+    name = context.daemon("controller")
+    context.do("fill-disk", name)
+    context.later(3.0, 8.0, "free-disk", name)
     return True
 
 
-def _sync_fails(scene: Scene) -> bool:
-    if not scene.may_lose_controller(seconds=10.0):
+def _sync_fails(context: ChaosContext) -> bool:
+    if not context.may_lose_controller(seconds=10.0):
         return False
-    name = scene.daemon("controller")
-    scene.do("fail-sync", name)
-    scene.later(3.0, 4.0, "mend-sync", name)
-    scene.later(4.5, 6.0, "start", name)
+    name = context.daemon("controller")
+    context.do("fail-sync", name)
+    context.later(3.0, 4.0, "mend-sync", name)
+    context.later(4.5, 6.0, "start", name)
     return True
 
 
-def _disk_slow(scene: Scene) -> bool:
-    name = scene.daemon("controller")
+def _disk_slow(context: ChaosContext) -> bool:
+    name = context.daemon("controller")
     if not name:
         return False
-    scene.do("slow-disk", str(scene.rng.choice([5, 20])), name)
-    scene.later(2.0, 6.0, "slow-disk", "1", name)
+    context.do("slow-disk", str(context.rng.choice([5, 20])), name)
+    context.later(2.0, 6.0, "slow-disk", "1", name)
     return True
 
 
-def _clock_jumps(scene: Scene) -> bool:
-    name = scene.daemon("controller", "proxy", "directory")
-    if scene.world.nodes[name].place.kind == "controller" and not scene.may_lose_controller(seconds=6.0):
+def _clock_jumps(context: ChaosContext) -> bool:
+    name = context.daemon("controller", "proxy", "directory")
+    if context.world.nodes[name].place.kind == "controller" and not context.may_lose_controller(seconds=6.0):
         return False
-    scene.do("clock-jump", str(scene.rng.choice([-7200, -60, 60, 7200])), name)
-    scene.do("kill", name)
-    scene.later(0.5, 2.0, "start", name)
+    context.do("clock-jump", str(context.rng.choice([-7200, -60, 60, 7200])), name)
+    context.do("kill", name)
+    context.later(0.5, 2.0, "start", name)
     return True
 
 
-def _many_killed(scene: Scene) -> bool:
-    if not scene.may_lose_controller(seconds=8.0):
+def _many_killed(context: ChaosContext) -> bool:
+    if not context.may_lose_controller(seconds=8.0):
         return False
-    names = [name for name, node in scene.world.nodes.items() if node.up and scene.rng.random() < 0.5]
+    names = [name for name, node in context.world.nodes.items() if node.up and context.rng.random() < 0.5]
     for name in names:
-        scene.do("kill", name)
-        scene.later(1.0, 4.0, "start", name)
+        context.do("kill", name)
+        context.later(1.0, 4.0, "start", name)
     return bool(names)
 
 
-def _confirmed_then_dark(scene: Scene) -> bool:
+def _confirmed_then_dark(context: ChaosContext) -> bool:
     """Power, or a disk, is lost at the very moment of a confirmation."""
-    is_wiped = scene.rng.random() < 0.3
-    if not (scene.may_lose_disk() if is_wiped else scene.may_lose_controller(seconds=8.0)):
+    is_wiped = context.rng.random() < 0.3
+    if not (context.may_lose_disk() if is_wiped else context.may_lose_controller(seconds=8.0)):
         return False
-    name = scene.daemon("controller")
-    scene.do("on-accept-soon", "wipe" if is_wiped else "power-off", *([name] if is_wiped else ["controller"]))
-    scene.do("pin", scene.service(), scene.rng.choice(sorted(set(scene.world.deployment.halls.values()))), name)
-    scene.later(4.0, 6.0, "start", "controller")
+    name = context.daemon("controller")
+    context.do("on-accept-soon", "wipe" if is_wiped else "power-off", *([name] if is_wiped else ["controller"]))
+    context.do("pin", context.service(), context.rng.choice(sorted(set(context.world.deployment.zones.values()))), name)
+    context.later(4.0, 6.0, "start", "controller")
     return True
 
 
-def _isolated(scene: Scene) -> bool:
-    name = scene.daemon("controller", "proxy", "directory")
-    scene.do("cut", name, "/", "controller", "proxy", "directory", "worker", "platform")
-    scene.later(1.0, 7.0, "heal")
+def _isolated(context: ChaosContext) -> bool:
+    name = context.daemon("controller", "proxy", "directory")
+    context.do("cut", name, "/", "controller", "proxy", "directory", "worker", "platform")
+    context.later(1.0, 7.0, "heal")
     return True
 
 
-def _cut(scene: Scene) -> bool:
+def _cut(context: ChaosContext) -> bool:
     name, other = (
-        scene.daemon("proxy", "controller"),
-        scene.rng.choice(["controller", "platform", "worker", scene.hall()]),
+        context.daemon("proxy", "controller"),
+        context.rng.choice(["controller", "platform", "worker", context.zone()]),
     )
-    scene.do("cut", name, "/", other)
-    scene.later(1.0, 7.0, "heal")
+    context.do("cut", name, "/", other)
+    context.later(1.0, 7.0, "heal")
     return True
 
 
-def _core_halved(scene: Scene) -> bool:
-    halls = list(scene.world.deployment.halls)
-    scene.do("cut", *halls[:2], "/", *halls[2:])
-    scene.later(1.0, 7.0, "heal")
+def _core_halved(context: ChaosContext) -> bool:
+    zones = list(context.world.deployment.zones)
+    context.do("cut", *zones[:2], "/", *zones[2:])
+    context.later(1.0, 7.0, "heal")
     return True
 
 
-def _core_cut_off(scene: Scene) -> bool:
-    scene.do("cut", "controller", "/", "proxy", "directory")
-    scene.later(1.0, 5.0, "heal")
+def _core_cut_off(context: ChaosContext) -> bool:
+    context.do("cut", "controller", "/", "proxy", "directory")
+    context.later(1.0, 5.0, "heal")
     return True
 
 
-def _network_bad(scene: Scene) -> bool:
-    scene.do("lossy", f"{scene.rng.uniform(0.0, 0.1):.3f}", f"{scene.rng.uniform(0.0, 0.1):.3f}")
-    scene.do("slow", str(scene.rng.choice([1, 3])))
-    scene.later(2.0, 6.0, "lossy", "0", "0")
-    scene.later(2.0, 6.0, "slow", "1")
+def _network_bad(context: ChaosContext) -> bool:
+    context.do("lossy", f"{context.rng.uniform(0.0, 0.1):.3f}", f"{context.rng.uniform(0.0, 0.1):.3f}")
+    context.do("slow", str(context.rng.choice([1, 3])))
+    context.later(2.0, 6.0, "lossy", "0", "0")
+    context.later(2.0, 6.0, "slow", "1")
     return True
 
 
-def _frozen(scene: Scene) -> bool:
-    name = scene.daemon("proxy", "directory", "controller")
-    if scene.world.nodes[name].place.kind == "controller" and not scene.may_lose_controller(seconds=8.0):
+def _frozen(context: ChaosContext) -> bool:
+    name = context.daemon("proxy", "directory", "controller")
+    if context.world.nodes[name].place.kind == "controller" and not context.may_lose_controller(seconds=8.0):
         return False
-    scene.do("freeze", name)
-    scene.later(0.5, 6.0, "thaw", name)
+    context.do("freeze", name)
+    context.later(0.5, 6.0, "thaw", name)
     return True
 
 
-def _hall_dark(scene: Scene) -> bool:
-    if not scene.may_lose_controller(seconds=12.0):
+def _hall_dark(context: ChaosContext) -> bool:
+    if not context.may_lose_controller(seconds=12.0):
         return False
-    hall = scene.hall()
-    scene.do("power-off", hall)
-    scene.do("worker-down", hall)
-    scene.later(3.0, 8.0, "start", hall)
-    scene.later(3.0, 8.0, "worker-up", hall)
+    zone = context.zone()
+    context.do("power-off", zone)
+    context.do("worker-down", zone)
+    context.later(3.0, 8.0, "start", zone)
+    context.later(3.0, 8.0, "worker-up", zone)
     return True
 
 
-def _rolled(scene: Scene) -> bool:
+def _rolled(context: ChaosContext) -> bool:
     """Three machines are stopped and started, one after the other."""
-    names = [name for name, node in scene.world.nodes.items() if node.up and node.place.kind != "controller"]
-    scene.rng.shuffle(names)
+    names = [name for name, node in context.world.nodes.items() if node.up and node.place.kind != "controller"]
+    context.rng.shuffle(names)
     for at, name in enumerate(names[:3]):
-        scene.later(at * 8.0, at * 8.0, "stop", name)
-        scene.later(at * 8.0 + 6.5, at * 8.0 + 7.0, "start", name)
+        context.later(at * 8.0, at * 8.0, "stop", name)
+        context.later(at * 8.0 + 6.5, at * 8.0 + 7.0, "start", name)
     return True
 
 
--- a/simulation/sim/chaos_scene.py
+++ b/simulation/sim/chaos_scene.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(kw_only=True)
-class Scene:
+class ChaosContext:
     """The fleet as the trouble finds it. `do` brings one step about."""
 
     world: World
@@ -55,9 +55,9 @@
             sorted(one.mind.name for one in self.world.machines.values() if one.up and not one.frozen)
         )
 
-    def hall(self) -> str:
+    def zone(self) -> str:
         """Any hall."""
-        return self.rng.choice(sorted(self.world.deployment.halls))
+        return self.rng.choice(sorted(self.world.deployment.zones))
 
     def service(self) -> str:
         """One that is not divided."""
--- a/simulation/sim/disk.py
+++ b/simulation/sim/disk.py
@@ -5,7 +5,7 @@
 import random
 from dataclasses import dataclass, field
 
-from sailward.events import Rewrite, Store
+from sailward.events import AppendRecords, RewriteRecords
 from sailward.storage.disk import Damaged, Read, pack_frame, read_frames
 
 
@@ -22,33 +22,33 @@
     room: int = 0
     reserve: bool = True
 
-    def takes(self, *, command: Store | Rewrite) -> bool:
+    def takes(self, *, command: AppendRecords | RewriteRecords) -> bool:
         """Is there room? The reserve makes some for one rewrite, and a little beside it."""
         if not self.is_full:
-            self.reserve = self.reserve or isinstance(command, Rewrite)
+            self.reserve = self.reserve or isinstance(command, RewriteRecords)
             return True
-        if isinstance(command, Rewrite):
+        if isinstance(command, RewriteRecords):
             took, self.reserve = self.reserve, False
             self.room += 40 if took else 0
             return took
         self.room -= 1
         return self.room >= 0
 
-    def write(self, *, command: Store | Rewrite) -> float:
+    def write(self, *, command: AppendRecords | RewriteRecords) -> float:
         """Take the command; gives how long its sync takes."""
         self.pending.append(command)
         return self.slow * self.rng.uniform(0.001, 0.006)
 
-    def sync(self, *, command: Store | Rewrite) -> None:
+    def sync(self, *, command: AppendRecords | RewriteRecords) -> None:
         """The command's bytes last from now on."""
         self.pending.remove(command)
         frame = pack_frame(records=command.records)
-        self.synced = frame if isinstance(command, Rewrite) else self.synced + frame
+        self.synced = frame if isinstance(command, RewriteRecords) else self.synced + frame
 
     def lose_power(self) -> None:
         """A part of what was not synced is there, maybe torn."""
         for command in self.pending:
-            if isinstance(command, Rewrite):
+            if isinstance(command, RewriteRecords):
                 continue
             frame = pack_frame(records=command.records)
             keep = self.rng.randrange(len(frame) + 1)
@@ -60,7 +60,7 @@
     def kill(self) -> None:
         """The process is gone; what it had written is there."""
         for command in self.pending:
-            if isinstance(command, Store) and self.rng.random() < 0.7:
+            if isinstance(command, AppendRecords) and self.rng.random() < 0.7:
                 self.synced += pack_frame(records=command.records)
             else:
                 break
--- a/simulation/sim/expect.py
+++ b/simulation/sim/expect.py
@@ -62,10 +62,10 @@
     """`split SERVICE from A to B`: shows the part of each hall; judges nothing by itself."""
     words, low, high = _window(words=words, begin=begin)
     runs = [run for run in _picked(rows=world.history.of(k="run"), low=low, high=high) if run["service"] == words[0]]
-    halls = {
-        hall: round(sum(run["hall"] == hall for run in runs) / max(1, len(runs)), 3) for hall in world.deployment.halls
+    zones = {
+        zone: round(sum(run["hall"] == zone for run in runs) / max(1, len(runs)), 3) for zone in world.deployment.zones
     }
-    return ("" if runs else "split: no runs"), {**halls, "runs": len(runs)}
+    return ("" if runs else "split: no runs"), {**zones, "runs": len(runs)}
 
 
 def _judge_good(*, words: list[str], world: World, begin: float) -> tuple[str, object]:
--- a/simulation/sim/node.py
+++ b/simulation/sim/node.py
@@ -11,24 +11,24 @@
 from sailward.config import check as check_module
 from sailward.consensus.messages import BadMessage, check_message
 from sailward.control.controller import Controller
-from sailward.discovery.peer_table import Place
+from sailward.discovery.peer_table import Location
 from sailward.events import (
-    Answer,
-    Asked,
-    Call,
-    Called,
-    Check,
-    Checked,
-    DiskFailed,
-    Heard,
-    Log,
-    Rewrite,
-    Stop,
-    StopAsked,
-    Store,
-    Synced,
-    Tell,
-    Ticked,
+    AppendRecords,
+    CallFinished,
+    ConfigValidated,
+    DiskWriteFailed,
+    ExitProcess,
+    LogEvent,
+    MessageReceived,
+    RecordsSynced,
+    RequestReceived,
+    Respond,
+    RewriteRecords,
+    SendMessage,
+    ShutdownRequested,
+    StartCall,
+    TimerFired,
+    ValidateConfig,
 )
 from sailward.proxy.directory_server import DirectoryServer
 from sailward.proxy.tenant_proxy import TenantProxy
@@ -42,19 +42,19 @@
 class Node:
     """A daemon's machine: it can be up, down or frozen; its disk outlives its process."""
 
-    def __init__(self, *, world: World, name: str, kind: str, hall: str, region: str, index: int, seeds: tuple) -> None:
+    def __init__(self, *, world: World, name: str, kind: str, zone: str, region: str, index: int, seeds: tuple) -> None:
         self.world = world
-        self.place = Place(
+        self.place = Location(
             name=name,
             kind=kind,
-            hall=hall,
+            zone=zone,
             region=region,
             post=f"10.0.0.{index}:7000",
             http=f"10.0.0.{index}:7100",
             seeds=seeds,
             version="sim",
         )
-        self.names = frozenset({name, hall, region, kind})
+        self.names = frozenset({name, zone, region, kind})
         self.rng = random.Random(f"{world.seed}/{name}")
         self.disk = Disk(rng=self.rng)
         self.owner = None
@@ -94,13 +94,13 @@
             self.owner = TenantProxy(nonce=nonce, now=self.now(), **common)
         else:
             self.owner = DirectoryServer(**common)
-        self._note(k="daemon-up")
+        self._record(k="daemon-up")
         self._tick(life=self.life)
 
     def stop(self) -> None:
         """A planned stop."""
         if self.up:
-            self.give(event=StopAsked())
+            self.give(event=ShutdownRequested())
 
     def kill(self) -> None:
         """The process is gone at once."""
@@ -116,12 +116,12 @@
         """The process stands still; what arrives waits."""
         if self.up:
             self.frozen = []
-            self._note(k="daemon-frozen")
+            self._record(k="daemon-frozen")
 
     def thaw(self) -> None:
         """The process goes on."""
         if self.frozen is not None:
-            self._note(k="daemon-thawed")
+            self._record(k="daemon-thawed")
         held, self.frozen = self.frozen or [], None
         for event in held:
             self.give(event=event)
@@ -155,7 +155,7 @@
                 return
             self._carry_out(command=command)
 
-    def ask(self, *, event: Asked, answer) -> None:
+    def ask(self, *, event: RequestReceived, answer) -> None:
         """An HTTP exchange arrives; `answer` is called with the Answer, or None if the process is gone."""
         if self.owner is None:
             answer(None)
@@ -163,12 +163,12 @@
         self.waiting[event.token] = answer
         self.give(event=event)
 
-    def _note(self, *, k: str) -> None:
+    def _record(self, *, k: str) -> None:
         self.world.history.add(t=self.world.clock.now, k=k, daemon=self.place.name)
 
     def _end(self) -> None:
         if self.owner is not None:
-            self._note(k="daemon-down")
+            self._record(k="daemon-down")
         self.owner, self.frozen = None, None
         self.life += 1
         waiting, self.waiting = self.waiting, {}
@@ -179,34 +179,38 @@
         if self.life != life:
             return
         if self.frozen is None:
-            self.give(event=Ticked(wall=self.world.wall() + self.skew))
+            self.give(event=TimerFired(wall=self.world.wall() + self.skew))
         self.world.clock.after(constants.TICK * self.rng.uniform(0.9, 1.1), lambda: self._tick(life=life))
 
     def _carry_out(self, *, command: object) -> None:
-        if isinstance(command, Tell):
+        if isinstance(command, SendMessage):
             self._send(command=command)
-        elif isinstance(command, Answer):
+        elif isinstance(command, Respond):
             answer = self.waiting.pop(command.token, None)
             if answer is not None:
                 answer(command)
-        elif isinstance(command, Call):
+        elif isinstance(command, StartCall):
             self._call(command=command)
-        elif isinstance(command, (Store, Rewrite)):
+        elif isinstance(command, (AppendRecords, RewriteRecords)):
             self._store(command=command)
-        elif isinstance(command, Check):
+        elif isinstance(command, ValidateConfig):
             verdict = check_module.check_config(config=command.config)
             life = self.life
             self.world.clock.after(
                 0.02,
-                lambda: self.give(event=Checked(token=command.token, verdict=verdict)) if self.life == life else None,
+                lambda: (
+                    self.give(event=ConfigValidated(token=command.token, verdict=verdict))
+                    if self.life == life
+                    else None
+                ),
             )
-        elif isinstance(command, Log):
+        elif isinstance(command, LogEvent):
             self.logs.append((self.world.clock.now, command.event, command.fields))
-        elif isinstance(command, Stop):
+        elif isinstance(command, ExitProcess):
             self.code = command.code
             self._end()
 
-    def _send(self, *, command: Tell) -> None:
+    def _send(self, *, command: SendMessage) -> None:
         to = self.world.by_post.get(command.to)
         if to is None:
             return
@@ -214,7 +218,7 @@
         if isinstance(body, BadMessage):
             raise AssertionError(f"{self.place.name} sent a bad message: {body.reason} {command.body}")
         self.world.count_message(kind=body["kind"])
-        event = Heard(sender=self.place.post, body=body)
+        event = MessageReceived(sender=self.place.post, body=body)
         delays = (
             [0.0001]
             if to is self
@@ -229,19 +233,19 @@
             life = to.life
             self.world.clock.after(delay, lambda life=life: to.give(event=event) if to.life == life else None)
 
-    def _call(self, *, command: Call) -> None:
+    def _call(self, *, command: StartCall) -> None:
         life = self.life
 
-        def done(called: Called) -> None:
+        def done(called: CallFinished) -> None:
             if self.life == life:
                 self.give(event=called)
 
         self.world.call(caller=self, command=command, done=done)
 
-    def _store(self, *, command: Store | Rewrite) -> None:
+    def _store(self, *, command: AppendRecords | RewriteRecords) -> None:
         disk, life = self.disk, self.life
         if not disk.takes(command=command):
-            failed = DiskFailed(seq=command.seq, full=True, reason="no room")
+            failed = DiskWriteFailed(seq=command.seq, full=True, reason="no room")
             self.world.clock.after(0.001, lambda: self.give(event=failed) if self.life == life else None)
             return
 
@@ -250,11 +254,11 @@
                 return
             if disk.sync_fails:
                 disk.pending.clear()
-                self.give(event=DiskFailed(seq=command.seq, full=False, reason="sync"))
+                self.give(event=DiskWriteFailed(seq=command.seq, full=False, reason="sync"))
                 return
             if command in disk.pending:
                 disk.sync(command=command)
-            self.give(event=Synced(seq=command.seq))
+            self.give(event=RecordsSynced(seq=command.seq))
 
         delay = disk.write(command=command)
         # syncs end in order
--- a/simulation/sim/operators.py
+++ b/simulation/sim/operators.py
@@ -8,7 +8,7 @@
 import json
 from typing import TYPE_CHECKING
 
-from sailward.events import Answer, Asked
+from sailward.events import RequestReceived, Respond
 
 if TYPE_CHECKING:
     from simulation.sim.world import World
@@ -47,7 +47,7 @@
                 then(None)
             return
         text = body if isinstance(body, bytes) else (b"" if body is None else json.dumps(body).encode())
-        event = Asked(
+        event = RequestReceived(
             token=f"op {next(self._count)}",
             method=method,
             path=path,
@@ -57,7 +57,7 @@
         )
         ended = []
 
-        def got(answer: Answer | None) -> None:
+        def got(answer: Respond | None) -> None:
             if not ended:
                 ended.append(1)
                 if then:
@@ -94,7 +94,7 @@
         world, begun = self._world, self._world.clock.now
         headers = {"if-match": f'"{if_match}"'} if if_match else {}
 
-        def then(answer: Answer | None) -> None:
+        def then(answer: Respond | None) -> None:
             seen = json.loads(answer.body) if answer else {}
             outcome = seen.get("outcome", "unknown") if answer else "unknown"
             world.history.add(
@@ -131,7 +131,7 @@
         """Read the configuration."""
         world, begun = self._world, self._world.clock.now
 
-        def then(answer: Answer | None) -> None:
+        def then(answer: Respond | None) -> None:
             if answer is None or answer.code != 200:
                 world.history.add(t=world.clock.now, k="read-failed", code=answer.code if answer else 0)
                 return
@@ -152,26 +152,26 @@
         """Read which halls are emptied."""
         world, begun = self._world, self._world.clock.now
 
-        def then(answer: Answer | None) -> None:
+        def then(answer: Respond | None) -> None:
             if answer is not None and answer.code == 200:
                 emptied = json.loads(answer.body)["orders"].get("emptied", [])
                 world.history.add(t=world.clock.now, k="orders-read", begun=begun, emptied=emptied)
 
         self.ask(method="GET", path="/orders", then=then)
 
-    def order(self, *, hall: str, empty: bool, confirm: bool = False, controller: str = "") -> None:
+    def order(self, *, zone: str, empty: bool, confirm: bool = False, controller: str = "") -> None:
         """Empty a hall, or take it back."""
         world, begun = self._world, self._world.clock.now
 
-        def then(answer: Answer | None) -> None:
+        def then(answer: Respond | None) -> None:
             if answer is not None and answer.code == 200:
-                world.history.add(t=world.clock.now, k="emptied" if empty else "refilled", hall=hall, begun=begun)
+                world.history.add(t=world.clock.now, k="emptied" if empty else "refilled", hall=zone, begun=begun)
             else:
                 seen = json.loads(answer.body) if answer else {}
                 world.history.add(
                     t=world.clock.now,
                     k="order-refused",
-                    hall=hall,
+                    hall=zone,
                     empty=empty,
                     begun=begun,
                     code=answer.code if answer else 0,
@@ -180,7 +180,7 @@
 
         self.ask(
             method="POST",
-            path=f"/halls/{hall}/{'empty' if empty else 'refill'}",
+            path=f"/halls/{zone}/{'empty' if empty else 'refill'}",
             query={"confirm": "yes"} if confirm else {},
             controller=controller,
             then=then,
--- a/simulation/sim/platform.py
+++ b/simulation/sim/platform.py
@@ -37,12 +37,12 @@
             "generation": mind.generation,
             "service": mind.service,
             "address": address,
-            "hall": mind.hall,
+            "hall": mind.zone,
             "leaving": False,
         }
         self.revision += 1
         if before and before["generation"] < mind.generation:
-            self._note(row=before, k="gone")
+            self._record(row=before, k="gone")
 
     def next_generation(self, *, name: str) -> int:
         """The first generation of a worker that was never listed."""
@@ -57,13 +57,13 @@
         row = self._rows[name]
         self._rows[name] = {**row, "leaving": True}
         self.revision += 1
-        self._note(row=row, k="leaving")
+        self._record(row=row, k="leaving")
 
     def unlist(self, *, name: str) -> None:
         """Take a worker off the list."""
         row = self._rows.pop(name)
         self.revision += 1
-        self._note(row=row, k="gone")
+        self._record(row=row, k="gone")
 
     def page(self, *, after: str, limit: int) -> dict:
         """One page of the list."""
@@ -77,7 +77,7 @@
             "next": rows[-1]["id"] if len(names) > limit else "",
         }
 
-    def _note(self, *, row: dict, k: str) -> None:
+    def _record(self, *, row: dict, k: str) -> None:
         self._world.history.add(
             t=self._world.clock.now, k=k, worker=f"{row['id']}/{row['generation']}", revision=self.revision
         )
--- a/simulation/sim/sabotage.py
+++ b/simulation/sim/sabotage.py
@@ -15,7 +15,7 @@
 from sailward.control.shards import quiescence, shard_assignment
 from sailward.discovery import endpoint_pages as pages_module
 from sailward.discovery import endpoint_table, peer_table
-from sailward.events import DiskFailed, Synced
+from sailward.events import DiskWriteFailed, RecordsSynced
 from sailward.proxy import tenant_proxy
 from sailward.routing import (
     active_health,
@@ -61,7 +61,7 @@
 def _forgetful(old):
     def step(self, *, epoch, revision, workers):
         self.newest, self.over, self.revision = {}, {}, (-1, -1)
-        seen = old(self, epoch=epoch, revision=revision, workers=endpoint_table)
+        seen = old(self, epoch=epoch, revision=revision, workers=workers)
         self.revision = (-1, 0)
         return seen
 
@@ -82,8 +82,8 @@
             for name, weight in exchange.match.shares
             if weight
             and any(
-                view.fraction >= constants.SPILL and hall in self.world.plan.pools[name].preferred
-                for hall, view in self.world.views_of(
+                view.fraction >= constants.SPILL and zone in self.world.plan.pools[name].preferred
+                for zone, view in self.world.views_of(
                     now=now, service=exchange.service.name, tenant=exchange.tenant
                 ).items()
             )
@@ -96,32 +96,32 @@
 
 def _older_too(old):
     def step(self, *, name, ballot, value):
-        news = name not in self.held or value["mark"] != self.held[name].value["mark"]
-        self.held[name] = learner.Held(ballot=ballot, value=value)
+        news = name not in self.values or value["mark"] != self.held[name].value["mark"]
+        self.values[name] = learner.LearnedValue(ballot=ballot, value=value)
         return news
 
     return step
 
 
 def _no_expected(old):
-    def judge(self, *, now, work):
-        value = proposer.newest_of(votes=list(work.answers.values()), members=work.voters)
-        object.__setattr__(work.begin, "expected", value["number"])
-        return old(self, now=now, work=work)
+    def judge(self, *, now, operation):
+        value = proposer.newest_of(votes=list(operation.answers.values()), members=operation.voters)
+        object.__setattr__(operation.begin, "expected", value["number"])
+        return old(self, now=now, operation=operation)
 
     return judge
 
 
 def _failures_unheard(old):
-    def hear(self, *, event):
-        return old(self, event=Synced(seq=event.seq) if isinstance(event, DiskFailed) else event)
+    def receive(self, *, event):
+        return old(self, event=RecordsSynced(seq=event.seq) if isinstance(event, DiskWriteFailed) else event)
 
-    return hear
+    return receive
 
 
 def _never_leaving(old):
     def step(self, *, epoch, revision, workers):
-        return old(self, epoch=epoch, revision=revision, workers=[{**row, "leaving": False} for row in endpoint_table])
+        return old(self, epoch=epoch, revision=revision, workers=[{**row, "leaving": False} for row in workers])
 
     return step
 
@@ -137,14 +137,14 @@
 def _no_last_resort(old):
     def share(*, pool, views):
         marked = weighted_draw._marked(pool=pool, views=views)
-        return old(pool=pool, views={hall: view for hall, view in views.items() if hall not in marked})
+        return old(pool=pool, views={zone: view for zone, view in views.items() if zone not in marked})
 
     return share
 
 
 def _opens_at_once(old):
-    def judge(self, *, service, space, slot, old, scene, **more):
-        best = self._best(service=service, space=space, slot=slot, scene=scene)
+    def judge(self, *, service, space, slot, old, context, **more):
+        best = self._best(service=service, space=space, slot=slot, context=context)
         return old if best in ("", old.owner) else dataclasses.replace(old, owner=best, term=old.term + 1)
 
     return judge
@@ -181,16 +181,18 @@
     "grace": _constant("STOP_GRACE", 0.0),
     "sync": _method(write_ahead.WriteAhead, "step", _told_unsynced),
     "claim": _method(idempotency.Claims, "_begin", _always_won),
-    "sticky": _method(endpoint_table.WorkerBook, "step", _forgetful),
-    "homes": _method(routing_state.World, "views_of", _no_homes),
-    "draw-first": _method(load_balancer.Chooser, "step", _by_status),
-    "never-older": _method(learner.HeldBook, "step", _older_too),
+    "sticky": _method(endpoint_table.EndpointTable, "step", _forgetful),
+    "homes": _method(routing_state.RoutingState, "views_of", _no_homes),
+    "draw-first": _method(load_balancer.LoadBalancer, "step", _by_status),
+    "never-older": _method(learner.Learner, "step", _older_too),
     "expected": _method(proposer.Proposer, "_judge_promises", _no_expected),
     "at-most-once": _method(proxied_requests, "judge_result", _bad_is_unsent),
     "whole-result": _method(response_check, "_find_fault", lambda old: lambda *, exchange, event: ""),
     "identity": _method(proxied_requests, "judge_result", _any_identity),
-    "try-budget": _method(attempt_budget.Tries, "step", lambda old: lambda self, *, now, first, caller=False: "first"),
-    "cold-bound": _method(concurrency_limits.Bounds, "step", lambda old: lambda self, **_: True),
+    "try-budget": _method(
+        attempt_budget.AttemptBudget, "step", lambda old: lambda self, *, now, first, caller=False: "first"
+    ),
+    "cold-bound": _method(concurrency_limits.ConcurrencyLimits, "step", lambda old: lambda self, **_: True),
     "promise": _method(proxied_requests, "is_promise_safe", lambda old: lambda *, event: True),
     "check": _method(
         check_module,
@@ -212,7 +214,7 @@
         pages_module,
         "join_pages",
         lambda old: (
-            lambda *, pages: pages_module.WholeList(
+            lambda *, pages: pages_module.CompleteList(
                 epoch=pages[0]["epoch"],
                 revision=pages[-1]["revision"],
                 workers=[row for page in pages for row in page["workers"]],
@@ -220,15 +222,15 @@
         ),
     ),
     "new-identity": _method(voter, "make_identity", lambda old: lambda *, name, nonce: name),
-    "sync-final": _method(write_ahead.WriteAhead, "hear", _failures_unheard),
+    "sync-final": _method(write_ahead.WriteAhead, "receive", _failures_unheard),
     "blocking": _method(lease, "blocking_of", lambda old: proposer.majority_of),
-    "leaving": _method(endpoint_table.WorkerBook, "step", _never_leaving),
-    "disk-votes": _method(write_ahead.WriteAhead, "hear", _failures_unheard),
-    "last-resort": _method(load_balancer, "share_halls", _no_last_resort),
+    "leaving": _method(endpoint_table.EndpointTable, "step", _never_leaving),
+    "disk-votes": _method(write_ahead.WriteAhead, "receive", _failures_unheard),
+    "last-resort": _method(load_balancer, "share_zones", _no_last_resort),
     "copy": _method(copying.Copying, "slots", lambda old: lambda self, *, now, own=None: {}),
     "repair": _constant("REPLACE_AFTER", 1e9),
-    "closing": _method(shard_assignment.Assigning, "_judge", _opens_at_once),
-    "witness": _method(quiescence.Witness, "look", lambda old: lambda self, *, closing, slot: None),
+    "closing": _method(shard_assignment.ShardAssignment, "_judge", _opens_at_once),
+    "witness": _method(quiescence.Quiescence, "look", lambda old: lambda self, *, closing, slot: None),
     "refit": _method(proxied_requests, "refit_exchange", lambda old: lambda *, exchange, plan: None),
     "lower-start": _method(
         peer_table,
@@ -245,18 +247,18 @@
     "merge": _method(
         membership, "merge_survivors", lambda old: lambda *, slots, told, now: old(slots=slots, told=[], now=now)
     ),
-    "doubt": _method(routing_state.World, "in_doubt", lambda old: lambda self, *, now: False),
-    "told-back": _method(learner.HeldBook, "tell", lambda old: lambda self, *, to, name: []),
+    "doubt": _method(routing_state.RoutingState, "has_unknown_outcomes", lambda old: lambda self, *, now: False),
+    "told-back": _method(learner.Learner, "deliver", lambda old: lambda self, *, to, name: []),
     "fence": _method(membership.Membership, "is_out", lambda old: lambda self, *, value: False),
     "slots-last-resort": _method(
-        shard_assignment.Assigning, "_tiers", lambda old: lambda self, **pool: old(self, **pool)[:2]
+        shard_assignment.ShardAssignment, "_tiers", lambda old: lambda self, **pool: old(self, **pool)[:2]
     ),
     "abort": _method(network.Network, "delivers", lambda old: lambda self, *, given_up: True),
     "copies": _method(idempotency, "spread_copy", lambda old: lambda **_: []),
     "copies-home": _method(result_replicas, "may_keep", lambda old: lambda *, region, homes: True),
     "key-age": _method(exchange_module, "judge_key", lambda old: lambda **_: None),
     "clocks": _method(
-        routing_state.World,
+        routing_state.RoutingState,
         "clock",
         lambda old: (
             lambda self, *, now: (
@@ -273,16 +275,16 @@
     "word": _method(
         proxied_requests, "answer_refusal", lambda old: lambda **fields: dataclasses.replace(old(**fields), headers={})
     ),
-    "gives-up": _method(proxied_requests.Exchanges, "_look_at_alarms", lambda old: lambda self, *, now, acting: []),
-    "stops": _method(tenant_proxy.TenantProxy, "_look_at_stop", lambda old: lambda self, *, now: []),
+    "gives-up": _method(proxied_requests.ProxiedRequests, "_on_timer", lambda old: lambda self, *, now, acting: []),
+    "stops": _method(tenant_proxy.TenantProxy, "_check_shutdown", lambda old: lambda self, *, now: []),
     "told-lost": _method(
         proposer.Proposer,
         "_judge_votes",
         lambda old: (
-            lambda self, *, work: (
-                proposer.Refused(reason="number", value=work.value, ballot=work.ballot)
-                if work.begin.text
-                else old(self, work=work)
+            lambda self, *, operation: (
+                proposer.Refused(reason="number", value=operation.value, ballot=operation.ballot)
+                if operation.begin.text
+                else old(self, operation=operation)
             )
         ),
     ),
--- a/simulation/sim/verbs/daemons.py
+++ b/simulation/sim/verbs/daemons.py
@@ -83,10 +83,10 @@
         for node in self._nodes(names):
             node.disk.is_full = False
 
-    def do_machine_new(self, name: str, kind: str, hall: str, index: str) -> None:
+    def do_machine_new(self, name: str, kind: str, zone: str, index: str) -> None:
         """A new, empty machine at an address of its own."""
         seeds = next(iter(self._world.nodes.values())).place.seeds
-        self._world.add_node(name=name, kind=kind, hall=hall, index=int(index), seeds=seeds).start()
+        self._world.add_node(name=name, kind=kind, zone=zone, index=int(index), seeds=seeds).start()
 
     def do_clock_jump(self, seconds: str, *names: str) -> None:
         """The wall clocks jump; monotonic ones never do."""
--- a/simulation/sim/verbs/operators.py
+++ b/simulation/sim/verbs/operators.py
@@ -60,8 +60,8 @@
 
     def do_pin(self, service: str, region: str, controller: str = "", if_match: str = "") -> None:
         """Let a service run in one region only and send the whole: what ran elsewhere shows an older number."""
-        config, halls = copy.deepcopy(self.operators.config), self._world.deployment.halls
-        places = [hall for hall, one in halls.items() if one == region]
+        config, zones = copy.deepcopy(self.operators.config), self._world.deployment.zones
+        places = [zone for zone, one in zones.items() if one == region]
         bound = [name for name, one in config["tenants"].items() if one.get("homes")]
         free = [name for name in config["tenants"] if name not in bound]
         config["pools"][f"{service}-pin"] = {"service": service, "preferred": places, "fallback": []}
@@ -84,7 +84,7 @@
         inner[last] = _read_value(text=value)
         self.operators.put(config=patch, controller=controller, if_match=if_match, is_patch=True)
 
-    def do_put_stamped(self, *halls: str) -> None:
+    def do_put_stamped(self, *zones: str) -> None:
         """Send the configuration with one tenant's route made from a template, with these halls as its parameter."""
         config = copy.deepcopy(self.operators.config)
         shape = {
@@ -92,7 +92,7 @@
             "matches": [{"path": "/notes", "tenants": ["hotels"], "pools": [{"pool": "${stamp}", "weight": 1}]}],
         }
         config["templates"] = {"route": {"parameters": {"halls": {"type": "list"}}, "shape": shape}}
-        config["stamps"] = {"hotels-notes": {"template": "route", "parameters": {"halls": list(halls)}}}
+        config["stamps"] = {"hotels-notes": {"template": "route", "parameters": {"halls": list(zones)}}}
         self.operators.put(config=config)
 
     def do_put_large(self, tenants: str, controller: str = "") -> None:
@@ -132,13 +132,13 @@
         """Read which halls are emptied."""
         self.operators.read_orders()
 
-    def do_empty(self, hall: str, confirm: str = "") -> None:
+    def do_empty(self, zone: str, confirm: str = "") -> None:
         """Order a hall to be emptied."""
-        self.operators.order(hall=hall, empty=True, confirm=confirm == "confirm")
+        self.operators.order(hall=zone, empty=True, confirm=confirm == "confirm")
 
-    def do_refill(self, hall: str) -> None:
+    def do_refill(self, zone: str) -> None:
         """Order a hall to be filled again."""
-        self.operators.order(hall=hall, empty=False)
+        self.operators.order(hall=zone, empty=False)
 
     def do_found_anew(self, *words: str) -> None:
         """`found-anew CONTROLLER SURVIVOR ... [confirm]`: the order is given to that controller."""
--- a/simulation/sim/verbs/workers.py
+++ b/simulation/sim/verbs/workers.py
@@ -42,18 +42,18 @@
         for machine in self._machines(names):
             machine.up = False
             self._end_runs(key=machine.mind.key)
-            self._note(machine=machine, k="worker-down")
+            self._record(machine=machine, k="worker-down")
 
-    def _note(self, *, machine, k: str) -> None:
+    def _record(self, *, machine, k: str) -> None:
         self._world.history.add(
-            t=self._world.clock.now, k=k, worker=machine.mind.key, service=machine.mind.service, hall=machine.mind.hall
+            t=self._world.clock.now, k=k, worker=machine.mind.key, service=machine.mind.service, hall=machine.mind.zone
         )
 
     def do_worker_up(self, *names: str) -> None:
         """The process is back, of the same generation: cold all the same."""
         for machine in self._machines(names):
             machine.up, machine.mind.born = True, self._world.clock.now
-            self._note(machine=machine, k="worker-started")
+            self._record(machine=machine, k="worker-started")
 
     def do_worker_freeze(self, *names: str) -> None:
         """Stop the workers' processes without ending them."""
@@ -91,7 +91,7 @@
                 world.add_worker(
                     name=mind.name,
                     service=mind.service,
-                    hall=mind.hall,
+                    zone=mind.zone,
                     address=address,
                     generation=world.platform.next_generation(name=mind.name),
                 )
@@ -121,15 +121,15 @@
         if name in self._world.platform.names():
             self.do_worker_gone(name)
 
-    def do_worker_add(self, name: str, service: str, hall: str, index: str) -> None:
+    def do_worker_add(self, name: str, service: str, zone: str, index: str) -> None:
         """A new worker at an address of its own."""
-        self._world.add_worker(name=name, service=service, hall=hall, address=f"10.1.9.{index}:80")
+        self._world.add_worker(name=name, service=service, zone=zone, address=f"10.1.9.{index}:80")
 
-    def do_readdress(self, name: str, service: str, hall: str) -> None:
+    def do_readdress(self, name: str, service: str, zone: str) -> None:
         """A worker is taken off, and its address passes to a new one of another service."""
         address, _ = self._world.machine_of(name=name)
         self._world.platform.unlist(name=name)
-        self._world.add_worker(name=f"{name}-heir", service=service, hall=hall, address=address)
+        self._world.add_worker(name=f"{name}-heir", service=service, zone=zone, address=address)
 
     def do_platform_down(self) -> None:
         """The platform's list no longer answers."""
@@ -146,7 +146,7 @@
         self._world.add_worker(
             name=mind.name,
             service=mind.service,
-            hall=mind.hall,
+            zone=mind.zone,
             address=f"10.1.9.{index}:80",
             generation=self._world.platform.next_generation(name=mind.name),
         )
--- a/simulation/sim/world.py
+++ b/simulation/sim/world.py
@@ -7,7 +7,7 @@
 import random
 from urllib.parse import parse_qs, urlsplit
 
-from sailward.events import Call, Called
+from sailward.events import CallFinished, StartCall
 from simulation.deployments import Deployment
 from simulation.history import History
 from simulation.mind import Mind
@@ -26,7 +26,7 @@
         self.frozen = False
         self.frozen_at = 0.0
         self.thaws: list = []
-        self.names = frozenset({mind.name, mind.hall, region, "worker"})
+        self.names = frozenset({mind.name, mind.zone, region, "worker"})
         self.region = region
 
 
@@ -49,34 +49,34 @@
         self.is_careless = False
         self.service_time = (0.002, 0.02)
         seeds = tuple(f"10.0.0.{index}:7000" for index in (1, 2, 5))
-        for index, (kind, name, hall) in enumerate(deployment.daemons, start=1):
-            self.add_node(name=name, kind=kind, hall=hall, index=index, seeds=seeds)
-        for index, (name, service, hall) in enumerate(deployment.workers, start=1):
-            self.add_worker(name=name, service=service, hall=hall, address=f"10.1.0.{index}:80")
+        for index, (kind, name, zone) in enumerate(deployment.daemons, start=1):
+            self.add_node(name=name, kind=kind, zone=zone, index=index, seeds=seeds)
+        for index, (name, service, zone) in enumerate(deployment.workers, start=1):
+            self.add_worker(name=name, service=service, zone=zone, address=f"10.1.0.{index}:80")
 
-    def add_node(self, *, name: str, kind: str, hall: str, index: int, seeds: tuple) -> Node:
+    def add_node(self, *, name: str, kind: str, zone: str, index: int, seeds: tuple) -> Node:
         """Add a daemon's machine."""
         node = Node(
-            world=self, name=name, kind=kind, hall=hall, region=self.deployment.halls[hall], index=index, seeds=seeds
+            world=self, name=name, kind=kind, zone=zone, region=self.deployment.zones[zone], index=index, seeds=seeds
         )
         self.nodes[name] = self.by_post[node.place.post] = self.by_http[node.place.http] = node
         return node
 
-    def add_worker(self, *, name: str, service: str, hall: str, address: str, generation: int = 1) -> Machine:
+    def add_worker(self, *, name: str, service: str, zone: str, address: str, generation: int = 1) -> Machine:
         """Start a worker and list it."""
         mind = Mind(
             name=name,
             generation=generation,
             service=service,
-            hall=hall,
+            zone=zone,
             rng=random.Random(f"{self.seed}/{name}/{generation}"),
             is_careless=self.is_careless,
         )
-        machine = Machine(mind=mind, region=self.deployment.halls[hall])
+        machine = Machine(mind=mind, region=self.deployment.zones[zone])
         self.machines[address] = machine
         self.platform.list_worker(mind=mind, address=address)
         mind.born = self.clock.now
-        self.history.add(t=self.clock.now, k="worker-started", worker=mind.key, service=service, hall=hall)
+        self.history.add(t=self.clock.now, k="worker-started", worker=mind.key, service=service, hall=zone)
         return machine
 
     def wall(self) -> float:
@@ -92,31 +92,34 @@
         """Count a message between daemons."""
         self.messages[kind] += 1
 
-    def call(self, *, caller: Node, command: Call, done) -> None:
+    def call(self, *, caller: Node, command: StartCall, done) -> None:
         """Carry out an HTTP call of a daemon to a worker or the platform."""
         ended = []
 
-        def end(*, delay: float, called: Called) -> None:
+        def end(*, delay: float, called: CallFinished) -> None:
             if not ended:
                 ended.append(1)
                 self.clock.after(max(0.0, delay), lambda: done(called))
 
         def fail(*, fault: str, sent: bool, delay: float) -> None:
-            end(delay=delay, called=Called(token=command.token, code=0, headers={}, body=b"", fault=fault, sent=sent))
+            end(
+                delay=delay,
+                called=CallFinished(token=command.token, code=0, headers={}, body=b"", fault=fault, sent=sent),
+            )
 
         if caller.now() > command.begin_by:
             return fail(fault="too-late", sent=False, delay=0.0)
-        self.clock.after(command.wait, lambda: fail(fault="timed-out", sent=True, delay=0.0))
+        self.clock.after(command.timeout, lambda: fail(fault="timed-out", sent=True, delay=0.0))
         if command.address == self.platform.address:
             return self._call_platform(caller=caller, command=command, end=end, fail=fail)
         machine = self.machines.get(command.address)
-        is_held = (
+        is_valid = (
             machine is not None
             and command.path != "/status"
             and self.network.is_cut(a=caller.names, b=machine.names)
             and (not command.fresh or self.rng.random() < 0.2)
         )
-        if is_held:
+        if is_valid:
             # its connection was open when the cut fell: the bytes are in its socket, and nothing comes back
             self.network.hold(
                 now=self.clock.now,
@@ -130,7 +133,9 @@
             )
             return None
         if machine is None or self.network.is_cut(a=caller.names, b=machine.names):
-            return self.clock.after(min(command.wait, 0.5), lambda: fail(fault="no-connection", sent=False, delay=0.0))
+            return self.clock.after(
+                min(command.timeout, 0.5), lambda: fail(fault="no-connection", sent=False, delay=0.0)
+            )
         if not machine.up:
             return fail(fault="no-connection", sent=False, delay=0.001)
         near = caller.place.region == machine.region
@@ -143,7 +148,9 @@
         )
         return None
 
-    def _arrive(self, *, caller: Node, machine: Machine, command: Call, end, fail, back: float, ended: list) -> None:
+    def _arrive(
+        self, *, caller: Node, machine: Machine, command: StartCall, end, fail, back: float, ended: list
+    ) -> None:
         if machine.frozen:
             # a worker begins nothing whose connection was closed meanwhile
             machine.thaws.append(
@@ -168,7 +175,7 @@
                 k="run",
                 worker=mind.key,
                 service=mind.service,
-                hall=mind.hall,
+                hall=mind.zone,
                 asked=headers.get("sailward-service", ""),
                 region=machine.region,
                 key=headers.get("idempotency-key", ""),
@@ -198,7 +205,7 @@
             else:
                 end(
                     delay=back,
-                    called=Called(
+                    called=CallFinished(
                         token=command.token,
                         code=reply.code,
                         headers=dict(reply.headers),
@@ -210,16 +217,16 @@
 
         self.clock.after(busy, come_back)
 
-    def _call_platform(self, *, caller: Node, command: Call, end, fail) -> None:
+    def _call_platform(self, *, caller: Node, command: StartCall, end, fail) -> None:
         if self.network.is_cut(a=caller.names, b=frozenset({"platform"})) or not self.platform.up:
-            self.clock.after(min(command.wait, 0.5), lambda: fail(fault="no-connection", sent=False, delay=0.0))
+            self.clock.after(min(command.timeout, 0.5), lambda: fail(fault="no-connection", sent=False, delay=0.0))
             return
         query = {name: values[0] for name, values in parse_qs(urlsplit(command.path).query).items()}
         page = self.platform.page(after=query.get("after", ""), limit=int(query["limit"]))
         self.history.add(t=self.clock.now, k="list-read", controller=caller.place.name, revision=page["revision"])
         end(
             delay=self.rng.uniform(0.005, 0.03),
-            called=Called(
+            called=CallFinished(
                 token=command.token, code=200, headers={}, body=json.dumps(page).encode(), fault="", sent=True
             ),
         )
--- a/tests/core_net.py
+++ b/tests/core_net.py
@@ -12,21 +12,21 @@
 from sailward.control.controller import Controller
 from sailward.control.controller_options import ControllerOptions
 from sailward.control.group.bootstrap import Bootstrap
-from sailward.discovery.peer_table import Place
+from sailward.discovery.peer_table import Location
 from sailward.events import (
-    Answer,
-    Asked,
-    Call,
-    Called,
-    Check,
-    Checked,
-    Heard,
-    Rewrite,
-    Stop,
-    Store,
-    Synced,
-    Tell,
-    Ticked,
+    AppendRecords,
+    CallFinished,
+    ConfigValidated,
+    ExitProcess,
+    MessageReceived,
+    RecordsSynced,
+    RequestReceived,
+    Respond,
+    RewriteRecords,
+    SendMessage,
+    StartCall,
+    TimerFired,
+    ValidateConfig,
 )
 from sailward.runtime.adapter import load_part
 
@@ -68,7 +68,7 @@
         self.posts = tuple(one.post for one in self.machines[:seeds])
         self.budget = budget
         self.cut: set = set()
-        self.answers: dict[str, Answer] = {}
+        self.answers: dict[str, Respond] = {}
         self.calls = 0
         self.rows: list[dict] = []
         self.options = {"list_rate": 37.0, "replace_after": 1.0, "repair_every": 0.25, "copy_again": 0.25, **options}
@@ -100,10 +100,10 @@
             has_disk=machine.name not in self.bare,
             **self.options,
         )
-        place = Place(
+        place = Location(
             name=machine.name,
             kind="controller",
-            hall=machine.zone,
+            zone=machine.zone,
             region=ZONES[machine.zone],
             post=machine.post,
             http=machine.post,
@@ -162,7 +162,7 @@
         token = f"desk {self.calls}"
         data = body if isinstance(body, bytes) or body is None else json.dumps(body).encode()
         headers = {} if if_match is None else {"if-match": if_match}
-        event = Asked(token=token, method=method, path=path, query={}, headers=headers, body=data)
+        event = RequestReceived(token=token, method=method, path=path, query={}, headers=headers, body=data)
         self.after(0.0, lambda: self.give(machine, event=event))
         return token
 
@@ -180,41 +180,43 @@
 
     def _tick(self, *, machine: Machine, life: int) -> None:
         if machine.life == life:
-            self.give(machine, event=Ticked(wall=1000.0 + self.now))
+            self.give(machine, event=TimerFired(wall=1000.0 + self.now))
             self.after(TICK, lambda: self._tick(machine=machine, life=life))
 
     def _carry_out(self, *, machine: Machine, command: object) -> None:
-        if isinstance(command, Tell):
+        if isinstance(command, SendMessage):
             to = next((one for one in self.machines if one.post == command.to and one.controller is not None), None)
             assert isinstance(check_message(body=command.body), dict), command.body
             if to is None or ({machine.name, to.name} & self.cut and machine is not to):
                 return
             near = ZONES[machine.zone] == ZONES[to.zone]
             delay = 0.0001 if to is machine else 0.0014 if near else 0.055
-            self._later(to, delay=delay, event=Heard(sender=machine.post, body=command.body))
-        elif isinstance(command, Answer):
+            self._later(to, delay=delay, event=MessageReceived(sender=machine.post, body=command.body))
+        elif isinstance(command, Respond):
             self.answers[command.token] = command
-        elif isinstance(command, (Store, Rewrite)):
+        elif isinstance(command, (AppendRecords, RewriteRecords)):
             self.after(SYNC, lambda life=machine.life: self._synced(machine=machine, command=command, life=life))
-        elif isinstance(command, Check):
+        elif isinstance(command, ValidateConfig):
             self._later(
-                machine, delay=0.02, event=Checked(token=command.token, verdict=check_config(config=command.config))
+                machine,
+                delay=0.02,
+                event=ConfigValidated(token=command.token, verdict=check_config(config=command.config)),
             )
-        elif isinstance(command, Call):
+        elif isinstance(command, StartCall):
             body = json.dumps({"instances": self.rows, "next_token": None}).encode()
             self._later(
                 machine,
                 delay=0.005,
-                event=Called(token=command.token, code=200, headers={}, body=body, fault="", sent=True),
+                event=CallFinished(token=command.token, code=200, headers={}, body=body, fault="", sent=True),
             )
-        elif isinstance(command, Stop):
+        elif isinstance(command, ExitProcess):
             self.kill(machine)
 
-    def _synced(self, *, machine: Machine, command: Store | Rewrite, life: int) -> None:
+    def _synced(self, *, machine: Machine, command: AppendRecords | RewriteRecords, life: int) -> None:
         if machine.life != life:
             return
-        machine.disk = (machine.disk if isinstance(command, Store) else []) + list(command.records)
-        self.give(machine, event=Synced(seq=command.seq))
+        machine.disk = (machine.disk if isinstance(command, AppendRecords) else []) + list(command.records)
+        self.give(machine, event=RecordsSynced(seq=command.seq))
 
 
 def make_written(*, label: int, routes: int = 4, weight: int = 90) -> dict:
--- a/tests/forwarding_model.py
+++ b/tests/forwarding_model.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass, field
 
-from sailward.events import Answer, Call, CallerLeft, CancelCall
+from sailward.events import CancelCall, ClientDisconnected, Respond, StartCall
 from sailward.routing.forwarding import Forwarder
 from sailward.routing.retry_budget import RetryBudget
 from tests.proxy_kit import NAMES, Bench, make_plan, make_worker
@@ -30,7 +30,7 @@
 class Sending:
     """One call for a request and, once known, what became of it."""
 
-    call: Call
+    call: StartCall
     end: str = ""
 
     @property
@@ -51,13 +51,13 @@
 class Model:
     """One history: the owner, its requests, and the checks after each event."""
 
-    def __init__(self, *, kind: str, tries: int, workers: int) -> None:
-        self.kind, self.tries = kind, tries
+    def __init__(self, *, kind: str, attempts: int, workers: int) -> None:
+        self.kind, self.attempts = kind, attempts
         self.bench = Bench(
-            workers=[make_worker(f"w{at}") for at in range(workers)], plan=make_plan(kind=kind, tries=tries)
+            workers=[make_worker(f"w{at}") for at in range(workers)], plan=make_plan(kind=kind, tries=attempts)
         )
         self.asked: list[Told] = []
-        self.lives = 1
+        self.incarnations = 1
         self.is_stopped = False
         self.trace: tuple = ()
 
@@ -74,7 +74,7 @@
                 found.append(("leave", at))
         if self.asked and not self.is_stopped:
             found.append(("stop",))
-            if self.lives < 2:
+            if self.incarnations < 2:
                 found.append(("kill",))
         return found
 
@@ -95,9 +95,11 @@
             for at, told in enumerate(self.asked)
         )
         workers = tuple(
-            sorted((shown.state, shown.busy_until > self.bench.now) for shown in self.bench.evidence.shown.values())
+            sorted(
+                (shown.state, shown.busy_until > self.bench.now) for shown in self.bench.passive_health.shown.values()
+            )
         )
-        return requests, workers, self.lives, self.is_stopped, round(self.bench.now, 2)
+        return requests, workers, self.incarnations, self.is_stopped, round(self.bench.now, 2)
 
     def _owner_state(self, *, at: int) -> tuple:
         request = self.bench.forwarder.live.get(f"front {at + 1}")
@@ -112,7 +114,7 @@
 
     def _do_leave(self, at: int) -> list:
         self.asked[at].is_left = True
-        return self.bench.forwarder.step(now=self.bench.now, event=CallerLeft(token=f"front {at + 1}"))
+        return self.bench.forwarder.step(now=self.bench.now, event=ClientDisconnected(token=f"front {at + 1}"))
 
     def _do_stop(self) -> list:
         self.is_stopped = True
@@ -123,10 +125,10 @@
 
         Its callers' connections end, and no end of a call is told to the new one.
         """
-        self.lives += 1
+        self.incarnations += 1
         old = self.bench.forwarder
         budget = RetryBudget(ratio=0.2, slack=60.0, window=10.0)
-        self.bench.forwarder = Forwarder(placer=old.placer, names=NAMES, budget=budget)
+        self.bench.forwarder = Forwarder(endpoint_selector=old.endpoint_selector, names=NAMES, budget=budget)
         for told in self.asked:
             told.is_left = told.is_left or not told.answers
             for sending in told.sendings:
@@ -153,13 +155,13 @@
 
     def _take(self, *, commands: list) -> None:
         for command in commands:
-            if isinstance(command, Call):
+            if isinstance(command, StartCall):
                 told = self.asked[int(command.headers["x-id"].removeprefix("id")) - 1]
                 self._check_sending(told=told)
                 told.sendings.append(Sending(call=command))
             elif isinstance(command, CancelCall):
                 self._check_cancel(token=command.token)
-            elif isinstance(command, Answer):
+            elif isinstance(command, Respond):
                 at = int(command.token.removeprefix("front ")) - 1
                 self.asked[at].answers.append(command)
                 self._check_answer(told=self.asked[at], name=f"id{at + 1}")
@@ -172,7 +174,7 @@
             self._break(what="sent after its end")
         if self.kind == "once" and any(sending.may_run for sending in told.sendings):
             self._break(what="TWICE: sent although an earlier sending may run")
-        if sum(sending.end != "unsent" for sending in told.sendings) + 1 > self.tries:
+        if sum(sending.end != "unsent" for sending in told.sendings) + 1 > self.attempts:
             self._break(what="BUDGET: sent to more workers than its route allows")
 
     def _check_cancel(self, *, token: str) -> None:
@@ -203,15 +205,15 @@
         raise Breach(what=what, trace=self.trace)
 
 
-def explore(*, kind: str, tries: int, requests: int, depth: int, workers: int = 3) -> int:
+def explore(*, kind: str, attempts: int, requests: int, depth: int, workers: int = 3) -> int:
     """Play all orders of events up to a depth, breadth first; the number of distinct states. Raises Breach."""
     seen: set = set()
     front: list[tuple] = [()]
     for _ in range(depth):
         later = []
         for trace in front:
-            for event in _replay(kind=kind, tries=tries, workers=workers, trace=trace).events(requests=requests):
-                model = _replay(kind=kind, tries=tries, workers=workers, trace=trace)
+            for event in _replay(kind=kind, attempts=attempts, workers=workers, trace=trace).events(requests=requests):
+                model = _replay(kind=kind, attempts=attempts, workers=workers, trace=trace)
                 model.step(event=event)
                 state = model.state()
                 if state not in seen:
@@ -221,8 +223,8 @@
     return len(seen)
 
 
-def _replay(*, kind: str, tries: int, workers: int, trace: tuple) -> Model:
-    model = Model(kind=kind, tries=tries, workers=workers)
+def _replay(*, kind: str, attempts: int, workers: int, trace: tuple) -> Model:
+    model = Model(kind=kind, attempts=attempts, workers=workers)
     for event in trace:
         model.step(event=event)
     return model
--- a/tests/granting_fixture.py
+++ b/tests/granting_fixture.py
@@ -9,9 +9,9 @@
 from dataclasses import dataclass, field
 
 from sailward import constants
-from sailward.control.shards.grant_targets import GrantScene
+from sailward.control.shards.grant_targets import GrantContext
 from sailward.control.shards.granting import Granting
-from sailward.events import Call, Called
+from sailward.events import CallFinished, StartCall
 from sailward.routing.shards import KEYS
 
 SLOW = 1 / 0.98
@@ -23,18 +23,23 @@
     name: str
     service: str
     address: str
-    hall: str
+    zone: str
     leaving: bool = False
-    cold: float = 0.0
+    slow_start: float = 0.0
 
 
 class Codec:
-    def grant(self, *, start: int, end: int, fence: int, hold: float, handover: str, owner: str) -> tuple:
-        body = {"start": start, "end": end, "fence": fence, "hold": hold, "handover": handover}
+    def grant(self, *, start: int, end: int, fencing_token: int, hold: float, handover: str, owner: str) -> tuple:
+        body = {"start": start, "end": end, "fence": fencing_token, "hold": hold, "handover": handover}
         return "POST", "/hold", {"owner": owner}, json.dumps(body).encode()
 
-    def release(self, *, start: int, end: int, fence: int, owner: str) -> tuple:
-        return "POST", "/let-go", {"owner": owner}, json.dumps({"start": start, "end": end, "fence": fence}).encode()
+    def release(self, *, start: int, end: int, fencing_token: int, owner: str) -> tuple:
+        return (
+            "POST",
+            "/let-go",
+            {"owner": owner},
+            json.dumps({"start": start, "end": end, "fence": fencing_token}).encode(),
+        )
 
     def handover(self, *, headers: dict) -> str:
         return headers.get("passed-on", "")
@@ -45,7 +50,7 @@
     start: int
     end: int
     until: float
-    fence: int
+    fencing_token: int
 
 
 @dataclass(kw_only=True)
@@ -54,10 +59,10 @@
 
     key: str
     address: str
-    hall: str
+    zone: str
     alive: bool = True
     is_leaving: bool = False
-    cold: float = 0.0
+    slow_start: float = 0.0
     listed: bool = True
     is_unreachable: bool = False
     is_refusing: bool = False
@@ -77,12 +82,12 @@
         return [one for one in self.holds if one.until > now] if self.alive else []
 
     def take(self, *, now: float, body: dict) -> int:
-        start, end, fence = body["start"], body["end"], body["fence"]
-        if any(a <= end and start <= b and f > fence for a, b, f in self.seen):
+        start, end, fencing_token = body["start"], body["end"], body["fence"]
+        if any(a <= end and start <= b and f > fencing_token for a, b, f in self.seen):
             return 409
-        self.seen.append((start, end, fence))
+        self.seen.append((start, end, fencing_token))
         self.drop(start=start, end=end)
-        self.holds.append(Hold(start=start, end=end, until=now + body["hold"] * SLOW, fence=fence))
+        self.holds.append(Hold(start=start, end=end, until=now + body["hold"] * SLOW, fencing_token=fencing_token))
         self.handovers.append(body["handover"])
         return 200
 
@@ -93,9 +98,9 @@
                 kept.append(one)
                 continue
             if one.start < start:
-                kept.append(Hold(start=one.start, end=start - 1, until=one.until, fence=one.fence))
+                kept.append(Hold(start=one.start, end=start - 1, until=one.until, fencing_token=one.fencing_token))
             if end < one.end:
-                kept.append(Hold(start=end + 1, end=one.end, until=one.until, fence=one.fence))
+                kept.append(Hold(start=end + 1, end=one.end, until=one.until, fencing_token=one.fencing_token))
         self.holds = kept
 
 
@@ -118,7 +123,7 @@
 class World:
     """A register with compare-and-swap and read leases, granters, workers and a network, all in virtual time."""
 
-    def __init__(self, *, seed: int, granters: int = 3, workers: int = 4, halls: int = 2, slowest: float = 0.5) -> None:
+    def __init__(self, *, seed: int, granters: int = 3, workers: int = 4, zones: int = 2, slowest: float = 0.5) -> None:
         self.rng = random.Random(seed)
         self.now, self.slowest = 0.0, slowest
         self.register = {"number": 0, "text": ""}
@@ -126,9 +131,9 @@
         self.granters = [self.start_granter(name=f"c{at}") for at in range(granters)]
         self.granters[0].is_acting = True
         self.workers: list[FakeWorker] = []
-        self.halls = [f"h{at}" for at in range(halls)]
+        self.zones = [f"h{at}" for at in range(zones)]
         for at in range(workers):
-            self.start_worker(address=f"w{at}", hall=self.halls[at % halls])
+            self.start_worker(address=f"w{at}", zone=self.zones[at % zones])
         self.emptied: frozenset = frozenset()
         self.loads: dict = {}
         self.overlaps: list = []
@@ -139,8 +144,8 @@
         life = next(self.ids)
         return Granter(name=name, life=life, granting=Granting(service=SERVICE, own=f"{name}#{life}", codec=Codec()))
 
-    def start_worker(self, *, address: str, hall: str) -> FakeWorker:
-        worker = FakeWorker(key=f"{address}/{next(self.ids)}", address=address, hall=hall)
+    def start_worker(self, *, address: str, zone: str) -> FakeWorker:
+        worker = FakeWorker(key=f"{address}/{next(self.ids)}", address=address, zone=zone)
         self.workers.append(worker)
         return worker
 
@@ -187,15 +192,20 @@
         if number > granter.value["number"] and self.rng.random() < 0.7:
             granter.value = value
 
-    def step(self, *, granter: Granter, event: Called | None) -> None:
+    def step(self, *, granter: Granter, event: CallFinished | None) -> None:
         listed = {
             one.key: Listed(
-                name=one.key, service=SERVICE, address=one.address, hall=one.hall, leaving=one.is_leaving, cold=one.cold
+                name=one.key,
+                service=SERVICE,
+                address=one.address,
+                zone=one.zone,
+                leaving=one.is_leaving,
+                slow_start=one.slow_start,
             )
             for one in self.workers
             if one.listed and one.key not in granter.blind
         }
-        scene = GrantScene(
+        context = GrantContext(
             value=granter.value,
             workers=listed,
             fresh_until=granter.fresh.get(granter.value["number"], -1e9),
@@ -204,9 +214,9 @@
             down=granter.down,
             loads=self.loads,
         )
-        commands, changes = granter.granting.step(now=self.now, event=event, scene=scene)
+        commands, changes = granter.granting.step(now=self.now, event=event, context=context)
         for command in commands:
-            if isinstance(command, Call):
+            if isinstance(command, StartCall):
                 self.call(granter=granter, call=command)
         for _, number, text in changes:
             self.changes += 1
@@ -232,7 +242,7 @@
                 granter.fresh.get(value["number"], -1e9), asked + constants.GRANT_LEASE
             )
 
-    def call(self, *, granter: Granter, call: Call) -> None:
+    def call(self, *, granter: Granter, call: StartCall) -> None:
         self.calls.append((self.now, call))
         state = {"ended": False}
 
@@ -242,7 +252,9 @@
             state["ended"] = True
             self.step(
                 granter=granter,
-                event=Called(token=call.token, code=code, headers=headers or {}, body=b"", fault=fault, sent=sent),
+                event=CallFinished(
+                    token=call.token, code=code, headers=headers or {}, body=b"", fault=fault, sent=sent
+                ),
             )
 
         def begin() -> None:
@@ -252,7 +264,7 @@
                 end(code=0, fault="too-late", sent=False)
                 return
             self.at(delay=self.flight(call=call), act=lambda: self.arrive(granter=granter, call=call, answer=answer))
-            self.at(delay=call.wait, act=lambda: end(code=0, fault="timed-out"))
+            self.at(delay=call.timeout, act=lambda: end(code=0, fault="timed-out"))
 
         def answer(*, worker: FakeWorker, code: int, headers: dict | None = None, fault: str = "") -> None:
             if granter.name in worker.silent_to:
@@ -261,7 +273,7 @@
 
         self.at(delay=self.rng.choice((0.0, 0.0, 0.1)), act=begin)
 
-    def arrive(self, *, granter: Granter, call: Call, answer: object) -> None:
+    def arrive(self, *, granter: Granter, call: StartCall, answer: object) -> None:
         worker = self.worker_at(address=call.address)
         if granter.name in worker.silent_to:
             return
@@ -272,11 +284,11 @@
         else:
             self.serve(worker=worker, call=call, answer=answer)
 
-    def flight(self, *, call: Call) -> float:
+    def flight(self, *, call: StartCall) -> float:
         """How long a call is under way; a late grant arrives as late as it may."""
         flight = self.delay()
         if flight > 0.4 and self.slowest >= 0.5 and call.path == "/hold":
-            return self.rng.uniform(0.0, call.wait + constants.GRANT_FLIGHT - 0.01)
+            return self.rng.uniform(0.0, call.timeout + constants.GRANT_FLIGHT - 0.01)
         return flight
 
     def worker_at(self, *, address: str) -> FakeWorker:
@@ -285,7 +297,7 @@
         alive = [one for one in here if one.alive]
         return alive[-1] if alive else here[-1]
 
-    def serve(self, *, worker: FakeWorker, call: Call, answer: object) -> None:
+    def serve(self, *, worker: FakeWorker, call: StartCall, answer: object) -> None:
         body = json.loads(call.body)
         if call.path == "/hold":
             code = worker.take(now=self.now, body=body)
@@ -346,4 +358,4 @@
         worker.listed = False
 
     world.at(delay=unlist_after, act=vanish)
-    world.at(delay=again_after, act=lambda: world.start_worker(address=worker.address, hall=worker.hall))
+    world.at(delay=again_after, act=lambda: world.start_worker(address=worker.address, zone=worker.zone))
--- a/tests/group_machine.py
+++ b/tests/group_machine.py
@@ -82,7 +82,7 @@
         for at in range(len(self.group.members)):
             self.start(at=at)
 
-    @precondition(lambda self: self._is_whole())
+    @precondition(lambda self: self._is_complete())
     @rule(at=MEMBERS, seconds=st.sampled_from([0.0, 0.3, 3.0]))
     def wipe(self, at: int, seconds: float) -> None:
         """A disk is lost, and the machine comes back empty."""
@@ -113,7 +113,7 @@
         self.join_all()
         self.go_on(seconds=0.5)
 
-    @precondition(lambda self: self._is_whole())
+    @precondition(lambda self: self._is_complete())
     @rule(order=st.permutations(range(4)))
     def lose_two_in_turn(self, order: list[int]) -> None:
         """One is behind in its votes, the next loses its disk.
@@ -152,36 +152,36 @@
     def _catch_up(self) -> None:
         is_healed = self.group.run(seconds=HEAL_TIME, until=self._is_caught_up)
         self._check()
-        numbers = [one.controller.held.number(name="config") for one in self.group.members]
+        numbers = [one.controller.learner.number(name="config") for one in self.group.members]
         assert is_healed, f"held {numbers}, acknowledged {self.acknowledged}, {self._count_voting()} vote"
 
     def _watch(self, member: Member) -> None:
         """Look at all that this life of a member holds, and at all that it is told was accepted."""
         controller = member.controller
-        floor = self.acknowledged if member.life > 1 and controller.ledger.copied else 0
+        floor = self.acknowledged if member.life > 1 and controller.write_ahead.copied else 0
         self.floors[member.name] = floor
-        hold, propose = controller.held.step, controller.proposer.step
+        hold, propose = controller.learner.step, controller.proposer.step
 
         def hold_watched(*, name: str, ballot: list, value: dict) -> bool:
-            before = controller.held.number(name=name)
-            is_news = hold(name=name, ballot=ballot, value=value)
+            before = controller.learner.number(name=name)
+            is_newer = hold(name=name, ballot=ballot, value=value)
             if name == "config":
-                number = controller.held.number(name=name)
+                number = controller.learner.number(name=name)
                 self._fail_unless(number >= before, f"{member.name} went back from {before} to {number}")
                 self._fail_unless(
                     number >= floor, f"{member.name} holds {number} after a start, {floor} was acknowledged before"
                 )
-                self._note_mark(number=number, mark=controller.held.held[name].value["mark"])
-            return is_news
+                self._note_mark(number=number, mark=controller.learner.values[name].value["mark"])
+            return is_newer
 
         def propose_watched(**fields: object) -> tuple:
-            commands, settled = propose(**fields)
-            for one in settled:
+            commands, finished = propose(**fields)
+            for one in finished:
                 if one.register == "config" and "/measure" in one.op and isinstance(one.outcome, Accepted):
                     self._note_accepted(outcome=one.outcome)
-            return commands, settled
+            return commands, finished
 
-        controller.held.step, controller.proposer.step = hold_watched, propose_watched
+        controller.learner.step, controller.proposer.step = hold_watched, propose_watched
 
     def _note_accepted(self, *, outcome: Accepted) -> None:
         value = outcome.value
@@ -200,8 +200,8 @@
 
     def _check(self) -> None:
         for member in self.group.members:
-            if member.controller is not None and "config" in member.controller.held.held:
-                value = member.controller.held.held["config"].value
+            if member.controller is not None and "config" in member.controller.learner.values:
+                value = member.controller.learner.values["config"].value
                 self._note_mark(number=value["number"], mark=value["mark"])
 
     def _delays(self) -> list[float]:
@@ -213,7 +213,7 @@
     def _count_voting(self) -> int:
         return sum(one.controller is not None and one.controller.voting for one in self.group.members)
 
-    def _is_whole(self) -> bool:
+    def _is_complete(self) -> bool:
         """Are all up and in touch, and do three vote under one set that all of them know?"""
         members = self.group.members
         if self.network != "calm" or any(one.controller is None or one.is_cut for one in members):
@@ -222,5 +222,5 @@
         return len(sets) == 1 and self._count_voting() == len(members[0].controller.voters["members"]) == 3
 
     def _is_caught_up(self) -> bool:
-        numbers = {one.controller.held.number(name="config") for one in self.group.members}
+        numbers = {one.controller.learner.number(name="config") for one in self.group.members}
         return len(numbers) == 1 and numbers >= {max(self.acknowledged, *numbers)} and self._count_voting() >= 3
--- a/tests/history_rows.py
+++ b/tests/history_rows.py
@@ -125,7 +125,7 @@
     return config
 
 
-def stamped(halls: list) -> dict:
+def stamped(zones: list) -> dict:
     shape = {
         "pools": {"${stamp}": {"service": "stock", "preferred": "${halls}"}},
         "tenants": {"${stamp}": {}},
@@ -134,7 +134,7 @@
     return {
         **CONFIG,
         "templates": {"t": {"parameters": {"halls": {"type": "list"}}, "shape": shape}},
-        "stamps": {"azul": {"template": "t", "parameters": {"halls": halls}}},
+        "stamps": {"azul": {"template": "t", "parameters": {"halls": zones}}},
     }
 
 
--- a/tests/http_client_peer.py
+++ b/tests/http_client_peer.py
@@ -10,9 +10,9 @@
 import time
 from collections.abc import Callable
 
-from sailward.events import Call, Called
+from sailward.events import CallFinished, StartCall
 from sailward.runtime.reactor import Reactor
-from sailward.transport.http_client import Outbound
+from sailward.transport.http_client import HttpClient
 from sailward.transport.wire_names import WireNames
 
 WAIT = 8.0
@@ -99,7 +99,7 @@
     def __init__(self) -> None:
         self.told: queue.Queue = queue.Queue()
         self.reactor = Reactor()
-        self.outbound = Outbound(reactor=self.reactor, tell=self.told.put, names=WireNames())
+        self.http_client = HttpClient(reactor=self.reactor, deliver=self.told.put, names=WireNames())
         self._peers: list[Peer] = []
         self._count = 0
         self._thread = threading.Thread(target=self.reactor.run, daemon=True)
@@ -147,7 +147,7 @@
     ) -> str:
         self._count += 1
         token = token or f"t{self._count}"
-        call = Call(
+        call = StartCall(
             token=token,
             owner=owner,
             address=address,
@@ -155,21 +155,21 @@
             path=path,
             headers=headers or {},
             body=body,
-            wait=wait,
+            timeout=wait,
             fresh=fresh,
             begin_by=begin_by,
         )
-        self.do(lambda: self.outbound.give(call=call))
+        self.do(lambda: self.http_client.give(call=call))
         return token
 
-    def ask(self, **given: object) -> Called:
+    def ask(self, **given: object) -> CallFinished:
         token = self.give(**given)
         called = self.told.get(timeout=WAIT)
         assert called.token == token
         return called
 
     def counts(self) -> dict:
-        return self.do(self.outbound.counts)
+        return self.do(self.http_client.counts)
 
     def until(self, **wanted: int) -> None:
         end = time.monotonic() + WAIT
--- a/tests/http_client_script.py
+++ b/tests/http_client_script.py
@@ -13,13 +13,13 @@
 from unittest import mock
 
 from sailward import constants
-from sailward.events import Call, Called
-from sailward.routing.worker_response import Broken, NotSent, TurnedAway, Whole, judge_reply
+from sailward.events import CallFinished, StartCall
+from sailward.routing.worker_response import Broken, NotSent, Whole, WorkerRejected, judge_reply
 from sailward.runtime.reactor import Alarm
 from sailward.transport import http_client
 from sailward.transport.wire_names import WireNames
 
-NAMES = WireNames(exchange="x-id", told="x-who", not_run="x-not-run", not_run_value="", seal="x-seal")
+NAMES = WireNames(exchange="x-id", answered_by="x-who", not_run="x-not-run", not_run_value="", seal="x-seal")
 FIN, RESET = "fin", "reset"
 NAMELESS_REFUSAL, NAMED_REFUSAL = 8, 9
 """The forms of an answer that says that its request did not run."""
@@ -142,12 +142,12 @@
     def __init__(self) -> None:
         self.reactor = ScriptedReactor()
         self.sockets: list[ScriptedSocket] = []
-        self.calls: dict[str, Call] = {}
+        self.calls: dict[str, StartCall] = {}
         self.cancelled: set[str] = set()
-        self.told: dict[str, Called] = {}
+        self.told: dict[str, CallFinished] = {}
         self.refused: set[str] = set()
         self.accepts = 1 << 20
-        self.outbound = http_client.Outbound(reactor=self.reactor, tell=self._take, names=NAMES)
+        self.http_client = http_client.HttpClient(reactor=self.reactor, deliver=self._take, names=NAMES)
 
     def play(self, *, steps: list[tuple]) -> None:
         """Play all steps, then let all time pass."""
@@ -164,13 +164,13 @@
                 self.reactor.pass_time(seconds=30.0)
             self.check()
             assert set(self.told) | self.cancelled == set(self.calls), "a call without an end"
-            assert self.outbound.counts()["calls"] == 0
+            assert self.http_client.counts()["calls"] == 0
 
     def do_give(self, owner: int, is_once: int, accepts: int) -> None:
         """A call; `accepts` bounds the bytes that the system takes at first."""
         token = f"t{len(self.calls)}"
         self.accepts = (1 << 20, 7, 60, 1 << 20)[accepts % 4]
-        call = Call(
+        call = StartCall(
             token=token,
             owner=f"w{owner % 2}",
             address=f"w{owner % 2}:80",
@@ -178,11 +178,11 @@
             path="/a",
             headers={"x-id": f"id-{token}"},
             body=b"once" if is_once % 2 else b"",
-            wait=20.0,
+            timeout=20.0,
             fresh=bool(is_once % 2),
         )
         self.calls[token] = call
-        self.outbound.give(call=call)
+        self.http_client.give(call=call)
 
     def do_round(self, owner: int, is_once: int, form: int) -> None:
         """A call from its beginning to its answer, with nothing in between."""
@@ -205,7 +205,7 @@
         if sock is None:
             return
         self.cancelled.add(token)
-        self.outbound.cancel(token=token)
+        self.http_client.cancel(token=token)
         following, _ = self._begin(owner=owner, is_once=0)
         self._put_answer(sock=sock, name=f"id-{token}", form=form)
         self._let_read(sock=sock, token=following)
@@ -290,11 +290,11 @@
         if under_way:
             token = under_way[at % len(under_way)]
             self.cancelled.add(token)
-            self.outbound.cancel(token=token)
+            self.http_client.cancel(token=token)
 
     def do_hang_up(self, owner: int, _: int, __: int) -> None:
         """The owner's worker is gone."""
-        self.outbound.hang_up(owner=f"w{owner % 2}")
+        self.http_client.hang_up(owner=f"w{owner % 2}")
 
     def do_wait(self, ticks: int, _: int, __: int) -> None:
         """Time goes on."""
@@ -318,12 +318,12 @@
                 body = b"" if call.method == "HEAD" else f"body of id-{token}".encode()
                 assert verdict.body == body, f"{token} got {verdict.body!r}"
                 assert verdict.headers["x-id"] == f"id-{token}"
-            elif isinstance(verdict, TurnedAway):
+            elif isinstance(verdict, WorkerRejected):
                 assert not call.fresh or f"id-{token}" in self.refused, f"{token} was refused by another's answer"
             else:
                 assert isinstance(verdict, (Broken, NotSent))
 
-    def _take(self, called: Called) -> None:
+    def _take(self, called: CallFinished) -> None:
         assert called.token not in self.told, "told twice"
         assert called.token not in self.cancelled, "told after it was cancelled"
         self.told[called.token] = called
@@ -337,7 +337,7 @@
         return [there[at % len(there)]] if there else []
 
     def _bears(self, *, sock: ScriptedSocket, token: str) -> bool:
-        running = self.outbound._running.get(token)
+        running = self.http_client._running.get(token)
         return running is not None and running.connection is not None and running.connection.sock is sock
 
     def _call(self, *, sock: ScriptedSocket, which: int) -> None:
--- a/tests/http_server_harness.py
+++ b/tests/http_server_harness.py
@@ -9,7 +9,7 @@
 import threading
 import time
 
-from sailward.events import Answer, Asked
+from sailward.events import RequestReceived, Respond
 from sailward.routing.plan import Limits
 from sailward.runtime.reactor import Reactor
 from sailward.transport.http_server import Front
@@ -28,17 +28,17 @@
         self.at_once = None
         self.reactor = Reactor(clock=lambda: time.monotonic() + self.ahead)
         self.front = Front(
-            reactor=self.reactor, address="127.0.0.1:0", name="edge", tell=self.tell, limits=lambda: self.limits
+            reactor=self.reactor, address="127.0.0.1:0", name="edge", deliver=self.deliver, limits=lambda: self.limits
         )
         self.thread = threading.Thread(target=self.reactor.run, daemon=True)
         self.thread.start()
         self.sockets: list = []
 
-    def tell(self, event) -> None:
+    def deliver(self, event) -> None:
         with self.changed:
             self.told.append(event)
             self.changed.notify_all()
-        if self.at_once and isinstance(event, Asked):
+        if self.at_once and isinstance(event, RequestReceived):
             self.front.answer(command=self.at_once(event))
 
     def on_reactor(self, call):
@@ -62,7 +62,7 @@
         self.settle()
 
     def answer(self, event, *, code=200, body=b"", headers=None, close=False) -> bool:
-        command = Answer(token=event.token, code=code, body=body, headers=headers or {}, close=close)
+        command = Respond(token=event.token, code=code, body=body, headers=headers or {}, close=close)
         return self.on_reactor(lambda: self.front.answer(command=command))
 
     def connect(self) -> socket.socket:
--- a/tests/http_server_script.py
+++ b/tests/http_server_script.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from unittest import mock
 
-from sailward.events import Answer, Asked, CallerLeft
+from sailward.events import ClientDisconnected, RequestReceived, Respond
 from sailward.routing.plan import Limits
 from sailward.transport import http_server
 from tests.http_client_script import FIN, RESET, ScriptedReactor, ScriptedSocket
@@ -83,7 +83,7 @@
         self.left: set[str] = set()
         with mock.patch.object(http_server.socket, "socket", lambda *kind: self.listener):
             self.front = http_server.Front(
-                reactor=self.reactor, address="127.0.0.1:0", name="front", tell=self._take, limits=lambda: LIMITS
+                reactor=self.reactor, address="127.0.0.1:0", name="front", deliver=self._take, limits=lambda: LIMITS
             )
         self.callers = [self._connect(number=number) for number in range(CALLERS)]
 
@@ -143,7 +143,7 @@
         caller, place = self.asked[token]
         name = f"{caller.number}/{place}"
         self.answered.add(token)
-        answer = Answer(token=token, code=code, body=name.encode(), headers={"X-For": name})
+        answer = Respond(token=token, code=code, body=name.encode(), headers={"X-For": name})
         assert self.front.answer(command=answer) or caller.sock.is_closed, (
             "an answer to a caller that is there was lost"
         )
@@ -205,11 +205,11 @@
             rest, place = behind[size:], place + 1
 
     def _take(self, event: object) -> None:
-        if isinstance(event, CallerLeft):
+        if isinstance(event, ClientDisconnected):
             assert event.token in self.asked and event.token not in self.left | self.answered
             self.left.add(event.token)
             return
-        assert isinstance(event, Asked) and event.token not in self.asked, "a token that was given before"
+        assert isinstance(event, RequestReceived) and event.token not in self.asked, "a token that was given before"
         number, place = (int(part) for part in event.path.strip("/").split("/"))
         caller = self.callers[number]
         form = caller.forms[place]
--- a/tests/orders_net.py
+++ b/tests/orders_net.py
@@ -1,8 +1,8 @@
 """Three control machines cut down to what takes orders: acceptor, proposer and operators' interface, step by step.
 
 Messages and answers wait until a test lets them through, loses or doubles them. A crash ends the proposer and the
-operators'
-interface; what the acceptor voted stays. What operators saw is judged as one history by the linearizability check.
+operators' interface; what the acceptor voted stays. What operators saw is judged as one history by the linearizability
+check.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 
 from sailward.config.check import Sound
 from sailward.consensus.acceptor import Acceptor, Slots
-from sailward.consensus.proposer import Begin, Proposer
+from sailward.consensus.proposer import Proposer, StartOperation
 from sailward.control.administration.admin_api import AdminApi
-from sailward.events import Answer, Asked, Check, Checked, Tell
+from sailward.events import ConfigValidated, RequestReceived, Respond, SendMessage, ValidateConfig
 from simulation.linearizability import Operation, Violation, find_violation
 from simulation.operator_models import (
     LabelledChange,
@@ -75,7 +75,7 @@
         identity = f"{self.name}#{self.starts}"
         self.proposer = Proposer(identity=identity, rng=random.Random(identity))
         self.admin = AdminApi(identity=identity, dialect=OPERATORS.OperatorsDialect(zones=ZONES))
-        self.admin.halls = frozenset(ZONES)
+        self.admin.zones = frozenset(ZONES)
 
 
 class OrdersNet:
@@ -86,7 +86,7 @@
         self.voters = {"number": 1, "members": {f"v{at}": one.name for at, one in enumerate(self.nodes)}}
         self.now, self.moment = 0.0, 0
         self.messages: list[tuple[str, str, dict]] = []
-        self.answers: list[Answer] = []
+        self.answers: list[Respond] = []
         self.calls: list[Call] = []
         self.at: dict[str, Node] = {}
 
@@ -147,9 +147,9 @@
             _, reply = node.acceptor.step(now=self.now, body=body)
             self.messages.append((sender, to, reply))
             return
-        commands, settled = node.proposer.step(now=self.now, voters=self.voters, event=(sender, body))
-        self._tell(node=node, commands=commands)
-        self._settle(node=node, settled=settled)
+        commands, finished = node.proposer.step(now=self.now, voters=self.voters, event=(sender, body))
+        self._send_update(node=node, commands=commands)
+        self._finish(node=node, finished=finished)
 
     def lose(self, *, index: int) -> None:
         """One message is lost."""
@@ -173,9 +173,9 @@
         """Time goes on."""
         self.now += seconds
         for node in self.nodes:
-            commands, settled = node.proposer.step(now=self.now, voters=self.voters, event=None)
-            self._tell(node=node, commands=commands)
-            self._settle(node=node, settled=settled)
+            commands, finished = node.proposer.step(now=self.now, voters=self.voters, event=None)
+            self._send_update(node=node, commands=commands)
+            self._finish(node=node, finished=finished)
 
     def calm(self, *, rounds: int = 40) -> None:
         """All arrives in order, for a while."""
@@ -241,30 +241,30 @@
         node = self.at[token] = self.nodes[at]
         call.tokens.append(token)
         headers = {"if-match": call.if_match} if call.if_match else {}
-        event = Asked(token=token, method=call.method, path=call.path, query={}, headers=headers, body=call.body)
-        self._admin(node=node, event=event)
+        asked = {"method": call.method, "path": call.path, "query": {}, "headers": headers, "body": call.body}
+        self._admin(node=node, event=RequestReceived(token=token, **asked))
 
     def _admin(self, *, node: Node, event: object) -> None:
         commands, begins = node.admin.step(event=event)
         for command in commands:
-            if isinstance(command, Answer):
+            if isinstance(command, Respond):
                 self.answers.append(command)
-            elif isinstance(command, Check):
+            elif isinstance(command, ValidateConfig):
                 verdict = Sound(written=command.config, full=command.config, warnings=())
-                self._admin(node=node, event=Checked(token=command.token, verdict=verdict))
+                self._admin(node=node, event=ConfigValidated(token=command.token, verdict=verdict))
         for begin in begins:
             self._propose(node=node, begin=begin)
 
-    def _propose(self, *, node: Node, begin: Begin) -> None:
-        commands, settled = node.proposer.step(now=self.now, voters=self.voters, event=begin)
-        self._tell(node=node, commands=commands)
-        self._settle(node=node, settled=settled)
+    def _propose(self, *, node: Node, begin: StartOperation) -> None:
+        commands, finished = node.proposer.step(now=self.now, voters=self.voters, event=begin)
+        self._send_update(node=node, commands=commands)
+        self._finish(node=node, finished=finished)
 
-    def _tell(self, *, node: Node, commands: list) -> None:
-        self.messages += [(one.to, node.name, one.body) for one in commands if isinstance(one, Tell)]
+    def _send_update(self, *, node: Node, commands: list) -> None:
+        self.messages += [(one.to, node.name, one.body) for one in commands if isinstance(one, SendMessage)]
 
-    def _settle(self, *, node: Node, settled: list) -> None:
-        for one in settled:
+    def _finish(self, *, node: Node, finished: list) -> None:
+        for one in finished:
             self._admin(node=node, event=one)
 
 
@@ -290,8 +290,8 @@
     after the order was acknowledged; one that came late has none.
     """
     name, act = f"{call.method}: {call.code}", ZoneOrder(is_emptied=call.method == "POST")
-    copies = call.sendings if call.is_open else call.sendings[:-1]
-    found = [Operation(name=name, begun=one, ended=call.ended, call=act, is_certain=False) for one in copies]
+    replicas = call.sendings if call.is_open else call.sendings[:-1]
+    found = [Operation(name=name, begun=one, ended=call.ended, call=act, is_certain=False) for one in replicas]
     return found if call.is_open else [*found, _operation(call=call, name=name, act=act)]
 
 
--- a/tests/proxy_kit.py
+++ b/tests/proxy_kit.py
@@ -5,24 +5,24 @@
 import random
 
 from sailward.discovery.endpoint_table import Worker
-from sailward.events import Answer, Asked, Call, Called, CancelCall, Log
-from sailward.routing.endpoint_selection import Placer, Scene
+from sailward.events import CallFinished, CancelCall, LogEvent, RequestReceived, Respond, StartCall
+from sailward.routing.endpoint_selection import EndpointSelector, SelectionContext
 from sailward.routing.forwarding import Forwarder
-from sailward.routing.passive_health import Evidence
+from sailward.routing.passive_health import PassiveHealth
 from sailward.routing.plan import Plan, plan_of
 from sailward.routing.retry_budget import RetryBudget
 from sailward.routing.shards import OPEN, Shard, ShardTable, write_shards
-from sailward.routing.zone_health import HallBook
+from sailward.routing.zone_health import ZoneHealthTable
 from sailward.transport.wire_names import WireNames
 
 NAMES = WireNames(
     exchange="x-id",
     within="x-left",
     expect="x-expect",
-    told="x-who",
+    answered_by="x-who",
     not_run="x-not-run",
     not_run_value="",
-    cold="x-cold",
+    slow_start="x-cold",
     part="x-key",
     handover="x-hand",
     seal="x-seal",
@@ -63,7 +63,7 @@
     return plan_of(
         number=1,
         full={
-            "halls": {hall: {"region": region} for hall, region in ZONES.items()},
+            "halls": {zone: {"region": region} for zone, region in ZONES.items()},
             "pools": pools,
             "tenants": {},
             "services": {"red": service, "blue": {**service, "keys": "own"}},
@@ -75,10 +75,10 @@
 def make_worker(
     name: str,
     *,
-    hall: str = "north-a",
+    zone: str = "north-a",
     service: str = "red",
     leaving: bool = False,
-    cold: float = 0.0,
+    slow_start: float = 0.0,
     capacity: int = 4,
 ) -> Worker:
     """A worker of a list without generations."""
@@ -87,11 +87,11 @@
         generation=0,
         service=service,
         address=f"{name}:80",
-        hall=hall,
+        zone=zone,
         leaving=leaving,
         capacity=capacity,
-        cold=cold,
-        is_life=True,
+        slow_start=slow_start,
+        is_incarnation=True,
     )
 
 
@@ -110,20 +110,22 @@
     ) -> None:
         self.now = 100.0
         rng = random.Random(seed)
-        self.evidence = Evidence(names=NAMES, rng=rng)
-        self.scene = Scene(
+        self.passive_health = PassiveHealth(names=NAMES, rng=rng)
+        self.context = SelectionContext(
             name="p0",
-            hall="north-a",
+            zone="north-a",
             region="north",
             regions=dict(ZONES),
-            evidence=self.evidence,
-            halls=HallBook(hold=1.0),
+            passive_health=self.passive_health,
+            zones=ZoneHealthTable(hold=1.0),
             plan=plan or make_plan(),
         )
-        self.scene.proxies = proxies
-        self.placer = Placer(scene=self.scene, rng=rng)
+        self.context.proxies = proxies
+        self.endpoint_selector = EndpointSelector(context=self.context, rng=rng)
         self.forwarder = Forwarder(
-            placer=self.placer, names=NAMES, budget=RetryBudget(ratio=ratio, slack=slack, window=10.0)
+            endpoint_selector=self.endpoint_selector,
+            names=NAMES,
+            budget=RetryBudget(ratio=ratio, slack=slack, window=10.0),
         )
         self.list(workers=workers)
         self.count = 0
@@ -131,19 +133,19 @@
     def list(self, *, workers: list[Worker]) -> list:
         """Take a list of workers, and count the halls."""
         listed = {worker.key: worker for worker in workers}
-        commands = self.evidence.follow(now=self.now, workers=listed)
-        self.scene.follow(workers=listed)
-        self.scene.halls.step(now=self.now, counts=self.scene.counts())
+        commands = self.passive_health.follow(now=self.now, workers=listed)
+        self.context.follow(workers=listed)
+        self.context.zones.step(now=self.now, counts=self.context.counts())
         return commands
 
     def own(self, *, owner: str, state: str = OPEN, start: int = 0, end: int = 65535) -> None:
         """Name the owner of a range of `red`; all other keys have none."""
-        parts = [Shard(start=0, end=start - 1, owner="", fence=1, state=OPEN)] if start else []
-        parts.append(Shard(start=start, end=end, owner=owner, fence=2, state=state, next_owner=""))
+        parts = [Shard(start=0, end=start - 1, owner="", fencing_token=1, state=OPEN)] if start else []
+        parts.append(Shard(start=start, end=end, owner=owner, fencing_token=2, state=state, next_owner=""))
         if end < 65535:
-            parts.append(Shard(start=end + 1, end=65535, owner="", fence=3, state=OPEN))
-        text = write_shards(table=ShardTable(granter="g", since=1, fence=9, shards=tuple(parts)))
-        self.scene.shards.step(name="slots/red", value={"number": 1, "text": text})
+            parts.append(Shard(start=end + 1, end=65535, owner="", fencing_token=3, state=OPEN))
+        text = write_shards(table=ShardTable(granter="g", since=1, fencing_token=9, shards=tuple(parts)))
+        self.context.shards.step(name="slots/red", value={"number": 1, "text": text})
 
     def ask(
         self,
@@ -166,7 +168,7 @@
         }
         return self.forwarder.step(
             now=self.now,
-            event=Asked(
+            event=RequestReceived(
                 token=f"front {self.count}",
                 method=method,
                 path=path,
@@ -177,7 +179,7 @@
             ),
         )
 
-    def back(self, *, call: Call, code: int = 200, body: bytes = b"whole", **headers: str) -> list:
+    def back(self, *, call: StartCall, code: int = 200, body: bytes = b"whole", **headers: str) -> list:
         """The worker answers a call as itself."""
         given = {
             "x-id": call.headers.get("x-id", ""),
@@ -186,13 +188,13 @@
         }
         given = {name: value for name, value in given.items() if value is not None}
         return self.forwarder.step(
-            now=self.now, event=Called(token=call.token, code=code, headers=given, body=body, fault="", sent=True)
+            now=self.now, event=CallFinished(token=call.token, code=code, headers=given, body=body, fault="", sent=True)
         )
 
-    def fail(self, *, call: Call, fault: str, sent: bool) -> list:
+    def fail(self, *, call: StartCall, fault: str, sent: bool) -> list:
         """A call ends without an answer."""
         return self.forwarder.step(
-            now=self.now, event=Called(token=call.token, code=0, headers={}, body=b"", fault=fault, sent=sent)
+            now=self.now, event=CallFinished(token=call.token, code=0, headers={}, body=b"", fault=fault, sent=sent)
         )
 
     def wait(self, seconds: float) -> list:
@@ -201,14 +203,14 @@
         return self.forwarder.step(now=self.now, event=None)
 
 
-def calls(commands: list) -> list[Call]:
+def calls(commands: list) -> list[StartCall]:
     """The calls among the commands."""
-    return [one for one in commands if isinstance(one, Call)]
+    return [one for one in commands if isinstance(one, StartCall)]
 
 
-def answers(commands: list) -> list[Answer]:
+def answers(commands: list) -> list[Respond]:
     """The answers among the commands."""
-    return [one for one in commands if isinstance(one, Answer)]
+    return [one for one in commands if isinstance(one, Respond)]
 
 
 def cancels(commands: list) -> list[CancelCall]:
@@ -216,6 +218,6 @@
     return [one for one in commands if isinstance(one, CancelCall)]
 
 
-def logs(commands: list, *, event: str) -> list[Log]:
+def logs(commands: list, *, event: str) -> list[LogEvent]:
     """The log lines of one event."""
-    return [one for one in commands if isinstance(one, Log) and one.event == event]
+    return [one for one in commands if isinstance(one, LogEvent) and one.event == event]
--- a/tests/storage_machine.py
+++ b/tests/storage_machine.py
@@ -16,8 +16,8 @@
 from sailward.control.controller import Controller
 from sailward.control.controller_options import ControllerOptions
 from sailward.control.group.bootstrap import Bootstrap
-from sailward.discovery.peer_table import Place
-from sailward.events import Heard, Rewrite, Stop, Store, Tell, Ticked
+from sailward.discovery.peer_table import Location
+from sailward.events import AppendRecords, ExitProcess, MessageReceived, RewriteRecords, SendMessage, TimerFired
 from sailward.storage.disk import Disk, Read
 from simulation.simulated_files import PowerLost, SimulatedFiles
 
@@ -33,7 +33,7 @@
 
     @initialize()
     def found(self) -> None:
-        self.now, self.lives, self.files = 0.0, 0, self.make_files()
+        self.now, self.incarnations, self.files = 0.0, 0, self.make_files()
         self.promised: dict[str, list] = {}
         self.voted: dict[str, tuple] = {}
         self.known_learnt, self.known_lasting, self.identity = 1, 0, ""
@@ -43,24 +43,26 @@
 
     @rule(register=st.sampled_from(REGISTERS), ballot=BALLOTS)
     def prepare(self, register: str, ballot: list) -> None:
-        self._hear(kind="prepare", register=register, ballot=ballot)
+        self._on_message(kind="prepare", register=register, ballot=ballot)
 
     @rule(register=st.sampled_from(REGISTERS), ballot=BALLOTS)
     def accept(self, register: str, ballot: list) -> None:
         # a proposer gives a ballot one value
         value = {"number": ballot[0], "mark": f"{register} {ballot}", "trail": [], "text": ""}
-        self._hear(kind="accept", register=register, ballot=ballot, value=value)
+        self._on_message(kind="accept", register=register, ballot=ballot, value=value)
 
-    @precondition(lambda self: "voters" in self.controller.held.held)
+    @precondition(lambda self: "voters" in self.controller.learner.values)
     @rule()
     def learn_voters(self) -> None:
         """A newer set with the same members was chosen."""
-        held = self.controller.held.held["voters"]
+        held = self.controller.learner.values["voters"]
         number = held.value["number"] + 1
         value = {**held.value, "number": number, "mark": f"set {number}"}
         ballot = [number, "x"]
         self._give(
-            Heard(sender=PROPOSER, body={"kind": "chosen", "register": "voters", "ballot": ballot, "value": value})
+            MessageReceived(
+                sender=PROPOSER, body={"kind": "chosen", "register": "voters", "ballot": ballot, "value": value}
+            )
         )
         self.known_learnt = self.controller.voters["number"]
 
@@ -75,7 +77,7 @@
     @rule(seconds=st.sampled_from([0.05, 1.2]))
     def tick(self, seconds: float) -> None:
         self.now += seconds
-        self._give(Ticked(wall=self.now))
+        self._give(TimerFired(wall=self.now))
 
     @rule(written=st.integers(0, 3))
     def kill(self, written: int) -> None:
@@ -104,19 +106,19 @@
         self.files.room = None
 
     def _start(self, *, is_first: bool = False) -> None:
-        self.lives += 1
+        self.incarnations += 1
         self.events: list = []
-        self.disk = Disk(folder=Path("none"), tell=self.events.append, files=self.files)
+        self.disk = Disk(folder=Path("none"), deliver=self.events.append, files=self.files)
         room, self.files.room = self.files.room, None  # an open that must cut a torn end needs no room
         found = self.disk.open()
         self.files.room = room
         assert isinstance(found, Read), found
         self.controller = Controller(
-            place=Place(name="v", kind="controller", hall="z", region="r", post=POST, http=POST, seeds=(POST,)),
+            place=Location(name="v", kind="controller", zone="z", region="r", post=POST, http=POST, seeds=(POST,)),
             platform="10.9.9.9:1",
-            nonce=f"{self.lives}",
-            start=self.lives,
-            rng=random.Random(self.lives),
+            nonce=f"{self.incarnations}",
+            start=self.incarnations,
+            rng=random.Random(self.incarnations),
             records=found.records,
             now=self.now,
             options=ControllerOptions(bootstrap=Bootstrap(is_first=is_first, posts=(POST,)), is_mesh=True),
@@ -128,7 +130,7 @@
         controller = self.controller
         if self.promised or self.voted:
             assert controller.identity == self.identity, "another identity"
-            assert controller.ledger.copied, "it forgot that it has its registers"
+            assert controller.write_ahead.copied, "it forgot that it has its registers"
             assert controller.voters["number"] >= self.known_lasting, "it forgot a set of voters"
         for register, ballot in self.promised.items():
             slot = controller.acceptor.slots.get(register)
@@ -138,25 +140,25 @@
             assert slot is not None and slot.value is not None and slot.ballot >= ballot, f"{register}: a vote is lost"
             assert slot.ballot > ballot or slot.value["mark"] == mark, f"{register}: another value under a ballot"
 
-    def _hear(self, *, kind: str, register: str, ballot: list, **fields: object) -> None:
+    def _on_message(self, *, kind: str, register: str, ballot: list, **fields: object) -> None:
         body = {"kind": kind, "op": f"o{ballot}", "register": register, "ballot": ballot, **fields}
-        self._give(Heard(sender=PROPOSER, body={**body, "voters": self.controller.voters["number"]}))
+        self._give(MessageReceived(sender=PROPOSER, body={**body, "voters": self.controller.voters["number"]}))
 
     def _give(self, event: object) -> None:
         for command in self.controller.step(now=self.now, event=event):
-            if isinstance(command, (Store, Rewrite)):
+            if isinstance(command, (AppendRecords, RewriteRecords)):
                 self.disk.give(command=command)
-            elif isinstance(command, Tell) and command.to == PROPOSER:
+            elif isinstance(command, SendMessage) and command.to == PROPOSER:
                 self._note_answer(body=command.body)
-            assert not isinstance(command, Stop), command
+            assert not isinstance(command, ExitProcess), command
 
     def _note_answer(self, *, body: dict) -> None:
         if body["kind"] not in ("promise", "voted"):
             return
         register, ballot = body["register"], body["ballot"]
         self.identity = self.controller.identity
-        ledger = self.controller.ledger
-        if not ledger.waiting and ledger.synced >= ledger.seq:
+        write_ahead = self.controller.write_ahead
+        if not write_ahead.waiting and write_ahead.synced >= write_ahead.seq:
             # answers go out in the order of the records: all that was learnt before this one lasts
             self.known_lasting = max(self.known_lasting, self.known_learnt)
         if body["kind"] == "promise":
--- a/tests/test_admin_api.py
+++ b/tests/test_admin_api.py
@@ -108,10 +108,14 @@
 
 
 def _unknown_is_accepted(old):
-    def judge(self, *, work):
-        outcome = old(self, work=work)
-        is_lost = not isinstance(outcome, Accepted) and work.begin.text is not None
-        return Accepted(number=work.begin.expected + 1, ballot=work.ballot, value=work.value) if is_lost else outcome
+    def judge(self, *, operation):
+        outcome = old(self, operation=operation)
+        is_lost = not isinstance(outcome, Accepted) and operation.begin.text is not None
+        return (
+            Accepted(number=operation.begin.expected + 1, ballot=operation.ballot, value=operation.value)
+            if is_lost
+            else outcome
+        )
 
     return judge
 
--- a/tests/test_bootstrap.py
+++ b/tests/test_bootstrap.py
@@ -143,7 +143,7 @@
     code, body, _ = net.ask(net.machines[2], method="GET", path="/config")
     assert code == 200 and body == make_written(label=1)
     net.run(1.0)
-    assert '"ens-a"' in net.machines[1].controller.held.held["orders"].value["text"]
+    assert '"ens-a"' in net.machines[1].controller.learner.values["orders"].value["text"]
 
 
 def test_one_wiped_while_all_others_are_killed() -> None:
--- a/tests/test_control_client.py
+++ b/tests/test_control_client.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from sailward import constants
-from sailward.events import Tell
-from sailward.proxy.control_client import Uplink
+from sailward.events import SendMessage
+from sailward.proxy.control_client import ControlClient
 
 CONTROLLERS = [
     ["c-home", "north-a", "north"],
@@ -18,19 +18,19 @@
     """Controllers that answer after a moment, unless they are silent; the uplink is stepped by the clock."""
 
     def __init__(self, *, seeds: tuple = ("c-far", "c-near", "c-far2"), told: list | None = None) -> None:
-        self.uplink = Uplink(hall="north-a", region="north", seeds=seeds)
+        self.control_client = ControlClient(zone="north-a", region="north", seeds=seeds)
         self.now, self.silent, self.asked, self.told = 100.0, set(), [], told
 
     def run(self, seconds: float) -> None:
         end = self.now + seconds
         while self.now < end:
-            for command in self.uplink.step(now=self.now, sender=None, body={"kind": "ask"}):
-                if isinstance(command, Tell):
+            for command in self.control_client.step(now=self.now, sender=None, body={"kind": "ask"}):
+                if isinstance(command, SendMessage):
                     self.asked.append((self.now, command.to))
                     if command.to not in self.silent:
-                        self.uplink.step(now=self.now + 0.02, sender=command.to, body={})
-            if self.told and self.uplink.lead and self.uplink.lead not in self.silent:
-                self.uplink.learn(controllers=self.told)
+                        self.control_client.step(now=self.now + 0.02, sender=command.to, body={})
+            if self.told and self.control_client.lead and self.control_client.lead not in self.silent:
+                self.control_client.learn(controllers=self.told)
             self.now += constants.TICK
 
     def asked_since(self, since: float) -> set:
@@ -40,32 +40,32 @@
 def test_only_seeds_are_asked_at_first_and_one_that_answers_leads() -> None:
     core = Core()
     core.run(3.0)
-    assert core.asked_since(0) <= {"c-far", "c-near", "c-far2"} and core.uplink.lead in core.asked_since(0)
+    assert core.asked_since(0) <= {"c-far", "c-near", "c-far2"} and core.control_client.lead in core.asked_since(0)
 
 
 def test_what_it_learns_brings_it_to_the_nearest() -> None:
     core = Core(told=CONTROLLERS)
     core.run(6.0)
-    assert core.uplink.lead == "c-home"
+    assert core.control_client.lead == "c-home"
     assert core.asked_since(core.now - 2.0) == {"c-home", "c-near"}
 
 
 def test_no_more_are_asked_than_it_takes() -> None:
     core = Core(told=CONTROLLERS)
     core.run(20.0)
-    rounds = 10.0 / constants.ASK_EVERY
-    assert len([at for at, _ in core.asked if at >= 110.0]) <= rounds * constants.CONTROLLERS_ASKED
+    rounds = 10.0 / constants.POLL_INTERVAL
+    assert len([at for at, _ in core.asked if at >= 110.0]) <= rounds * constants.CONTROLLERS_POLLED
 
 
 def test_a_silent_lead_is_left_within_moments_and_taken_again() -> None:
     core = Core(told=CONTROLLERS)
     core.run(6.0)
     core.silent = {"c-home"}
-    core.run(constants.CONTROLLER_SILENT + 2 * constants.ASK_EVERY)
-    assert core.uplink.lead == "c-near" and core.uplink.answers(now=core.now)
+    core.run(constants.CONTROLLER_SILENT + 2 * constants.POLL_INTERVAL)
+    assert core.control_client.lead == "c-near" and core.control_client.answers(now=core.now)
     core.silent = set()
-    core.run(3 * constants.ASK_SILENT + 1.0)
-    assert core.uplink.lead == "c-home"
+    core.run(3 * constants.POLL_TIMEOUT + 1.0)
+    assert core.control_client.lead == "c-home"
 
 
 def test_with_its_region_dark_it_finds_the_other() -> None:
@@ -73,7 +73,7 @@
     core.run(6.0)
     core.silent = {"c-home", "c-near"}
     core.run(5.0)
-    assert core.uplink.lead in ("c-far", "c-far2")
+    assert core.control_client.lead in ("c-far", "c-far2")
 
 
 def test_with_nobody_it_goes_on_asking_all_and_comes_back() -> None:
@@ -82,10 +82,14 @@
     core.silent = {post for post, _, _ in CONTROLLERS}
     begun = core.now
     core.run(10.0)
-    assert not core.uplink.answers(now=core.now) and core.asked_since(begun + 3.0) >= {"c-home", "c-near", "c-far"}
+    assert not core.control_client.answers(now=core.now) and core.asked_since(begun + 3.0) >= {
+        "c-home",
+        "c-near",
+        "c-far",
+    }
     core.silent = set()
-    core.run(2 * constants.ASK_SILENT + constants.ASK_EVERY)
-    assert core.uplink.answers(now=core.now)
+    core.run(2 * constants.POLL_TIMEOUT + constants.POLL_INTERVAL)
+    assert core.control_client.answers(now=core.now)
 
 
 def test_a_replaced_controller_is_forgotten_and_its_successor_asked() -> None:
@@ -94,23 +98,23 @@
     core.silent = {"c-home"}
     core.told = [["c-new", "north-a", "north"], *CONTROLLERS[1:]]
     core.run(8.0)
-    assert core.uplink.lead == "c-new" and "c-home" not in core.uplink.known
+    assert core.control_client.lead == "c-new" and "c-home" not in core.control_client.known
 
 
 def test_a_seed_that_leads_nowhere_stays_known() -> None:
     core = Core(told=CONTROLLERS[:2], seeds=("c-seed",))
-    core.uplink.learn(controllers=CONTROLLERS[:2])
+    core.control_client.learn(controllers=CONTROLLERS[:2])
     core.silent = {"c-seed"}
     core.run(8.0)
-    assert "c-seed" in core.uplink.known and core.uplink.lead == "c-home"
+    assert "c-seed" in core.control_client.known and core.control_client.lead == "c-home"
 
 
 def test_each_asking_has_a_number_of_its_own() -> None:
-    uplink = Uplink(hall="north-a", region="north", seeds=("a", "b", "c"))
+    control_client = ControlClient(zone="north-a", region="north", seeds=("a", "b", "c"))
     told = [
         one
         for at in range(9)
-        for one in uplink.step(now=100.0 + at, sender=None, body={"kind": "ask"})
-        if isinstance(one, Tell)
+        for one in control_client.step(now=100.0 + at, sender=None, body={"kind": "ask"})
+        if isinstance(one, SendMessage)
     ]
     assert len({one.body["seq"] for one in told}) == len(told) > 9
--- a/tests/test_copy_sources.py
+++ b/tests/test_copy_sources.py
@@ -14,7 +14,7 @@
 from sailward.consensus.acceptor import KNOWN
 from sailward.control.group.repair import change_members
 from sailward.control.group.voter import Voter
-from sailward.discovery.peer_table import Place
+from sailward.discovery.peer_table import Location
 
 NEWCOMER, NEXT = "new#1", "next#1"
 POSTS = {"a#1": "10.0.0.1:1", "b#1": "10.0.0.2:1", "c#1": "10.0.0.3:1"}
@@ -35,15 +35,17 @@
     ]
     if copied_under is not None:
         records.append({"k": "copied", "n": copied_under})
-    place = Place(name="new", kind="controller", hall="z", region="r", post="10.0.1.1:1", http="")
+    place = Location(name="new", kind="controller", zone="z", region="r", post="10.0.1.1:1", http="")
     return Voter(place=place, nonce="n", records=records, now=0.0, bootstrap=None)
 
 
-@pytest.mark.parametrize(("copied_under", "may_tell"), [(None, False), (0, False), (1, False), (2, True), (3, True)])
+@pytest.mark.parametrize(
+    ("copied_under", "is_copy_source"), [(None, False), (0, False), (1, False), (2, True), (3, True)]
+)
 def test_only_a_voter_that_finished_its_copy_under_the_set_before_is_a_source(
-    copied_under: int | None, may_tell: bool
+    copied_under: int | None, is_copy_source: bool
 ) -> None:
     voter = make_voter(copied_under=copied_under)
     assert voter.voters["number"] == 3
     assert NEWCOMER in voter.voters["before"]["members"]
-    assert voter.may_tell is may_tell
+    assert voter.is_copy_source is is_copy_source
--- a/tests/test_curl_client_responses.py
+++ b/tests/test_curl_client_responses.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from sailward.events import Call, Called
+from sailward.events import CallFinished, StartCall
 from sailward.transport.curl_client import Calls
 from tests.http_client_peer import WAIT, Line, Peer
 
@@ -28,7 +28,7 @@
 
     def __init__(self) -> None:
         self.told: queue.Queue = queue.Queue()
-        self.calls = Calls(tell=self.told.put)
+        self.calls = Calls(deliver=self.told.put)
         self.peers: list[Peer] = []
         self._count = 0
         threading.Thread(target=self.calls.run, daemon=True).start()
@@ -39,9 +39,9 @@
 
     def ask(
         self, *, address: str, name: str, method: str = "GET", fresh: bool = False, wait: float = 5.0, body: bytes = b""
-    ) -> Called:
+    ) -> CallFinished:
         self._count += 1
-        call = Call(
+        call = StartCall(
             token=f"t{self._count}",
             owner="w",
             address=address,
@@ -49,7 +49,7 @@
             path=f"/{name}",
             headers={"sailward-exchange": name},
             body=body,
-            wait=wait,
+            timeout=wait,
             fresh=fresh,
         )
         self.calls.give(call=call)
--- a/tests/test_data_file.py
+++ b/tests/test_data_file.py
@@ -10,7 +10,7 @@
 from sailward import constants
 from sailward.consensus.acceptor import Acceptor, Slots, fold_record
 from sailward.control.group.write_ahead import WriteAhead
-from sailward.events import DiskFailed, Rewrite, Store, Synced
+from sailward.events import AppendRecords, DiskWriteFailed, RecordsSynced, RewriteRecords
 from sailward.storage.disk import Damaged, Disk, Read
 from simulation.simulated_files import LOST, TORN, WHOLE, PowerLost, SimulatedFiles
 
@@ -27,7 +27,7 @@
 
     def __init__(self, *, files: SimulatedFiles) -> None:
         self.files, self.events = files, []
-        self.disk = Disk(folder=Path("none"), tell=self.events.append, files=files)
+        self.disk = Disk(folder=Path("none"), deliver=self.events.append, files=files)
         found = self.disk.open()
         assert isinstance(found, Read), found
         slots = Slots()
@@ -35,8 +35,8 @@
             if record["k"] in ("vote", "promise"):
                 fold_record(slots=slots, record=record, now=0.0)
         self.acceptor = Acceptor(slots=slots)
-        self.ledger = WriteAhead(identity="v", slots=slots)
-        self.ledger.start(records=found.records)
+        self.write_ahead = WriteAhead(identity="v", slots=slots)
+        self.write_ahead.start(records=found.records)
 
     def change(self, *, number: int, text: str = TEXT) -> bool:
         """One prepare and one accept; were both told?"""
@@ -53,18 +53,18 @@
             },
         ):
             records, reply = self.acceptor.step(now=0.0, body=body)
-            told += self.work(commands=self.ledger.step(records=records, replies=[reply]))
+            told += self.work(commands=self.write_ahead.step(records=records, replies=[reply]))
         return told == 2
 
     def work(self, *, commands: list) -> int:
         """Carry out commands; how many replies were let go."""
         replies = [one for one in commands if isinstance(one, dict)]
         for command in commands:
-            if isinstance(command, (Store, Rewrite)):
+            if isinstance(command, (AppendRecords, RewriteRecords)):
                 self.disk.give(command=command)
         self.disk.run_waiting()
         events, self.events[:] = list(self.events), []
-        return len(replies) + sum(self.work(commands=self.ledger.hear(event=event)) for event in events)
+        return len(replies) + sum(self.work(commands=self.write_ahead.receive(event=event)) for event in events)
 
 
 @pytest.mark.parametrize("starts", [1, 10])
@@ -85,7 +85,7 @@
     for number in range(1, 13):
         assert voter.change(number=number, text=text)
         assert files.size(name="registers") <= (constants.REWRITE_FACTOR + 1) * len(text) * 1.01
-    assert voter.ledger.rewrites <= 12 / (constants.REWRITE_FACTOR - 1) + 2
+    assert voter.write_ahead.rewrites <= 12 / (constants.REWRITE_FACTOR - 1) + 2
 
 
 def test_what_was_stored_behind_a_rewrite_is_cleared_away_without_a_further_change() -> None:
@@ -95,7 +95,7 @@
     for number in range(1, 201):
         body = {"kind": "accept", "register": "config", "op": "o", "ballot": [number, "p"]}
         records, _ = voter.acceptor.step(now=0.0, body={**body, "value": make_value(number=number)})
-        commands += voter.ledger.step(records=records, replies=[])
+        commands += voter.write_ahead.step(records=records, replies=[])
     voter.work(commands=commands)
     assert files.size(name="registers") <= constants.REWRITE_BYTES * 1.2
     assert Voter(files=files).acceptor.slots["config"].value["number"] == 200
@@ -106,22 +106,22 @@
     events: list = []
     given, synced = [], []
     try:
-        disk = Disk(folder=Path("none"), tell=events.append, files=files)
+        disk = Disk(folder=Path("none"), deliver=events.append, files=files)
         disk.open()
         for seq in range(1, 6):
             record = {"k": "drop", "r": f"value {seq}"}
             given.append(seq)
             disk.give(
-                command=Store(seq=seq, records=(record,))
+                command=AppendRecords(seq=seq, records=(record,))
                 if seq != 3
-                else Rewrite(seq=seq, records=tuple({"k": "drop", "r": f"value {one}"} for one in given))
+                else RewriteRecords(seq=seq, records=tuple({"k": "drop", "r": f"value {one}"} for one in given))
             )
             disk.run_waiting()
-            synced += [event.seq for event in events if isinstance(event, Synced)]
+            synced += [event.seq for event in events if isinstance(event, RecordsSynced)]
             events.clear()
     except PowerLost:
         pass
-    synced += [event.seq for event in events if isinstance(event, Synced)]
+    synced += [event.seq for event in events if isinstance(event, RecordsSynced)]
     return given, synced
 
 
@@ -145,7 +145,7 @@
             given, synced = run_rewrite(files=files)
             left = iter(fates)
             files.lose_power(choose=lambda options, left=left: next(left))
-            found = Disk(folder=Path("none"), tell=lambda event: None, files=files).open()
+            found = Disk(folder=Path("none"), deliver=lambda event: None, files=files).open()
             assert isinstance(found, Read), (step, fates, found)
             there = [int(record["r"].split()[1]) for record in found.records]
             assert there == given[: len(there)], (step, fates, there)
@@ -194,12 +194,12 @@
     files.room = 50_000
     before = dict(files.handles)
     for _ in range(500):
-        voter.work(commands=[voter.ledger.rewrite()])
-        assert not voter.ledger.usable
+        voter.work(commands=[voter.write_ahead.rewrite()])
+        assert not voter.write_ahead.usable
     assert files.handles == before and "registers.new" not in files.names
     files.room = None
-    voter.work(commands=[voter.ledger.rewrite()])
-    assert voter.ledger.usable and voter.change(number=2)
+    voter.work(commands=[voter.write_ahead.rewrite()])
+    assert voter.write_ahead.usable and voter.change(number=2)
     assert Voter(files=files).acceptor.slots["config"].value["number"] == 2
 
 
@@ -213,24 +213,24 @@
         now=0.0, body={"kind": "prepare", "register": "config", "op": "o", "ballot": [2, "p"]}
     )
     long = [*records, {"k": "vote", "r": "other", "b": [2, "p"], "v": make_value(number=1)}]
-    assert voter.work(commands=voter.ledger.step(records=long, replies=[reply])) == 0
+    assert voter.work(commands=voter.write_ahead.step(records=long, replies=[reply])) == 0
     # there is room again before anything was cut off or rewritten: the next frame is shorter than what was left behind
     files.room = None
-    voter.disk.give(command=Store(seq=voter.ledger.seq + 1, records=({"k": "drop", "r": "x"},)))
+    voter.disk.give(command=AppendRecords(seq=voter.write_ahead.seq + 1, records=({"k": "drop", "r": "x"},)))
     voter.disk.run_waiting()
-    found = Disk(folder=Path("none"), tell=lambda event: None, files=files).open()
+    found = Disk(folder=Path("none"), deliver=lambda event: None, files=files).open()
     assert isinstance(found, Read) and found.records[-1] == {"k": "drop", "r": "x"}
 
 
 def test_a_full_disk_is_told_apart_from_a_broken_one() -> None:
     files = SimulatedFiles()
     events: list = []
-    disk = Disk(folder=Path("none"), tell=events.append, files=files)
+    disk = Disk(folder=Path("none"), deliver=events.append, files=files)
     disk.open()
     files.room = 3
-    disk.give(command=Store(seq=1, records=({"k": "drop", "r": "x"},)))
+    disk.give(command=AppendRecords(seq=1, records=({"k": "drop", "r": "x"},)))
     disk.run_waiting()
-    assert isinstance(events[0], DiskFailed) and events[0].full
+    assert isinstance(events[0], DiskWriteFailed) and events[0].full
 
 
 @pytest.mark.parametrize("fate", [LOST, TORN, WHOLE])
@@ -247,4 +247,4 @@
     assert again.acceptor.slots["config"].promised == ([2, "p"] if fate == WHOLE else [1, "p"])
     assert again.change(number=3, text="third")
     files.names["registers"].now[5] ^= 0x55
-    assert isinstance(Disk(folder=Path("none"), tell=lambda event: None, files=files).open(), Damaged)
+    assert isinstance(Disk(folder=Path("none"), deliver=lambda event: None, files=files).open(), Damaged)
--- a/tests/test_dialect.py
+++ b/tests/test_dialect.py
@@ -14,7 +14,7 @@
 from sailward.control.administration import admin_api
 from sailward.control.administration.admin_api import AdminApi
 from sailward.control.administration.zone_orders import ZoneOrders
-from sailward.events import CallerLeft
+from sailward.events import ClientDisconnected
 from tests.core_net import SYNC, ZONES, CoreNet, make_written
 
 
@@ -71,7 +71,7 @@
     assert patch(net, {"remove": {"routes": ["r-1"]}, "generation": "r2"}, "r1", at=1) == 200
     assert put(net, make_written(label=1), "0", at=1) == 200
     assert shown(net) == make_written(label=4)
-    assert net.machines[0].controller.held.number(name="config") == 3
+    assert net.machines[0].controller.learner.number(name="config") == 3
 
 
 def test_what_is_sent_to_two_controllers_at_once_is_taken_once(net: CoreNet) -> None:
@@ -82,7 +82,7 @@
     net.run(5.0)
     assert [net.answers[token].code for token in tokens] == [200, 200, 200]
     net.run(1.0)
-    assert net.machines[1].controller.held.number(name="config") == 1
+    assert net.machines[1].controller.learner.number(name="config") == 1
 
 
 def test_of_two_on_top_of_one_version_one_wins(net: CoreNet) -> None:
@@ -152,7 +152,7 @@
 def test_zones_are_evacuated_and_taken_back_any_number_of_times(net: CoreNet) -> None:
     def emptied() -> list:
         net.run(0.5)
-        return json.loads(net.machines[2].controller.held.held["orders"].value["text"])["emptied"]
+        return json.loads(net.machines[2].controller.learner.values["orders"].value["text"])["emptied"]
 
     for _ in range(2):
         assert net.ask(net.machines[0], method="POST", path="/evacuation/ens-a")[0] == 200
@@ -178,18 +178,21 @@
     ]
     net.run(6.0)
     assert [net.answers[token].code for token in tokens] == [200, 200]
-    assert json.loads(net.machines[0].controller.held.held["orders"].value["text"])["emptied"] == ["ens-a", "gdl-b"]
+    assert json.loads(net.machines[0].controller.learner.values["orders"].value["text"])["emptied"] == [
+        "ens-a",
+        "gdl-b",
+    ]
 
 
 def orders_of(net: CoreNet) -> dict:
-    return json.loads(net.machines[0].controller.held.held["orders"].value["text"])
+    return json.loads(net.machines[0].controller.learner.values["orders"].value["text"])
 
 
 def test_a_copy_of_an_order_that_waited_does_not_undo_the_opposite_that_followed(net: CoreNet) -> None:
     slow = net.machines[0]
     # the copy has looked, and its change is on its way when its machine's messages stop
     token = net.send(slow, method="POST", path="/evacuation/ens-a")
-    net.run(0.2, until=lambda: any(op.endswith("/change") for op in slow.controller.desk.jobs))
+    net.run(0.2, until=lambda: any(op.endswith("/change") for op in slow.controller.admin_api.jobs))
     net.cut = {slow.name}
     assert net.ask(net.machines[1], method="POST", path="/evacuation/ens-a")[0] == 200
     assert net.ask(net.machines[2], method="DELETE", path="/evacuation/ens-a")[0] == 200
@@ -201,15 +204,15 @@
 
 def test_an_order_whose_caller_left_before_its_change_began_changes_nothing(net: CoreNet) -> None:
     token = net.send(net.machines[0], method="POST", path="/evacuation/ens-a")
-    net.after(0.001, lambda: net.give(net.machines[0], event=CallerLeft(token=token)))
+    net.after(0.001, lambda: net.give(net.machines[0], event=ClientDisconnected(token=token)))
     net.run(3.0)
     assert net.answers[token].code == 503
-    assert "orders" not in net.machines[0].controller.held.held
+    assert "orders" not in net.machines[0].controller.learner.values
 
 
 def test_a_change_whose_caller_left_goes_on(net: CoreNet) -> None:
     token = net.send(net.machines[0], method="PUT", path="/config", body=make_written(label=1), if_match="0")
-    net.after(0.01, lambda: net.give(net.machines[0], event=CallerLeft(token=token)))
+    net.after(0.01, lambda: net.give(net.machines[0], event=ClientDisconnected(token=token)))
     net.run(3.0)
     assert net.answers[token].code == 200 and shown(net) == make_written(label=1)
 
@@ -224,7 +227,7 @@
     net.cut = {lone.name}
     net.run(0.02)
     assert is_voted(lone) and not is_voted(near) and not is_voted(far)
-    net.give(lone, event=CallerLeft(token=token))
+    net.give(lone, event=ClientDisconnected(token=token))
     assert net.ask(near, method="DELETE", path="/evacuation/ens-a")[0] == 200
     net.cut = set()
     net.run(4.0)
@@ -287,7 +290,7 @@
     monkeypatch.setattr(constants, "HISTORY_SEGMENT", 16)
     for label in range(1, 40):
         assert put(net, make_written(label=label), f"r{label - 1}" if label > 1 else "0") == 200
-    inner = json.loads(net.machines[0].controller.held.held["config"].value["text"])
+    inner = json.loads(net.machines[0].controller.learner.values["config"].value["text"])
     assert [(since, len(digests) // 12) for since, digests in inner["changes"]] == [(16, 16), (32, 7)]
     assert inner["label"] == 39 and set(inner) == {"written", "history", "changes", "label"}
     for label in range(17, 40):
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -16,7 +16,16 @@
 from sailward import constants
 from sailward.consensus.messages import pack_message
 from sailward.discovery.rendezvous import choose_names
-from sailward.events import Answer, Asked, Call, Called, Heard, Rewrite, Store, Synced
+from sailward.events import (
+    AppendRecords,
+    CallFinished,
+    MessageReceived,
+    RecordsSynced,
+    RequestReceived,
+    Respond,
+    RewriteRecords,
+    StartCall,
+)
 from sailward.routing.shard_owners import slot_of
 from sailward.runtime.logs import start_logs
 from sailward.runtime.loop import Loop
@@ -54,13 +63,13 @@
 
 def make_calls() -> tuple[Calls, queue.Queue]:
     events: queue.Queue = queue.Queue()
-    calls = Calls(tell=events.put)
+    calls = Calls(deliver=events.put)
     threading.Thread(target=calls.run, daemon=True).start()
     return calls, events
 
 
-def make_call(*, address: str, method: str = "POST", fresh: bool = True, begin_by: float = float("inf")) -> Call:
-    return Call(
+def make_call(*, address: str, method: str = "POST", fresh: bool = True, begin_by: float = float("inf")) -> StartCall:
+    return StartCall(
         token="x",
         owner="w/1",
         address=address,
@@ -68,7 +77,7 @@
         path="/",
         headers={},
         body=b"{}" if method == "POST" else b"",
-        wait=2.0,
+        timeout=2.0,
         fresh=fresh,
         begin_by=begin_by,
     )
@@ -131,7 +140,7 @@
     calls, events = make_calls()
     body = b"x" * (1 << 20)
     calls.give(
-        call=Call(
+        call=StartCall(
             token="x",
             owner="w/1",
             address=server.address,
@@ -139,7 +148,7 @@
             path="/",
             headers={},
             body=body,
-            wait=0.5,
+            timeout=0.5,
             fresh=True,
         )
     )
@@ -153,7 +162,7 @@
 def test_nothing_is_sent_where_nobody_listens_or_after_its_time() -> None:
     calls, events = make_calls()
     calls.give(call=make_call(address=free_addresses(count=1)[0]))
-    called: Called = events.get(timeout=WAIT)
+    called: CallFinished = events.get(timeout=WAIT)
     assert (called.fault, called.sent) == ("no-connection", False)
     server = Careless()
     server.start()
@@ -165,7 +174,7 @@
 def test_ill_formed_messages_close_the_connection_and_change_nothing() -> None:
     events: queue.Queue = queue.Queue()
     address = free_addresses(count=1)[0]
-    post = Post(address=address, tell=events.put, threads=ThreadPoolExecutor(max_workers=16))
+    post = Post(address=address, deliver=events.put, threads=ThreadPoolExecutor(max_workers=16))
     post.start()
     host, port = address.split(":")
     greeting = struct.pack(">I", len(GREETING) + 3) + GREETING + b"a:1"
@@ -188,7 +197,7 @@
                 + good
             )
             heard = events.get(timeout=WAIT)
-            assert isinstance(heard, Heard) and heard.body["number"] == 2
+            assert isinstance(heard, MessageReceived) and heard.body["number"] == 2
             assert peer.recv(1) == b""
         assert post.counts["bad"] == count
     with socket.create_connection((host, int(port)), timeout=WAIT) as peer:
@@ -198,14 +207,14 @@
 
 
 def test_malformed_and_oversized_requests_get_json_and_reach_no_owner_whole() -> None:
-    asked: list[Asked] = []
+    asked: list[RequestReceived] = []
 
-    def tell(event: Asked) -> None:
+    def deliver(event: RequestReceived) -> None:
         asked.append(event)
-        web.answer(command=Answer(token=event.token, code=413 if event.body is None else 200, body=b"{}"))
+        web.answer(command=Respond(token=event.token, code=413 if event.body is None else 200, body=b"{}"))
 
     address = free_addresses(count=1)[0]
-    web = Web(address=address, limit=1000, tell=tell, threads=ThreadPoolExecutor(max_workers=8))
+    web = Web(address=address, limit=1000, deliver=deliver, threads=ThreadPoolExecutor(max_workers=8))
     threading.Thread(target=web.run, daemon=True).start()
     assert ask(address=address, method="POST", path="/a?b=c", body=b"x" * 1000)[0] == 200
     assert (asked[0].path, asked[0].query, len(asked[0].body)) == ("/a", {"b": "c"}, 1000)
@@ -225,20 +234,20 @@
 
 def test_the_file_keeps_what_was_synced_and_is_rewritten(tmp_path: Path) -> None:
     events: queue.Queue = queue.Queue()
-    disk = Disk(folder=tmp_path, tell=events.put)
+    disk = Disk(folder=tmp_path, deliver=events.put)
     assert disk.open() == Read(records=[], length=0)
     threading.Thread(target=disk.run, daemon=True).start()
     for seq in range(1, 6):
-        disk.give(command=Store(seq=seq, records=({"k": "drop", "r": "x", "n": seq},)))
-    while events.get(timeout=WAIT) != Synced(seq=5):
+        disk.give(command=AppendRecords(seq=seq, records=({"k": "drop", "r": "x", "n": seq},)))
+    while events.get(timeout=WAIT) != RecordsSynced(seq=5):
         pass
     assert [row["n"] for row in read_frames(data=(tmp_path / "registers").read_bytes()).records] == [1, 2, 3, 4, 5]
-    disk.give(command=Rewrite(seq=6, records=({"k": "drop", "r": "x", "n": 9},)))
-    disk.give(command=Store(seq=7, records=({"k": "drop", "r": "x", "n": 10},)))
-    while events.get(timeout=WAIT) != Synced(seq=7):
+    disk.give(command=RewriteRecords(seq=6, records=({"k": "drop", "r": "x", "n": 9},)))
+    disk.give(command=AppendRecords(seq=7, records=({"k": "drop", "r": "x", "n": 10},)))
+    while events.get(timeout=WAIT) != RecordsSynced(seq=7):
         pass
     assert [row["n"] for row in read_frames(data=(tmp_path / "registers").read_bytes()).records] == [9, 10]
-    assert isinstance(Disk(folder=tmp_path, tell=events.put).open(), Taken)
+    assert isinstance(Disk(folder=tmp_path, deliver=events.put).open(), Taken)
 
 
 def test_a_torn_end_is_cut_and_damage_before_it_is_refused() -> None:
@@ -267,14 +276,14 @@
 
 def test_an_owner_that_ends_by_a_fault_leaves_its_journal(capfd) -> None:
     def step(*, now: float, event: object) -> list:
-        if isinstance(event, Heard) and event.body["kind"] == "last":
+        if isinstance(event, MessageReceived) and event.body["kind"] == "last":
             raise RuntimeError("by intent")
         return []
 
     loop = Loop()
     start_logs(level="info", name="x")
     for kind in ("first", "last"):
-        loop.tell(Heard(sender="a:1", body={"kind": kind}))
+        loop.deliver(MessageReceived(sender="a:1", body={"kind": kind}))
     assert loop.run(step=step) == constants.EXIT_FAULT
     lines = [line for line in capfd.readouterr().err.splitlines() if "event=journal" in line]
     assert ["kind=first" in lines[0], "kind=last" in lines[-1]] == [True, True]
--- a/tests/test_endpoint_pages.py
+++ b/tests/test_endpoint_pages.py
@@ -13,8 +13,8 @@
 from sailward.control.endpoints.incarnations import Incarnations
 from sailward.control.proxies.subscribers import Subscribers
 from sailward.discovery.endpoint_pages import BrokenPass, Pager
-from sailward.discovery.endpoint_table import WorkerBook
-from sailward.events import Called, Tell
+from sailward.discovery.endpoint_table import EndpointTable
+from sailward.events import CallFinished, SendMessage
 from tests.core_net import WORKERS, CoreNet
 
 
@@ -67,7 +67,7 @@
             code = one if isinstance(one, int) else 200
             commands, whole = self.pager.step(
                 now=self.now,
-                event=Called(
+                event=CallFinished(
                     token=call.token,
                     code=code,
                     headers={},
@@ -134,7 +134,7 @@
     for _ in range(6):
         assert platform.run_pass(page(entry("i-1"), token="p"), 429) is None
         waits.append(platform.pager.next_at - platform.now)
-    assert waits == sorted(waits) and waits[0] < waits[3] and waits[-1] <= constants.LIST_PAUSE
+    assert waits == sorted(waits) and waits[0] < waits[3] and waits[-1] <= constants.LIST_BACKOFF
     assert platform.run_pass(page(entry("i-1"))) == ["i-1"]
     assert platform.pager.next_at - platform.now <= constants.LIST_EVERY
 
@@ -167,22 +167,26 @@
 
 
 def test_a_cold_time_that_counts_down_is_no_news_and_a_rise_is() -> None:
-    lives = Incarnations(post="a:1", number=100)
-    assert lives.step(now=0.0, rows=[row("i-1", cold_s=3.0)])
-    assert not lives.step(now=1.0, rows=[row("i-1", cold_s=2.1)])
-    assert json.loads(lives.value["text"])[0]["cold_s"] == 2.1 and lives.number == 101
-    assert not lives.step(now=4.0, rows=[row("i-1")])
-    assert json.loads(lives.value["text"])[0]["cold_s"] == 0
-    assert not lives.step(now=5.0, rows=[row("i-1")])
-    assert lives.step(now=6.0, rows=[row("i-1", cold_s=3.0)])
-    assert lives.step(now=6.5, rows=[row("i-1", cold_s=2.5, leaving=True)])
-    assert lives.step(now=7.0, rows=[]) and lives.value["mark"] == "a:1" and lives.value["number"] == 104
+    incarnations = Incarnations(post="a:1", number=100)
+    assert incarnations.step(now=0.0, rows=[row("i-1", cold_s=3.0)])
+    assert not incarnations.step(now=1.0, rows=[row("i-1", cold_s=2.1)])
+    assert json.loads(incarnations.value["text"])[0]["cold_s"] == 2.1 and incarnations.number == 101
+    assert not incarnations.step(now=4.0, rows=[row("i-1")])
+    assert json.loads(incarnations.value["text"])[0]["cold_s"] == 0
+    assert not incarnations.step(now=5.0, rows=[row("i-1")])
+    assert incarnations.step(now=6.0, rows=[row("i-1", cold_s=3.0)])
+    assert incarnations.step(now=6.5, rows=[row("i-1", cold_s=2.5, leaving=True)])
+    assert (
+        incarnations.step(now=7.0, rows=[])
+        and incarnations.value["mark"] == "a:1"
+        and incarnations.value["number"] == 104
+    )
 
 
 def test_leaving_stays_and_gone_stays_against_a_list_that_lags() -> None:
-    book = WorkerBook()
+    book = EndpointTable()
     assert book.replace(now=0.0, workers=[row("i-1"), row("i-2", capacity=7, cold_s=2.0)]) == ({"i-1", "i-2"}, set())
-    assert (book.workers["i-2"].capacity, book.workers["i-2"].cold, book.workers["i-2"].key) == (7, 2.0, "i-2")
+    assert (book.workers["i-2"].capacity, book.workers["i-2"].slow_start, book.workers["i-2"].key) == (7, 2.0, "i-2")
     book.replace(now=10.0, workers=[row("i-1", leaving=True), row("i-2")])
     book.replace(now=10.5, workers=[row("i-1"), row("i-2")])
     assert book.workers["i-1"].leaving
@@ -192,7 +196,7 @@
 
 
 def test_one_just_come_that_an_older_list_lacks_comes_back() -> None:
-    book = WorkerBook()
+    book = EndpointTable()
     book.replace(now=0.0, workers=[row("i-1")])
     book.replace(now=10.0, workers=[row("i-1"), row("i-new")])
     book.replace(now=10.2, workers=[row("i-1")])
@@ -215,17 +219,19 @@
         ([7, "b:1", [0, ""]], False),
         ([500, "a:1", [0, ""]], True),
     ):
-        commands = Subscribers(post="a:1").step(now=1.0, event=("p:1", ask(have)), news=news)
-        assert [one.body["number"] for one in commands if isinstance(one, Tell)] == ([101] if is_pushed else []), have
+        commands = Subscribers(post="a:1").step(now=1.0, event=("p:1", ask(have)), updates=news)
+        assert [one.body["number"] for one in commands if isinstance(one, SendMessage)] == (
+            [101] if is_pushed else []
+        ), have
 
 
 def test_a_push_is_repeated_only_when_an_asking_shows_that_it_was_lost() -> None:
     news = {"workers": (101, [0, ""], {"number": 101, "mark": "a:1", "trail": [], "text": "[]"})}
     subscribers = Subscribers(post="a:1")
-    assert subscribers.step(now=1.0, event=("p:1", ask([100, "a:1", [0, ""]])), news=news)
-    assert not subscribers.step(now=1.4, event=None, news=news)
-    assert subscribers.step(now=1.5, event=("p:1", ask([100, "a:1", [0, ""]])), news=news)
-    assert not subscribers.step(now=2.0, event=("p:1", ask([101, "a:1", [0, ""]])), news=news)
+    assert subscribers.step(now=1.0, event=("p:1", ask([100, "a:1", [0, ""]])), updates=news)
+    assert not subscribers.step(now=1.4, event=None, updates=news)
+    assert subscribers.step(now=1.5, event=("p:1", ask([100, "a:1", [0, ""]])), updates=news)
+    assert not subscribers.step(now=2.0, event=("p:1", ask([101, "a:1", [0, ""]])), updates=news)
 
 
 def test_controllers_page_the_list_and_tell_it() -> None:
--- a/tests/test_endpoint_selection.py
+++ b/tests/test_endpoint_selection.py
@@ -14,18 +14,18 @@
 from sailward.routing.request import Request
 from tests.proxy_kit import Bench, make_plan, make_worker
 
-HALLS = ("north-a", "north-b", "south-a", "south-b")
+ZONES = ("north-a", "north-b", "south-a", "south-b")
 
 
 def make(*, workers: list | None = None, proxies: int = 1, **match: object) -> Bench:
     listed = (
-        workers if workers is not None else [make_worker(f"{hall}{at}", hall=hall) for hall in HALLS for at in range(2)]
+        workers if workers is not None else [make_worker(f"{zone}{at}", zone=zone) for zone in ZONES for at in range(2)]
     )
     return Bench(workers=listed, plan=make_plan(**match), proxies=proxies)
 
 
 def place(bench: Bench, **fields: object):
-    plan = bench.scene.plan
+    plan = bench.context.plan
     match = plan.matches[0]
     request = Request(
         token="front 1",
@@ -40,22 +40,22 @@
         expiry=bench.now + 3.0,
         **fields,
     )
-    return bench.placer.step(now=bench.now, request=request)
+    return bench.endpoint_selector.step(now=bench.now, request=request)
 
 
 def halls_of(bench: Bench, *, count: int = 60) -> dict:
     seen: dict = {}
     for _ in range(count):
         choice = place(bench)
-        name = choice.reason if isinstance(choice, Refusal) else choice.hall
+        name = choice.reason if isinstance(choice, Refusal) else choice.zone
         seen[name] = seen.get(name, 0) + 1
     return seen
 
 
 def down(bench: Bench, *names: str) -> None:
     for name in names:
-        bench.evidence.note(now=bench.now, key=name, event="dark")
-    bench.scene.halls.step(now=bench.now, counts=bench.scene.counts())
+        bench.passive_health.record_event(now=bench.now, key=name, event="dark")
+    bench.context.zones.step(now=bench.now, counts=bench.context.counts())
 
 
 def test_all_goes_to_the_own_region_while_it_is_well() -> None:
@@ -80,17 +80,17 @@
 @pytest.mark.parametrize("homes", [["south"], ["north"]])
 def test_homes_bind_though_only_others_are_well(homes: list) -> None:
     bench = make(homes=homes)
-    assert set(halls_of(bench)) <= {hall for hall in HALLS if hall.split("-")[0] in homes}
-    down(bench, *[f"{hall}{at}" for hall in HALLS if hall.split("-")[0] in homes for at in range(2)])
+    assert set(halls_of(bench)) <= {zone for zone in ZONES if zone.split("-")[0] in homes}
+    down(bench, *[f"{zone}{at}" for zone in ZONES if zone.split("-")[0] in homes for at in range(2)])
     assert set(halls_of(bench)) == {"no-worker"}
 
 
 def test_an_emptied_hall_gets_nothing_and_a_home_that_is_emptied_is_no_reason_to_leave_it() -> None:
     bench = make()
-    bench.scene.emptied = frozenset({"north-a"})
+    bench.context.emptied = frozenset({"north-a"})
     assert set(halls_of(bench)) == {"north-b"}
     bench = make(homes=["north"])
-    bench.scene.emptied = frozenset({"north-a", "north-b"})
+    bench.context.emptied = frozenset({"north-a", "north-b"})
     assert set(halls_of(bench)) == {"no-worker"}
 
 
@@ -117,7 +117,7 @@
 def test_further_tries_stay_with_the_pool_that_was_drawn() -> None:
     workers = [make_worker(f"{service}{at}", service=service) for service in ("red", "blue") for at in range(4)]
     bench = make(workers=workers, pools=[{"pool": "red", "weight": 1}, {"pool": "blue", "weight": 1}])
-    plan = bench.scene.plan
+    plan = bench.context.plan
     for _ in range(40):
         request = Request(
             token="front 1",
@@ -133,7 +133,7 @@
         )
         services = set()
         for _ in range(3):
-            worker = bench.placer.step(now=bench.now, request=request)
+            worker = bench.endpoint_selector.step(now=bench.now, request=request)
             request.tried.add(worker.key)
             services.add(worker.service)
         assert len(services) == 1
@@ -144,27 +144,27 @@
     part = -(-4 * constants.QUEUE_DEPTH // 8)
     bound = int(min(max(constants.WINDOW_LEAST, constants.WINDOW_PARTS * part), constants.WINDOW_FIRST))
     for _ in range(2 * bound):
-        bench.placer.took(key=place(bench).key)
-    assert bench.placer.open == {"w0": bound, "w1": bound} and place(bench).reason == "no-room"
-    bench.placer.left(key="w0")
+        bench.endpoint_selector.took(key=place(bench).key)
+    assert bench.endpoint_selector.open == {"w0": bound, "w1": bound} and place(bench).reason == "no-room"
+    bench.endpoint_selector.left(key="w0")
     assert place(bench).key == "w0"
 
 
 def test_the_slower_of_two_gets_less() -> None:
     bench = make(workers=[make_worker("w0"), make_worker("w1")])
-    bench.evidence.note(now=bench.now, key="w0", event="pass", took=0.5)
-    bench.evidence.note(now=bench.now, key="w1", event="pass", took=0.1)
+    bench.passive_health.record_event(now=bench.now, key="w0", event="pass", took=0.5)
+    bench.passive_health.record_event(now=bench.now, key="w1", event="pass", took=0.1)
     assert place(bench).key == "w1"
     for _ in range(5):
-        bench.placer.took(key="w1")
+        bench.endpoint_selector.took(key="w1")
     assert place(bench).key == "w0"
 
 
 def test_a_full_worker_is_passed_over_for_a_moment() -> None:
     bench = make(workers=[make_worker("w0")])
-    bench.evidence.note(now=bench.now, key="w0", event="full")
+    bench.passive_health.record_event(now=bench.now, key="w0", event="full")
     assert place(bench).reason == "no-room"
-    bench.now += constants.FULL_PAUSE
+    bench.now += constants.DISK_FULL_BACKOFF
     assert place(bench).key == "w0"
 
 
@@ -172,8 +172,8 @@
     names = [f"p{at}" for at in range(6)]
     sent = 0
     for name in names:
-        bench = make(workers=[make_worker("w0", cold=9.0)])
-        bench.scene.name, bench.scene.peers, bench.scene.proxies = name, dict.fromkeys(names, "north"), len(names)
+        bench = make(workers=[make_worker("w0", slow_start=9.0)])
+        bench.context.name, bench.context.peers, bench.context.proxies = name, dict.fromkeys(names, "north"), len(names)
         for _ in range(200):
             sent += not isinstance(place(bench), Refusal)
             bench.now += 0.02
@@ -181,21 +181,21 @@
 
 
 def test_warm_ones_go_before_cold_ones() -> None:
-    bench = make(workers=[make_worker("w0", cold=9.0), make_worker("w1")])
+    bench = make(workers=[make_worker("w0", slow_start=9.0), make_worker("w1")])
     assert {place(bench).key for _ in range(30)} == {"w1"}
 
 
 def test_after_an_emptying_the_halls_workers_count_as_cold() -> None:
     bench = make(workers=[make_worker("w0")])
-    bench.evidence.chill(now=bench.now, hall="north-a", plan=bench.scene.plan)
+    bench.passive_health.chill(now=bench.now, zone="north-a", plan=bench.context.plan)
     taken = sum(not isinstance(place(bench), Refusal) for _ in range(50))
     assert taken <= 1
-    bench.now += 3.0 + constants.COLD_MARGIN + 0.1
+    bench.now += 3.0 + constants.SLOW_START_MARGIN + 0.1
     assert not isinstance(place(bench), Refusal)
 
 
 def make_ranged(**worker: object) -> Bench:
-    return Bench(workers=[make_worker("w0", **worker), make_worker("w1", hall="south-a")], plan=make_plan(ranged=True))
+    return Bench(workers=[make_worker("w0", **worker), make_worker("w1", zone="south-a")], plan=make_plan(ranged=True))
 
 
 def test_keys_go_to_their_owner_alone() -> None:
@@ -215,12 +215,12 @@
     assert place(bench, key=5).reason == "owner-lost"
     bench = make_ranged()
     bench.own(owner="w0")
-    bench.scene.emptied = frozenset({"north-a"})
+    bench.context.emptied = frozenset({"north-a"})
     assert place(bench, key=5).reason == "owner-lost"
     bench = make_ranged()
     bench.own(owner="w1")
-    bench.scene.plan = dataclasses.replace(
-        bench.scene.plan, matches=(dataclasses.replace(bench.scene.plan.matches[0], homes=frozenset({"north"})),)
+    bench.context.plan = dataclasses.replace(
+        bench.context.plan, matches=(dataclasses.replace(bench.context.plan.matches[0], homes=frozenset({"north"})),)
     )
     assert isinstance(place(bench, key=5), Refusal)
     bench.own(owner="unlisted")
@@ -228,7 +228,7 @@
 
 
 def test_a_cold_owner_is_bounded() -> None:
-    bench = make_ranged(cold=5.0)
+    bench = make_ranged(slow_start=5.0)
     bench.own(owner="w0")
     taken = 0
     for _ in range(100):
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -12,8 +12,8 @@
 
 from sailward import events
 from sailward.control.controller import Controller
-from sailward.discovery.peer_table import Place
-from sailward.events import Answer, Asked, CallerLeft, Log, Tell, Ticked
+from sailward.discovery.peer_table import Location
+from sailward.events import ClientDisconnected, LogEvent, RequestReceived, Respond, SendMessage, TimerFired
 from sailward.proxy.directory_server import DirectoryServer
 from sailward.proxy.proxy import Proxy, ProxyOptions
 from sailward.proxy.tenant_proxy import TenantProxy
@@ -21,19 +21,19 @@
 
 MESSAGE = {"kind": "want", "register": "config"}
 EVENTS = [
-    events.Ticked(wall=7.0),
-    events.Heard(sender="10.0.0.9:7620", body=MESSAGE),
-    events.Synced(seq=0),
-    events.DiskFailed(seq=0, full=True, reason="no room"),
-    events.Asked(token="desk 1", method="GET", path="/status", query={}, headers={}, body=b""),
-    events.CallerLeft(token="desk 1"),
-    events.Called(token="x 1", code=0, headers={}, body=b"", fault="reset", sent=False),
-    events.Called(token="probe 1", code=0, headers={}, body=b"", fault="reset", sent=False),
-    events.Called(token="page 1", code=0, headers={}, body=b"", fault="reset", sent=False),
-    events.Called(token="grant 1", code=0, headers={}, body=b"", fault="reset", sent=False),
-    events.Called(token="release 1", code=0, headers={}, body=b"", fault="reset", sent=False),
-    events.Checked(token="check 1", verdict=None),
-    events.StopAsked(),
+    events.TimerFired(wall=7.0),
+    events.MessageReceived(sender="10.0.0.9:7620", body=MESSAGE),
+    events.RecordsSynced(seq=0),
+    events.DiskWriteFailed(seq=0, full=True, reason="no room"),
+    events.RequestReceived(token="desk 1", method="GET", path="/status", query={}, headers={}, body=b""),
+    events.ClientDisconnected(token="desk 1"),
+    events.CallFinished(token="x 1", code=0, headers={}, body=b"", fault="reset", sent=False),
+    events.CallFinished(token="probe 1", code=0, headers={}, body=b"", fault="reset", sent=False),
+    events.CallFinished(token="page 1", code=0, headers={}, body=b"", fault="reset", sent=False),
+    events.CallFinished(token="grant 1", code=0, headers={}, body=b"", fault="reset", sent=False),
+    events.CallFinished(token="release 1", code=0, headers={}, body=b"", fault="reset", sent=False),
+    events.ConfigValidated(token="check 1", verdict=None),
+    events.ShutdownRequested(),
 ]
 
 
@@ -42,11 +42,11 @@
     """An event that no owner knows."""
 
 
-def make_place(*, kind: str) -> Place:
-    return Place(
+def make_location(*, kind: str) -> Location:
+    return Location(
         name="d1",
         kind=kind,
-        hall="gdl-a",
+        zone="gdl-a",
         region="gdl",
         post="10.0.0.8:7620",
         http="10.0.0.8:80",
@@ -68,15 +68,15 @@
 
 
 def make_proxy() -> Proxy:
-    return Proxy(place=make_place(kind="proxy"), start=1, rng=random.Random(1), options=ProxyOptions())
+    return Proxy(place=make_location(kind="proxy"), start=1, rng=random.Random(1), options=ProxyOptions())
 
 
 def make_tenant_proxy() -> TenantProxy:
-    return TenantProxy(place=make_place(kind="proxy"), nonce="n", start=1, rng=random.Random(1), now=0.0)
+    return TenantProxy(place=make_location(kind="proxy"), nonce="n", start=1, rng=random.Random(1), now=0.0)
 
 
 def make_directory() -> DirectoryServer:
-    return DirectoryServer(place=make_place(kind="directory"), start=1, rng=random.Random(1))
+    return DirectoryServer(place=make_location(kind="directory"), start=1, rng=random.Random(1))
 
 
 OWNERS = {
@@ -103,7 +103,7 @@
     commands = made.step(now=50.0, event=event)
     assert all(isinstance(command, events.Command) for command in commands)
     # and it goes on afterwards
-    made.step(now=50.1, event=Ticked(wall=7.1))
+    made.step(now=50.1, event=TimerFired(wall=7.1))
 
 
 @pytest.mark.parametrize("owner", OWNERS)
@@ -111,15 +111,15 @@
     made = OWNERS[owner]()
     for count in (1, 2):
         commands = made.step(now=50.0, event=EventOfALaterVersion())
-        logs = [one for one in commands if isinstance(one, Log) and one.event == "event-unexpected"]
+        logs = [one for one in commands if isinstance(one, LogEvent) and one.event == "event-unexpected"]
         assert [one.fields for one in logs] == [{"type": "EventOfALaterVersion", "count": count}]
-    made.step(now=50.1, event=Ticked(wall=7.1))
+    made.step(now=50.1, event=TimerFired(wall=7.1))
 
 
 def test_an_unknown_event_is_no_tick() -> None:
     proxy = make_proxy()
-    assert not [one for one in proxy.step(now=50.0, event=EventOfALaterVersion()) if isinstance(one, Tell)]
-    assert [one for one in proxy.step(now=50.0, event=Ticked(wall=7.0)) if isinstance(one, Tell)]
+    assert not [one for one in proxy.step(now=50.0, event=EventOfALaterVersion()) if isinstance(one, SendMessage)]
+    assert [one for one in proxy.step(now=50.0, event=TimerFired(wall=7.0)) if isinstance(one, SendMessage)]
 
 
 def test_an_order_whose_caller_leaves_before_it_has_begun_is_dropped() -> None:
@@ -127,14 +127,14 @@
     machine = net.voting()[0]
     controller = machine.controller
     token = "desk left"
-    event = Asked(token=token, method="POST", path="/evacuation/gdl-b", query={}, headers={}, body=b"")
+    event = RequestReceived(token=token, method="POST", path="/evacuation/gdl-b", query={}, headers={}, body=b"")
     net.give(machine, event=event)
-    net.give(machine, event=CallerLeft(token=token))
+    net.give(machine, event=ClientDisconnected(token=token))
     net.run(10.0)
     # one that closed only its side of the connection still reads
     assert net.answers[token].code == 503 and b"nothing was changed" in net.answers[token].body
-    assert not controller.desk.jobs
-    orders = controller.held.held.get("orders")
+    assert not controller.admin_api.jobs
+    orders = controller.learner.values.get("orders")
     assert orders is None or "gdl-b" not in json.loads(orders.value["text"])["emptied"]
 
 
@@ -143,14 +143,14 @@
     machine = net.voting()[0]
     controller = machine.controller
     token = "desk left"
-    event = Asked(token=token, method="POST", path="/evacuation/gdl-b", query={}, headers={}, body=b"")
+    event = RequestReceived(token=token, method="POST", path="/evacuation/gdl-b", query={}, headers={}, body=b"")
     net.give(machine, event=event)
-    assert net.run(10.0, until=lambda: any(op.endswith("/change") for op in controller.desk.jobs))
-    net.give(machine, event=CallerLeft(token=token))
+    assert net.run(10.0, until=lambda: any(op.endswith("/change") for op in controller.admin_api.jobs))
+    net.give(machine, event=ClientDisconnected(token=token))
     net.run(10.0)
     # its answer has no reader any more, but is made as for any other order
-    assert isinstance(net.answers[token], Answer) and net.answers[token].code == 200
-    assert json.loads(controller.held.held["orders"].value["text"])["emptied"] == ["gdl-b"]
+    assert isinstance(net.answers[token], Respond) and net.answers[token].code == 200
+    assert json.loads(controller.learner.values["orders"].value["text"])["emptied"] == ["gdl-b"]
 
 
 def test_another_caller_of_the_same_controller_is_not_touched() -> None:
@@ -159,14 +159,14 @@
     for zone in ("gdl-b", "ens-b"):
         net.give(
             machine,
-            event=Asked(
+            event=RequestReceived(
                 token=f"desk {zone}", method="POST", path=f"/evacuation/{zone}", query={}, headers={}, body=b""
             ),
         )
-    net.give(machine, event=CallerLeft(token="desk gdl-b"))
+    net.give(machine, event=ClientDisconnected(token="desk gdl-b"))
     net.run(10.0)
     assert net.answers["desk ens-b"].code == 200
-    assert json.loads(machine.controller.held.held["orders"].value["text"])["emptied"] == ["ens-b"]
+    assert json.loads(machine.controller.learner.values["orders"].value["text"])["emptied"] == ["ens-b"]
 
 
 @pytest.mark.parametrize("owner", [Controller, Proxy, TenantProxy, DirectoryServer])
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -5,7 +5,7 @@
 import pytest
 
 from sailward import constants
-from sailward.events import CallerLeft
+from sailward.events import ClientDisconnected
 from tests.proxy_kit import Bench, answers, calls, cancels, logs, make_plan, make_worker
 
 PROMISES = (408, 421, 429, 503)
@@ -24,7 +24,7 @@
     )
     assert (call.method, call.path, call.body, call.address) == ("POST", "/a/1?q=%20", b"x" * 9, f"{call.owner}:80")
     assert call.headers["x-expect"] == call.owner and call.headers["x-id"] == "id1" and call.headers["x-tag"] == "kept"
-    assert int(call.headers["x-left"]) <= 3000 and call.wait <= 3.0
+    assert int(call.headers["x-left"]) <= 3000 and call.timeout <= 3.0
     assert not {"te", "connection", "expect"} & set(call.headers)
     [answer] = answers(
         bench.back(call=call, code=201, content_type="text/x", connection="close", keep_alive="timeout=5")
@@ -32,7 +32,7 @@
     assert (answer.token, answer.code, answer.body) == ("front 1", 201, b"whole")
     assert answer.headers["x-seal"] == "s" and answer.headers["content-type"] == "text/x"
     assert not {"connection", "keep-alive"} & set(answer.headers)
-    assert not bench.forwarder.live and not bench.forwarder.calls and not bench.placer.open
+    assert not bench.forwarder.live and not bench.forwarder.calls and not bench.endpoint_selector.open
 
 
 @pytest.mark.parametrize(
@@ -40,7 +40,7 @@
 )
 def test_the_time_left_is_the_lesser_of_the_callers_and_the_routes(within: str, expiry: float, left: float) -> None:
     [call] = calls(make(expiry_s=expiry).ask(within=within))
-    assert call.wait == pytest.approx(left) and int(call.headers["x-left"]) == pytest.approx(left * 1000, abs=2)
+    assert call.timeout == pytest.approx(left) and int(call.headers["x-left"]) == pytest.approx(left * 1000, abs=2)
 
 
 def test_what_matches_no_route_is_told_at_once() -> None:
@@ -222,17 +222,17 @@
     commands = bench.back(call=second[0], body=b"quick")
     assert [one.body for one in answers(commands)] == [b"quick"]
     assert [one.token for one in cancels(commands)] == [first.token]
-    assert not bench.placer.open
+    assert not bench.endpoint_selector.open
 
 
 def test_a_caller_that_leaves_ends_repeatable_work_but_not_once_only_work() -> None:
     for kind, gone in (("repeatable", 1), ("once", 0)):
         bench = make(kind=kind)
         [call] = calls(bench.ask(method="POST"))
-        commands = bench.forwarder.step(now=bench.now, event=CallerLeft(token="front 1"))
+        commands = bench.forwarder.step(now=bench.now, event=ClientDisconnected(token="front 1"))
         assert len(cancels(commands)) == gone and not answers(commands)
         assert not answers(bench.back(call=call))
-        assert not bench.placer.open
+        assert not bench.endpoint_selector.open
 
 
 def test_nothing_is_sent_when_too_little_time_is_left() -> None:
--- a/tests/test_forwarding_model.py
+++ b/tests/test_forwarding_model.py
@@ -11,11 +11,11 @@
 
 
 @pytest.mark.parametrize(
-    ("kind", "tries", "requests", "depth", "least"),
+    ("kind", "attempts", "requests", "depth", "least"),
     [("once", 2, 1, 5, 300), ("once", 3, 1, 5, 300), ("repeatable", 2, 1, 4, 300), ("once", 2, 2, 4, 300)],
 )
-def test_no_order_of_events_breaks_a_rule(kind: str, tries: int, requests: int, depth: int, least: int) -> None:
-    assert explore(kind=kind, tries=tries, requests=requests, depth=depth) > least
+def test_no_order_of_events_breaks_a_rule(kind: str, attempts: int, requests: int, depth: int, least: int) -> None:
+    assert explore(kind=kind, attempts=attempts, requests=requests, depth=depth) > least
 
 
 def always_again(old):
@@ -33,7 +33,7 @@
 def believe_unmarked(old):
     def judge(*, request, worker, event, names):
         if event.code in worker_response.PROMISES:
-            return worker_response.TurnedAway(code=event.code, why="full")
+            return worker_response.WorkerRejected(code=event.code, why="full")
         return old(request=request, worker=worker, event=event, names=names)
 
     return judge
@@ -71,7 +71,7 @@
 @pytest.mark.parametrize(
     ("owner", "name", "make", "breach"),
     [
-        (forwarding.Forwarder, "_may_try_again", always_again, "TWICE"),
+        (forwarding.Forwarder, "_may_retry", always_again, "TWICE"),
         (forwarding.Forwarder, "_give_up", promise_always, "REFUSED"),
         (forwarding.Forwarder, "_end", break_off_all, "a once-only sending was broken off"),
         (forwarding, "judge_reply", believe_unmarked, "TWICE|REFUSED"),
@@ -86,4 +86,4 @@
         mock.patch.object(owner, name, make(getattr(owner, name))),
         pytest.raises(Breach, match=breach),
     ):
-        explore(kind="once", tries=2, requests=1, depth=4)
+        explore(kind="once", attempts=2, requests=1, depth=4)
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -8,9 +8,9 @@
 
 from sailward import constants
 from sailward.consensus.acceptor import Slots, fold_record
-from sailward.consensus.learner import HeldBook
+from sailward.consensus.learner import Learner
 from sailward.control.shards.freshness import Freshness, newest_vote
-from sailward.events import Tell
+from sailward.events import SendMessage
 
 REGISTER = "slots/red"
 MEMBERS = {f"v{at}": f"post{at}" for at in range(3)}
@@ -29,17 +29,17 @@
     return slots
 
 
-def make_held(number: int) -> HeldBook:
-    held = HeldBook()
+def make_held(number: int) -> Learner:
+    held = Learner()
     held.step(name=REGISTER, ballot=[number, "x"], value=make_value(number))
     return held
 
 
-def ask(fresh: Freshness, *, now: float, members: dict = MEMBERS) -> list[Tell]:
+def ask(fresh: Freshness, *, now: float, members: dict = MEMBERS) -> list[SendMessage]:
     return fresh.step(now=now, body=None, members=members, number=1, own="v0", registers=[REGISTER])
 
 
-def tell(fresh: Freshness, *, now: float, voter: str, seq: int, number: int) -> None:
+def deliver(fresh: Freshness, *, now: float, voter: str, seq: int, number: int) -> None:
     newest = {REGISTER: newest_vote(slots=make_slots(number), name=REGISTER)}
     fresh.step(
         now=now,
@@ -53,7 +53,7 @@
 
 def until(fresh: Freshness, *, now: float, held: int = 3, own: int = 3, members: dict = MEMBERS) -> float:
     return fresh.until(
-        now=now, register=REGISTER, held=make_held(held), members=members, own="v0", slots=make_slots(own)
+        now=now, register=REGISTER, learner=make_held(held), members=members, own="v0", slots=make_slots(own)
     )
 
 
@@ -76,34 +76,34 @@
 def test_the_lease_runs_from_the_asking_not_from_the_answer() -> None:
     fresh = Freshness()
     [seq] = {one.body["seq"] for one in ask(fresh, now=10.0)}
-    tell(fresh, now=10.6, voter="v1", seq=seq, number=3)
+    deliver(fresh, now=10.6, voter="v1", seq=seq, number=3)
     assert until(fresh, now=10.6) == pytest.approx(10.0 + constants.GRANT_LEASE)
 
 
 def test_a_voter_that_voted_for_something_newer_confirms_nothing() -> None:
     fresh = Freshness()
     [seq] = {one.body["seq"] for one in ask(fresh, now=10.0)}
-    tell(fresh, now=10.1, voter="v1", seq=seq, number=4)
+    deliver(fresh, now=10.1, voter="v1", seq=seq, number=4)
     assert until(fresh, now=10.1) < 10.0
-    tell(fresh, now=10.1, voter="v2", seq=seq, number=3)
+    deliver(fresh, now=10.1, voter="v2", seq=seq, number=3)
     assert until(fresh, now=10.1) > 10.0
 
 
 def test_its_own_newer_vote_counts_against_it() -> None:
     fresh = Freshness()
     [seq] = {one.body["seq"] for one in ask(fresh, now=10.0)}
-    tell(fresh, now=10.1, voter="v1", seq=seq, number=3)
+    deliver(fresh, now=10.1, voter="v1", seq=seq, number=3)
     assert until(fresh, now=10.1, own=4) < 10.0
 
 
 def test_answers_to_what_was_never_asked_or_is_long_past_count_nothing() -> None:
     fresh = Freshness()
     [seq] = {one.body["seq"] for one in ask(fresh, now=10.0)}
-    tell(fresh, now=10.1, voter="v1", seq=seq + 7, number=3)
+    deliver(fresh, now=10.1, voter="v1", seq=seq + 7, number=3)
     assert until(fresh, now=10.1) < 10.0
     for at in range(1, 9):
         ask(fresh, now=10.0 + at)
-    tell(fresh, now=19.0, voter="v1", seq=seq, number=3)
+    deliver(fresh, now=19.0, voter="v1", seq=seq, number=3)
     assert until(fresh, now=19.0) < 19.0
 
 
@@ -111,8 +111,8 @@
     fresh = Freshness()
     [old] = {one.body["seq"] for one in ask(fresh, now=10.0)}
     [new] = {one.body["seq"] for one in ask(fresh, now=10.5)}
-    tell(fresh, now=10.6, voter="v1", seq=new, number=4)
-    tell(fresh, now=10.7, voter="v1", seq=old, number=3)
+    deliver(fresh, now=10.6, voter="v1", seq=new, number=4)
+    deliver(fresh, now=10.7, voter="v1", seq=old, number=3)
     assert until(fresh, now=10.7) < 10.0
 
 
@@ -129,7 +129,7 @@
         for voter, number in zip(members, votes, strict=True):
             if voter != "v0":
                 for seq in seqs:
-                    tell(fresh, now=10.1, voter=voter, seq=seq, number=number)
+                    deliver(fresh, now=10.1, voter=voter, seq=seq, number=number)
         has_lease = until(fresh, now=10.1, own=votes[0], members=members) > 10.1
         newer_chosen = 2 * sum(number == 4 for number in votes) > size
         assert not (has_lease and newer_chosen), votes
--- a/tests/test_fuzz_edges.py
+++ b/tests/test_fuzz_edges.py
@@ -15,19 +15,19 @@
 from hypothesis import strategies as st
 
 from sailward.control.controller import Controller
-from sailward.control.shards.granting import Granting, GrantScene
+from sailward.control.shards.granting import GrantContext, Granting
 from sailward.discovery.endpoint_pages import Pager
-from sailward.discovery.endpoint_rows import is_generation, is_life
+from sailward.discovery.endpoint_rows import is_generation, is_incarnation
 from sailward.discovery.endpoint_table import Worker
-from sailward.discovery.peer_table import Place
-from sailward.events import Call, Called, Ticked
+from sailward.discovery.peer_table import Location
+from sailward.events import CallFinished, StartCall, TimerFired
 from sailward.runtime.adapter import load_part
 from sailward.runtime.reactor import Reactor
 from sailward.runtime.startup import CONTROLLER, BadStartup, read_startup
 from sailward.storage.disk import Damaged, Newer, Read, pack_frame, read_frames
 from sailward.transport.curl_client import Calls
 from sailward.transport.http_server_head import Head, Refused, read_head
-from sailward.transport.message_transport import Courier
+from sailward.transport.message_transport import MessageTransport
 from tests.core_net import FOLDER, WORKERS
 from tests.fuzz_kit import ANYTHING, BOUNDED, near
 from tests.granting_fixture import Codec, Listed
@@ -71,15 +71,15 @@
     now = 1.0
     for code, body in answers:
         commands, _ = pager.step(now=now, event=None)
-        for call in [one for one in commands if isinstance(one, Call)] or [None]:
+        for call in [one for one in commands if isinstance(one, StartCall)] or [None]:
             token = call.token if call else pager.token
             if call:
                 assert call.path.isascii() and call.path.isprintable() and " " not in call.path
             _, whole = pager.step(
-                now=now, event=Called(token=token, code=code, headers={}, body=body, fault="", sent=True)
+                now=now, event=CallFinished(token=token, code=code, headers={}, body=body, fault="", sent=True)
             )
             if whole is not None:
-                assert all(map(is_life if is_platform else is_generation, whole.workers))
+                assert all(map(is_incarnation if is_platform else is_generation, whole.workers))
                 json.dumps(whole.workers, ensure_ascii=False).encode()
         now += 60.0
 
@@ -88,11 +88,11 @@
     pager, body = Pager(platform="10.0.0.9:80"), to_json({**OWN_PAGE, "next": "more"})
     commands, _ = pager.step(now=1.0, event=None)
     for _ in range(100_000):
-        calls = [one for one in commands if isinstance(one, Call)]
+        calls = [one for one in commands if isinstance(one, StartCall)]
         if not calls:
             break
         commands, _ = pager.step(
-            now=1.0, event=Called(token=calls[0].token, code=200, headers={}, body=body, fault="", sent=True)
+            now=1.0, event=CallFinished(token=calls[0].token, code=200, headers={}, body=body, fault="", sent=True)
         )
     assert [one.fields for one in commands] == [{"reason": "endless"}]
 
@@ -114,12 +114,12 @@
     """Read a data file, and let a controller start on what it holds."""
     found = read_frames(data=data)
     if isinstance(found, Read):
-        place = Place(name="c1", kind="controller", hall="z", region="r", post="10.0.0.1:1", http="10.0.0.1:2")
+        place = Location(name="c1", kind="controller", zone="z", region="r", post="10.0.0.1:1", http="10.0.0.1:2")
         owner = Controller(
             place=place, platform="", nonce="1", start=1, rng=random.Random(1), records=found.records, now=0.0
         )
-        for beat in range(1, 5):
-            owner.step(now=float(beat), event=Ticked(wall=1.0))
+        for heartbeat in range(1, 5):
+            owner.step(now=float(heartbeat), event=TimerFired(wall=1.0))
     return found
 
 
@@ -229,34 +229,40 @@
 )
 def test_any_answers_to_grants_and_releases_are_taken(results: list) -> None:
     granting = Granting(service="cart", own="c1#1", codec=Codec())
-    listed = {name: Listed(name=name, service="cart", address="10.0.0.1:80", hall="z") for name in ("w1", "w2")}
+    listed = {name: Listed(name=name, service="cart", address="10.0.0.1:80", zone="z") for name in ("w1", "w2")}
     value, now = {"number": 0, "text": ""}, 100.0
     for code, headers, body, is_sent in results:
         workers = {name: _as_worker(listed=one) for name, one in listed.items()}
-        scene = GrantScene(
+        context = GrantContext(
             value=value,
             workers=workers,
             fresh_until=now + 5.0,
             is_acting=True,
             emptied=frozenset(),
             down={},
-            hold_max=10.0,
+            lease_max=10.0,
         )
-        commands, changes = granting.step(now=now, event=None, scene=scene)
+        commands, changes = granting.step(now=now, event=None, context=context)
         for _, _, text in changes:
             value = {"number": value["number"] + 1, "text": text}
-        for call in [one for one in commands if isinstance(one, Call)]:
-            called = Called(
+        for call in [one for one in commands if isinstance(one, StartCall)]:
+            called = CallFinished(
                 token=call.token, code=code, headers=headers, body=body, fault="" if code else "reset", sent=is_sent
             )
-            granting.step(now=now, event=called, scene=scene)
+            granting.step(now=now, event=called, context=context)
         now += 1.0
     assert value["number"]
 
 
 def _as_worker(*, listed: Listed) -> Worker:
     return Worker(
-        name=listed.name, generation=0, service="cart", address=listed.address, hall="z", leaving=False, is_life=True
+        name=listed.name,
+        generation=0,
+        service="cart",
+        address=listed.address,
+        zone="z",
+        leaving=False,
+        is_incarnation=True,
     )
 
 
@@ -278,25 +284,25 @@
 @pytest.mark.parametrize("address", ADDRESSES)
 def test_a_message_to_no_address_is_lost_and_ends_nothing(address: str) -> None:
     reactor = Reactor()
-    courier = Courier(reactor=reactor, address="127.0.0.1:0", tell=lambda event: None)
-    courier.send(to=address, body={"kind": "want", "register": "config"})
-    courier.send(to="127.0.0.1:1", body={"kind": "want", "register": "\ud800"})
-    assert courier.counts["unsendable"] == 1
+    message_transport = MessageTransport(reactor=reactor, address="127.0.0.1:0", deliver=lambda event: None)
+    message_transport.send(to=address, body={"kind": "want", "register": "config"})
+    message_transport.send(to="127.0.0.1:1", body={"kind": "want", "register": "\ud800"})
+    assert message_transport.counts["unsendable"] == 1
 
 
 @pytest.mark.parametrize("address", ADDRESSES)
 def test_a_call_to_no_address_ends_with_a_fault(address: str) -> None:
-    told: list[Called] = []
+    told: list[CallFinished] = []
     ended = threading.Event()
 
-    def tell(called: Called) -> None:
+    def deliver(called: CallFinished) -> None:
         told.append(called)
         ended.set()
 
-    calls = Calls(tell=tell)
+    calls = Calls(deliver=deliver)
     threading.Thread(target=calls.run, daemon=True).start()
     calls.give(
-        call=Call(
+        call=StartCall(
             token="t",
             owner="o",
             address=address,
@@ -304,7 +310,7 @@
             path="/",
             headers={"a": "é"},
             body=b"",
-            wait=1.0,
+            timeout=1.0,
             fresh=False,
         )
     )
--- a/tests/test_fuzz_messages.py
+++ b/tests/test_fuzz_messages.py
@@ -14,8 +14,8 @@
 
 from sailward.consensus.messages import FIELDS, BadMessage, check_message, pack_message, read_message
 from sailward.control.controller import Controller
-from sailward.discovery.peer_table import Place
-from sailward.events import Answer, Heard, Ticked
+from sailward.discovery.peer_table import Location
+from sailward.events import MessageReceived, Respond, TimerFired
 from sailward.proxy.directory_server import DirectoryServer
 from sailward.proxy.proxy import Proxy, ProxyOptions
 from sailward.proxy.tenant_proxy import TenantProxy
@@ -35,11 +35,11 @@
 VALID = [_with_bytes(body) for rows in EXAMPLES.values() for body in rows]
 
 
-def make_place(*, kind: str) -> Place:
-    return Place(
+def make_location(*, kind: str) -> Location:
+    return Location(
         name="d1",
         kind=kind,
-        hall="gdl-a",
+        zone="gdl-a",
         region="gdl",
         post="10.0.0.8:7620",
         http="10.0.0.8:80",
@@ -64,18 +64,18 @@
     """One owner of each kind, as it stands in a fleet, and a controller that has just started on an empty disk."""
     net = whole_net()
     proxy = Proxy(
-        place=make_place(kind="proxy"),
+        place=make_location(kind="proxy"),
         start=1,
         rng=random.Random(1),
         options=ProxyOptions(expand=lambda given: CONFIG.expand(given, ZONES), regions=tuple(ZONES.items())),
     )
-    for name, held in net.machines[0].controller.held.held.items():
+    for name, held in net.machines[0].controller.learner.values.items():
         body = {"kind": "push", "seq": 1, "name": name, "number": 1, "ballot": held.ballot, "value": held.value}
-        proxy.step(now=net.now, event=Heard(sender="10.0.0.1:7620", body=body))
+        proxy.step(now=net.now, event=MessageReceived(sender="10.0.0.1:7620", body=body))
     return {
         "voter": net.machines[0].controller,
         "fresh": Controller(
-            place=make_place(kind="controller"),
+            place=make_location(kind="controller"),
             platform="",
             nonce="1",
             start=1,
@@ -84,8 +84,10 @@
             now=0.0,
         ),
         "proxy": proxy,
-        "tenant proxy": TenantProxy(place=make_place(kind="proxy"), nonce="1", start=1, rng=random.Random(1), now=0.0),
-        "directory": DirectoryServer(place=make_place(kind="directory"), start=1, rng=random.Random(1)),
+        "tenant proxy": TenantProxy(
+            place=make_location(kind="proxy"), nonce="1", start=1, rng=random.Random(1), now=0.0
+        ),
+        "directory": DirectoryServer(place=make_location(kind="directory"), start=1, rng=random.Random(1)),
     }
 
 
@@ -96,10 +98,10 @@
         made = copy.deepcopy(owner)
         for at, body in enumerate(bodies):
             sender = "10.0.0.1:7620" if at % 2 else "10.0.0.2:7620"
-            commands = made.step(now=now, event=Heard(sender=sender, body=copy.deepcopy(body)))
-            assert not [one for one in commands if isinstance(one, Answer)], name
-        for beat in range(1, 60, 6):
-            made.step(now=now + 0.05 * beat, event=Ticked(wall=7.0 + beat))
+            commands = made.step(now=now, event=MessageReceived(sender=sender, body=copy.deepcopy(body)))
+            assert not [one for one in commands if isinstance(one, Respond)], name
+        for heartbeat in range(1, 60, 6):
+            made.step(now=now + 0.05 * heartbeat, event=TimerFired(wall=7.0 + heartbeat))
 
 
 def over_the_wire(*, body: object) -> dict | BadMessage | None:
--- a/tests/test_fuzz_operators.py
+++ b/tests/test_fuzz_operators.py
@@ -16,8 +16,19 @@
 from sailward.control.controller import Controller
 from sailward.control.controller_options import ControllerOptions
 from sailward.control.group.bootstrap import Bootstrap
-from sailward.discovery.peer_table import Place
-from sailward.events import Answer, Asked, Check, Checked, Heard, Rewrite, Store, Synced, Tell, Ticked
+from sailward.discovery.peer_table import Location
+from sailward.events import (
+    AppendRecords,
+    ConfigValidated,
+    MessageReceived,
+    RecordsSynced,
+    RequestReceived,
+    Respond,
+    RewriteRecords,
+    SendMessage,
+    TimerFired,
+    ValidateConfig,
+)
 from tests.core_net import CONFIG, OPERATORS, ZONES, make_written
 from tests.fuzz_kit import ANYTHING, BOUNDED, near
 
@@ -41,20 +52,20 @@
 DEPTHS = (40, 65, 300, 900, 990, 3000, 100_000)
 
 
-def pump(owner: Controller, *, now: float, event: object) -> list[Answer]:
+def pump(owner: Controller, *, now: float, event: object) -> list[Respond]:
     """Carry out an owner's commands at once, until it is at rest: the answers that it gave."""
     waiting, answers = collections.deque([event]), []
     while waiting:
         for command in owner.step(now=now, event=waiting.popleft()):
-            if isinstance(command, Answer):
+            if isinstance(command, Respond):
                 answers.append(command)
-            elif isinstance(command, (Store, Rewrite)):
+            elif isinstance(command, (AppendRecords, RewriteRecords)):
                 json.dumps(command.records)
-                waiting.append(Synced(seq=command.seq))
-            elif isinstance(command, Check):
-                waiting.append(Checked(token=command.token, verdict=check_config(config=command.config)))
-            elif isinstance(command, Tell) and command.to == POST:
-                waiting.append(Heard(sender=POST, body=copy.deepcopy(command.body)))
+                waiting.append(RecordsSynced(seq=command.seq))
+            elif isinstance(command, ValidateConfig):
+                waiting.append(ConfigValidated(token=command.token, verdict=check_config(config=command.config)))
+            elif isinstance(command, SendMessage) and command.to == POST:
+                waiting.append(MessageReceived(sender=POST, body=copy.deepcopy(command.body)))
     return answers
 
 
@@ -68,11 +79,11 @@
             bootstrap=options.bootstrap,
             zones=options.zones,
         )
-    place = Place(name="c1", kind="controller", hall="gdl-a", region="gdl", post=POST, http=POST, seeds=(POST,))
+    place = Location(name="c1", kind="controller", zone="gdl-a", region="gdl", post=POST, http=POST, seeds=(POST,))
     owner = Controller(
         place=place, platform="", nonce="1", start=1, rng=random.Random(1), records=[], now=0.0, options=options
     )
-    pump(owner, now=0.1, event=Ticked(wall=1.0))
+    pump(owner, now=0.1, event=TimerFired(wall=1.0))
     headers, given_config = ({"if-match": "0"}, make_written(label=7)) if is_platform else ({}, GOOD)
     (answer,) = ask(owner, method="PUT", path="/config", headers=headers, body=json.dumps(given_config).encode())
     assert answer.code == 200, answer.body
@@ -86,19 +97,19 @@
 
 def ask(
     owner: Controller, *, method: str, path: str, headers: dict, body: bytes | None, query: dict | None = None
-) -> list[Answer]:
-    event = Asked(token="desk 1", method=method, path=path, query=query or {}, headers=headers, body=body)
+) -> list[Respond]:
+    event = RequestReceived(token="desk 1", method=method, path=path, query=query or {}, headers=headers, body=body)
     answers = pump(owner, now=1.0, event=event)
-    for beat in range(1, 8):
-        answers += pump(owner, now=1.0 + beat, event=Ticked(wall=2.0 + beat))
+    for heartbeat in range(1, 8):
+        answers += pump(owner, now=1.0 + heartbeat, event=TimerFired(wall=2.0 + heartbeat))
     return answers
 
 
 def numbers(owner: Controller) -> dict:
-    return {name: (held.value["number"], held.value["text"]) for name, held in owner.held.held.items()}
+    return {name: (held.value["number"], held.value["text"]) for name, held in owner.learner.values.items()}
 
 
-def judge(*, dialect: str, **asked: object) -> Answer:
+def judge(*, dialect: str, **asked: object) -> Respond:
     """One answer, with a reason if it is refused; and then nothing has changed."""
     owner = copy.deepcopy(controllers()[dialect])
     before = numbers(owner)
--- a/tests/test_granting.py
+++ b/tests/test_granting.py
@@ -7,7 +7,7 @@
 import pytest
 
 from sailward import constants
-from sailward.events import Call, Called
+from sailward.events import CallFinished, StartCall
 from sailward.routing.shards import KEYS, read_shards
 from tests.granting_fixture import Granter, World, crash, fine, make_settled
 
@@ -41,7 +41,7 @@
     world.emptied = frozenset({"h0"})
     world.run(seconds=3.0)
     assert world.held_keys() == KEYS
-    assert not any(world.keys_of(worker=worker) for worker in world.workers if worker.hall == "h0")
+    assert not any(world.keys_of(worker=worker) for worker in world.workers if worker.zone == "h0")
     world.emptied = frozenset()
     world.run(seconds=20.0)
     assert all(world.keys_of(worker=worker) for worker in world.workers)
@@ -50,7 +50,7 @@
 
 def test_no_able_worker_leaves_the_keys_unowned_until_one_comes() -> None:
     world = make_settled()
-    world.emptied = frozenset(world.halls)
+    world.emptied = frozenset(world.zones)
     world.run(seconds=4.0)
     assert world.held_keys() == 0 and {one.owner for one in read_shards(text=world.register["text"]).shards} == {""}
     world.emptied = frozenset()
@@ -59,7 +59,7 @@
 
 def test_cold_worker_is_given_keys_only_where_there_is_no_other() -> None:
     world = World(seed=1, slowest=0.03, workers=2)
-    world.workers[0].cold = 3.0
+    world.workers[0].slow_start = 3.0
     world.run(seconds=3.0)
     assert world.keys_of(worker=world.workers[1]) == KEYS
     world.workers[1].is_leaving = True
@@ -80,7 +80,7 @@
     start = world.now
     world.run(seconds=4.0)
     world.run_until_whole(within=10.0)
-    assert constants.GRANT_HOLD < world.now - start < 7.0
+    assert constants.GRANT_DURATION < world.now - start < 7.0
     assert not world.overlaps
     world.workers[0].silent_to = set()
     world.run(seconds=20.0)
@@ -134,7 +134,7 @@
     worker.seen.append((0, KEYS - 1, 5000))
     worker.holds = []
     assert world.run_until_whole(within=12.0) < 10.0
-    assert max(one.fence for one in read_shards(text=world.register["text"]).shards) >= 5000
+    assert max(one.fencing_token for one in read_shards(text=world.register["text"]).shards) >= 5000
 
 
 def test_hot_keys_move_once_and_then_rest() -> None:
@@ -187,7 +187,7 @@
     elif kind == 5:
         granter.down = {one.key: world.now - 2.0 for one in living if rng.random() < 0.3}
     elif kind == 6:
-        world.emptied = frozenset(rng.sample(world.halls, k=rng.randrange(2)))
+        world.emptied = frozenset(rng.sample(world.zones, k=rng.randrange(2)))
     elif kind == 7:
         granter.blind = frozenset(one.key for one in living if rng.random() < 0.2)
     else:
@@ -237,7 +237,7 @@
     first, second = world.granters[:2]
     worker = world.workers[0]
 
-    def fly(*, granter: Granter, call: Call) -> None:
+    def fly(*, granter: Granter, call: StartCall) -> None:
         if granter is not first or call.path != "/hold" or call.headers["owner"] != worker.key:
             World.call(world, granter=granter, call=call)
             return
@@ -246,12 +246,12 @@
             if worker.take(now=world.now, body=json.loads(call.body)) == 200:
                 world.check(worker=worker)
 
-        world.at(delay=call.wait + constants.GRANT_FLIGHT - 0.01, act=arrive)
+        world.at(delay=call.timeout + constants.GRANT_FLIGHT - 0.01, act=arrive)
         world.at(
-            delay=call.wait,
+            delay=call.timeout,
             act=lambda: world.step(
                 granter=first,
-                event=Called(token=call.token, code=0, headers={}, body=b"", fault="timed-out", sent=True),
+                event=CallFinished(token=call.token, code=0, headers={}, body=b"", fault="timed-out", sent=True),
             ),
         )
 
--- a/tests/test_granting_surplus.py
+++ b/tests/test_granting_surplus.py
@@ -5,7 +5,7 @@
 import pytest
 
 from sailward.control.shards.grant_calls import GrantCalls
-from sailward.events import Call, Called
+from sailward.events import CallFinished, StartCall
 from tests.test_granting import KEYS, Granter, World
 
 AT_ONCE = 0.0005
@@ -18,10 +18,10 @@
     It is read where the next answer on that connection is due.
     """
 
-    def call(self, *, granter: Granter, call: Call) -> None:
+    def call(self, *, granter: Granter, call: StartCall) -> None:
         super().call(granter=granter, call=call)
         if not call.fresh and any(earlier.owner == call.owner for _, earlier in self.calls[:-1]):
-            surplus = Called(token=call.token, code=200, headers={}, body=b"", fault="", sent=True)
+            surplus = CallFinished(token=call.token, code=200, headers={}, body=b"", fault="", sent=True)
             self.at(delay=AT_ONCE, act=lambda: self.step(granter=granter, event=surplus))
 
 
