--- a/tests/test_group_machine.py
+++ b/tests/test_group_machine.py
@@ -48,11 +48,11 @@
 
 def hold_older(monkeypatch: pytest.MonkeyPatch) -> None:
     def step(self, *, name, ballot, value):
-        is_news = name not in self.held or value["mark"] != self.held[name].value["mark"]
-        self.held[name] = learner.Held(ballot=ballot, value=value)
-        return is_news
+        is_newer = name not in self.values or value["mark"] != self.values[name].value["mark"]
+        self.values[name] = learner.LearnedValue(ballot=ballot, value=value)
+        return is_newer
 
-    monkeypatch.setattr(learner.HeldBook, "step", step)
+    monkeypatch.setattr(learner.Learner, "step", step)
 
 
 def copy_from_one(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -73,8 +73,8 @@
 
     def tick(self, *, now, event):
         slot = self.acceptor.slots.get("config")
-        if "config" not in self.held.held and slot is not None and slot.value is not None:
-            self.held.step(name="config", ballot=slot.ballot, value=slot.value)
+        if "config" not in self.learner.values and slot is not None and slot.value is not None:
+            self.learner.step(name="config", ballot=slot.ballot, value=slot.value)
         return old(self, now=now, event=event)
 
     monkeypatch.setattr(controller.Controller, "_tick", tick)
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -11,8 +11,8 @@
 
 from sailward.control.controller import Controller
 from sailward.control.controller_options import ControllerOptions
-from sailward.discovery.peer_table import Place
-from sailward.events import Heard, Ticked
+from sailward.discovery.peer_table import Location
+from sailward.events import MessageReceived, TimerFired
 from sailward.proxy.proxy import Proxy, ProxyOptions
 from simulation.core_group import EMPTY_FULL, CoreGroup
 
@@ -75,7 +75,7 @@
 def make_hosted_controller() -> Controller:
     post = "10.0.0.1:7620"
     return Controller(
-        place=Place(name="c0", kind="controller", hall="z", region="r", post=post, http=post, seeds=(post,)),
+        place=Location(name="c0", kind="controller", zone="z", region="r", post=post, http=post, seeds=(post,)),
         platform="10.9.9.9:1",
         nonce="1",
         start=1,
@@ -111,11 +111,11 @@
             },
         ]
         for body in events:
-            controller.step(now=now, event=Heard(sender=sender, body=body))
-        controller.step(now=now, event=Ticked(wall=now))
+            controller.step(now=now, event=MessageReceived(sender=sender, body=body))
+        controller.step(now=now, event=TimerFired(wall=now))
     for _ in range(1400):
         now += 0.05
-        controller.step(now=now, event=Ticked(wall=now))
+        controller.step(now=now, event=TimerFired(wall=now))
     return now
 
 
@@ -128,10 +128,10 @@
 
 
 def push(*, proxy: Proxy, now: float, name: str, number: int, text: str) -> None:
-    lead = proxy.uplink.lead or "10.0.0.1:7620"
+    lead = proxy.control_client.lead or "10.0.0.1:7620"
     value = {"number": number, "mark": lead, "trail": [], "text": text}
     body = {"kind": "push", "seq": number, "name": name, "number": number, "ballot": [number, "x"], "value": value}
-    proxy.step(now=now, event=Heard(sender=lead, body=body))
+    proxy.step(now=now, event=MessageReceived(sender=lead, body=body))
 
 
 def run_proxy(*, proxy: Proxy, first: int, count: int, now: float) -> float:
@@ -140,7 +140,7 @@
         now += 0.5
         grant = {"kind": "grant", "seq": number, "newest": {}, "identity": "c", "voting": True, "proxies": 1}
         grant |= {"view": {"place": ["z", "r"]}}
-        proxy.step(now=now, event=Heard(sender="10.0.0.1:7620", body=grant))
+        proxy.step(now=now, event=MessageReceived(sender="10.0.0.1:7620", body=grant))
         push(proxy=proxy, now=now, name="config", number=number, text='{"written":{},"label":1}')
         row = {"id": f"w{number}", "service": "s", "address": f"10.2.{number}.1:80", "hall": "z", "leaving": False}
         row |= {"generation": 0, "capacity": 4, "cold_s": 0.0}
@@ -148,17 +148,17 @@
         fleet = {"proxies": [[f"p{number}", "10.1.1.1:1", "z", "r", True]], "down": [f"w{number}/0"]}
         fleet["cellars"] = [["10.0.0.1:7620", "z", "r"], [f"10.3.{number}.1:7620", "z", "r"]]
         push(proxy=proxy, now=now, name="fleet", number=number, text=json.dumps(fleet))
-        proxy.step(now=now, event=Ticked(wall=now))
+        proxy.step(now=now, event=TimerFired(wall=now))
     for _ in range(200):
         now += 3.5
-        proxy.step(now=now, event=Ticked(wall=now))
+        proxy.step(now=now, event=TimerFired(wall=now))
     push(proxy=proxy, now=now, name="fleet", number=first + count, text=json.dumps({"proxies": [], "cellars": []}))
     return now
 
 
 def test_a_proxy_remembers_no_more_after_400_changes_and_400_workers_than_after_100() -> None:
     post = "10.1.0.1:7621"
-    place = Place(name="p0", kind="proxy", hall="z", region="r", post=post, http=post, seeds=("10.0.0.1:7620",))
+    place = Location(name="p0", kind="proxy", zone="z", region="r", post=post, http=post, seeds=("10.0.0.1:7620",))
     proxy = Proxy(
         place=place,
         start=1,
@@ -168,5 +168,5 @@
     now = run_proxy(proxy=proxy, first=1, count=100, now=0.0)
     before = count_remembered(owner=proxy)
     run_proxy(proxy=proxy, first=1000, count=300, now=now)
-    assert proxy.held.number(name="config") == 1299 and len(proxy.book.workers) == 1
+    assert proxy.learner.number(name="config") == 1299 and len(proxy.endpoint_table.workers) == 1
     assert find_growth(before=before, after=count_remembered(owner=proxy)) == {}
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from sailward.events import Heard, Tell, Ticked
+from sailward.events import MessageReceived, SendMessage, TimerFired
 from sailward.transport.message_transport import pack_body
 from simulation import hollow
 from simulation.hollow_fleet.added import measure_added
@@ -28,12 +28,12 @@
         self.to, self.may_answer, self.heard = to, not to, []
 
     def step(self, *, now: float, event: object) -> list:
-        if isinstance(event, Heard):
+        if isinstance(event, MessageReceived):
             self.heard.append((now, event))
-            return [Tell(to=event.sender, body=ACK)] if len(self.heard) == 1 and self.may_answer else []
-        if isinstance(event, Ticked) and self.to:
+            return [SendMessage(to=event.sender, body=ACK)] if len(self.heard) == 1 and self.may_answer else []
+        if isinstance(event, TimerFired) and self.to:
             to, self.to = self.to, ""
-            return [Tell(to=to, body=ACK)]
+            return [SendMessage(to=to, body=ACK)]
         return []
 
 
@@ -91,7 +91,7 @@
     network.run(seconds=0.01)
     members[1].busy_until = 1.0
     for number in (1, 2):
-        network.give(member=members[1], event=Heard(sender="c", body={**ACK, "seq": number}))
+        network.give(member=members[1], event=MessageReceived(sender="c", body={**ACK, "seq": number}))
     network.run(seconds=3.0)
     given = [(at, event.body["seq"]) for at, event in owners[1].heard if event.sender == "c"]
     assert [seq for _, seq in given] == [1, 2] and all(at >= 1.0 for at, _ in given)
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -10,7 +10,7 @@
 import pytest
 
 from sailward import constants
-from sailward.events import Call
+from sailward.events import StartCall
 from tests.http_client_peer import OK, WAIT, Edge, Line
 
 QUIET = 0.3
@@ -112,8 +112,8 @@
     def end_and_give() -> None:
         peer.lines[0].sock.shutdown(socket.SHUT_RDWR)
         time.sleep(0.05)
-        edge.outbound.give(
-            call=Call(
+        edge.http_client.give(
+            call=StartCall(
                 token="late",
                 owner="w",
                 address=peer.address,
@@ -121,7 +121,7 @@
                 path="/",
                 headers={},
                 body=b"x",
-                wait=5.0,
+                timeout=5.0,
                 fresh=False,
             )
         )
@@ -148,7 +148,7 @@
             return getattr(self._sock, name)
 
     def deafen() -> None:
-        kept = edge.outbound._idle["w"][0]
+        kept = edge.http_client._idle["w"][0]
         kept.sock = Deaf(kept.sock)
 
     edge.do(deafen)
@@ -247,9 +247,9 @@
     peer = edge.peer(serve=serve)
     token = edge.give(address=peer.address)
     assert peer.get().startswith(b"GET")
-    edge.do(lambda: edge.outbound.cancel(token=token))
+    edge.do(lambda: edge.http_client.cancel(token=token))
     assert peer.get() == b"reset"
-    edge.do(lambda: edge.outbound.cancel(token=token))
+    edge.do(lambda: edge.http_client.cancel(token=token))
     assert edge.counts()["calls"] == 0
 
 
@@ -257,8 +257,8 @@
     peer = edge.speaker(OK)
 
     def give_and_cancel() -> None:
-        edge.outbound.give(
-            call=Call(
+        edge.http_client.give(
+            call=StartCall(
                 token="x",
                 owner="w",
                 address=peer.address,
@@ -266,11 +266,11 @@
                 path="/",
                 headers={},
                 body=b"",
-                wait=5.0,
+                timeout=5.0,
                 fresh=False,
             )
         )
-        edge.outbound.cancel(token="x")
+        edge.http_client.cancel(token="x")
 
     edge.do(give_and_cancel)
     assert edge.counts()["calls"] == 0
@@ -316,7 +316,7 @@
     assert peer.get() == (0, b"GET /a")
     edge.give(address=peer.address, fresh=True)
     assert peer.get() == (1, b"GET /a")
-    edge.do(lambda: edge.outbound.hang_up(owner="w"))
+    edge.do(lambda: edge.http_client.hang_up(owner="w"))
     assert peer.get() == (0, b"")
     gate.set()
     assert edge.told.get(timeout=WAIT).code == 200
--- a/tests/test_http_client_properties.py
+++ b/tests/test_http_client_properties.py
@@ -92,8 +92,8 @@
         running.unsent = memoryview(running.exchange.request)
         return self._dial(running=running)
 
-    old = http_client.Outbound._fail
-    return [mock.patch.object(http_client.Outbound, "_fail", fail)]
+    old = http_client.HttpClient._fail
+    return [mock.patch.object(http_client.HttpClient, "_fail", fail)]
 
 
 def reuse_without_a_look() -> list:
@@ -117,8 +117,8 @@
             self._keep(connection=connection, idle=10.0)
         old(self, token=token)
 
-    old = http_client.Outbound.cancel
-    return [mock.patch.object(http_client.Outbound, "cancel", cancel), *match_by_order_alone()]
+    old = http_client.HttpClient.cancel
+    return [mock.patch.object(http_client.HttpClient, "cancel", cancel), *match_by_order_alone()]
 
 
 def take_kept_ones_for_once_only_work() -> list:
@@ -130,8 +130,8 @@
         self._reactor.run_soon()
         object.__setattr__(call, "fresh", call.method == "POST")
 
-    old = http_client.Outbound.give
-    return [mock.patch.object(http_client.Outbound, "give", give)]
+    old = http_client.HttpClient.give
+    return [mock.patch.object(http_client.HttpClient, "give", give)]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_http_client_responses.py
+++ b/tests/test_http_client_responses.py
@@ -9,7 +9,7 @@
 import pytest
 
 from sailward import constants
-from sailward.events import Call
+from sailward.events import StartCall
 from tests.http_client_peer import OK, WAIT, Edge, Line
 
 
@@ -147,8 +147,8 @@
     def speak_and_give() -> None:
         peer.lines[0].say(b"HTTP/1.1 500 Late\r\nContent-Length: 0\r\n\r\n")
         time.sleep(0.05)
-        edge.outbound.give(
-            call=Call(
+        edge.http_client.give(
+            call=StartCall(
                 token="next",
                 owner="w",
                 address=peer.address,
@@ -156,7 +156,7 @@
                 path="/",
                 headers={},
                 body=b"",
-                wait=5.0,
+                timeout=5.0,
                 fresh=False,
             )
         )
--- a/tests/test_http_client_tokens.py
+++ b/tests/test_http_client_tokens.py
@@ -108,7 +108,7 @@
     peer = edge.peer(serve=serve)
     token = edge.give(address=peer.address, path="/given-up")
     assert b"/given-up" in peer.get()
-    edge.do(lambda: edge.outbound.cancel(token=token))
+    edge.do(lambda: edge.http_client.cancel(token=token))
     may_answer.put(None)
     assert edge.ask(address=peer.address, path="/next").body == b"next"
     assert len(peer.lines) == 2
--- a/tests/test_http_server_connections.py
+++ b/tests/test_http_server_connections.py
@@ -9,7 +9,7 @@
 import pytest
 
 from sailward import constants
-from sailward.events import Answer, Asked, CallerLeft
+from sailward.events import ClientDisconnected, RequestReceived, Respond
 from sailward.routing.plan import Limits
 from tests.http_server_harness import Harness, Reader, get
 
@@ -23,7 +23,7 @@
 
 def test_idle_connection_ends_silently(edge):
     edge.limits = Limits(idle_wait=0.1)
-    edge.at_once = lambda event: Answer(token=event.token, code=200, body=b"")
+    edge.at_once = lambda event: Respond(token=event.token, code=200, body=b"")
     sock = edge.connect()
     sock.sendall(get())
     reader = Reader(sock)
@@ -37,7 +37,7 @@
     edge.limits = Limits(idle_wait=0.05, head_wait=0.05)
     sock = edge.connect()
     sock.sendall(get())
-    (event,) = edge.wait(Asked, 1)
+    (event,) = edge.wait(RequestReceived, 1)
     time.sleep(2 * constants.FRONT_SWEEP)
     assert edge.answer(event, body=b"late") and Reader(sock).response()[2] == b"late"
 
@@ -45,10 +45,10 @@
 def test_reset_tells_caller_left(edge):
     sock = edge.connect()
     sock.sendall(get("/a") + get("/b"))
-    events = edge.wait(Asked, 2)
+    events = edge.wait(RequestReceived, 2)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
-    left = edge.wait(CallerLeft, 2)
+    left = edge.wait(ClientDisconnected, 2)
     assert {event.token for event in left} == {event.token for event in events}
     assert not edge.answer(events[0], body=b"nobody")
     assert edge.on_reactor(edge.front.open_count) == 0 and edge.on_reactor(edge.front.connection_count) == 0
@@ -58,7 +58,7 @@
     sock = edge.connect()
     sock.sendall(get("/a") + get("/b") + b"GET /c")
     sock.shutdown(socket.SHUT_WR)
-    events = edge.wait(Asked, 2)
+    events = edge.wait(RequestReceived, 2)
     edge.settle()
     for event in events:
         edge.answer(event, body=event.path.encode())
@@ -66,35 +66,35 @@
     assert reader.response()[2] == b"/a"
     _, headers, body = reader.response()
     assert body == b"/b" and headers["connection"] == "close"
-    assert reader.is_ended() and not edge.of(CallerLeft)
+    assert reader.is_ended() and not edge.of(ClientDisconnected)
 
 
 def test_where_it_is_wanted_a_half_closed_caller_counts_as_left_and_is_answered(edge):
     edge.front._tells_half_close = True
     sock = edge.connect()
     sock.sendall(get("/a") + get("/b"))
-    first, second = edge.wait(Asked, 2)
+    first, second = edge.wait(RequestReceived, 2)
     edge.answer(first, body=b"a")
     sock.shutdown(socket.SHUT_WR)
-    assert edge.wait(CallerLeft, 1) == [CallerLeft(token=second.token)]
+    assert edge.wait(ClientDisconnected, 1) == [ClientDisconnected(token=second.token)]
     edge.answer(second, body=b"b")
     reader = Reader(sock)
     assert reader.response()[2] == b"a" and reader.response()[2] == b"b"
-    assert reader.is_ended() and len(edge.of(CallerLeft)) == 1
+    assert reader.is_ended() and len(edge.of(ClientDisconnected)) == 1
 
 
 @pytest.mark.parametrize("raw", [get("/", more="Connection: foo, Close\r\n"), b"GET / HTTP/1.0\r\n\r\n"])
 def test_callers_close_ends_reading(edge, raw):
     sock = edge.connect()
     sock.sendall(raw + get("/behind"))
-    (event,) = edge.wait(Asked, 1)
+    (event,) = edge.wait(RequestReceived, 1)
     sock.sendall(get("/behind"))
     edge.settle()
     edge.answer(event, body=b"last")
     reader = Reader(sock)
     _, headers, body = reader.response()
     assert body == b"last" and headers["connection"] == "close"
-    assert reader.is_ended() and edge.of(Asked) == [event] and not edge.of(CallerLeft)
+    assert reader.is_ended() and edge.of(RequestReceived) == [event] and not edge.of(ClientDisconnected)
 
 
 def test_leaving_ends_each_connection_behind_what_was_told(edge, monkeypatch):
@@ -102,11 +102,11 @@
     monkeypatch.setattr(constants, "FRONT_FRESH", 60.0)
     idle, fresh, busy, new = edge.connect(), edge.connect(), edge.connect(), None
     idle.sendall(get("/idle"))
-    edge.answer(edge.wait(Asked, 1)[0])
+    edge.answer(edge.wait(RequestReceived, 1)[0])
     reader = Reader(idle)
     reader.response()
     busy.sendall(get("/a") + get("/b") + b"POST /c HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\n")
-    first, second = edge.wait(Asked, 3)[1:]
+    first, second = edge.wait(RequestReceived, 3)[1:]
     edge.until(lambda: edge.front.open_count() == 3)
     edge.answer(second, body=b"b")
     edge.on_reactor(edge.front.leave)
@@ -119,12 +119,12 @@
     assert body == b"a" and "connection" not in headers
     _, headers, body = reader.response()
     assert body == b"b" and headers["connection"] == "close"
-    assert reader.is_ended() and not edge.of(CallerLeft)
+    assert reader.is_ended() and not edge.of(ClientDisconnected)
     new = edge.connect()
     for sock in (fresh, new):
-        asked = len(edge.of(Asked))
+        asked = len(edge.of(RequestReceived))
         sock.sendall(get("/last"))
-        edge.answer(edge.wait(Asked, asked + 1)[-1], body=b"last")
+        edge.answer(edge.wait(RequestReceived, asked + 1)[-1], body=b"last")
         reader = Reader(sock)
         _, headers, body = reader.response()
         assert body == b"last" and headers["connection"] == "close" and reader.is_ended()
@@ -144,14 +144,14 @@
     with pytest.raises(OSError):
         edge.connect()
     sock.sendall(get())
-    assert edge.answer(edge.wait(Asked, 1)[0]) and Reader(sock).response()[0] == 200
+    assert edge.answer(edge.wait(RequestReceived, 1)[0]) and Reader(sock).response()[0] == 200
 
 
 def test_caller_that_never_reads_is_dropped(edge, monkeypatch):
     monkeypatch.setattr(constants, "FRONT_WRITE_IDLE", 0.1)
     sock = edge.connect()
     sock.sendall(get())
-    edge.answer(edge.wait(Asked, 1)[0], body=b"a" * (16 << 20))
+    edge.answer(edge.wait(RequestReceived, 1)[0], body=b"a" * (16 << 20))
     edge.until(lambda: edge.front.connection_count() == 0)
     assert edge.on_reactor(edge.front.open_count) == 0
 
@@ -162,4 +162,4 @@
     edge.until(lambda: edge.front.connection_count() == 1)
     assert Reader(edge.connect()).is_ended()
     kept.sendall(get())
-    edge.wait(Asked, 1)
+    edge.wait(RequestReceived, 1)
--- a/tests/test_http_server_idle.py
+++ b/tests/test_http_server_idle.py
@@ -7,14 +7,14 @@
 import pytest
 
 from sailward import constants
-from sailward.events import Answer
+from sailward.events import Respond
 from tests.http_server_harness import Harness, Reader, get
 
 
 @pytest.fixture
 def edge():
     harness = Harness()
-    harness.at_once = lambda event: Answer(token=event.token, code=200, body=b"whole")
+    harness.at_once = lambda event: Respond(token=event.token, code=200, body=b"whole")
     yield harness
     harness.end()
 
--- a/tests/test_http_server_properties.py
+++ b/tests/test_http_server_properties.py
@@ -60,7 +60,7 @@
     """An answer goes out as soon as it is there, not when its request's turn has come."""
 
     def answer(self, *, command):
-        connection, exchange = self._asked.get(command.token, (None, None))
+        connection, exchange = self._pending.get(command.token, (None, None))
         if connection is not None:
             connection.exchanges.remove(exchange)
             connection.exchanges.appendleft(exchange)
@@ -77,8 +77,8 @@
         self._numbers = iter([len(connection.exchanges)])
         old(self, connection=connection, body=body)
 
-    old = http_server.Front._ask
-    return [mock.patch.object(http_server.Front, "_ask", ask)]
+    old = http_server.Front._deliver_request
+    return [mock.patch.object(http_server.Front, "_deliver_request", ask)]
 
 
 def keep_silent_of_callers_that_left() -> list:
@@ -95,8 +95,8 @@
         old(self, connection=connection, body=body)
         exchange.is_last = was
 
-    old = http_server.Front._ask
-    return [mock.patch.object(http_server.Front, "_ask", ask)]
+    old = http_server.Front._deliver_request
+    return [mock.patch.object(http_server.Front, "_deliver_request", ask)]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_http_server_requests.py
+++ b/tests/test_http_server_requests.py
@@ -5,7 +5,7 @@
 import pytest
 
 from sailward import constants
-from sailward.events import Answer, Asked
+from sailward.events import RequestReceived, Respond
 from sailward.routing.plan import Limits
 from tests.http_server_harness import Harness, Reader, get
 
@@ -24,7 +24,7 @@
 def test_asked_has_every_part(edge):
     sock = edge.connect()
     sock.sendall(b"\r\n" + get("/a%20b/c?x=1&y=&z=%41", more="X-One: 1\r\nx-one: 2\r\n"))
-    (event,) = edge.wait(Asked, 1)
+    (event,) = edge.wait(RequestReceived, 1)
     assert event.token.startswith("edge ")
     assert (event.method, event.path, event.target) == ("GET", "/a%20b/c", "/a%20b/c?x=1&y=&z=%41")
     assert event.query == {"x": "1", "y": "", "z": "A"}
@@ -41,7 +41,7 @@
 
 
 def test_bytes_one_by_one(edge):
-    edge.at_once = lambda event: Answer(token=event.token, code=200, body=event.body)
+    edge.at_once = lambda event: Respond(token=event.token, code=200, body=event.body)
     sock = edge.connect()
     chunks = (
         get("/", method="POST", more="Transfer-Encoding: chunked\r\n")
@@ -110,7 +110,7 @@
 def test_malformed_is_400_behind_earlier_answers(edge, raw, is_split):
     sock = edge.connect()
     sock.sendall(get("/first"))
-    (event,) = edge.wait(Asked, 1)
+    (event,) = edge.wait(RequestReceived, 1)
     if is_split:
         for place in range(len(raw)):
             try:
@@ -126,7 +126,7 @@
     assert (code, body) == (200, b"first") and "connection" not in headers
     code, headers, body = reader.response()
     assert code == 400 and headers["connection"] == "close" and b"error" in body
-    assert reader.is_ended() and edge.of(Asked) == [event]
+    assert reader.is_ended() and edge.of(RequestReceived) == [event]
 
 
 @pytest.mark.parametrize(
@@ -162,13 +162,13 @@
 def test_continue_is_sent_when_its_turn_comes(edge):
     sock = edge.connect()
     sock.sendall(get("/first") + get("/", method="POST", more="Content-Length: 2\r\nExpect: 100-continue\r\n"))
-    (event,) = edge.wait(Asked, 1)
+    (event,) = edge.wait(RequestReceived, 1)
     edge.answer(event, body=b"first")
     reader = Reader(sock)
     assert reader.response()[2] == b"first"
     assert reader.response()[0] == 100
     sock.sendall(b"ab")
-    event = edge.wait(Asked, 2)[1]
+    event = edge.wait(RequestReceived, 2)[1]
     assert event.body == b"ab"
     edge.answer(event, code=204)
     code, headers, _ = reader.response()
--- a/tests/test_http_server_responses.py
+++ b/tests/test_http_server_responses.py
@@ -7,7 +7,7 @@
 import pytest
 
 from sailward import constants
-from sailward.events import Answer, Asked, CallerLeft
+from sailward.events import ClientDisconnected, RequestReceived, Respond
 from tests.http_server_harness import Harness, Reader, get
 
 
@@ -21,7 +21,7 @@
 def test_pipelined_answers_keep_the_order(edge):
     sock = edge.connect()
     sock.sendall(b"".join(get(f"/{number}") for number in range(5)))
-    events = edge.wait(Asked, 5)
+    events = edge.wait(RequestReceived, 5)
     for event in reversed(events):
         assert edge.answer(event, body=event.path.encode())
     reader = Reader(sock)
@@ -32,18 +32,18 @@
     sock = edge.connect()
     count = 3 * constants.FRONT_DEPTH
     sock.sendall(b"".join(get(f"/{number}") for number in range(count)))
-    edge.wait(Asked, constants.FRONT_DEPTH)
+    edge.wait(RequestReceived, constants.FRONT_DEPTH)
     edge.settle()
-    assert len(edge.of(Asked)) == constants.FRONT_DEPTH
+    assert len(edge.of(RequestReceived)) == constants.FRONT_DEPTH
     reader = Reader(sock)
     for number in range(count):
-        event = edge.wait(Asked, number + 1)[number]
+        event = edge.wait(RequestReceived, number + 1)[number]
         edge.answer(event, body=event.path.encode())
         assert reader.response()[2] == f"/{number}".encode()
 
 
 def test_answers_from_within_tell(edge):
-    edge.at_once = lambda event: Answer(token=event.token, code=404, body=event.path.encode())
+    edge.at_once = lambda event: Respond(token=event.token, code=404, body=event.path.encode())
     sock = edge.connect()
     sock.sendall(b"".join(get(f"/{number}") for number in range(40)))
     reader = Reader(sock)
@@ -53,7 +53,7 @@
 def test_closing_answer_drops_what_is_behind(edge):
     sock = edge.connect()
     sock.sendall(get("/a") + get("/b") + get("/c"))
-    first, second, third = edge.wait(Asked, 3)
+    first, second, third = edge.wait(RequestReceived, 3)
     edge.answer(third, body=b"never")
     edge.answer(second, body=b"b", close=True)
     sock.sendall(get("/d"))
@@ -64,15 +64,15 @@
     assert body == b"a" and "connection" not in headers
     _, headers, body = reader.response()
     assert body == b"b" and headers["connection"] == "close"
-    assert reader.is_ended() and len(edge.of(Asked)) == 3
+    assert reader.is_ended() and len(edge.of(RequestReceived)) == 3
 
 
 def test_told_behind_a_closing_answer_is_left(edge):
     sock = edge.connect()
     sock.sendall(get("/a") + get("/b"))
-    first, second = edge.wait(Asked, 2)
+    first, second = edge.wait(RequestReceived, 2)
     edge.answer(first, close=True)
-    assert edge.wait(CallerLeft, 1) == [CallerLeft(token=second.token)]
+    assert edge.wait(ClientDisconnected, 1) == [ClientDisconnected(token=second.token)]
     assert not edge.answer(second)
     reader = Reader(sock)
     assert reader.response()[0] == 200 and reader.is_ended()
@@ -81,7 +81,7 @@
 def test_large_answer_to_a_slow_reader(edge):
     sock = edge.connect()
     sock.sendall(get("/", more="Connection: close\r\n"))
-    (event,) = edge.wait(Asked, 1)
+    (event,) = edge.wait(RequestReceived, 1)
     body = bytes(range(256)) * (1 << 15)
     edge.answer(event, body=body)
     assert edge.on_reactor(edge.front.open_count) == 1
@@ -95,7 +95,7 @@
 def test_head_has_a_length_and_no_body(edge):
     sock = edge.connect()
     sock.sendall(get(method="HEAD") + get("/next"))
-    first, second = edge.wait(Asked, 2)
+    first, second = edge.wait(RequestReceived, 2)
     edge.answer(first, body=b"12345")
     edge.answer(second, code=799, body=b"next")
     reader = Reader(sock)
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from sailward.events import Called, Heard, Log, Stop, Ticked
+from sailward.events import CallFinished, ExitProcess, LogEvent, MessageReceived, TimerFired
 from sailward.runtime import journal
 from sailward.runtime.journal import Journal, carry_out
 
@@ -19,8 +19,13 @@
 def test_a_fault_is_logged_with_the_last_events_but_without_their_contents(logged: list) -> None:
     kept = Journal(shown=3)
     body = {"kind": "push", "value": "a tenant's"}
-    called = Called(token="t", code=500, headers={"x": "a caller's"}, body=b"a caller's", fault="", sent=True)
-    events = [Heard(sender="old", body=body), Ticked(wall=1.0), Heard(sender="new", body=body), called]
+    called = CallFinished(token="t", code=500, headers={"x": "a caller's"}, body=b"a caller's", fault="", sent=True)
+    events = [
+        MessageReceived(sender="old", body=body),
+        TimerFired(wall=1.0),
+        MessageReceived(sender="new", body=body),
+        called,
+    ]
     for at, event in enumerate(events):
         kept.add(now=float(at), event=event)
     try:
@@ -28,17 +33,17 @@
     except OSError:
         kept.write_fault(event=events[-1])
     (name, fault), *rows = logged
-    assert name == "fault" and fault["on"] == "Called" and "OSError: away" in fault["trace"]
+    assert name == "fault" and fault["on"] == "CallFinished" and "OSError: away" in fault["trace"]
     assert rows == [
-        ("journal", {"at": "2.000", "event": "Heard", "from": "new", "kind": "push"}),
-        ("journal", {"at": "3.000", "event": "Called", "token": "t", "code": 500, "fault": ""}),
+        ("journal", {"at": "2.000", "event": "MessageReceived", "from": "new", "kind": "push"}),
+        ("journal", {"at": "3.000", "event": "CallFinished", "token": "t", "code": 500, "fault": ""}),
     ]
 
 
 def test_a_command_goes_to_the_edge_for_its_type_and_an_unknown_one_is_logged(logged: list) -> None:
     seen: list = []
-    carry_out(command=Stop(code=3), handlers={Stop: seen.append})
-    carry_out(command=Log(event="said", fields={"a": 1}), handlers={})
-    carry_out(command=Stop(code=4), handlers={})
+    carry_out(command=ExitProcess(code=3), handlers={ExitProcess: seen.append})
+    carry_out(command=LogEvent(event="said", fields={"a": 1}), handlers={})
+    carry_out(command=ExitProcess(code=4), handlers={})
     assert [one.code for one in seen] == [3]
-    assert logged == [("said", {"a": 1}), ("command-unexpected", {"type": "Stop"})]
+    assert logged == [("said", {"a": 1}), ("command-unexpected", {"type": "ExitProcess"})]
--- a/tests/test_key_loads.py
+++ b/tests/test_key_loads.py
@@ -8,10 +8,10 @@
 
 from sailward import constants
 from sailward.consensus.messages import pack_message
-from sailward.control.proxies.key_loads import KeyLoads, WorkerPaces, has_shifted, read_rates, tell_rates
-from sailward.control.proxies.proxy_registry import Fleet
+from sailward.control.proxies.key_loads import KeyLoads, WorkerPaces, has_shifted, read_rates, write_rates
+from sailward.control.proxies.proxy_registry import ProxyRegistry
 from sailward.control.proxies.subscribers import Subscriber
-from sailward.events import Tell
+from sailward.events import SendMessage
 
 HERE, READER, OTHER = "c0", "c1", "c2"
 
@@ -19,11 +19,11 @@
 def make_proxy(*, loads: dict, turn: int, paces: dict | None = None) -> Subscriber:
     entry = {"id": "p0", "http": "p0:80", "hall": "north-a", "region": "north", "fit": True, "kind": "proxy"}
     report = {"loads": loads, "turn": turn, "lead": HERE, "paces": paces or {}}
-    return Subscriber(entry=entry, first=0.0, seen=0.0, report=report)
+    return Subscriber(entry=entry, first=0.0, last_seen_at=0.0, report=report)
 
 
-def tick(*, fleet: Fleet, now: float, proxy: Subscriber) -> list[Tell]:
-    proxy.seen = now
+def tick(*, fleet: ProxyRegistry, now: float, proxy: Subscriber) -> list[SendMessage]:
+    proxy.last_seen_at = now
     controllers = [{"post": post, "hall": "north-a", "region": "north", "start": 1} for post in (HERE, READER, OTHER)]
     return fleet.step(now=now, event=None, proxies=[proxy], controllers=controllers)
 
@@ -52,14 +52,14 @@
         bucket = min(constants.LOAD_BUCKETS - 1, int(300 + rng.paretovariate(0.7)))
         rates[bucket] = rates.get(bucket, 0.0) + 0.1
     rates[3000] = 80.0
-    told = tell_rates(rates=rates)
+    told = write_rates(rates=rates)
     assert (
         len(
             pack_message(body={"kind": "fleet", "number": 1, "rows": [], "down": {}, "loads": {"rates": {"red": told}}})
         )
         < 400
     )
-    read = read_rates(told=told)
+    read = read_rates(row=told)
     assert sum(read.values()) == pytest.approx(sum(rates.values()), rel=0.01)
     assert read[3000] == pytest.approx(80.0, rel=0.15)
     for end in (301, 305, 330, 400, 2999, 3000):
@@ -68,8 +68,8 @@
 
 
 def test_nothing_is_told_of_nothing() -> None:
-    assert tell_rates(rates={}) == [] and read_rates(told=[]) == {}
-    assert read_rates(told=tell_rates(rates={9: 4.0})) == {9: pytest.approx(4.0)}
+    assert write_rates(rates={}) == [] and read_rates(row=[]) == {}
+    assert read_rates(row=write_rates(rates={9: 4.0})) == {9: pytest.approx(4.0)}
 
 
 def test_chance_is_no_shift_but_a_new_hot_key_is() -> None:
@@ -82,7 +82,7 @@
 
 
 def test_a_new_load_is_told_at_once_to_those_who_place_keys_and_rarely_when_at_rest() -> None:
-    fleet, now, told = Fleet(post=HERE, hall="north-a", region="north"), 100.0, []
+    fleet, now, told = ProxyRegistry(post=HERE, zone="north-a", region="north"), 100.0, []
     fleet.readers = frozenset({READER})
     proxy = make_proxy(loads={}, turn=0)
     for _ in range(60):
@@ -118,16 +118,16 @@
     told = {key: pace for key, (pace, _) in paces.paces(now=2.0).items()}
     assert told["slow"] / told["quick"] == pytest.approx(2.5, rel=0.05)
     assert told["queueing"] < 1.7 * told["quick"]
-    assert paces.paces(now=3.0 + constants.PACE_LIFE) == {}
+    assert paces.paces(now=3.0 + constants.PACE_TTL) == {}
 
 
 def test_paces_of_several_controllers_are_weighted_by_their_times() -> None:
-    fleet = Fleet(post=HERE, hall="north-a", region="north")
+    fleet = ProxyRegistry(post=HERE, zone="north-a", region="north")
     proxy = make_proxy(loads={"red": {"7": 4}}, turn=1, paces={"w0": [100, 100], "w1": [50]})
-    [tell, _] = tick(fleet=fleet, now=100.0, proxy=proxy)
-    other = Fleet(post=READER, hall="north-a", region="north")
+    [deliver, _] = tick(fleet=fleet, now=100.0, proxy=proxy)
+    other = ProxyRegistry(post=READER, zone="north-a", region="north")
     tick(fleet=other, now=100.0, proxy=make_proxy(loads={}, turn=1, paces={"w0": [400]}))
-    other.step(now=100.1, event=(HERE, tell.body), proxies=[], controllers=[])
+    other.step(now=100.1, event=(HERE, deliver.body), proxies=[], controllers=[])
     other.worker_paces.step(now=100.1, times={"w0": [400]})
     paces = other.paces(now=100.2)
     assert paces["w0"][1] == 3 and paces["w0"][0] == pytest.approx(0.2) and paces["w1"] == (pytest.approx(0.05), 1)
--- a/tests/test_message_transport.py
+++ b/tests/test_message_transport.py
@@ -15,7 +15,7 @@
 
 from sailward import constants
 from sailward.runtime.reactor import Reactor
-from sailward.transport.message_transport import LENGTH, PLAIN, Courier, pack_body, read_body
+from sailward.transport.message_transport import LENGTH, PLAIN, MessageTransport, pack_body, read_body
 
 PATIENCE = 10.0
 
@@ -39,17 +39,17 @@
         self.changed = threading.Condition()
         self.reactor = Reactor()
         self.address = f"127.0.0.1:{port or free_port()}"
-        self.courier = Courier(reactor=self.reactor, address=self.address, tell=self.tell)
+        self.message_transport = MessageTransport(reactor=self.reactor, address=self.address, deliver=self.deliver)
         self.thread = threading.Thread(target=self.reactor.run, daemon=True)
         self.thread.start()
 
-    def tell(self, event: object) -> None:
+    def deliver(self, event: object) -> None:
         with self.changed:
             self.heard.append(event)
             self.changed.notify_all()
 
     def send(self, *, to: str, body: dict) -> None:
-        self.reactor.give(call=lambda: self.courier.send(to=to, body=body))
+        self.reactor.give(call=lambda: self.message_transport.send(to=to, body=body))
 
     def wait(self, count: int) -> list:
         with self.changed:
@@ -136,11 +136,11 @@
     late = Station(port=port)
     try:
 
-        def is_heard() -> bool:
+        def is_received() -> bool:
             near.send(to=late.address, body=make_push(number=9))
             return any(one.body["number"] == 9 for one in late.heard)
 
-        until(is_heard)
+        until(is_received)
     finally:
         late.stop()
 
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -6,14 +6,14 @@
 
 from sailward.control.administration.metrics import CONTENT_TYPE, Family, Sample, write_metrics
 from sailward.control.controller import Controller
-from sailward.events import Answer, Asked
+from sailward.events import RequestReceived, Respond
 from simulation.core_group import CoreGroup
 from tests.core_net import CoreNet, make_written
 
 
-def ask(*, controller: Controller, now: float) -> Answer:
-    event = Asked(token="desk m", method="GET", path="/metrics", query={}, headers={}, body=b"")
-    return next(one for one in controller.step(now=now, event=event) if isinstance(one, Answer))
+def ask(*, controller: Controller, now: float) -> Respond:
+    event = RequestReceived(token="desk m", method="GET", path="/metrics", query={}, headers={}, body=b"")
+    return next(one for one in controller.step(now=now, event=event) if isinstance(one, Respond))
 
 
 def read_metrics(*, controller: Controller, now: float) -> dict:
@@ -95,9 +95,9 @@
 
 def test_the_status_shows_the_same_values() -> None:
     group = found_group()
-    event = Asked(token="desk s", method="GET", path="/status", query={}, headers={}, body=b"")
+    event = RequestReceived(token="desk s", method="GET", path="/status", query={}, headers={}, body=b"")
     answer = next(
-        one for one in group.members[0].controller.step(now=group.now, event=event) if isinstance(one, Answer)
+        one for one in group.members[0].controller.step(now=group.now, event=event) if isinstance(one, Respond)
     )
     assert b'"register_number{register=config}": 1.0' in answer.body
 
--- a/tests/test_model_explorer.py
+++ b/tests/test_model_explorer.py
@@ -42,7 +42,7 @@
 @pytest.mark.parametrize("name", ["small-crash", "small-larger", "small-smaller", "small-changes"])
 def test_a_small_case_is_searched_whole_and_nothing_breaks(name: str) -> None:
     found = explore(bounds=CASES[name])
-    assert found.is_whole
+    assert found.is_complete
     assert found.broken is None
 
 
--- a/tests/test_platform_config.py
+++ b/tests/test_platform_config.py
@@ -153,12 +153,18 @@
         15.0,
     )
     match = plan.match(path="/p0/2f", method="POST", tenant="", host="one.example")
-    assert (match.kind, match.expiry, match.tries, match.target, match.rank) == ("once", 2.5, 2, 0.4, 0)
+    assert (match.kind, match.expiry, match.max_attempts, match.target, match.rank) == ("once", 2.5, 2, 0.4, 0)
     assert match.shares == (("red", 90), ("white", 10)) and match.homes == {"gdl"}
     assert plan.match(path="/p1/", method="GET", tenant="", host="two.example").is_repeatable
     assert plan.match(path="/p1/", method="GET", tenant="", host="one.example") is None
     red, white = plan.services["red"], plan.services["white"]
-    assert (red.ranged, red.health_path, red.connections, red.cold, red.cold_rate) == (False, "/health", 130, 3.0, 6.0)
+    assert (red.ranged, red.health_path, red.connections, red.slow_start, red.slow_start_rate) == (
+        False,
+        "/health",
+        130,
+        3.0,
+        6.0,
+    )
     assert (white.ranged, white.warm_up, white.slots) == (True, 3.0, 0)
     assert plan.pools["red"].near and plan.regions == ZONES
     assert check_config(config=full).full == full
--- a/tests/test_platform_real.py
+++ b/tests/test_platform_real.py
@@ -62,7 +62,7 @@
         return None
 
 
-class Listing(http.server.BaseHTTPRequestHandler):
+class EndpointPoller(http.server.BaseHTTPRequestHandler):
     """The platform's list."""
 
     protocol_version = "HTTP/1.1"
@@ -129,7 +129,7 @@
                     "cold_left_s": 0,
                 }
             )
-        self.listing = serve(Listing, rows=rows)
+        self.listing = serve(EndpointPoller, rows=rows)
         self.settings = {}
         for at, zone in enumerate(ZONES):
             self.settings[f"controller-{at}"] = self.make("controller", at, zone)
@@ -229,8 +229,8 @@
 def test_the_whole_path_as_real_processes(fleet: Fleet) -> None:
     for name in fleet.settings:
         fleet.start(name)
-    desk = fleet.at("controller-0", "control_plane")
-    until(lambda: ask(desk, "PUT", "/config", json.dumps(make_config(label=1)).encode(), If_Match="0")[0] == 200)
+    admin_api = fleet.at("controller-0", "control_plane")
+    until(lambda: ask(admin_api, "PUT", "/config", json.dumps(make_config(label=1)).encode(), If_Match="0")[0] == 200)
     for name in ("proxy-0", "proxy-1"):
         until(lambda name=name: ask(fleet.at(name, "readiness"), "GET", "/readiness")[0] == 200)
     both = sorted(fleet.at(name, "front") for name in ("proxy-0", "proxy-1"))
@@ -283,10 +283,10 @@
     ran = [one for worker in fleet.workers for one in worker.ran if one[0] == "POST"]
     assert sorted(one[2] for one in ran) == [f"o{at}" for at in range(8)]
     assert ask(fleet.at("proxy-0", "front"), "GET", "/none/", Host="shop", Attempt_Id="n", Time_Budget="1000")[0] == 404
-    assert ask(desk, "PUT", "/config", json.dumps(make_config(label=2)).encode(), If_Match="r7")[0] == 412
+    assert ask(admin_api, "PUT", "/config", json.dumps(make_config(label=2)).encode(), If_Match="r7")[0] == 412
     # a version that is not current yet may come and be built upon: nothing definite can be said of this change
-    assert ask(desk, "PUT", "/config", json.dumps(make_config(label=9)).encode(), If_Match="r7")[0] == 503
-    assert ask(desk, "PUT", "/config", b'{"generation":"r3"', If_Match="r1")[0] == 400
+    assert ask(admin_api, "PUT", "/config", json.dumps(make_config(label=9)).encode(), If_Match="r7")[0] == 503
+    assert ask(admin_api, "PUT", "/config", b'{"generation":"r3"', If_Match="r1")[0] == 400
 
     # an evacuation: nothing more for the zone's workers; a change through another controller; the same sent again is
     # 200
@@ -299,7 +299,7 @@
             == 200
         )
     # another change on top of the version that was replaced has lost for good
-    assert ask(desk, "PUT", "/config", json.dumps(make_config(label=9)).encode(), If_Match="r1")[0] == 412
+    assert ask(admin_api, "PUT", "/config", json.dumps(make_config(label=9)).encode(), If_Match="r1")[0] == 412
     until(
         lambda: (
             ask(
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -10,17 +10,28 @@
 
 from sailward import constants
 from sailward.consensus.messages import check_message
-from sailward.discovery.peer_table import Place
-from sailward.events import Answer, Asked, Call, Called, Heard, Leave, Stop, StopAsked, Tell, Ticked
+from sailward.discovery.peer_table import Location
+from sailward.events import (
+    CallFinished,
+    DrainConnections,
+    ExitProcess,
+    MessageReceived,
+    RequestReceived,
+    Respond,
+    SendMessage,
+    ShutdownRequested,
+    StartCall,
+    TimerFired,
+)
 from sailward.proxy.proxy import Proxy, ProxyOptions
 from sailward.runtime.adapter import load_part
 from tests.core_net import CONFIG, ZONES, make_written
 
 WIRE = load_part(folder=Path(__file__).parent.parent / "platform", name="wire")
-PLACE = Place(
+PLACE = Location(
     name="p0",
     kind="proxy",
-    hall="gdl-a",
+    zone="gdl-a",
     region="gdl",
     post="10.0.0.9:7621",
     http="10.0.0.9:8641",
@@ -68,10 +79,10 @@
         commands = self.proxy.step(now=self.now, event=event)
         self.log += commands
         for command in commands:
-            if isinstance(command, Tell):
+            if isinstance(command, SendMessage):
                 assert isinstance(check_message(body=command.body), dict), command.body
                 if command.body["kind"] == "ask" and command.to in self.answering:
-                    self.hear(
+                    self.receive(
                         {
                             "kind": "grant",
                             "seq": command.body["seq"],
@@ -85,19 +96,19 @@
                     )
         return commands
 
-    def hear(self, body: dict, *, sender: str = "c0") -> list:
-        return self.give(Heard(sender=sender, body=check_message(body=body)))
+    def receive(self, body: dict, *, sender: str = "c0") -> list:
+        return self.give(MessageReceived(sender=sender, body=check_message(body=body)))
 
     def run(self, seconds: float) -> list:
         commands, end = [], self.now + seconds
         while self.now < end:
             self.now += constants.TICK
-            commands += self.give(Ticked(wall=self.now))
+            commands += self.give(TimerFired(wall=self.now))
         return commands
 
     def push(self, name: str, value: object, *, number: int = 1, sender: str = "c0") -> list:
         text = json.dumps(value)
-        return self.hear(
+        return self.receive(
             {
                 "kind": "push",
                 "seq": number,
@@ -113,7 +124,7 @@
         self, edge: str, path: str, *, method: str = "GET", headers: dict | None = None, query: dict | None = None
     ) -> list:
         self.count += 1
-        event = Asked(
+        event = RequestReceived(
             token=f"{edge} {self.count}",
             method=method,
             path=path,
@@ -122,13 +133,13 @@
             body=b"",
             target=path,
         )
-        return self.give(event if edge == "front" else WIRE.ask_directory(event))
+        return self.give(event if edge == "front" else WIRE.request_directory(event))
 
     def request(self, *, host: str = "two.example", path: str = "/p1/x") -> list:
         return self.ask("front", path, headers={"host": host, "attempt-id": f"a{self.count}", "time-budget": "2000"})
 
     def code(self, edge: str, path: str, **more: object) -> int:
-        return next(one.code for one in self.ask(edge, path, **more) if isinstance(one, Answer))
+        return next(one.code for one in self.ask(edge, path, **more) if isinstance(one, Respond))
 
 
 @pytest.fixture
@@ -141,8 +152,8 @@
     return bench
 
 
-def calls(commands: list) -> list[Call]:
-    return [one for one in commands if isinstance(one, Call)]
+def calls(commands: list) -> list[StartCall]:
+    return [one for one in commands if isinstance(one, StartCall)]
 
 
 def test_it_is_ready_when_it_has_both_a_configuration_and_a_list() -> None:
@@ -159,27 +170,27 @@
 
 def test_every_push_is_acknowledged_and_an_older_one_changes_nothing(bench: Bench) -> None:
     newer = bench.push("config", {"written": make_written(label=9, weight=0)}, number=3)
-    assert [one.body["number"] for one in newer if isinstance(one, Tell) and one.body["kind"] == "ack"] == [3]
+    assert [one.body["number"] for one in newer if isinstance(one, SendMessage) and one.body["kind"] == "ack"] == [3]
     older = bench.push("config", {"written": make_written(label=7)}, number=2)
-    assert [one.body["number"] for one in older if isinstance(one, Tell) and one.body["kind"] == "ack"] == [2]
-    assert bench.proxy.scene.plan.label == 9
+    assert [one.body["number"] for one in older if isinstance(one, SendMessage) and one.body["kind"] == "ack"] == [2]
+    assert bench.proxy.context.plan.label == 9
 
 
 def test_lists_are_taken_from_the_controller_it_follows_alone(bench: Bench) -> None:
     bench.push("workers", WORKERS[:1], number=2, sender="c1")
-    assert len(bench.proxy.book.workers) == 3
+    assert len(bench.proxy.endpoint_table.workers) == 3
     bench.push("workers", WORKERS[:2], number=2)
-    assert len(bench.proxy.book.workers) == 2
+    assert len(bench.proxy.endpoint_table.workers) == 2
 
 
 def test_a_draining_worker_stays_so_though_another_list_lags(bench: Bench) -> None:
     bench.push("workers", [WORKERS[0], {**WORKERS[1], "leaving": True}, WORKERS[2]], number=2)
     bench.push("workers", WORKERS, number=3)
-    assert bench.proxy.book.workers["w1"].leaving and not bench.proxy.book.workers["w0"].leaving
+    assert bench.proxy.endpoint_table.workers["w1"].leaving and not bench.proxy.endpoint_table.workers["w0"].leaving
 
 
 def test_unexpected_messages_are_logged_and_do_no_harm(bench: Bench) -> None:
-    bench.hear({"kind": "gossip", "entries": [], "reply": False})
+    bench.receive({"kind": "gossip", "entries": [], "reply": False})
     bench.push("nonsense", {}, number=4)
     assert bench.code("ready", "/readiness") == 200
 
@@ -200,9 +211,9 @@
 def test_it_tells_the_core_what_it_holds_and_finds_down(bench: Bench) -> None:
     bench.log.clear()
     [call] = calls(bench.request())
-    bench.give(Called(token=call.token, code=0, headers={}, body=b"", fault="refused", sent=False))
+    bench.give(CallFinished(token=call.token, code=0, headers={}, body=b"", fault="refused", sent=False))
     bench.run(1.0)
-    asks = [one.body for one in bench.log if isinstance(one, Tell) and one.body["kind"] == "ask"]
+    asks = [one.body for one in bench.log if isinstance(one, SendMessage) and one.body["kind"] == "ask"]
     assert (
         asks[-1]["have"]["config"][0] == 1 and asks[-1]["daemon"]["fit"] and asks[-1]["report"]["down"] == [call.owner]
     )
@@ -212,24 +223,24 @@
     bench.push("orders", {"emptied": ["gdl-a"]})
     assert not calls(bench.request())
     bench.push("orders", {"emptied": []}, number=2)
-    assert all(shown.cold_until > bench.now for shown in bench.proxy.evidence.shown.values())
+    assert all(shown.slow_start_until > bench.now for shown in bench.proxy.passive_health.shown.values())
 
 
 def test_a_stop_leaves_in_order(bench: Bench) -> None:
-    commands = bench.give(StopAsked())
-    assert [one.shut for one in commands if isinstance(one, Leave)] == [False]
+    commands = bench.give(ShutdownRequested())
+    assert [one.shut for one in commands if isinstance(one, DrainConnections)] == [False]
     assert any(
-        isinstance(one, Tell) and one.body["kind"] == "ask" and not one.body["daemon"]["fit"] for one in commands
+        isinstance(one, SendMessage) and one.body["kind"] == "ask" and not one.body["daemon"]["fit"] for one in commands
     )
     assert bench.code("ready", "/readiness") == 503
     bench.run(2.0)
     [call] = calls(bench.request())
     commands = bench.run(1.2)
-    assert [one.shut for one in commands if isinstance(one, Leave)] == [True] and not any(
-        isinstance(one, Stop) for one in commands
+    assert [one.shut for one in commands if isinstance(one, DrainConnections)] == [True] and not any(
+        isinstance(one, ExitProcess) for one in commands
     )
     commands = bench.give(
-        Called(
+        CallFinished(
             token=call.token,
             code=200,
             headers={"attempt-id": call.headers["attempt-id"], "server-seal": "x"},
@@ -238,18 +249,18 @@
             sent=True,
         )
     )
-    assert [one.code for one in commands if isinstance(one, Answer)] == [200]
-    assert any(isinstance(one, Stop) and one.code == 0 for one in bench.run(0.2))
+    assert [one.code for one in commands if isinstance(one, Respond)] == [200]
+    assert any(isinstance(one, ExitProcess) and one.code == 0 for one in bench.run(0.2))
 
 
 def test_an_idle_one_stops_when_it_has_left(bench: Bench) -> None:
-    bench.give(StopAsked())
-    assert not any(isinstance(one, Stop) for one in bench.run(2.5))
-    assert any(isinstance(one, Stop) for one in bench.run(1.0))
+    bench.give(ShutdownRequested())
+    assert not any(isinstance(one, ExitProcess) for one in bench.run(2.5))
+    assert any(isinstance(one, ExitProcess) for one in bench.run(1.0))
 
 
 def test_it_goes_on_without_the_core(bench: Bench) -> None:
     bench.answering = set()
     bench.run(20.0)
-    assert not bench.proxy.uplink.answers(now=bench.now)
+    assert not bench.proxy.control_client.answers(now=bench.now)
     assert calls(bench.request()) and bench.code("ready", "/readiness") == 200
--- a/tests/test_proxy_registry.py
+++ b/tests/test_proxy_registry.py
@@ -8,34 +8,34 @@
 
 from sailward import constants
 from sailward.consensus.messages import check_message
-from sailward.control.proxies.proxy_registry import Fleet
+from sailward.control.proxies.proxy_registry import ProxyRegistry
 from sailward.control.proxies.subscribers import Subscriber
-from sailward.events import Tell
+from sailward.events import SendMessage
 
-HALLS = {"c0": ("north-a", "north"), "c1": ("south-a", "south")}
+ZONES = {"c0": ("north-a", "north"), "c1": ("south-a", "south")}
 
 
 def make_entry(post: str, *, start: int = 1) -> dict:
     return {
         "id": post,
         "post": post,
-        "hall": HALLS[post][0],
-        "region": HALLS[post][1],
+        "hall": ZONES[post][0],
+        "region": ZONES[post][1],
         "start": start,
         "kind": "controller",
     }
 
 
-def make_proxy(name: str, *, now: float, fit: bool = True, hall: str = "north-a", **report: object) -> Subscriber:
+def make_proxy(name: str, *, now: float, fit: bool = True, zone: str = "north-a", **report: object) -> Subscriber:
     entry = {
         "id": name,
         "http": f"{name}:80",
-        "hall": hall,
-        "region": hall.split("-", maxsplit=1)[0],
+        "hall": zone,
+        "region": zone.split("-", maxsplit=1)[0],
         "fit": fit,
         "kind": "proxy",
     }
-    return Subscriber(entry=entry, first=now, seen=now, report=report)
+    return Subscriber(entry=entry, first=now, last_seen_at=now, report=report)
 
 
 class Pair:
@@ -43,9 +43,11 @@
 
     def __init__(self) -> None:
         self.now = 100.0
-        self.fleets = {post: Fleet(post=post, hall=hall, region=region) for post, (hall, region) in HALLS.items()}
-        self.proxies: dict = {post: [] for post in HALLS}
-        self.starts = dict.fromkeys(HALLS, 1)
+        self.fleets = {
+            post: ProxyRegistry(post=post, zone=zone, region=region) for post, (zone, region) in ZONES.items()
+        }
+        self.proxies: dict = {post: [] for post in ZONES}
+        self.starts = dict.fromkeys(ZONES, 1)
         self.is_cut = False
 
     def run(self, seconds: float) -> None:
@@ -53,16 +55,16 @@
         while self.now < end:
             for post, fleet in self.fleets.items():
                 for one in self.proxies[post]:
-                    one.seen = self.now
-                controllers = [make_entry(one, start=self.starts[one]) for one in HALLS]
+                    one.last_seen_at = self.now
+                controllers = [make_entry(one, start=self.starts[one]) for one in ZONES]
                 for command in fleet.step(
                     now=self.now, event=None, proxies=self.proxies[post], controllers=controllers
                 ):
                     self.deliver(sender=post, command=command)
             self.now += constants.TICK
 
-    def deliver(self, *, sender: str, command: Tell) -> None:
-        assert isinstance(command, Tell) and isinstance(check_message(body=command.body), dict)
+    def deliver(self, *, sender: str, command: SendMessage) -> None:
+        assert isinstance(command, SendMessage) and isinstance(check_message(body=command.body), dict)
         if self.is_cut:
             return
         for reply in self.fleets[command.to].step(
@@ -81,7 +83,7 @@
     pair = Pair()
     pair.proxies = {
         "c0": [make_proxy("p0", now=pair.now), make_proxy("p1", now=pair.now)],
-        "c1": [make_proxy("p2", now=pair.now, hall="south-a")],
+        "c1": [make_proxy("p2", now=pair.now, zone="south-a")],
     }
     pair.run(3.0)
     return pair
@@ -120,14 +122,14 @@
 def test_a_controller_that_is_lost_takes_its_word_along_after_a_while() -> None:
     pair = make_pair()
     pair.is_cut = True
-    pair.run(constants.FLEET_LIFE + 1.0)
+    pair.run(constants.FLEET_TTL + 1.0)
     assert pair.names("c0") == ["p0", "p1"]
 
 
 def test_after_a_cut_without_news_the_whole_fleet_is_told_again() -> None:
     pair = make_pair()
     pair.is_cut = True
-    pair.run(constants.FLEET_LIFE + 1.0)
+    pair.run(constants.FLEET_TTL + 1.0)
     pair.is_cut = False
     pair.run(3.0)
     assert pair.names("c0") == pair.names("c1") == ["p0", "p1", "p2"]
@@ -135,7 +137,7 @@
 
 def test_a_controller_that_starts_anew_is_told_all() -> None:
     pair = make_pair()
-    pair.fleets["c1"] = Fleet(post="c1", hall="south-a", region="south")
+    pair.fleets["c1"] = ProxyRegistry(post="c1", zone="south-a", region="south")
     pair.starts["c1"] = 2
     pair.run(3.0)
     assert pair.names("c1") == ["p0", "p1", "p2"]
@@ -146,7 +148,7 @@
     for one in pair.proxies["c0"]:
         one.report = {"down": ["w1"]}
     pair.run(3.0)
-    for post in HALLS:
+    for post in ZONES:
         assert pair.fleets[post].down(now=pair.now, proxies=pair.proxies[post]) == {"w1": (2, 3)}
 
 
@@ -157,7 +159,7 @@
             for one in proxies:
                 one.report = {"turn": turn, "lead": post, "loads": {"red": {"7": 30, "8": 1}}}
         pair.run(1.0)
-    for post in HALLS:
+    for post in ZONES:
         loads = pair.fleets[post].loads(now=pair.now, service="red")
         assert 60 < loads[7] < 120 and loads[8] < loads[7] / 10
     for proxies in pair.proxies.values():
@@ -170,7 +172,7 @@
 def test_a_lost_telling_does_not_make_proxies_vanish() -> None:
     pair = make_pair()
     pair.is_cut = True
-    pair.proxies["c1"].append(make_proxy("p3", now=pair.now, hall="south-a"))
+    pair.proxies["c1"].append(make_proxy("p3", now=pair.now, zone="south-a"))
     pair.run(1.5)
     pair.is_cut = False
     pair.run(4.0)
--- a/tests/test_quorum_contact.py
+++ b/tests/test_quorum_contact.py
@@ -9,13 +9,13 @@
 from sailward import constants
 from sailward.consensus.learner import CONTROL
 from sailward.control.group.quorum_contact import QuorumContact
-from sailward.events import Asked, Heard
-from sailward.proxy.control_client import Uplink
+from sailward.events import MessageReceived, RequestReceived
+from sailward.proxy.control_client import ControlClient
 from tests.core_net import CoreNet, make_written
 from tests.test_bootstrap import found, put
 
 MEMBERS = {f"v{at}": f"post{at}" for at in range(3)}
-LIFE = constants.CONTACT_LIFE
+TTL = constants.CONTACT_TTL
 
 
 def has(contact: QuorumContact, *, now: float, members: dict = MEMBERS, own: str = "v0") -> bool:
@@ -29,26 +29,26 @@
 
 def test_contact_lasts_from_the_question_not_from_the_answer() -> None:
     contact = QuorumContact(started=0.0)
-    contact.ask(now=10.0, question=7)
-    contact.hear_answer(peer="post1", question=7)  # it came late: at 10.0 + LIFE - 0.1, say
-    assert has(contact, now=10.0 + LIFE) and not has(contact, now=10.0 + LIFE + 0.01)
+    contact.record_question(now=10.0, question=7)
+    contact.on_answer(peer="post1", question=7)  # it came late: at 10.0 + LIFE - 0.1, say
+    assert has(contact, now=10.0 + TTL) and not has(contact, now=10.0 + TTL + 0.01)
 
 
 def test_an_answer_to_what_was_never_asked_or_is_forgotten_shows_nothing() -> None:
     contact = QuorumContact(started=0.0)
-    contact.ask(now=10.0, question=7)
-    contact.hear_answer(peer="post1", question=8)
+    contact.record_question(now=10.0, question=7)
+    contact.on_answer(peer="post1", question=8)
     assert not has(contact, now=10.1)
-    contact.step(now=10.0 + LIFE + 0.1, members=MEMBERS, own="v0")
-    contact.hear_answer(peer="post1", question=7)
-    assert not has(contact, now=10.0 + LIFE + 0.1)
+    contact.step(now=10.0 + TTL + 0.1, members=MEMBERS, own="v0")
+    contact.on_answer(peer="post1", question=7)
+    assert not has(contact, now=10.0 + TTL + 0.1)
 
 
 def test_a_question_that_is_sent_again_counts_from_the_first_time() -> None:
     contact = QuorumContact(started=0.0)
-    contact.ask(now=10.0, question="read")
-    contact.ask(now=11.0, question="read")
-    contact.hear_answer(peer="post1", question="read")
+    contact.record_question(now=10.0, question="read")
+    contact.record_question(now=11.0, question="read")
+    contact.on_answer(peer="post1", question="read")
     assert contact.shown_at(now=11.1, members=MEMBERS, own="v0") == 10.0
 
 
@@ -60,9 +60,9 @@
     for count in range(len(others) + 1):
         for answering in itertools.combinations(others, count):
             contact = QuorumContact(started=0.0)
-            contact.ask(now=10.0, question=1)
+            contact.record_question(now=10.0, question=1)
             for post in answering:
-                contact.hear_answer(peer=post, question=1)
+                contact.on_answer(peer=post, question=1)
             expected = 2 * (count + is_voter) > size
             assert has(contact, now=10.5, members=members, own="v0" if is_voter else "") is expected
 
@@ -75,8 +75,8 @@
     contact = QuorumContact(started=0.0)
 
     def reach(now: float) -> None:
-        contact.ask(now=now, question=f"q{now}")
-        contact.hear_answer(peer="post1", question=f"q{now}")
+        contact.record_question(now=now, question=f"q{now}")
+        contact.on_answer(peer="post1", question=f"q{now}")
         contact.step(now=now, members=MEMBERS, own="v0")
 
     reach(1.0)
@@ -97,12 +97,12 @@
 
 def test_a_process_that_stood_still_has_no_contact_when_it_goes_on() -> None:
     contact = QuorumContact(started=0.0)
-    contact.ask(now=1.0, question=1)
-    contact.hear_answer(peer="post1", question=1)
+    contact.record_question(now=1.0, question=1)
+    contact.on_answer(peer="post1", question=1)
     contact.step(now=1.0, members=MEMBERS, own="v0")
     read_all(contact, now=1.0)
     # what waited for it is handled before any alarm: an answer to an old question, then an asking for configurations
-    contact.hear_answer(peer="post2", question=1)
+    contact.on_answer(peer="post2", question=1)
     assert not contact.may_serve(now=31.0, members=MEMBERS, own="v0")
 
 
@@ -133,7 +133,7 @@
     net = found(replace_after=99.0)
     put(net, label=1, on="0")
     net.cut = {"m0"}
-    net.run(LIFE + 0.1)
+    net.run(TTL + 0.1)
     assert "m0" not in serving(net)
     cut = net.machines[0]
     for method, path, body, if_match in (
@@ -164,7 +164,7 @@
     net = found(replace_after=99.0)
     put(net, label=1, on="0")
     net.cut = {"m0"}
-    net.run(LIFE + 0.1)
+    net.run(TTL + 0.1)
     cut = net.machines[0].controller
 
     def ask(**report: object) -> list[dict]:
@@ -178,7 +178,7 @@
             "fit": True,
         }
         body = {"kind": "ask", "seq": 1, "have": {}, "report": report, "daemon": daemon}
-        return [one.body for one in cut.step(now=net.now, event=Heard(sender="10.0.0.99:1", body=body))]
+        return [one.body for one in cut.step(now=net.now, event=MessageReceived(sender="10.0.0.99:1", body=body))]
 
     [grant] = ask()
     assert grant["kind"] == "grant" and grant["contact"] is False
@@ -192,7 +192,7 @@
     put(net, label=1, on="0")
     cellar = net.machines[0].controller
     cellar.contact_watch.contact.reached.clear()
-    event = Asked(token="desk x", method="GET", path="/config", query={}, headers={}, body=b"")
+    event = RequestReceived(token="desk x", method="GET", path="/config", query={}, headers={}, body=b"")
     [answer] = cellar.step(now=net.now, event=event)
     assert answer.code == 307
     assert answer.headers["Location"] in {f"http://{one.post}/config" for one in net.machines[1:]}
@@ -202,7 +202,7 @@
     net = found(replace_after=99.0)
     put(net, label=1, on="0")
     net.cut = {"m0"}
-    net.run(LIFE + 0.5)
+    net.run(TTL + 0.5)
     code, _, _ = net.ask(net.machines[1], method="PUT", path="/config", body=make_written(label=2), if_match="r1")
     assert code == 200
     net.run(20.0)
@@ -213,7 +213,7 @@
     def serves() -> bool:
         if not cut.contact_watch.may_serve(now=net.now):
             return False
-        assert cut.held.number(name="config") == 2
+        assert cut.learner.number(name="config") == 2
         return True
 
     assert net.run(5.0, until=serves) and net.now - healed < 2.0
@@ -224,14 +224,14 @@
     put(net, label=1, on="0")
     net.run(1.0)
     behind = net.machines[0].controller
-    hear = behind.step
+    receive = behind.step
     lost = {"prepare", "accept", "chosen", "read"}
     behind.step = lambda *, now, event: (
-        [] if isinstance(event, Heard) and event.body["kind"] in lost else hear(now=now, event=event)
+        [] if isinstance(event, MessageReceived) and event.body["kind"] in lost else receive(now=now, event=event)
     )
     code, _, _ = net.ask(net.machines[1], method="PUT", path="/config", body=make_written(label=2), if_match="r1")
-    assert code == 200 and behind.held.number(name="config") == 1
-    assert net.run(2.0, until=lambda: behind.held.number(name="config") == 2)
+    assert code == 200 and behind.learner.number(name="config") == 1
+    assert net.run(2.0, until=lambda: behind.learner.number(name="config") == 2)
     assert "m0" in serving(net)
 
 
@@ -245,52 +245,59 @@
     assert net.ask(net.machines[0], method="GET", path="/config")[0] == 503
 
 
-def make_uplink() -> Uplink:
-    return Uplink(hall="north-a", region="north", seeds=("near", "far"))
+def make_uplink() -> ControlClient:
+    return ControlClient(zone="north-a", region="north", seeds=("near", "far"))
 
 
-def grant(uplink: Uplink, *, now: float, sender: str, hall: str, **more: object) -> None:
-    uplink.step(now=now, sender=sender, body={"view": {"place": [hall, hall.partition("-")[0]]}, **more})
+def grant(control_client: ControlClient, *, now: float, sender: str, zone: str, **more: object) -> None:
+    control_client.step(now=now, sender=sender, body={"view": {"place": [zone, zone.partition("-")[0]]}, **more})
 
 
 def test_a_proxy_leaves_a_lead_that_lost_contact_at_once_and_asks_those_that_it_names() -> None:
-    uplink = make_uplink()
-    uplink.step(now=1.0, sender=None, body={"kind": "ask"})
-    grant(uplink, now=1.1, sender="near", hall="north-a")
-    grant(uplink, now=1.1, sender="far", hall="south-a")
-    assert uplink.lead == "near"
-    grant(uplink, now=1.5, sender="near", hall="north-a", contact=False, controllers=[["third", "north-b", "north"]])
-    assert uplink.lead == "far" and "third" in uplink.known
-    asked = {one.to for one in uplink.step(now=1.5, sender=None, body={"kind": "ask"}) if hasattr(one, "to")}
+    control_client = make_uplink()
+    control_client.step(now=1.0, sender=None, body={"kind": "ask"})
+    grant(control_client, now=1.1, sender="near", zone="north-a")
+    grant(control_client, now=1.1, sender="far", zone="south-a")
+    assert control_client.lead == "near"
+    grant(
+        control_client,
+        now=1.5,
+        sender="near",
+        zone="north-a",
+        contact=False,
+        controllers=[["third", "north-b", "north"]],
+    )
+    assert control_client.lead == "far" and "third" in control_client.known
+    asked = {one.to for one in control_client.step(now=1.5, sender=None, body={"kind": "ask"}) if hasattr(one, "to")}
     assert "third" in asked
-    grant(uplink, now=1.6, sender="near", hall="north-a")
-    assert uplink.lead == "near"
+    grant(control_client, now=1.6, sender="near", zone="north-a")
+    assert control_client.lead == "near"
 
 
 def test_a_proxy_follows_one_without_contact_only_if_none_with_contact_answers_for_long() -> None:
-    uplink = make_uplink()
+    control_client = make_uplink()
     begun, led_at = 1.0, None
     for at in range(100):
         now = begun + at * constants.TICK
-        for one in uplink.step(now=now, sender=None, body={"kind": "ask"}):
+        for one in control_client.step(now=now, sender=None, body={"kind": "ask"}):
             if getattr(one, "to", "") == "near":
-                grant(uplink, now=now + 0.01, sender="near", hall="north-a", contact=False)
-        led_at = led_at or (now if uplink.lead else None)
+                grant(control_client, now=now + 0.01, sender="near", zone="north-a", contact=False)
+        led_at = led_at or (now if control_client.lead else None)
     assert led_at is not None
-    assert constants.LAST_RESORT_AFTER <= led_at - begun <= constants.LAST_RESORT_AFTER + 2 * constants.ASK_SILENT
-    grant(uplink, now=now, sender="far", hall="south-a")
-    assert uplink.lead == "far" and not uplink.is_last_resort(now=now)
+    assert constants.LAST_RESORT_AFTER <= led_at - begun <= constants.LAST_RESORT_AFTER + 2 * constants.POLL_TIMEOUT
+    grant(control_client, now=now, sender="far", zone="south-a")
+    assert control_client.lead == "far" and not control_client.is_last_resort(now=now)
 
 
 def test_an_answer_of_the_last_version_counts_as_one_with_contact() -> None:
-    uplink = make_uplink()
-    uplink.step(now=1.0, sender=None, body={"kind": "ask"})
-    grant(uplink, now=1.1, sender="near", hall="north-a")
-    assert uplink.lead == "near"
+    control_client = make_uplink()
+    control_client.step(now=1.0, sender=None, body={"kind": "ask"})
+    grant(control_client, now=1.1, sender="near", zone="north-a")
+    assert control_client.lead == "near"
 
 
 @pytest.mark.parametrize("controllers", [None, 3, "x", [3], [["a"]], [["a", 1, "c"]], [["a", "b", "c", "d"]]])
 def test_names_of_others_that_are_no_names_are_passed_over(controllers: object) -> None:
-    uplink = make_uplink()
-    grant(uplink, now=1.1, sender="near", hall="north-a", contact=False, controllers=controllers)
-    assert set(uplink.known) == {"near"}
+    control_client = make_uplink()
+    grant(control_client, now=1.1, sender="near", zone="north-a", contact=False, controllers=controllers)
+    assert set(control_client.known) == {"near"}
--- a/tests/test_second_loss.py
+++ b/tests/test_second_loss.py
@@ -5,7 +5,7 @@
 import pytest
 
 from sailward.consensus.proposer import majority_of
-from sailward.events import StopAsked
+from sailward.events import ShutdownRequested
 from tests.core_net import CoreNet, Machine, make_written
 from tests.test_bootstrap import found, put
 
@@ -79,7 +79,7 @@
     put(net, label=1, on="0")
     old = a_voter(net)
     begun = net.now
-    net.give(old, event=StopAsked())
+    net.give(old, event=ShutdownRequested())
     assert net.run(5.0, until=lambda: old.controller is None)
     assert net.now - begun < 1.5
     assert bears(net, losses=budget)
@@ -96,7 +96,7 @@
     put(net, label=1, on="0")
     net.run(0.3)
     net.cut = set()
-    net.give(leaving, event=StopAsked())
+    net.give(leaving, event=ShutdownRequested())
     assert net.run(5.0, until=lambda: leaving.controller is None)
     net.kill(leaving, wipe=True)
     net.kill(lost, wipe=True)
@@ -115,7 +115,7 @@
 def test_one_that_is_told_to_stop_goes_at_once_where_none_can_take_its_place() -> None:
     net = found(zones=ZONES[:3])
     begun = net.now
-    net.give(net.machines[0], event=StopAsked())
+    net.give(net.machines[0], event=ShutdownRequested())
     assert net.machines[0].controller is None
     assert net.now == begun
 
@@ -124,7 +124,7 @@
     net = make_core(machines=4, budget=1)
     put(net, label=1, on="0")
     for machine in net.machines:
-        net.give(machine, event=StopAsked())
+        net.give(machine, event=ShutdownRequested())
     assert net.run(4.5, until=lambda: not any(one.controller for one in net.machines))
     for machine in net.machines:
         net.start(machine)
@@ -136,7 +136,7 @@
     net = make_core(machines=4, budget=1)
     put(net, label=1, on="0")
     for machine in list(net.machines):
-        net.give(machine, event=StopAsked())
+        net.give(machine, event=ShutdownRequested())
         assert net.run(4.5, until=lambda machine=machine: machine.controller is None)
         assert bears(net, losses=1)
         net.run(0.4)
@@ -153,7 +153,7 @@
     for one in waiting:
         # it never finishes its copy
         one.controller.membership.copying.step = lambda **_: []
-    net.give(leaving, event=StopAsked())
+    net.give(leaving, event=ShutdownRequested())
     assert net.run(4.5, until=lambda: leaving.controller is None)
     put(net, label=2, on="r1")
     for one in waiting:
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -13,9 +13,9 @@
 
 from sailward.config import check as check_module
 from sailward.config.check import Sound, Unsound, check_config
-from sailward.consensus.proposer import Accepted, Settled
+from sailward.consensus.proposer import Accepted, OperationFinished
 from sailward.control.administration.admin_api import AdminApi
-from sailward.events import Asked, Check, Checked
+from sailward.events import ConfigValidated, RequestReceived, ValidateConfig
 from sailward.routing.plan import plan_of, read_plan
 from simulation.deployments import make_arriaga
 
@@ -51,7 +51,7 @@
         )
     ).full
     match = plan_of(full=full, number=1).match(path="/more/1", method="GET", tenant="", host="one.example")
-    assert (match.kind, match.expiry, match.tries, match.target, match.rank, match.homes) == (
+    assert (match.kind, match.expiry, match.max_attempts, match.target, match.rank, match.homes) == (
         "once",
         2.5,
         3,
@@ -246,17 +246,21 @@
     def labelled(given: int | None) -> dict:
         return CONFIG if given is None else {**CONFIG, "label": given}
 
-    desk = AdminApi(identity="x")
+    admin_api = AdminApi(identity="x")
     body = json.dumps(labelled(label)).encode()
-    _, begins = desk.step(event=Asked(token="t", method="PUT", path="/config", query={}, headers={}, body=body))
+    _, begins = admin_api.step(
+        event=RequestReceived(token="t", method="PUT", path="/config", query={}, headers={}, body=body)
+    )
     old = check_config(config=labelled(before))
     value = {"number": 1, "mark": "m", "trail": [], "text": json.dumps({"written": old.written, "full": old.full})}
-    commands, _ = desk.step(
-        event=Settled(op=begins[0].op, register="config", outcome=Accepted(number=1, ballot=[1, "x"], value=value))
+    commands, _ = admin_api.step(
+        event=OperationFinished(
+            op=begins[0].op, register="config", outcome=Accepted(number=1, ballot=[1, "x"], value=value)
+        )
     )
-    assert isinstance(commands[0], Check)
-    commands, begins = desk.step(
-        event=Checked(token=commands[0].token, verdict=check_config(config=commands[0].config))
+    assert isinstance(commands[0], ValidateConfig)
+    commands, begins = admin_api.step(
+        event=ConfigValidated(token=commands[0].token, verdict=check_config(config=commands[0].config))
     )
     assert (len(begins) == 1) == is_taken
     if not is_taken:
--- a/tests/test_shards.py
+++ b/tests/test_shards.py
@@ -8,11 +8,11 @@
 
 from sailward import constants
 from sailward.control.shards.shard_plan import Span, place, strain, weigh
-from sailward.routing.shards import KEYS, MOVING, OPEN, Shard, ShardBook, ShardTable, read_shards, write_shards
+from sailward.routing.shards import KEYS, MOVING, OPEN, Shard, ShardTable, ShardTables, read_shards, write_shards
 
 
 def make_table(*, shards: tuple) -> ShardTable:
-    return ShardTable(granter="c1", since=1, fence=9, shards=shards)
+    return ShardTable(granter="c1", since=1, fencing_token=9, shards=shards)
 
 
 def parts_of(*, spans: list[Span]) -> dict:
@@ -46,8 +46,8 @@
 def test_table_is_read_as_written() -> None:
     table = make_table(
         shards=(
-            Shard(start=0, end=99, owner="a/1", fence=3, state=OPEN),
-            Shard(start=100, end=KEYS - 1, owner="b/1", fence=4, state=MOVING, next_owner="a/1"),
+            Shard(start=0, end=99, owner="a/1", fencing_token=3, state=OPEN),
+            Shard(start=100, end=KEYS - 1, owner="b/1", fencing_token=4, state=MOVING, next_owner="a/1"),
         )
     )
     text = write_shards(table=table)
@@ -58,11 +58,11 @@
 def test_book_finds_the_shard_of_a_key() -> None:
     table = make_table(
         shards=(
-            Shard(start=0, end=99, owner="a/1", fence=3, state=OPEN),
-            Shard(start=100, end=KEYS - 1, owner="b/1", fence=4, state=OPEN),
+            Shard(start=0, end=99, owner="a/1", fencing_token=3, state=OPEN),
+            Shard(start=100, end=KEYS - 1, owner="b/1", fencing_token=4, state=OPEN),
         )
     )
-    book = ShardBook()
+    book = ShardTables()
     book.step(name="slots/cart", value={"number": 1, "text": write_shards(table=table)})
     found = [book.find(service="cart", key=key) for key in (0, 99, 100, KEYS - 1)]
     assert [one.owner for one in found] == ["a/1", "a/1", "b/1", "b/1"]
@@ -71,7 +71,7 @@
 
 
 def test_book_passes_over_tables_of_slots_and_empty_ones() -> None:
-    book = ShardBook()
+    book = ShardTables()
     book.step(name="slots/cart", value={"number": 1, "text": '{"spaces":{"":[["a/1",1,1]]}}'})
     book.step(name="slots/tray", value={"number": 0, "text": ""})
     assert book.find(service="cart", key=0) is None and book.find(service="tray", key=0) is None
--- a/tests/test_stopping_proxy.py
+++ b/tests/test_stopping_proxy.py
@@ -9,8 +9,17 @@
 import random
 
 from sailward import constants
-from sailward.discovery.peer_table import Place
-from sailward.events import Answer, Asked, Call, Heard, Leave, Stop, StopAsked, Ticked
+from sailward.discovery.peer_table import Location
+from sailward.events import (
+    DrainConnections,
+    ExitProcess,
+    MessageReceived,
+    RequestReceived,
+    Respond,
+    ShutdownRequested,
+    StartCall,
+    TimerFired,
+)
 from sailward.proxy.proxy import Proxy, ProxyOptions
 
 CONTROLLER = "10.0.0.1:7000"
@@ -59,10 +68,10 @@
 
 
 def make_proxy() -> Proxy:
-    place = Place(
+    place = Location(
         name="p1",
         kind="proxy",
-        hall="gdl-a",
+        zone="gdl-a",
         region="gdl",
         post="10.0.0.2:7001",
         http="10.0.0.2:80",
@@ -74,11 +83,11 @@
         rng=random.Random(1),
         options=ProxyOptions(regions=(("gdl-a", "gdl"),), leave_wait=3.0, stop_grace=5.2),
     )
-    proxy.step(now=0.0, event=Ticked())
+    proxy.step(now=0.0, event=TimerFired())
     view = {"place": ["gdl-a", "gdl"]}
     proxy.step(
         now=0.1,
-        event=Heard(
+        event=MessageReceived(
             sender=CONTROLLER,
             body={"kind": "grant", "seq": 1, "newest": {}, "identity": "c", "voting": True, "proxies": 0, "view": view},
         ),
@@ -87,7 +96,7 @@
         value = {"number": 1, "mark": "m", "trail": [], "text": text}
         proxy.step(
             now=0.1,
-            event=Heard(
+            event=MessageReceived(
                 sender=CONTROLLER,
                 body={"kind": "push", "seq": 1, "name": name, "number": 1, "ballot": [1, "c"], "value": value},
             ),
@@ -99,7 +108,7 @@
 def ask(*, proxy: Proxy, now: float, token: str) -> list:
     return proxy.step(
         now=now,
-        event=Asked(
+        event=RequestReceived(
             token=token,
             method="GET",
             path="/a/x",
@@ -115,26 +124,26 @@
     commands, now = [], start
     while now < end:
         now += constants.TICK
-        commands += [(now, one) for one in proxy.step(now=now, event=Ticked())]
-        if any(isinstance(one, Stop) for _, one in commands):
+        commands += [(now, one) for one in proxy.step(now=now, event=TimerFired())]
+        if any(isinstance(one, ExitProcess) for _, one in commands):
             break
     return commands
 
 
 def test_what_no_worker_answers_is_answered_before_the_process_ends() -> None:
     proxy = make_proxy()
-    assert any(isinstance(one, Call) for one in ask(proxy=proxy, now=0.2, token="front 1"))
-    assert any(isinstance(one, Leave) for one in proxy.step(now=0.3, event=StopAsked()))
+    assert any(isinstance(one, StartCall) for one in ask(proxy=proxy, now=0.2, token="front 1"))
+    assert any(isinstance(one, DrainConnections) for one in proxy.step(now=0.3, event=ShutdownRequested()))
     commands = [one for _, one in run_on(proxy=proxy, start=0.3, end=10.0)]
-    answers = [one for one in commands if isinstance(one, Answer)]
+    answers = [one for one in commands if isinstance(one, Respond)]
     assert [(one.token, one.code) for one in answers] == [("front 1", 504)]
-    assert isinstance(commands[-1], Stop) and commands.index(answers[0]) < len(commands) - 1
+    assert isinstance(commands[-1], ExitProcess) and commands.index(answers[0]) < len(commands) - 1
 
 
 def test_a_stop_with_nothing_under_way_ends_when_callers_have_had_time_to_leave() -> None:
     proxy = make_proxy()
-    proxy.step(now=0.3, event=StopAsked())
+    proxy.step(now=0.3, event=ShutdownRequested())
     assert not proxy.is_ready
     commands = run_on(proxy=proxy, start=0.3, end=10.0)
-    assert any(isinstance(one, Leave) and one.shut for _, one in commands)
-    assert isinstance(commands[-1][1], Stop) and 3.0 < commands[-1][0] < 4.0
+    assert any(isinstance(one, DrainConnections) and one.shut for _, one in commands)
+    assert isinstance(commands[-1][1], ExitProcess) and 3.0 < commands[-1][0] < 4.0
--- a/tests/test_storage_machine.py
+++ b/tests/test_storage_machine.py
@@ -10,7 +10,7 @@
 
 from sailward.consensus import acceptor
 from sailward.control.group import write_ahead
-from sailward.events import DiskFailed, Synced
+from sailward.events import DiskWriteFailed, RecordsSynced
 from tests.storage_machine import StorageMachine, shrink_file_bounds
 from tests.test_data_file import NamesUnsynced, RenamesUnsynced, StoresUnsynced
 
@@ -49,11 +49,13 @@
 
 
 def take_failures_for_syncs(monkeypatch: pytest.MonkeyPatch) -> None:
-    old = write_ahead.WriteAhead.hear
+    old = write_ahead.WriteAhead.receive
     monkeypatch.setattr(
         write_ahead.WriteAhead,
-        "hear",
-        lambda self, *, event: old(self, event=Synced(seq=event.seq) if isinstance(event, DiskFailed) else event),
+        "receive",
+        lambda self, *, event: old(
+            self, event=RecordsSynced(seq=event.seq) if isinstance(event, DiskWriteFailed) else event
+        ),
     )
 
 
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -15,8 +15,8 @@
 from sailward import constants
 from sailward.consensus.messages import FIELDS, read_message
 from sailward.control.controller import Controller
-from sailward.discovery.peer_table import Place, Roster, kind_of
-from sailward.events import Heard, Ticked
+from sailward.discovery.peer_table import Location, PeerTable, kind_of
+from sailward.events import MessageReceived, TimerFired
 from sailward.proxy.directory_server import DirectoryServer
 from sailward.proxy.tenant_proxy import TenantProxy
 from sailward.routing.plan import read_plan
@@ -29,15 +29,15 @@
 NEW_KINDS = {"want", "keep", "fleet", "beat", "list", "confirm", "confirmed"}
 
 
-def make_place(*, kind: str) -> Place:
-    return Place(
-        name=f"{kind}-9", kind=kind, hall="gdl-a", region="guadalajara", post="10.0.0.9:7000", http="10.0.0.9:7100"
+def make_location(*, kind: str) -> Location:
+    return Location(
+        name=f"{kind}-9", kind=kind, zone="gdl-a", region="guadalajara", post="10.0.0.9:7000", http="10.0.0.9:7100"
     )
 
 
 def make_controller(*, records: list) -> Controller:
     return Controller(
-        place=make_place(kind="controller"),
+        place=make_location(kind="controller"),
         platform="",
         nonce="1",
         start=1,
@@ -51,8 +51,8 @@
     assert set(MESSAGES) == set(FIELDS) - NEW_KINDS
     owners = [
         make_controller(records=read_frames(data=DATA).records),
-        DirectoryServer(place=make_place(kind="directory"), start=1, rng=random.Random(1)),
-        TenantProxy(place=make_place(kind="proxy"), nonce="1", start=1, rng=random.Random(1), now=0.0),
+        DirectoryServer(place=make_location(kind="directory"), start=1, rng=random.Random(1)),
+        TenantProxy(place=make_location(kind="proxy"), nonce="1", start=1, rng=random.Random(1), now=0.0),
     ]
     heard = {}
     for kind, rows in MESSAGES.items():
@@ -60,10 +60,10 @@
             body = read_message(payload=base64.b64decode(row))
             assert isinstance(body, dict) and body["kind"] == kind
             for owner in owners:
-                commands = owner.step(now=1.0, event=Heard(sender="10.0.0.1:7000", body=body))
+                commands = owner.step(now=1.0, event=MessageReceived(sender="10.0.0.1:7000", body=body))
                 heard.setdefault(kind, []).extend(commands)
     for owner in owners:
-        owner.step(now=1.1, event=Ticked())
+        owner.step(now=1.1, event=TimerFired())
     # askings get grants, gossip gets gossip: the old ones were taken for what they are
     assert any(getattr(one, "body", {}).get("kind") == "grant" for one in heard["ask"])
     assert any(getattr(one, "body", {}).get("kind") == "gossip" for one in heard["gossip"])
@@ -73,12 +73,12 @@
     ("kind", "word"), [("controller", "cellar"), ("proxy", "sommelier"), ("directory", "concierge")]
 )
 def test_a_daemon_is_known_by_its_kind_whichever_version_wrote_its_entry(kind: str, word: str) -> None:
-    teller = Roster(place=make_place(kind=kind), start=1)
+    teller = PeerTable(place=make_location(kind=kind), start=1)
     written = teller.own_entry()
     assert written["kind"] == word, "the last version knows this word only"
     for at, entry in enumerate((written, {**written, "kind": kind})):
         entries = [{**entry, "id": f"other-{at}"}]
-        reader = Roster(place=make_place(kind="proxy"), start=1)
+        reader = PeerTable(place=make_location(kind="proxy"), start=1)
         reader.step(now=0.0, event=("10.0.0.2:7000", {"kind": "gossip", "entries": entries, "reply": True}))
         assert [one["id"] for one in reader.alive(kind=kind)] == [f"other-{at}"]
 
@@ -92,14 +92,14 @@
 
 
 def test_new_kinds_are_not_told_to_the_last_version() -> None:
-    assert "0.1.0" in constants.WITHOUT_COPIES
+    assert "0.1.0" in constants.WITHOUT_REPLICAS
 
 
 def test_the_data_file_of_the_last_version_is_read() -> None:
     found = read_frames(data=DATA)
     assert isinstance(found, Read) and found.length == len(DATA)
     controller = make_controller(records=found.records)
-    assert controller.ledger.copied and len(controller.voters["members"]) == 4
+    assert controller.write_ahead.copied and len(controller.voters["members"]) == 4
     value = controller.acceptor.slots["config"].value
     assert value["number"] == 1 and read_plan(value=value).services["orders"].timed_keys is False
     assert sum(name.startswith("exchange/") for name in controller.acceptor.slots) == 75
--- a/tests/test_words.py
+++ b/tests/test_words.py
@@ -11,7 +11,7 @@
 
 from sailward.client.forecast import forecast
 from sailward.config.check import check_config, read_config
-from sailward.events import Asked
+from sailward.events import RequestReceived
 from sailward.routing.plan import read_plan
 from sailward.routing.proxied_request import Refusal, answer_refusal, take_exchange
 from sailward.runtime.startup import COMMON, CONTROLLER, read_startup
@@ -157,7 +157,7 @@
 ) -> None:
     full = check_config(config=CONFIG).full
     plan = read_plan(value={"number": 1, "text": json.dumps({"written": CONFIG, "full": full})})
-    event = Asked(token="t", method=method, path=path, query={}, headers=headers, body=body)
+    event = RequestReceived(token="t", method=method, path=path, query={}, headers=headers, body=body)
     refusal = take_exchange(event=event, plan=plan, now=0.0, name="x")
     assert isinstance(refusal, Refusal)
     answer = answer_refusal(token="t", refusal=refusal, not_run=True)
@@ -170,9 +170,9 @@
     new["matches"][0]["pools"][0]["weight"] = 10
     new["halls"]["far"] = {"region": "far"}
     workers = [
-        {"id": name, "generation": 1, "service": service, "hall": hall, "address": "127.0.0.1:1", "leaving": False}
-        for name, service, hall in make_arriaga().workers
-        if not (service == "orders" and hall.startswith("gdl"))
+        {"id": name, "generation": 1, "service": service, "hall": zone, "address": "127.0.0.1:1", "leaving": False}
+        for name, service, zone in make_arriaga().workers
+        if not (service == "orders" and zone.startswith("gdl"))
     ]
     workers.append({**workers[0], "id": "lost", "hall": "attic", "service": "wine"})
     findings = forecast(full=new, now_full=full, workers=workers, rates={"stock": 450.0, "notes": 900.0}, states={})
