--- a/sailward/client/forecast.py
+++ b/sailward/client/forecast.py
@@ -20,7 +20,11 @@
 
 def forecast(*, full: dict, now_full: dict, workers: list, rates: dict, states: dict) -> list[Finding]:
     """Findings for the full form of a new configuration against the one in force, workers, loads and statuses."""
-    well = [one for one in workers if not one["leaving"] and states.get(f"{one['id']}/{one['generation']}", True)]
+    well = [
+        worker
+        for worker in workers
+        if not worker["leaving"] and states.get(f"{worker['id']}/{worker['generation']}", True)
+    ]
     return [
         *_find_moves(full=full, old=now_full),
         *_find_strangers(full=full, workers=workers),
@@ -33,11 +37,11 @@
     """{(path, hall): expected part of the match while all is well}."""
     shares: dict = defaultdict(float)
     for match in full.get("matches", []):
-        total = sum(one["weight"] for one in match["pools"])
-        for one in match["pools"]:
-            pool = full["pools"][one["pool"]]
+        total = sum(share["weight"] for share in match["pools"])
+        for share in match["pools"]:
+            pool = full["pools"][share["pool"]]
             for zone in pool["preferred"]:
-                shares[(match["path"], zone)] += one["weight"] / total / len(pool["preferred"])
+                shares[(match["path"], zone)] += share["weight"] / total / len(pool["preferred"])
     return shares
 
 
@@ -53,13 +57,13 @@
 
 def _find_strangers(*, full: dict, workers: list) -> Iterator[Finding]:
     for service in full["services"]:
-        if not any(one["service"] == service for one in workers):
+        if not any(worker["service"] == service for worker in workers):
             yield Finding(kind="warning", path=f"services.{service}", text="no worker of this service is listed")
-    for zone in sorted({one["hall"] for one in workers} - set(full["halls"])):
+    for zone in sorted({worker["hall"] for worker in workers} - set(full["halls"])):
         yield Finding(
             kind="warning", path="halls", text=f"workers are listed in {zone!r}, which is not in the configuration"
         )
-    for service in sorted({one["service"] for one in workers} - set(full["services"])):
+    for service in sorted({worker["service"] for worker in workers} - set(full["services"])):
         yield Finding(
             kind="warning",
             path="services",
@@ -81,12 +85,12 @@
 def _find_short(*, full: dict, workers: list, rates: dict) -> Iterator[Finding]:
     losses = [("hall", zone, {zone}) for zone in full["halls"]]
     losses += [
-        ("region", region, {zone for zone, one in full["halls"].items() if one["region"] == region})
-        for region in sorted({one["region"] for one in full["halls"].values()})
+        ("region", region, {zone for zone, inner in full["halls"].items() if inner["region"] == region})
+        for region in sorted({hall["region"] for hall in full["halls"].values()})
     ]
-    for service, one in full["services"].items():
+    for service, service_config in full["services"].items():
         load = rates.get(service, 0.0)
-        capacity = sum(one["rate"] for worker in workers if worker["service"] == service)
+        capacity = sum(service_config["rate"] for worker in workers if worker["service"] == service)
         if load > capacity:
             yield Finding(
                 kind="fault",
@@ -95,7 +99,9 @@
             )
         for kind, name, zones in losses:
             left = sum(
-                one["rate"] for worker in workers if worker["service"] == service and worker["hall"] not in zones
+                service_config["rate"]
+                for worker in workers
+                if worker["service"] == service and worker["hall"] not in zones
             )
             if load > left:
                 yield Finding(
--- a/sailward/config/check.py
+++ b/sailward/config/check.py
@@ -108,8 +108,10 @@
 def _place(*, errors: list, odd: list) -> list:
     """The errors of the matches that took part, under the places that they were written at."""
     return [
-        {odd[at] if isinstance(at, int) else at: inner for at, inner in one.items()} if isinstance(one, dict) else one
-        for one in errors
+        {odd[at] if isinstance(at, int) else at: inner for at, inner in error.items()}
+        if isinstance(error, dict)
+        else error
+        for error in errors
     ]
 
 
--- a/sailward/config/matches.py
+++ b/sailward/config/matches.py
@@ -40,12 +40,12 @@
         type(pools) is list
         and 0 < len(pools) <= MATCH["pools"]["maxlength"]
         and all(
-            type(one) is dict
-            and one.keys() == _POOL_FIELDS
-            and _is_text(given=one["pool"], like=_IS_NAME)
-            and type(one["weight"]) is int
-            and 0 <= one["weight"] <= 1000000
-            for one in pools
+            type(pool) is dict
+            and pool.keys() == _POOL_FIELDS
+            and _is_text(given=pool["pool"], like=_IS_NAME)
+            and type(pool["weight"]) is int
+            and 0 <= pool["weight"] <= 1000000
+            for pool in pools
         )
     )
 
@@ -56,7 +56,7 @@
 
 
 def _are_texts(*, given: object, like: Callable[[str], re.Match[str] | None]) -> bool:
-    return type(given) is list and all(_is_text(given=one, like=like) for one in given)
+    return type(given) is list and all(_is_text(given=item, like=like) for item in given)
 
 
 def _is_number(*, given: Any, low: float, high: float) -> bool:
--- a/sailward/config/template_expansion.py
+++ b/sailward/config/template_expansion.py
@@ -91,8 +91,8 @@
         elif part == "matches":
             full.setdefault(part, []).extend(inner)
         else:
-            for name, one in inner.items():
+            for name, child in inner.items():
                 if name in full.setdefault(part, {}):
                     faults.append((f"{path}.{part}.{name}", "already there"))
-                full[part][name] = one
+                full[part][name] = child
     return faults
--- a/sailward/control/administration/admin_api.py
+++ b/sailward/control/administration/admin_api.py
@@ -220,7 +220,7 @@
     def _after_check(self, *, job: Job, verdict: Sound | Unsound) -> tuple[list, list]:
         if isinstance(verdict, Unsound):
             return self._end(job=job, outcome=refused_unsound(unsound=verdict))
-        job.notes = {"warnings": [{"path": one.path, "reason": one.reason} for one in verdict.warnings]}
+        job.notes = {"warnings": [{"path": warning.path, "reason": warning.reason} for warning in verdict.warnings]}
         if job.dialect.is_labelled:
             text = write_labelled(
                 before=read_labelled(text=job.text),
@@ -276,7 +276,7 @@
         """One member more or less, by its identity or its name; never one that would cost the majority."""
         kind, given = job.order.kind, job.order.given
         members = json.loads(job.text)["members"] if job.text else {}
-        names = {one.split("#")[0]: one for one in (members if kind == "part" else self.controllers)}
+        names = {member.split("#")[0]: member for member in (members if kind == "part" else self.controllers)}
         identity = names.get(given, given)
         if kind == "join":
             if identity in members or identity not in self.controllers:
--- a/sailward/control/administration/metrics.py
+++ b/sailward/control/administration/metrics.py
@@ -82,7 +82,9 @@
     members = voter.voters["members"]
     controllers = [*peer_table.alive(kind="controller"), peer_table.own_entry()]
     core = count_core(members=members, controllers=controllers)
-    copying = sorted(one["id"] for one in controllers if one["identity"] in members and not one["fit"])
+    copying = sorted(
+        controller["id"] for controller in controllers if controller["identity"] in members and not controller["fit"]
+    )
     return [
         _gauge("voting", "Whether this controller votes.", voter.voting),
         _gauge("voters", "Members of the set of voters.", len(members)),
@@ -98,7 +100,7 @@
 
 def _collect_registers(*, sources: StatusSources, now: float) -> list[Family]:
     learned, catch_up = sources.voter.learner.values, sources.catch_up
-    numbers = {name: one.value["number"] for name, one in learned.items()}
+    numbers = {name: value.value["number"] for name, value in learned.items()}
     ages = {name: round(now - at, 3) for name, at in catch_up.confirmed.items()}
     families = [
         _labelled("register_number", "Number of the value that this controller holds.", "register", numbers),
--- a/sailward/control/administration/status_report.py
+++ b/sailward/control/administration/status_report.py
@@ -85,7 +85,7 @@
         "contact": _show_contact(sources=sources, now=now),
         "voters": voter.voters,
         "registers": registers,
-        "daemons": sorted(daemons, key=lambda one: one["id"]),
+        "daemons": sorted(daemons, key=lambda daemon: daemon["id"]),
         "halls": zones,
         "proxies": len(subscribers.proxies()),
         "list": {"epoch": sources.endpoint_list.epoch, "revision": sources.endpoint_list.revision},
--- a/sailward/control/endpoints/endpoint_poller.py
+++ b/sailward/control/endpoints/endpoint_poller.py
@@ -36,7 +36,7 @@
 
         `controllers` are the others that live; `is_needed`: does anyone read it here?
         """
-        names = [own["id"], *(one["id"] for one in controllers)]
+        names = [own["id"], *(controller["id"] for controller in controllers)]
         is_reader = choose_names(key="list", names=names, count=1) == [own["id"]]
         if event is None and (not is_needed or (not is_reader and now - self.last_update_at < constants.LIST_SILENT)):
             return [], False
@@ -53,9 +53,9 @@
                 )
             )
         if is_reader:
-            posts = {one["post"] for one in controllers}
+            posts = {controller["post"] for controller in controllers}
             self.sent_versions = {post: version for post, version in self.sent_versions.items() if post in posts}
-            commands += [self._send_list(to=one, rows=complete_list.workers) for one in controllers]
+            commands += [self._send_list(to=controller, rows=complete_list.workers) for controller in controllers]
         return commands, is_newer
 
     def receive(self, *, now: float, body: dict) -> tuple[list, bool]:
--- a/sailward/control/group/contact_watch.py
+++ b/sailward/control/group/contact_watch.py
@@ -78,7 +78,12 @@
         """A voter's heartbeat answers one from here, and tells the numbers of its newest votes for what is served."""
         echo = body.get("echo")
         is_voter = self._voter.voters["members"].get(body["identity"]) == sender
-        if not is_voter or not isinstance(echo, list) or not echo or not all(isinstance(one, int) for one in echo):
+        if (
+            not is_voter
+            or not isinstance(echo, list)
+            or not echo
+            or not all(isinstance(number, int) for number in echo)
+        ):
             return
         number, *voted = echo
         self.contact.on_answer(peer=sender, question=number)
--- a/sailward/control/group/disaster_recovery.py
+++ b/sailward/control/group/disaster_recovery.py
@@ -167,7 +167,7 @@
         ballot = max(vote[0] for vote in votes)
         values = [vote[1] for vote in votes if vote[0] == ballot]
         value = values[0]
-        if name.startswith(CLAIM) and ballot == FIRST and len({one["mark"] for one in values}) > 1:
+        if name.startswith(CLAIM) and ballot == FIRST and len({candidate["mark"] for candidate in values}) > 1:
             claim = json.loads(value["text"])
             value = {**value, "mark": "anew", "text": json.dumps({**claim, "o": "", "i": ""})}
         promised = max(ballot, own.promised) if own else ballot
--- a/sailward/control/group/graceful_shutdown.py
+++ b/sailward/control/group/graceful_shutdown.py
@@ -46,14 +46,14 @@
         self._told, peer_table = now, self._peer_table
         peer_table.heartbeat += 1
         body = {"kind": "gossip", "entries": [peer_table.own_entry()], "reply": True}
-        return [SendMessage(to=one["post"], body=body) for one in peer_table.alive(kind="controller")]
+        return [SendMessage(to=peer["post"], body=body) for peer in peer_table.alive(kind="controller")]
 
     def _is_of_use(self) -> bool:
         """Can another take this one's place, or is it still copying from this one?"""
-        voter, others = self._voter, {one["identity"]: one for one in self._peer_table.alive(kind="controller")}
+        voter, others = self._voter, {peer["identity"]: peer for peer in self._peer_table.alive(kind="controller")}
         members = voter.voters["members"]
         if not self._is_enabled or not voter.write_ahead.copied or not voter.write_ahead.usable:
             return False
         if not voter.is_member:
             return voter.is_copy_source and any(name in others and not others[name]["fit"] for name in members)
-        return voter.voting and any(is_waiting(entry=one, members=members) for one in others.values())
+        return voter.voting and any(is_waiting(entry=other, members=members) for other in others.values())
--- a/sailward/control/group/membership.py
+++ b/sailward/control/group/membership.py
@@ -62,7 +62,7 @@
     def step(self, *, now: float) -> tuple[list[Command], list[StartOperation]]:
         """Say when the core is short; copy, found anew, repair, or ask for news."""
         others = self._peer_table.alive(kind="controller")
-        self.controllers = {one["identity"]: one for one in [*others, self._peer_table.own_entry()]}
+        self.controllers = {other["identity"]: other for other in [*others, self._peer_table.own_entry()]}
         commands = self._report_core(now=now, others=others)
         # one that does not act yet watches the voters too: when it joins it knows for how long each was lost
         more, begins = self._repair(now=now, others=others)
@@ -292,7 +292,7 @@
             "report": {},
             "daemon": self._peer_table.own_entry(),
         }
-        return [SendMessage(to=one["post"], body=body) for one in others]
+        return [SendMessage(to=other["post"], body=body) for other in others]
 
     def _request_backoff(self) -> float:
         is_waiting = self._voter.voters["number"] and not self._voter.is_member
--- a/sailward/control/proxies/aggregated_health.py
+++ b/sailward/control/proxies/aggregated_health.py
@@ -22,9 +22,9 @@
     def step(self, *, now: float, proxies: list[Subscriber]) -> list:
         """Fold the digests; a proxy that suspects itself has no voice."""
         fresh = [
-            one.report
-            for one in proxies
-            if now - one.last_seen_at < constants.REPORT_TTL and one.report.get("halls") is not None
+            proxy.report
+            for proxy in proxies
+            if now - proxy.last_seen_at < constants.REPORT_TTL and proxy.report.get("halls") is not None
         ]
         voices = [report for report in fresh if not report.get("suspect")] or fresh
         reported: dict = {}
--- a/sailward/control/proxies/proxy_registry.py
+++ b/sailward/control/proxies/proxy_registry.py
@@ -80,14 +80,14 @@
         if now - self.last.get("looked", -1e9) < constants.FLEET_CHECK_INTERVAL:
             return []
         self.last["looked"] = now
-        self._forget_gone(now=now, posts={one["post"] for one in controllers})
+        self._forget_gone(now=now, posts={controller["post"] for controller in controllers})
         own = self._own_rows(now=now, proxies=proxies)
         self._compose(now=now, own=own, controllers=controllers, down=self._agreed(now=now, proxies=proxies))
         down = self._own_down(proxies=proxies)
         changed = own != self.own or down != self.own_down
-        others = [one for one in controllers if one["post"] != self.post]
+        others = [controller for controller in controllers if controller["post"] != self.post]
         if now - self.sent_at < (constants.FLEET_LEAST if changed else constants.FLEET_EVERY):
-            readers = [one for one in others if self._reads(to=one)]
+            readers = [other for other in others if self._reads(to=other)]
             return self._send_to_all(now=now, to=readers) if readers and self._is_load_due(now=now) else []
         self.own_number += own != self.own
         self.sent_at, self.own, self.own_down = now, own, down
@@ -118,7 +118,9 @@
     def _send_to_all(self, *, now: float, to: list[dict]) -> list:
         loads = self._own_loads(now=now)
         self.loads_at, self.rates_sent = now, self.rates
-        return [self._send_update(to=one, loads=loads if self._reads(to=one) else {}) for one in to]
+        return [
+            self._send_update(to=controller, loads=loads if self._reads(to=controller) else {}) for controller in to
+        ]
 
     def _send_update(self, *, to: dict, loads: dict) -> SendMessage:
         version = (to["start"], self.own_number)
@@ -191,15 +193,21 @@
 
     def _own_rows(self, *, now: float, proxies: list[Subscriber]) -> list:
         return sorted(
-            [one.entry["id"], one.entry["http"], one.entry["hall"], one.entry["region"], bool(one.entry["fit"])]
-            for one in proxies
-            if now - one.last_seen_at < constants.PROXY_SILENT
+            [
+                proxy.entry["id"],
+                proxy.entry["http"],
+                proxy.entry["hall"],
+                proxy.entry["region"],
+                bool(proxy.entry["fit"]),
+            ]
+            for proxy in proxies
+            if now - proxy.last_seen_at < constants.PROXY_SILENT
         )
 
     def _own_down(self, *, proxies: list[Subscriber]) -> dict:
         counts: dict = {}
-        for one in proxies:
-            for key in one.report.get("down", ()):
+        for proxy in proxies:
+            for key in proxy.report.get("down", ()):
                 counts[key] = counts.get(key, 0) + 1
         return counts
 
@@ -213,19 +221,19 @@
 
     def _record_loads(self, *, now: float, proxies: list[Subscriber]) -> None:
         is_new = False
-        names = {one.entry["id"] for one in proxies}
+        names = {proxy.entry["id"] for proxy in proxies}
         self.last_seen_at = {name: turn for name, turn in self.last_seen_at.items() if name in names}
-        for one in proxies:
-            turn = one.report.get("turn")
-            if turn is None or self.last_seen_at.get(one.entry["id"]) == turn:
+        for proxy in proxies:
+            turn = proxy.report.get("turn")
+            if turn is None or self.last_seen_at.get(proxy.entry["id"]) == turn:
                 continue
-            self.last_seen_at[one.entry["id"]] = turn
-            if one.report.get("lead") != self.post:
+            self.last_seen_at[proxy.entry["id"]] = turn
+            if proxy.report.get("lead") != self.post:
                 continue
             is_new = True
-            for service, buckets in one.report.get("loads", {}).items():
+            for service, buckets in proxy.report.get("loads", {}).items():
                 self.key_loads.step(now=now, service=service, buckets=buckets)
-            self.worker_paces.step(now=now, times=one.report.get("paces", {}))
+            self.worker_paces.step(now=now, times=proxy.report.get("paces", {}))
         if is_new or now - self.last.get("rates", now) >= constants.LOADS_EVERY:
             self.rates = self.key_loads.rates(now=now)
             self.last["rates"] = now
@@ -244,7 +252,7 @@
             row[0]: row for told in self.others.values() if now - told.at < constants.FLEET_TTL for row in told.rows
         }
         rows |= {row[0]: row for row in own}
-        posts = sorted([one["post"], one["hall"], one["region"]] for one in controllers)
+        posts = sorted([controller["post"], controller["hall"], controller["region"]] for controller in controllers)
         text = json.dumps(
             {"proxies": [rows[name] for name in sorted(rows)], "cellars": posts, "down": down}, separators=(",", ":")
         )
--- a/sailward/control/proxies/subscribers.py
+++ b/sailward/control/proxies/subscribers.py
@@ -70,7 +70,7 @@
 
     def has_followers(self) -> bool:
         """Is there a proxy that follows this controller's list of workers, or none yet?"""
-        return any((one.have.get(OWN_LIST) or [-1, ""])[1] in ("", self.post) for one in self.proxies())
+        return any((proxy.have.get(OWN_LIST) or [-1, ""])[1] in ("", self.post) for proxy in self.proxies())
 
     def proxies(self) -> list[Subscriber]:
         """The proxies that have asked of late."""
--- a/sailward/control/registers.py
+++ b/sailward/control/registers.py
@@ -124,7 +124,7 @@
         body = {"kind": "chosen", "register": name, "ballot": ballot, "value": value}
         posts = {
             *self._voter.voters["members"].values(),
-            *(one["post"] for one in self._peer_table.alive(kind="controller")),
+            *(peer["post"] for peer in self._peer_table.alive(kind="controller")),
         }
         return [SendMessage(to=post, body=body) for post in sorted(posts - {self._voter.place.post})]
 
--- a/sailward/control/shards/quiescence.py
+++ b/sailward/control/shards/quiescence.py
@@ -37,23 +37,23 @@
 
     def heartbeats(self) -> dict:
         """The voters' beats at this moment."""
-        return {one["identity"]: (one["start"], one["beat"]) for one in self._voters()}
+        return {voter["identity"]: (voter["start"], voter["beat"]) for voter in self._voters()}
 
     def check(self, *, closing: Closing, slot: str) -> None:
         """Mark the closing as clear if this moment proves it."""
-        reporting = [one for one in self._voters() if self._is_after(entry=one, closing=closing)]
-        for one in self._voters():
-            closing.proxy_names |= set(filter(None, one["asks"].split(",")))
+        reporting = [entry for entry in self._voters() if self._is_after(entry=entry, closing=closing)]
+        for voter in self._voters():
+            closing.proxy_names |= set(filter(None, voter["asks"].split(",")))
         if closing.is_clear or len(reporting) < majority_of(members=self.members):
             return
-        known = {f"{one.entry.get('id')}#{one.entry.get('start')}": one for one in self.proxies}
+        known = {f"{proxy.entry.get('id')}#{proxy.entry.get('start')}": proxy for proxy in self.proxies}
         closing.is_clear = all(
             name in known and self._has_left(proxy=known[name], closing=closing, slot=slot)
             for name in closing.proxy_names
         )
 
     def _voters(self) -> list[dict]:
-        return [one for one in self.controllers if one["identity"] in self.members]
+        return [controller for controller in self.controllers if controller["identity"] in self.members]
 
     def _is_after(self, *, entry: dict, closing: Closing) -> bool:
         start, heartbeat = closing.heartbeats.get(entry["identity"], (None, 0))
--- a/sailward/control/shards/shard_assignment.py
+++ b/sailward/control/shards/shard_assignment.py
@@ -42,7 +42,7 @@
         spaces = read_table(text=text)
         fresh = {}
         changed = False
-        moving = sum(not one.is_open for rows in spaces.values() for one in rows)
+        moving = sum(not row.is_open for rows in spaces.values() for row in rows)
         self._record_closed(now=now, spaces=spaces, quiescence=quiescence)
         for space in self._spaces(plan=context.plan, service=service):
             rows = spaces.get(space, [])
@@ -72,10 +72,10 @@
 
     def _record_closed(self, *, now: float, spaces: dict, quiescence: Quiescence) -> None:
         known_versions = {
-            (space, slot, one.term)
+            (space, slot, owned.term)
             for space, rows in spaces.items()
-            for slot, one in enumerate(rows)
-            if not one.is_open
+            for slot, owned in enumerate(rows)
+            if not owned.is_open
         }
         self.closed = {
             name: self.closed.get(name)
--- a/sailward/control/shards/shard_leases.py
+++ b/sailward/control/shards/shard_leases.py
@@ -110,9 +110,9 @@
             return [], []
         self._follow_endpoints(now=now)
         well = {
-            one["identity"]: one["post"]
-            for one in [*self._peer_table.alive(kind="controller"), self._peer_table.own_entry()]
-            if one["fit"]
+            peer["identity"]: peer["post"]
+            for peer in [*self._peer_table.alive(kind="controller"), self._peer_table.own_entry()]
+            if peer["fit"]
         }
         leads = (
             {name: choose_names(key=PREFIX + name, names=set(well), count=1)[0] for name in services} if well else {}
--- a/sailward/control/shards/shard_moves.py
+++ b/sailward/control/shards/shard_moves.py
@@ -48,7 +48,7 @@
             return []
         if (epoch, workers["number"]) > self.table.revision:
             self.table.step(epoch=epoch, revision=workers["number"], workers=json.loads(workers["text"]))
-        well = {one["identity"] for one in controllers if one["fit"]}
+        well = {controller["identity"] for controller in controllers if controller["fit"]}
         context = self._context(learner=learner, aggregated_health=aggregated_health, proxies=proxies)
         changes = []
         for service in divided:
@@ -76,9 +76,9 @@
         emptied = read_orders(value=learner.values["orders"].value) if "orders" in learner.values else frozenset()
         drained = frozenset(place for place, zone in aggregated_health.table.zones.items() if zone.drained)
         fresh = [
-            one.report["warm"]
-            for one in proxies
-            if one.report.get("warm") is not None and not one.report.get("suspect")
+            proxy.report["warm"]
+            for proxy in proxies
+            if proxy.report.get("warm") is not None and not proxy.report.get("suspect")
         ]
         counts: dict[str, int] = {}
         for warm in fresh:
--- a/sailward/control/shards/shard_plan.py
+++ b/sailward/control/shards/shard_plan.py
@@ -241,7 +241,7 @@
         replace(chunk, owner=taker),
         Span(start=chunk.end + 1, end=span.end, owner=giver),
     ]
-    return [*spans[:at], *(one for one in parts if one.start <= one.end), *spans[at + 1 :]]
+    return [*spans[:at], *(span_part for span_part in parts if span_part.start <= span_part.end), *spans[at + 1 :]]
 
 
 def _edges(*, span: Span, spread: Spread, part: float) -> list[Span]:
--- a/sailward/discovery/peer_table.py
+++ b/sailward/discovery/peer_table.py
@@ -126,7 +126,7 @@
             # each lost one in turn: after a cut both sides find each other with the next beats
             commands.append(SendMessage(to=lost[self.heartbeat % len(lost)], body=body))
         if not alive or self.heartbeat <= constants.MESH_FIRST or self.heartbeat % constants.MESH_SEEDS == 0:
-            known = {one.entry["post"] for one in alive}
+            known = {peer.entry["post"] for peer in alive}
             announcement = {"kind": "gossip", "entries": self._entries(now=now), "reply": False}
             commands += [
                 SendMessage(to=seed, body=announcement)
--- a/sailward/json_text.py
+++ b/sailward/json_text.py
@@ -69,8 +69,8 @@
         level = (
             [
                 child
-                for one in level
-                for child in (one.values() if isinstance(one, dict) else one)
+                for item in level
+                for child in (item.values() if isinstance(item, dict) else item)
                 if isinstance(child, (dict, list))
             ]
             if isinstance(value, (dict, list))
--- a/sailward/programs/hosted.py
+++ b/sailward/programs/hosted.py
@@ -106,10 +106,10 @@
         write_log(event="address-taken", fields={"address": hosted.place.post, "reason": fault}, level="error")
         sys.exit(constants.EXIT_TAKEN)
     host.handlers = {
-        SendMessage: lambda one: message_transport.send(to=one.to, body=one.body),
-        StartCall: lambda one: http_client.give(call=one),
-        CancelCall: lambda one: http_client.cancel(token=one.token),
-        CloseConnections: lambda one: http_client.hang_up(owner=one.owner),
+        SendMessage: lambda command: message_transport.send(to=command.to, body=command.body),
+        StartCall: lambda command: http_client.give(call=command),
+        CancelCall: lambda command: http_client.cancel(token=command.token),
+        CloseConnections: lambda command: http_client.hang_up(owner=command.owner),
         **handlers,
     }
     write_log(
--- a/sailward/programs/hosted_controller.py
+++ b/sailward/programs/hosted_controller.py
@@ -47,9 +47,9 @@
     if isinstance(disk, Disk):
         checks.submit(disk.run)
     handlers = {
-        AppendRecords: lambda one: disk.give(command=one),
-        RewriteRecords: lambda one: disk.give(command=one),
-        ValidateConfig: lambda one: checks.submit(_check, host, one),
+        AppendRecords: lambda command: disk.give(command=command),
+        RewriteRecords: lambda command: disk.give(command=command),
+        ValidateConfig: lambda command: checks.submit(_check, host, command),
         **answer_handlers(hosted=hosted, fronts=fronts),
     }
     serve_owner(hosted=hosted, reactor=reactor, host=host, step=owner.step, handlers=handlers)
--- a/sailward/proxy/tenant_proxy.py
+++ b/sailward/proxy/tenant_proxy.py
@@ -163,7 +163,7 @@
 
     def _step_lease(self, *, now: float, event: tuple | None) -> list:
         voters = self.learner.voters()
-        addresses = {*voters["members"].values(), *(one["post"] for one in self.peer_table.alive(kind="controller"))}
+        addresses = {*voters["members"].values(), *(peer["post"] for peer in self.peer_table.alive(kind="controller"))}
         epoch, revision = self.routing_state.endpoint_table.revision
         have = {**self.learner.have(), "workers": [revision, str(epoch), [epoch, ""]]}
         report = {}
@@ -236,12 +236,14 @@
 
     def _on_operations_finished(self, *, now: float, finished: list) -> list:
         commands = []
-        for one in finished:
-            name = self._reading.pop(one.op, None)
-            if one.register.startswith(PREFIX):
-                commands += self._dispatch(now=now, event=one)
-            elif name is not None and isinstance(one.outcome, Accepted) and one.outcome.value["number"]:
-                commands += self._keep(now=now, name=name, ballot=one.outcome.ballot, value=one.outcome.value)
+        for operation in finished:
+            name = self._reading.pop(operation.op, None)
+            if operation.register.startswith(PREFIX):
+                commands += self._dispatch(now=now, event=operation)
+            elif name is not None and isinstance(operation.outcome, Accepted) and operation.outcome.value["number"]:
+                commands += self._keep(
+                    now=now, name=name, ballot=operation.outcome.ballot, value=operation.outcome.value
+                )
         return commands
 
     def _on_timer(self, *, now: float) -> list:
@@ -256,9 +258,9 @@
             commands += self._count_zones(now=now)
             self.load_balancer.bounds.forget(now=now, keep=set(self.routing_state.endpoint_table.workers))
         self.claims.peers = [
-            Peer(name=one["id"], post=one["post"], region=one["region"], zone=one["hall"])
-            for one in self.peer_table.alive(kind="proxy")
-            if one["version"] not in constants.WITHOUT_REPLICAS
+            Peer(name=peer["id"], post=peer["post"], region=peer["region"], zone=peer["hall"])
+            for peer in self.peer_table.alive(kind="proxy")
+            if peer["version"] not in constants.WITHOUT_REPLICAS
         ]
         recent_counts = [count for at, count in self.controllers.values() if now - at < constants.SUBSCRIBER_TTL]
         self.routing_state.proxies = max([1, *recent_counts])
--- a/sailward/routing/endpoint_selection.py
+++ b/sailward/routing/endpoint_selection.py
@@ -146,7 +146,7 @@
         shown = [
             self.context.passive_health.shown.get(worker.key) for worker in self.context.by_service.get(service, ())
         ]
-        calms = [one.calm for one in shown if one is not None and one.calm]
+        calms = [candidate.calm for candidate in shown if candidate is not None and candidate.calm]
         return sum(calms) / len(calms) if calms else 0.0
 
     def _slow_start_ages(self, *, now: float, service: str) -> dict[str, float]:
--- a/sailward/routing/forwarding.py
+++ b/sailward/routing/forwarding.py
@@ -313,7 +313,7 @@
 
     def _pump(self, *, now: float) -> list:
         commands = []
-        for request in sorted(self.waiting.values(), key=lambda one: (one.match.rank, one.arrived)):
+        for request in sorted(self.waiting.values(), key=lambda waiting: (waiting.match.rank, waiting.arrived)):
             if request.token in self.waiting:
                 commands += self._place(now=now, request=request)
         return commands
--- a/sailward/routing/load_balancer.py
+++ b/sailward/routing/load_balancer.py
@@ -136,7 +136,7 @@
                     able.append((worker, now - probed.slow_start_began_at))
         while able:
             picks = self.rng.sample(able, min(2, len(able)))
-            pick = min(picks, key=lambda one: self.open.get(one[0].key, 0))
+            pick = min(picks, key=lambda candidate: self.open.get(candidate[0].key, 0))
             if self.bounds.step(now=now, key=pick[0].key, service=service, warm=pick[1], proxies=routing_state.proxies):
                 return pick[0]
             able.remove(pick)
--- a/sailward/routing/proxied_requests.py
+++ b/sailward/routing/proxied_requests.py
@@ -68,7 +68,7 @@
     def busy(self, *, now: float) -> list[str]:
         """The slots in which something sent on from here may still run."""
         self.lingering = {place: end for place, end in self.lingering.items() if now < end}
-        sent = {self._select_pool(exchange=one) for one in self.sent.values() if one.slot >= 0}
+        sent = {self._select_pool(exchange=row) for row in self.sent.values() if row.slot >= 0}
         return sorted({*sent, *self.lingering})
 
     def _select_pool(self, *, exchange: ProxiedRequest) -> str:
--- a/sailward/routing/shard_owners.py
+++ b/sailward/routing/shard_owners.py
@@ -51,7 +51,7 @@
     return json.dumps(
         {
             "spaces": {
-                space: [[one.owner, one.term, OPEN if one.is_open else CLOSED] for one in rows]
+                space: [[row.owner, row.term, OPEN if row.is_open else CLOSED] for row in rows]
                 for space, rows in spaces.items()
             }
         },
--- a/sailward/routing/shards.py
+++ b/sailward/routing/shards.py
@@ -89,8 +89,15 @@
 def write_shards(*, table: ShardTable) -> str:
     """The register's text of a table."""
     rows = [
-        [one.start, one.end, one.owner, one.fencing_token, one.state, *([] if one.is_open else [one.next_owner])]
-        for one in table.shards
+        [
+            shard.start,
+            shard.end,
+            shard.owner,
+            shard.fencing_token,
+            shard.state,
+            *([] if shard.is_open else [shard.next_owner]),
+        ]
+        for shard in table.shards
     ]
     return json.dumps(
         {"granter": table.granter, "since": table.since, "fence": table.fencing_token, "ranges": rows},
--- a/sailward/runtime/loop.py
+++ b/sailward/runtime/loop.py
@@ -84,13 +84,13 @@
     def connect(self) -> None:
         """Tell the loop which edge carries out which command."""
         self.loop.handlers = {
-            SendMessage: lambda one: self.post.send(to=one.to, body=one.body),
-            Respond: lambda one: self.web.answer(command=one),
-            StartCall: lambda one: self.calls.give(call=one),
-            ValidateConfig: lambda one: self.checks.submit(self._check, one),
-            CloseConnections: lambda one: None,
-            AppendRecords: lambda one: self.disk.give(command=one),
-            RewriteRecords: lambda one: self.disk.give(command=one),
+            SendMessage: lambda command: self.post.send(to=command.to, body=command.body),
+            Respond: lambda command: self.web.answer(command=command),
+            StartCall: lambda command: self.calls.give(call=command),
+            ValidateConfig: lambda command: self.checks.submit(self._check, command),
+            CloseConnections: lambda _: None,
+            AppendRecords: lambda command: self.disk.give(command=command),
+            RewriteRecords: lambda command: self.disk.give(command=command),
         }
 
     def _check(self, command: ValidateConfig) -> None:
--- a/sailward/shapes.py
+++ b/sailward/shapes.py
@@ -64,7 +64,7 @@
     return lambda given: (
         isinstance(given, list)
         and len(given) == len(checks)
-        and all(check(one) for check, one in zip(checks, given, strict=True))
+        and all(check(item) for check, item in zip(checks, given, strict=True))
     )
 
 
--- a/simulation/hollow_fleet/flags.py
+++ b/simulation/hollow_fleet/flags.py
@@ -42,7 +42,7 @@
             sizes[name] = [int(part) for part in flags[f"--{name}"].split(",")]
         except ValueError:
             return BadInput(reason=f"--{name} {flags[f'--{name}']}: give whole numbers, as in 100,300,1000")
-        if not all(least <= one <= most for one in sizes[name]):
+        if not all(least <= size <= most for size in sizes[name]):
             return BadInput(reason=f"--{name} {flags[f'--{name}']}: each must be from {least} to {most}")
     return sizes
 
@@ -63,7 +63,7 @@
 def list_sizes(*, sizes: dict, controllers: int, list_rate: float) -> list[tuple[str, Size]]:
     """What is run: the base, and each further size of what is swept."""
     base = {name: given[0] for name, given in sizes.items()}
-    runs = [("base", base)] + [(name, {**base, name: one}) for name, given in sizes.items() for one in given[1:]]
+    runs = [("base", base)] + [(name, {**base, name: item}) for name, given in sizes.items() for item in given[1:]]
     return [(name, Size(controllers=controllers, list_rate=list_rate, **one)) for name, one in runs]
 
 
--- a/simulation/hollow_fleet/fleet.py
+++ b/simulation/hollow_fleet/fleet.py
@@ -191,7 +191,7 @@
         if not self.plan.zone_down or self.size.zones < 2:
             return {}
         zone = self.controllers[-1].zone
-        lost = [one for one in (*self.controllers, *self.proxies) if one.zone == zone]
+        lost = [controller for controller in (*self.controllers, *self.proxies) if controller.zone == zone]
         before = self._tally()
         for member in lost:
             self.network.kill(member=member)
@@ -259,18 +259,20 @@
         return None
 
     def _is_core_up(self) -> bool:
-        return sum(one.owner is not None and one.owner.voting for one in self.controllers) >= min(
+        return sum(controller.owner is not None and controller.owner.voting for controller in self.controllers) >= min(
             3, len(self.controllers)
         )
 
     def _all_ready(self) -> bool:
-        return all(one.owner is not None and one.owner.is_ready for one in self.proxies)
+        return all(proxy.owner is not None and proxy.owner.is_ready for proxy in self.proxies)
 
     def _all_hold(self, *, number: int) -> bool:
-        return all(self.in_force.get(one.post, (0, 0))[0] >= number for one in self.proxies if one.owner is not None)
+        return all(
+            self.in_force.get(proxy.post, (0, 0))[0] >= number for proxy in self.proxies if proxy.owner is not None
+        )
 
     def _names(self, *, dead: Member) -> bool:
-        return any(dead.name in one.owner.context.peers for one in self.proxies if one.owner is not None)
+        return any(dead.name in proxy.owner.context.peers for proxy in self.proxies if proxy.owner is not None)
 
     def _tally(self) -> Tally:
         network, members = self.network, [*self.controllers, *self.proxies]
@@ -284,7 +286,7 @@
             steps={key: tuple(row) for key, row in network.steps.items()},
             costs={one.post: one.cost.copy() for one in members},
             sent={one.post: one.sent.copy() for one in members},
-            heard={one.post: one.heard.copy() for one in members},
+            heard={member.post: member.heard.copy() for member in members},
         )
 
     def _between(self, *, before: Tally) -> dict:
@@ -320,7 +322,7 @@
                 / len(members)
                 for part in ("step", "pack", "unpack", "check")
             }
-            told = sum(after.sent[one.post]["messages"] - before.sent[one.post]["messages"] for one in members)
+            told = sum(after.sent[member.post]["messages"] - before.sent[member.post]["messages"] for member in members)
             roles[role] = {
                 "cpu": _spread(values=cpu),
                 "out": _spread(values=out),
--- a/simulation/hosted/chaos.py
+++ b/simulation/hosted/chaos.py
@@ -73,20 +73,26 @@
 
     def _core(self) -> list[str]:
         return [
-            one.spot.name for one in self._world.machines.values() if "controller" in one.processes and not one.is_gone
+            machine.spot.name
+            for machine in self._world.machines.values()
+            if "controller" in machine.processes and not machine.is_gone
         ]
 
     def _machine(self) -> str:
         return self._rng.choice(
-            [one.spot.name for one in self._world.machines.values() if not one.is_gone and not one.is_dark]
+            [
+                machine.spot.name
+                for machine in self._world.machines.values()
+                if not machine.is_gone and not machine.is_dark
+            ]
         )
 
     def _plain(self) -> str:
         return self._rng.choice(
             [
-                one.spot.name
-                for one in self._world.machines.values()
-                if "controller" not in one.processes and not one.is_dark
+                machine.spot.name
+                for machine in self._world.machines.values()
+                if "controller" not in machine.processes and not machine.is_dark
             ]
         )
 
--- a/simulation/hosted/choosing.py
+++ b/simulation/hosted/choosing.py
@@ -16,12 +16,16 @@
 def choose_machines(*, world: World, word: str) -> list[Machine]:
     """The machines that are meant by a name, zone, region, kind, `all` or a role, or some of these joined by +."""
     parts = {resolve_role(world=world, word=one) if one in ROLES else one for one in word.split("+")}
-    return [one for one in world.machines.values() if not one.is_gone and ("all" in parts or one.spot.names & parts)]
+    return [
+        machine
+        for machine in world.machines.values()
+        if not machine.is_gone and ("all" in parts or machine.spot.names & parts)
+    ]
 
 
 def resolve_role(*, world: World, word: str) -> str:
     """The name of the machine that a role stands for now; of the first that holds state if nobody has played it yet."""
-    there = {one.spot.name: one for one in world.machines.values() if not one.is_gone}
+    there = {machine.spot.name: machine for machine in world.machines.values() if not machine.is_gone}
     core = [name for name, one in there.items() if "controller" in one.processes]
     if word == "seed":
         posts = {one.ip: name for name, one in there.items()}
@@ -48,8 +52,11 @@
     service, _, where = word.partition("@")
     where, _, at = where.partition("#")
     found = [
-        one
-        for one in world.workers.values()
-        if one.service == service and one.is_up and not one.is_draining and (where == "all" or where in one.spot.names)
+        worker
+        for worker in world.workers.values()
+        if worker.service == service
+        and worker.is_up
+        and not worker.is_draining
+        and (where == "all" or where in worker.spot.names)
     ]
     return found if where == "all" else found[int(at or 1) - 1 : int(at or 1)]
--- a/simulation/hosted/clients.py
+++ b/simulation/hosted/clients.py
@@ -104,9 +104,9 @@
         self._is_asking = True
         near = sorted(
             (one for one in self.world.directories()),
-            key=lambda one: (
-                one.machine.spot.region != self.spot.region,
-                one.machine.spot.zone != self.spot.zone,
+            key=lambda directory: (
+                directory.machine.spot.region != self.spot.region,
+                directory.machine.spot.zone != self.spot.zone,
                 self.rng.random(),
             ),
         )
@@ -158,7 +158,7 @@
 
     def _pick(self) -> str:
         now = self.world.clock.now
-        well = [one for one in self.addresses if now - self.failed.get(one, -1e9) > FORGET]
+        well = [address for address in self.addresses if now - self.failed.get(address, -1e9) > FORGET]
         return self.rng.choice(well or self.addresses)
 
     def _send(self, *, request: Request, turn: int) -> None:
--- a/simulation/hosted/deployment.py
+++ b/simulation/hosted/deployment.py
@@ -159,7 +159,7 @@
     """The control machines of the small deployment and few workers, for long days of orders without traffic."""
     small = make_small()
     return dataclasses.replace(
-        small, plain=0, services=tuple(dataclasses.replace(one, a_zone=1) for one in small.services)
+        small, plain=0, services=tuple(dataclasses.replace(service, a_zone=1) for service in small.services)
     )
 
 
@@ -198,7 +198,7 @@
         "generation": f"r{number}",
         "limits": {"max_header_bytes": 16384, "max_body_bytes": 1 << 20, "header_timeout_s": 3, "idle_timeout_s": idle},
         "listeners": [{"hostname": host, "ruleset": rules} for host, rules in listeners.items()],
-        "pools": [_make_pool(served=one) for one in deployment.services],
+        "pools": [_make_pool(served=service) for service in deployment.services],
     }
 
 
--- a/simulation/hosted/drawn_deployment.py
+++ b/simulation/hosted/drawn_deployment.py
@@ -36,7 +36,7 @@
     made = make_small(home=zones[next(iter(zones))])
     if rng.random() < UNSHARDED:
         made = dataclasses.replace(
-            made, services=tuple(dataclasses.replace(one, is_sharded=False) for one in made.services)
+            made, services=tuple(dataclasses.replace(service, is_sharded=False) for service in made.services)
         )
     return dataclasses.replace(
         made,
--- a/simulation/hosted/judge_config.py
+++ b/simulation/hosted/judge_config.py
@@ -20,7 +20,7 @@
 
     def __init__(self, *, world: World) -> None:
         self._kinds = world.deployment.kinds
-        self.all: list[Version] = sorted(world.operator.versions.values(), key=lambda one: one.number)
+        self.all: list[Version] = sorted(world.operator.versions.values(), key=lambda version: version.number)
         self._routes = {id(one): one.routes() if one.is_valid else {} for one in self.all}
 
     def services(self, *, version: Version, host: str, path: str) -> frozenset | None:
@@ -105,7 +105,7 @@
 
 def judge_reads(*, world: World, touch: Touch):
     """CONFIG and LOST by what operators were told."""
-    acked = [one for one in world.operator.versions.values() if one.outcome == "acked"]
+    acked = [version for version in world.operator.versions.values() if version.outcome == "acked"]
     yield from _judge_acknowledged(acked=acked)
     yield from _judge_ended(world=world, touch=touch)
     for row in world.history.of(k="refused-taken"):
@@ -126,7 +126,7 @@
         if len(winners) > 1 or sum(one.base == base for one in acked) > 1:
             yield Broken(rule="CONFIG", t=0.0, detail=f"{winners} were all acknowledged on top of r{base}")
     for number in {one.number for one in acked}:
-        if sum(one.number == number for one in acked) > 1:
+        if sum(version.number == number for version in acked) > 1:
             yield Broken(rule="CONFIG", t=0.0, detail=f"two different changes were both acknowledged as r{number}")
 
 
@@ -145,7 +145,7 @@
 
 def _judge_read(*, acked: list, row: dict):
     """A read in the middle of a day may fail; what it gives is no older than what was acknowledged before it began."""
-    newest = max((one.number for one in acked if one.acked <= row["begun"]), default=0)
+    newest = max((version.number for version in acked if version.acked <= row["begun"]), default=0)
     if row["code"] == 200 and int(row["written"]["generation"][1:]) < newest:
         told = f"{row['written']['generation']} was read after r{newest} had been acknowledged"
         yield Broken(rule="LOST", t=row["t"], detail=told)
@@ -162,7 +162,11 @@
         yield Broken(
             rule="LOST", t=row["t"], detail=f"r{number} was read back after r{newest.number} had been acknowledged"
         )
-    sent = [one for one in world.operator.versions.values() if one.number == number and one.outcome != "refused"]
+    sent = [
+        version
+        for version in world.operator.versions.values()
+        if version.number == number and version.outcome != "refused"
+    ]
     if not any(normal_form(written=one.written) == normal_form(written=row["written"]) for one in sent):
         yield Broken(rule="CONFIG", t=row["t"], detail=f"what is read back as r{number} is not what was sent")
 
@@ -173,17 +177,20 @@
     Then it was invalid, whatever it built on.
     """
     return any(
-        one.number >= row["number"] and one.sent < row["t"] and one.outcome != "refused" and one.is_valid
-        for one in world.operator.versions.values()
-        if (one.number, one.sent) != (row["number"], row["begun"])
+        version.number >= row["number"]
+        and version.sent < row["t"]
+        and version.outcome != "refused"
+        and version.is_valid
+        for version in world.operator.versions.values()
+        if (version.number, version.sent) != (row["number"], row["begun"])
     )
 
 
 def normal_form(*, written: dict) -> tuple:
     """The same for the same configuration, in whatever order its items stand."""
     rules = sorted(
-        (listener["hostname"], rule["name"], repr(sorted(rule.items(), key=lambda one: one[0])))
+        (listener["hostname"], rule["name"], repr(sorted(rule.items(), key=lambda item: item[0])))
         for listener in written["listeners"]
         for rule in listener["ruleset"]
     )
-    return written["generation"], rules, sorted(repr(sorted(one.items())) for one in written["pools"])
+    return written["generation"], rules, sorted(repr(sorted(pool.items())) for pool in written["pools"])
--- a/simulation/hosted/judge_contact.py
+++ b/simulation/hosted/judge_contact.py
@@ -71,7 +71,7 @@
     def is_cut_off(self, *, machine: Machine, since: float, until: float) -> bool:
         """Could this controller reach no majority of the voters, both ways, in all of this span?"""
         voters = self._voters
-        apart = [one for one in voters if self._are_parted(a=machine, b=one, since=since, until=until)]
+        apart = [voter for voter in voters if self._are_parted(a=machine, b=voter, since=since, until=until)]
         return 2 * (len(voters) - len(apart)) <= len(voters) and bool(apart)
 
     def reaches_other(self, *, proxy: Machine, since: float, until: float) -> bool:
@@ -81,16 +81,16 @@
         """
         ups = {row["machine"]: row["t"] for row in self._up_rows if row["t"] <= until}
         return any(
-            ups.get(one.spot.name, float("inf")) <= since
-            and self._has_majority(machine=one, since=since, until=until)
-            and not self._is_touched(a=proxy, b=one, since=since, until=until)
-            for one in self._voters
-            if one.processes["controller"].owner is not None
+            ups.get(voter.spot.name, float("inf")) <= since
+            and self._has_majority(machine=voter, since=since, until=until)
+            and not self._is_touched(a=proxy, b=voter, since=since, until=until)
+            for voter in self._voters
+            if voter.processes["controller"].owner is not None
         )
 
     def _has_majority(self, *, machine: Machine, since: float, until: float) -> bool:
         voters = self._voters
-        near = [one for one in voters if not self._is_touched(a=machine, b=one, since=since, until=until)]
+        near = [voter for voter in voters if not self._is_touched(a=machine, b=voter, since=since, until=until)]
         return 2 * len(near) > len(voters)
 
     def _are_parted(self, *, a: Machine, b: Machine, since: float, until: float) -> bool:
@@ -120,6 +120,6 @@
 
 def voters_of(*, world: World) -> list[Machine]:
     """The machines of the newest set of voters that any controller holds at the end of the day."""
-    owners = [one.owner for one in world.controllers() if one.owner is not None]
-    newest = max((one.voters for one in owners), key=lambda voters: voters["number"], default={"members": {}})
+    owners = [controller.owner for controller in world.controllers() if controller.owner is not None]
+    newest = max((owner.voters for owner in owners), key=lambda voters: voters["number"], default={"members": {}})
     return [world.by_post[post].machine for post in newest["members"].values()]
--- a/simulation/hosted/judge_places.py
+++ b/simulation/hosted/judge_places.py
@@ -45,7 +45,7 @@
 def judge_cold(*, world: World, arrivals: list):
     """FAILBACK: a cold worker gets more in one second than it bears."""
     bounds = world.deployment.bounds
-    rates = {one.name: one.slow_start_rate for one in world.deployment.services}
+    rates = {service.name: service.slow_start_rate for service in world.deployment.services}
     slow_start = collections.defaultdict(list)
     chilled = collections.defaultdict(list)
     for row in world.history.of(k="chilled"):
@@ -148,7 +148,7 @@
             more[row["service"]].append(row["t"])
         seen.add(row["id"])
     asked = collections.defaultdict(list)
-    for row in sorted(attempts.values(), key=lambda one: one["t"]):
+    for row in sorted(attempts.values(), key=lambda attempt: attempt["t"]):
         for service in _services(world=world, kind=row["kind"]):
             asked[service].append(row["t"])
     for service, times in more.items():
--- a/simulation/hosted/machine_verbs.py
+++ b/simulation/hosted/machine_verbs.py
@@ -103,11 +103,11 @@
             if zone in worker.spot.names and worker.is_up:
                 back = float(seconds) + world.rng.uniform(0.0, ALL_BACK)
                 world.restart(worker=worker, seconds=back, is_silent=True)
-        for one in self._machines(zone):
-            row = self._record(machine=one, seconds=float("inf"))
-            one.lose_power()
+        for machine in self._machines(zone):
+            row = self._record(machine=machine, seconds=float("inf"))
+            machine.lose_power()
             back = float(seconds) + world.rng.uniform(0.0, ALL_BACK)
-            world.clock.after(back, lambda one=one, row=row: self._power(machine=one, row=row))
+            world.clock.after(back, lambda machine=machine, row=row: self._power(machine=machine, row=row))
 
     def do_replace(self, machine: str, after: str = "1", *how: str) -> None:
         """A machine is gone for good; another with its roles, a new address and an empty disk comes so many s later.
@@ -130,9 +130,9 @@
         world = self._world
         chosen = [one for word in machines for one in self._machines(word) if "controller" in one.processes]
         rest = [
-            one
-            for one in world.machines.values()
-            if "controller" in one.processes and not one.is_gone and one not in chosen
+            machine
+            for machine in world.machines.values()
+            if "controller" in machine.processes and not machine.is_gone and machine not in chosen
         ]
         world.rng.shuffle(rest)
         world.set_seeds(machines=[*chosen, *rest])
--- a/simulation/hosted/operators.py
+++ b/simulation/hosted/operators.py
@@ -96,11 +96,11 @@
 
     def newest(self) -> int:
         """The newest version that was acknowledged, 0 if none."""
-        return max((one.number for one in self.versions.values() if one.outcome == "acked"), default=0)
+        return max((version.number for version in self.versions.values() if version.outcome == "acked"), default=0)
 
     def older(self) -> int:
         """The version that was acknowledged before the newest."""
-        acked = sorted(one.number for one in self.versions.values() if one.outcome == "acked")
+        acked = sorted(version.number for version in self.versions.values() if version.outcome == "acked")
         return acked[-2] if len(acked) > 1 else 0
 
     def put(
@@ -150,7 +150,7 @@
                 for one in self.versions.values()
                 if one.outcome == "acked" or (informed and one.taken < float("inf"))
             ),
-            key=lambda one: one.number,
+            key=lambda version: version.number,
         )
         # all that the patch does not name stays as it is in the version that it builds on
         written = {**copy.deepcopy(base.written), "generation": wanted["generation"]}
@@ -241,7 +241,7 @@
 
     def _change(self, *, written: dict, first: str, pause: float) -> None:
         base = int(written["generation"][1:])
-        number = max([base, *(one.number for one in self.versions.values())]) + self._rng.randrange(0, 3)
+        number = max([base, *(version.number for version in self.versions.values())]) + self._rng.randrange(0, 3)
         if number <= base:
             number = base + 1
         changed = copy.deepcopy(written)
@@ -359,11 +359,11 @@
 
     def named(self, *, machine: str) -> Process | None:
         """The controller of this machine, if it is listed."""
-        return next((one for one in self._listed() if one.machine.spot.name == machine), None)
+        return next((row for row in self._listed() if row.machine.spot.name == machine), None)
 
     def pick(self, *, avoid: Process | None) -> Process | None:
         """Any controller that is listed but this one."""
-        choice = [one for one in self._listed() if one is not avoid]
+        choice = [row for row in self._listed() if row is not avoid]
         return self.world.rng.choice(choice) if choice else None
 
     def loses(self) -> bool:
@@ -375,7 +375,7 @@
     def _listed(self) -> list:
         now, lag = self.world.clock.now, self.world.deployment.bounds["seed_lag_s"]
         return [
-            one
-            for one in self.world.controllers()
-            if one.machine.listed_from <= now and now <= one.machine.listed_until + lag
+            controller
+            for controller in self.world.controllers()
+            if controller.machine.listed_from <= now and now <= controller.machine.listed_until + lag
         ]
--- a/simulation/hosted/people_verbs.py
+++ b/simulation/hosted/people_verbs.py
@@ -26,7 +26,7 @@
 
     def do_hot_key(self, seconds: str, times: str, key: str) -> None:
         """One key of the divided services gets much of the traffic."""
-        divided = {one.name for one in self._world.deployment.services if one.is_sharded}
+        divided = {service.name for service in self._world.deployment.services if service.is_sharded}
         chosen = tuple(kind for kind in self._world.deployment.kinds if kind.service in divided)
         self._world.load(until=self._world.clock.now + float(seconds), times=float(times), kinds=chosen, key=int(key))
 
@@ -80,7 +80,9 @@
 
         def go(turn: int) -> None:
             last = int(number) + turn - 1
-            if turn and any(one.number == last and one.outcome == "open" for one in operator.versions.values()):
+            if turn and any(
+                version.number == last and version.outcome == "open" for version in operator.versions.values()
+            ):
                 world.clock.after(float(gap), lambda: go(turn))
             elif turn < int(count):
                 weights = {"notes": 1.0, "tracks": float(turn % 4)}
@@ -108,12 +110,14 @@
         """A share of a zone's clients move to another zone, and back."""
         world = self._world
         there = next(one.spot for one in world.clients if one.spot.zone == to_zone)
-        movers = [one for one in world.clients if one.spot.zone == zone]
-        for one in movers[: max(1, round(float(share) * len(movers)))]:
-            home = one.spot
-            one.spot = dataclasses.replace(home, zone=there.zone, region=there.region, names=there.names | {home.name})
-            one.until = 0.0
-            world.clock.after(float(seconds), lambda one=one, home=home: setattr(one, "spot", home))
+        movers = [client for client in world.clients if client.spot.zone == zone]
+        for mover in movers[: max(1, round(float(share) * len(movers)))]:
+            home = mover.spot
+            mover.spot = dataclasses.replace(
+                home, zone=there.zone, region=there.region, names=there.names | {home.name}
+            )
+            mover.until = 0.0
+            world.clock.after(float(seconds), lambda mover=mover, home=home: setattr(mover, "spot", home))
 
     def do_read_config(self, at: str = "") -> None:
         """The operator reads the newest configuration in the middle of a day."""
--- a/simulation/hosted/shrink.py
+++ b/simulation/hosted/shrink.py
@@ -32,7 +32,7 @@
         outcome = run_scenario(scenario=scenario, seed=seed, without=without)
     except Exception as fault:  # noqa: BLE001 any fault of the stand-ins is a finding of its own
         return frozenset({f"simulator: {type(fault).__name__}"})
-    return frozenset(one.rule for one in outcome.broken)
+    return frozenset(breach.rule for breach in outcome.broken)
 
 
 def shrink(
@@ -59,7 +59,7 @@
         """The first of these sets of steps that still breaks a wanted rule."""
         nonlocal runs
         runs += len(candidates)
-        found = run_all([replace(whole, steps=one) for one in candidates])
+        found = run_all([replace(whole, steps=candidate) for candidate in candidates])
         return next((at for at, rules in enumerate(found) if rules & wanted), None)
 
     steps = _shorten(steps=steps, holds=holds)
--- a/simulation/hosted/touch.py
+++ b/simulation/hosted/touch.py
@@ -21,7 +21,7 @@
     def __init__(self, *, world: World) -> None:
         self._world = world
         self._contact = world.deployment.bounds["contact_s"]
-        self._core = [one for one in world.machines.values() if "controller" in one.processes]
+        self._core = [machine for machine in world.machines.values() if "controller" in machine.processes]
 
     def finished(self, *, t: float) -> bool:
         """Has no core machine been in trouble for `contact_s`?"""
--- a/simulation/hosted/worker_verbs.py
+++ b/simulation/hosted/worker_verbs.py
@@ -67,7 +67,7 @@
         chosen = (
             self._workers(where)
             if "@" in where
-            else [one for one in self._world.workers.values() if where in one.spot.names and one.is_up]
+            else [worker for worker in self._world.workers.values() if where in worker.spot.names and worker.is_up]
         )
         for one in chosen:
             self._world.chill(worker=one)
@@ -118,9 +118,9 @@
 
     def do_cold_return(self, zone: str, seconds: str, *how: str) -> None:
         """All workers of a zone are down for so long and come back together, cold."""
-        for one in list(self._world.workers.values()):
-            if zone in one.spot.names and one.is_up:
-                self._world.restart(worker=one, seconds=float(seconds), is_silent="silent" in how)
+        for worker in list(self._world.workers.values()):
+            if zone in worker.spot.names and worker.is_up:
+                self._world.restart(worker=worker, seconds=float(seconds), is_silent="silent" in how)
 
     def do_spot(self, worker: str, notice: str) -> None:
         """Workers announce that they leave and are gone after a short notice; others come 4 s later."""
--- a/simulation/hosted/workers.py
+++ b/simulation/hosted/workers.py
@@ -100,15 +100,15 @@
         self._note_holds()
         for one in list(self.running):
             one.answer(fault="cut-short" if self.rng.random() < 0.3 else "connection-lost")
-        for one in self.line:
-            one.answer(fault="connection-lost")
+        for operation in self.line:
+            operation.answer(fault="connection-lost")
         self.running.clear()
         self.line.clear()
 
     def holds_key(self, *, key: int) -> Hold | None:
         """The hold of a key, if it runs."""
         now = self.world.clock.now
-        return next((one for one in self.holds if one.start <= key <= one.end and now < one.until), None)
+        return next((hold for hold in self.holds if hold.start <= key <= hold.end and now < hold.until), None)
 
     def closed(self, *, line: Line) -> None:
         """The connection of a call was closed: what waits is dropped, what runs is stopped."""
@@ -300,30 +300,36 @@
 
     def _drop(self, *, start: int, end: int) -> None:
         now, kept = self.world.clock.now, []
-        for one in self.holds:
-            if one.end < start or end < one.start:
-                kept.append(one)
+        for hold in self.holds:
+            if hold.end < start or end < hold.start:
+                kept.append(hold)
                 continue
-            self._note_hold(hold=one, start=max(one.start, start), end=min(one.end, end), until=min(now, one.until))
-            if one.start < start:
+            self._note_hold(hold=hold, start=max(hold.start, start), end=min(hold.end, end), until=min(now, hold.until))
+            if hold.start < start:
                 kept.append(
                     Hold(
-                        start=one.start,
+                        start=hold.start,
                         end=start - 1,
-                        fencing_token=one.fencing_token,
-                        since=one.since,
-                        until=one.until,
+                        fencing_token=hold.fencing_token,
+                        since=hold.since,
+                        until=hold.until,
                     )
                 )
-            if end < one.end:
+            if end < hold.end:
                 kept.append(
-                    Hold(start=end + 1, end=one.end, fencing_token=one.fencing_token, since=one.since, until=one.until)
+                    Hold(
+                        start=end + 1,
+                        end=hold.end,
+                        fencing_token=hold.fencing_token,
+                        since=hold.since,
+                        until=hold.until,
+                    )
                 )
         self.holds = kept
 
     def _note_holds(self) -> None:
-        for one in self.holds:
-            self._note_hold(hold=one, start=one.start, end=one.end, until=min(self.world.clock.now, one.until))
+        for hold in self.holds:
+            self._note_hold(hold=hold, start=hold.start, end=hold.end, until=min(self.world.clock.now, hold.until))
         self.holds = []
 
     def _note_hold(self, *, hold: Hold, start: int, end: int, until: float) -> None:
--- a/simulation/hosted/world.py
+++ b/simulation/hosted/world.py
@@ -64,7 +64,7 @@
             disks = deployment.disks + (zone in deployment.more_disks)
             for at in range(disks + deployment.plain):
                 self.add_machine(name=f"{zone}-{at}", zone=zone, has_disk=at < disks)
-        self.set_seeds(machines=[one for one in self.machines.values() if "controller" in one.processes])
+        self.set_seeds(machines=[machine for machine in self.machines.values() if "controller" in machine.processes])
         for service in deployment.services:
             for zone in deployment.zones:
                 for _ in range(service.a_zone):
@@ -113,7 +113,7 @@
 
     def set_seeds(self, *, machines: list[Machine]) -> None:
         """What the settings name as seeds from now on: the first three."""
-        self.seeds = [f"{one.ip}:{DESK}" for one in machines][:3]
+        self.seeds = [f"{machine.ip}:{DESK}" for machine in machines][:3]
 
     def host(self, *, machine: Machine, role: str) -> object:
         """What the adapter makes of a machine's settings of this moment."""
@@ -217,7 +217,7 @@
 
     def chill(self, *, worker: Worker) -> None:
         """A worker goes cold; its health answers say so."""
-        served = next(one for one in self.deployment.services if one.name == worker.service)
+        served = next(service for service in self.deployment.services if service.name == worker.service)
         worker.slow_start_until = self.clock.now + served.slow_start
         if worker.spot.zone not in self.operator.emptied:
             self.history.add(t=self.clock.now, k="chilled", worker=worker.id)
@@ -242,16 +242,23 @@
 
     def directories(self) -> list[Process]:
         """The daemons that answer who asks where to go, as told to clients from outside."""
-        return [one.processes["proxy"] for one in self.machines.values() if not one.is_gone]
+        return [machine.processes["proxy"] for machine in self.machines.values() if not machine.is_gone]
 
     def controllers(self) -> list[Process]:
         """The daemons that take operators' calls."""
-        return [one.processes["controller"] for one in self.machines.values() if "controller" in one.processes]
+        return [
+            machine.processes["controller"] for machine in self.machines.values() if "controller" in machine.processes
+        ]
 
     def by_desk(self, *, location: str) -> Process | None:
         """The controller that a redirect names."""
         return next(
-            (one for one in self.controllers() if location.startswith(f"http://{one.machine.ip}:{DESK}/")), None
+            (
+                controller
+                for controller in self.controllers()
+                if location.startswith(f"http://{controller.machine.ip}:{DESK}/")
+            ),
+            None,
         )
 
     def acknowledged(self) -> None:
--- a/simulation/linearizability.py
+++ b/simulation/linearizability.py
@@ -70,7 +70,7 @@
 
     def __init__(self, *, operations: list[Operation], model: Model) -> None:
         self._model = model
-        self._operations = sorted(operations, key=lambda one: one.begun)
+        self._operations = sorted(operations, key=lambda operation: operation.begun)
         certain = [at for at, one in enumerate(self._operations) if one.is_certain]
         self._by_end = sorted(certain, key=lambda at: self._operations[at].ended)
         self._seen: set = set()
@@ -90,7 +90,7 @@
                 return None
             self._best = max(self._best, (placed.bit_count(), placed, state), key=lambda one: one[0])
             # those that are certain are tried first: they are pushed last
-            following = sorted(self._changes(placed=placed, state=state), key=lambda one: one[0])
+            following = sorted(self._changes(placed=placed, state=state), key=lambda change: change[0])
             stack += [(placed | 1 << at, after) for _, at, after in following]
         return self._explain()
 
--- a/simulation/model/actions.py
+++ b/simulation/model/actions.py
@@ -59,10 +59,10 @@
     if is_between_rounds and not may_return:
         # to leave a thread for good between its two rounds is to have begun it in vain
         return
-    for op in sorted({MESSAGES[one][2]["op"] for one in state.requests} - {op for op, _, _ in live}):
+    for op in sorted({MESSAGES[request][2]["op"] for request in state.requests} - {op for op, _, _ in live}):
         if op in state.left:
             yield from _words_of_phase(state=state, bounds=bounds, op=op, phase="accept", need=0)
-    for op in sorted({MESSAGES[one][2]["op"] for one in state.votes}):
+    for op in sorted({MESSAGES[vote][2]["op"] for vote in state.votes}):
         yield f"count {op}"
     if state.retries < bounds.retries:
         yield from sorted({f"retry {op}" for op, _, _ in live})
@@ -103,7 +103,9 @@
 
 def _words_of_phase(*, state: State, bounds: Bounds, op: str, phase: str, need: int) -> Iterator[str]:
     """Deliver the requests of a round to a smallest set that ends it, or to a part; a vote may end with a torn sync."""
-    bodies = {MESSAGES[one][1]: MESSAGES[one][2] for one in state.requests if MESSAGES[one][2]["op"] == op}
+    bodies = {
+        MESSAGES[request][1]: MESSAGES[request][2] for request in state.requests if MESSAGES[request][2]["op"] == op
+    }
     names = sorted(name for name, body in bodies.items() if body["kind"] == phase)
     is_vote = phase == "accept"
     least = 1 if is_vote or state.returns < bounds.returns else need
@@ -202,7 +204,7 @@
         if not found:
             return None
         message = max(found, key=lambda one: MESSAGES[one][2].get("ballot", []))
-        left = tuple(one for one in state.requests if one != message)
+        left = tuple(request for request in state.requests if request != message)
         delivered = tuple(sorted({*state.delivered, message})) if bounds.doubles else ()
         after = _hand_over(state=state.but(requests=left, delivered=delivered), message=message, is_torn=is_torn)
         if after is None:
@@ -217,7 +219,7 @@
     state = _learn(state=state, name=to, number=body["voters"])
     node = state.node(to)
     stepped = receive(node=node, sender=sender, word=message, body=body, is_synced=not is_torn)
-    is_refused = any(one.body["kind"] == "nack" and one.body["reason"] != "promised" for one in stepped.sent)
+    is_refused = any(row.body["kind"] == "nack" and row.body["reason"] != "promised" for row in stepped.sent)
     if is_refused or (not stepped.sent and stepped.node.key == node.key):
         return None
     state = _after(state=state, stepped=stepped)
@@ -273,13 +275,13 @@
         to = deliver.to.split(":")[0]
         stepped = receive(node=state.node(to), sender=sender, word=repr(deliver.body), body=deliver.body)
         state = _after(state=state, stepped=stepped)
-        line += [(to, one) for one in stepped.sent if one.body["kind"] in ("copy", "copied")]
+        line += [(to, row) for row in stepped.sent if row.body["kind"] in ("copy", "copied")]
     return state
 
 
 def _learn(*, state: State, name: str, number: int) -> State:
     """A node that is behind hears of a set of voters, if anyone knows it."""
-    teller = next((one for one in state.nodes if one.facts.number == number), None)
+    teller = next((node for node in state.nodes if node.facts.number == number), None)
     if teller is None or state.node(name).facts.number >= number:
         return state
     body = teller.facts.told
@@ -310,8 +312,8 @@
 def _after(*, state: State, stepped: Stepped) -> State:
     """Fold what a step did: its node, its messages, and what its proposer settled."""
     state = state.put(stepped.node)
-    for one in stepped.finished:
-        state = note_outcome(state=state, op=one.op, register=one.register, outcome=one.outcome)
+    for operation in stepped.finished:
+        state = note_outcome(state=state, op=operation.op, register=operation.register, outcome=operation.outcome)
     requests, votes, answers = set(state.requests), set(state.votes), []
     for deliver in stepped.sent:
         to, kind = deliver.to.split(":")[0], deliver.body["kind"]
@@ -344,13 +346,13 @@
     known = dict.fromkeys(known, 0) if bounds.keeps_old else known
     requests = tuple(one for one in state.requests if _matters(request=one, known=known, live=live, lost=lost))
     votes = tuple(
-        one
-        for one in state.votes
-        if {(MESSAGES[one][2]["op"], phase) for phase in ("accept", "first")} & live
-        and MESSAGES[one][2]["op"] not in lost
+        vote
+        for vote in state.votes
+        if {(MESSAGES[vote][2]["op"], phase) for phase in ("accept", "first")} & live
+        and MESSAGES[vote][2]["op"] not in lost
     )
     delivered = tuple(one for one in state.delivered if MESSAGES[one][2]["voters"] >= known[MESSAGES[one][1]])
-    threads = {MESSAGES[one][2]["op"] for one in (*requests, *votes)}
+    threads = {MESSAGES[request][2]["op"] for request in (*requests, *votes)}
     left = frozenset(one for one in state.left if one in threads or one.startswith("copy"))
     return state.but(requests=requests, votes=votes, delivered=delivered, left=left)
 
--- a/simulation/model/explore.py
+++ b/simulation/model/explore.py
@@ -133,10 +133,10 @@
 def _any_action(*, state: State, bounds: Bounds, rng: random.Random) -> tuple[str, State] | None:
     words = list(possible(state=state, bounds=bounds))
     rng.shuffle(words)
-    for one in words:
-        after = apply(state=state, bounds=bounds, words=one)
+    for word in words:
+        after = apply(state=state, bounds=bounds, words=word)
         if after is not None:
-            return one, after
+            return word, after
     return None
 
 
--- a/simulation/model/space.py
+++ b/simulation/model/space.py
@@ -113,7 +113,7 @@
 
     def node(self, name: str) -> Node:
         """A node by its name."""
-        return next(one for one in self.nodes if one.name == name)
+        return next(node for node in self.nodes if node.name == name)
 
     def put(self, node: Node) -> State:
         """This state with a node in a new state."""
@@ -124,4 +124,6 @@
     """The core as it was founded."""
     nodes = [boot(name=name, starts=1, disk=()) for name in (*bounds.members, *bounds.spares)]
     members = {f"{name}#n1": f"{name}:1" for name in bounds.members}
-    return State(nodes=tuple(found(node=one, members=members) if one.name in bounds.members else one for one in nodes))
+    return State(
+        nodes=tuple(found(node=node, members=members) if node.name in bounds.members else node for node in nodes)
+    )
--- a/simulation/real/callers.py
+++ b/simulation/real/callers.py
@@ -77,7 +77,7 @@
         proxy = self._rng.choice(known[:3] if turn == 1 else known)
         if not is_open(address=proxy):
             # nobody listens there: the next address on the list, at once
-            proxy = next((one for one in known if one != proxy and is_open(address=one)), proxy)
+            proxy = next((peer for peer in known if peer != proxy and is_open(address=peer)), proxy)
         return proxy
 
     def _send(self, *, kind, nonce: str, key: str, turn: int, part: str) -> float | None:
--- a/simulation/rules/exchanges.py
+++ b/simulation/rules/exchanges.py
@@ -104,7 +104,7 @@
     In small traffic one more for each proxy, which must be able to try again at all.
     """
     seen, times, again = set(), [], []
-    for row in sorted([*runs, *history.of(k="reached")], key=lambda one: one["t"]):
+    for row in sorted([*runs, *history.of(k="reached")], key=lambda run: run["t"]):
         times.append(row["t"])
         if row["nonce"] in seen:
             again.append(row["t"])
--- a/simulation/run_fleet.py
+++ b/simulation/run_fleet.py
@@ -70,8 +70,8 @@
     if name != "all":
         VERBS[verb](fleet=fleet, verb=verb, name=name)
         return
-    for one in fleet.kinds:
-        do_step(fleet=fleet, verb=verb, name=one)
+    for kind in fleet.kinds:
+        do_step(fleet=fleet, verb=verb, name=kind)
 
 
 def _start(*, fleet: Fleet, verb: str, name: str) -> None:
@@ -150,8 +150,8 @@
             f"took: median {times[len(times) // 2] * 1000:.1f} ms, "
             f"99 of 100 under {times[int(len(times) * 0.99)] * 1000:.1f} ms"
         )
-    for one in broken[:10]:
-        print(f"broken {one.rule}: {one.detail}")
+    for breach in broken[:10]:
+        print(f"broken {breach.rule}: {breach.detail}")
     print(f"{len(broken)} broken rules")
     return broken
 
--- a/simulation/scenarios.py
+++ b/simulation/scenarios.py
@@ -177,7 +177,7 @@
         begin = self.begin_of(outcome.world)
         lines = [
             f"{name}: {len(outcome.broken)} broken, {len(outcome.failed)} failed, {pace:.1f} times real time",
-            *(f"  broken {one.rule} at {one.t - begin:.2f}: {one.detail}" for one in outcome.broken[:8]),
+            *(f"  broken {breach.rule} at {breach.t - begin:.2f}: {breach.detail}" for breach in outcome.broken[:8]),
             *(f"  failed {fault}" for fault in outcome.failed),
             *(f"  {words}: {figure}" for words, figure in outcome.figures.items()),
             *(self.logs_of(outcome.world) if logs else ()),
--- a/simulation/sim/chaos_scene.py
+++ b/simulation/sim/chaos_scene.py
@@ -52,7 +52,7 @@
     def worker(self) -> str:
         """One that runs."""
         return self.rng.choice(
-            sorted(one.mind.name for one in self.world.machines.values() if one.up and not one.frozen)
+            sorted(machine.mind.name for machine in self.world.machines.values() if machine.up and not machine.frozen)
         )
 
     def zone(self) -> str:
--- a/simulation/sim/chaos_workers.py
+++ b/simulation/sim/chaos_workers.py
@@ -31,7 +31,11 @@
 def _release(context: ChaosContext) -> bool:
     """The workers of one service are replaced, one by one."""
     service = context.rng.choice(sorted(context.world.deployment.config["services"]))
-    names = sorted(one.mind.name for one in context.world.machines.values() if one.mind.service == service and one.up)
+    names = sorted(
+        machine.mind.name
+        for machine in context.world.machines.values()
+        if machine.mind.service == service and machine.up
+    )
     for at, name in enumerate(names):
         context.later(1.5 * at, 1.5 * at + 0.5, "worker-replace-if", name)
     return True
@@ -91,7 +95,7 @@
 
 
 def _hot_key(context: ChaosContext) -> bool:
-    kind = next(one for one in context.world.deployment.callers if one.keys)
+    kind = next(caller for caller in context.world.deployment.callers if caller.keys)
     context.do("flood-key", kind.tenant, kind.path, "part0", "60")
     context.later(2.0, 5.0, "flood", kind.tenant, kind.path, "0")
     return True
@@ -106,7 +110,7 @@
 
 
 def _brand_floods(context: ChaosContext) -> bool:
-    kind = next(one for one in context.world.deployment.callers if not one.unsafe and not one.keys)
+    kind = next(caller for caller in context.world.deployment.callers if not caller.unsafe and not caller.keys)
     context.do("flood", kind.tenant, kind.path, "250")
     context.later(2.0, 4.0, "flood", kind.tenant, kind.path, "0")
     return True
@@ -121,7 +125,7 @@
 def _orders_repeated(context: ChaosContext) -> bool:
     key = f"rep{context.rng.randrange(10**6)}"
     tenant, path = context.rng.choice(
-        [(one.tenant, one.path) for one in context.world.deployment.callers if one.unsafe]
+        [(caller.tenant, caller.path) for caller in context.world.deployment.callers if caller.unsafe]
     )
     name = context.daemon("proxy")
     for turn in range(1, 5):
--- a/simulation/sim/network.py
+++ b/simulation/sim/network.py
@@ -55,6 +55,6 @@
         """The delays of each copy that arrives: none if it is lost."""
         if self.is_cut(a=a, b=b) or self.rng.random() < self.loss:
             return []
-        replicas = 2 if self.rng.random() < self.double else 1
+        copies = 2 if self.rng.random() < self.double else 1
         low, high = (0.0003, 0.002) if near else (0.008, 0.02)
-        return [self.slow * self.rng.uniform(low, high) for _ in range(replicas)]
+        return [self.slow * self.rng.uniform(low, high) for _ in range(copies)]
--- a/simulation/sim/verbs/callers.py
+++ b/simulation/sim/verbs/callers.py
@@ -24,7 +24,9 @@
 
     def do_flood(self, tenant: str, path: str, rate: str, hot: str = "") -> None:
         """One kind of caller sends so many requests a second, a part of them with one key."""
-        kind = next(one for one in self._world.deployment.callers if (one.tenant, one.path) == (tenant, path))
+        kind = next(
+            caller for caller in self._world.deployment.callers if (caller.tenant, caller.path) == (tenant, path)
+        )
         self.callers.flood(kind=kind, hot=hot, rate=float(rate))
 
     def do_flood_key(self, tenant: str, path: str, hot: str, rate: str) -> None:
@@ -51,7 +53,7 @@
 
     def do_order(self, tenant: str, path: str, key: str, proxy: str, turn: str = "0") -> None:
         """One unsafe exchange with this key, sent once to this proxy."""
-        kinds = [one for one in self._world.deployment.callers if one.path == path]
+        kinds = [caller for caller in self._world.deployment.callers if caller.path == path]
         kind = CallerKind(
             tenant=tenant, path=path, unsafe=True, part=0.0, region="", keys=kinds[0].keys if kinds else 0
         )
--- a/simulation/sim/verbs/workers.py
+++ b/simulation/sim/verbs/workers.py
@@ -20,9 +20,9 @@
 
     def _machines(self, names: tuple) -> list:
         machines = [
-            one
-            for one in self._world.machines.values()
-            if "all" in names or one.names & set(names) or one.mind.service in names
+            machine
+            for machine in self._world.machines.values()
+            if "all" in names or machine.names & set(names) or machine.mind.service in names
         ]
         if not machines:
             raise ValueError(f"no worker is called {names}")
@@ -98,7 +98,7 @@
 
     def do_worker_replace_if(self, name: str) -> None:
         """Replaced if it is still there."""
-        if any(one.mind.name == name and one.up for one in self._world.machines.values()):
+        if any(machine.mind.name == name and machine.up for machine in self._world.machines.values()):
             self._world.history.add(t=self._world.clock.now, k="trouble", verb="worker-replace", words=[name])
             self.do_worker_replace(name)
 
--- a/tests/core_net.py
+++ b/tests/core_net.py
@@ -65,7 +65,7 @@
         self.now, self._line, self._count = 0.0, [], 0
         self.rng = random.Random(seed)
         self.machines = [Machine(name=f"m{at}", zone=zone, post=f"10.0.0.{at}:7620") for at, zone in enumerate(zones)]
-        self.posts = tuple(one.post for one in self.machines[:seeds])
+        self.posts = tuple(machine.post for machine in self.machines[:seeds])
         self.budget = budget
         self.cut: set = set()
         self.answers: dict[str, Respond] = {}
@@ -130,11 +130,12 @@
             machine.disk = []
 
     def voting(self) -> list[Machine]:
-        return [one for one in self.machines if one.controller is not None and one.controller.voting]
+        return [machine for machine in self.machines if machine.controller is not None and machine.controller.voting]
 
     def members(self) -> list[str]:
         newest = max(
-            (one.controller.voters for one in self.machines if one.controller), key=lambda voters: voters["number"]
+            (machine.controller.voters for machine in self.machines if machine.controller),
+            key=lambda voters: voters["number"],
         )
         return sorted(newest["members"].values())
 
--- a/tests/granting_fixture.py
+++ b/tests/granting_fixture.py
@@ -79,7 +79,7 @@
         return "no-connection" if self.is_unreachable else ""
 
     def held(self, *, now: float) -> list[Hold]:
-        return [one for one in self.holds if one.until > now] if self.alive else []
+        return [hold for hold in self.holds if hold.until > now] if self.alive else []
 
     def take(self, *, now: float, body: dict) -> int:
         start, end, fencing_token = body["start"], body["end"], body["fence"]
@@ -93,14 +93,14 @@
 
     def drop(self, *, start: int, end: int) -> None:
         kept = []
-        for one in self.holds:
-            if one.end < start or end < one.start:
-                kept.append(one)
+        for hold in self.holds:
+            if hold.end < start or end < hold.start:
+                kept.append(hold)
                 continue
-            if one.start < start:
-                kept.append(Hold(start=one.start, end=start - 1, until=one.until, fencing_token=one.fencing_token))
-            if end < one.end:
-                kept.append(Hold(start=end + 1, end=one.end, until=one.until, fencing_token=one.fencing_token))
+            if hold.start < start:
+                kept.append(Hold(start=hold.start, end=start - 1, until=hold.until, fencing_token=hold.fencing_token))
+            if end < hold.end:
+                kept.append(Hold(start=end + 1, end=hold.end, until=hold.until, fencing_token=hold.fencing_token))
         self.holds = kept
 
 
@@ -194,16 +194,16 @@
 
     def step(self, *, granter: Granter, event: CallFinished | None) -> None:
         listed = {
-            one.key: Listed(
-                name=one.key,
+            worker.key: Listed(
+                name=worker.key,
                 service=SERVICE,
-                address=one.address,
-                zone=one.zone,
-                leaving=one.is_leaving,
-                slow_start=one.slow_start,
+                address=worker.address,
+                zone=worker.zone,
+                leaving=worker.is_leaving,
+                slow_start=worker.slow_start,
             )
-            for one in self.workers
-            if one.listed and one.key not in granter.blind
+            for worker in self.workers
+            if worker.listed and worker.key not in granter.blind
         }
         context = GrantContext(
             value=granter.value,
@@ -293,7 +293,7 @@
 
     def worker_at(self, *, address: str) -> FakeWorker:
         """The worker that answers at the address, the last one that did where none is alive."""
-        here = [one for one in self.workers if one.address == address]
+        here = [worker for worker in self.workers if worker.address == address]
         alive = [one for one in here if one.alive]
         return alive[-1] if alive else here[-1]
 
--- a/tests/group_machine.py
+++ b/tests/group_machine.py
@@ -152,7 +152,7 @@
     def _catch_up(self) -> None:
         is_healed = self.group.run(seconds=HEAL_TIME, until=self._is_caught_up)
         self._check()
-        numbers = [one.controller.learner.number(name="config") for one in self.group.members]
+        numbers = [member.controller.learner.number(name="config") for member in self.group.members]
         assert is_healed, f"held {numbers}, acknowledged {self.acknowledged}, {self._count_voting()} vote"
 
     def _watch(self, member: Member) -> None:
@@ -176,9 +176,13 @@
 
         def propose_watched(**fields: object) -> tuple:
             commands, finished = propose(**fields)
-            for one in finished:
-                if one.register == "config" and "/measure" in one.op and isinstance(one.outcome, Accepted):
-                    self._note_accepted(outcome=one.outcome)
+            for operation in finished:
+                if (
+                    operation.register == "config"
+                    and "/measure" in operation.op
+                    and isinstance(operation.outcome, Accepted)
+                ):
+                    self._note_accepted(outcome=operation.outcome)
             return commands, finished
 
         controller.learner.step, controller.proposer.step = hold_watched, propose_watched
@@ -211,16 +215,16 @@
         return [LINK + self.random.choice((0.0, 0.0, 0.05, 0.4)) for _ in range(count)]
 
     def _count_voting(self) -> int:
-        return sum(one.controller is not None and one.controller.voting for one in self.group.members)
+        return sum(member.controller is not None and member.controller.voting for member in self.group.members)
 
     def _is_complete(self) -> bool:
         """Are all up and in touch, and do three vote under one set that all of them know?"""
         members = self.group.members
         if self.network != "calm" or any(one.controller is None or one.is_cut for one in members):
             return False
-        sets = {one.controller.voters["number"] for one in members}
+        sets = {member.controller.voters["number"] for member in members}
         return len(sets) == 1 and self._count_voting() == len(members[0].controller.voters["members"]) == 3
 
     def _is_caught_up(self) -> bool:
-        numbers = {one.controller.learner.number(name="config") for one in self.group.members}
+        numbers = {member.controller.learner.number(name="config") for member in self.group.members}
         return len(numbers) == 1 and numbers >= {max(self.acknowledged, *numbers)} and self._count_voting() >= 3
--- a/tests/history_rows.py
+++ b/tests/history_rows.py
@@ -153,11 +153,11 @@
 def lose(rows: list, count: int, begin: float = 0.0) -> list:
     """The same, with this many first tries of it refused."""
     left, made = count, []
-    for one in rows:
-        bad = one["k"] == "got" and one["t"] >= begin and left > 0
+    for row in rows:
+        bad = row["k"] == "got" and row["t"] >= begin and left > 0
         left -= bad
         made.append(
-            {**one, "code": 503, "verdict": "", "ran": "not-run", "retry_after": "1", "reason": "x"} if bad else one
+            {**row, "code": 503, "verdict": "", "ran": "not-run", "retry_after": "1", "reason": "x"} if bad else row
         )
     return made
 
--- a/tests/orders_net.py
+++ b/tests/orders_net.py
@@ -261,11 +261,12 @@
         self._finish(node=node, finished=finished)
 
     def _send_update(self, *, node: Node, commands: list) -> None:
-        self.messages += [(one.to, node.name, one.body) for one in commands if isinstance(one, SendMessage)]
+        sent = [command for command in commands if isinstance(command, SendMessage)]
+        self.messages += [(command.to, node.name, command.body) for command in sent]
 
     def _finish(self, *, node: Node, finished: list) -> None:
-        for one in finished:
-            self._admin(node=node, event=one)
+        for operation in finished:
+            self._admin(node=node, event=operation)
 
 
 def make_rule(*, target: float) -> dict:
@@ -290,8 +291,8 @@
     after the order was acknowledged; one that came late has none.
     """
     name, act = f"{call.method}: {call.code}", ZoneOrder(is_emptied=call.method == "POST")
-    replicas = call.sendings if call.is_open else call.sendings[:-1]
-    found = [Operation(name=name, begun=one, ended=call.ended, call=act, is_certain=False) for one in replicas]
+    copies = call.sendings if call.is_open else call.sendings[:-1]
+    found = [Operation(name=name, begun=copy, ended=call.ended, call=act, is_certain=False) for copy in copies]
     return found if call.is_open else [*found, _operation(call=call, name=name, act=act)]
 
 
@@ -327,7 +328,7 @@
             return
         chance = rng.random()
         waiting = [one for one in net.calls if one.is_open and one.method != "GET"]
-        sent = [one for one in net.calls if one.method != "GET"]
+        sent = [call for call in net.calls if call.method != "GET"]
         if chance < 0.12 and len(waiting) < AT_ONCE:
             self._change()
         elif chance < 0.16 and len(waiting) < AT_ONCE:
@@ -348,7 +349,7 @@
     def _step_zones(self) -> None:
         net, rng, chance = self.net, self.rng, self.rng.random()
         waiting = [one for one in net.calls if one.is_open and one.method != "GET"]
-        sent = [one for one in net.calls if one.method != "GET"]
+        sent = [call for call in net.calls if call.method != "GET"]
         if chance < 0.2 and len(waiting) < 3:
             net.order(at=rng.randrange(NODES), zone=TESTED_ZONES[0], is_emptied=rng.random() < 0.5)
         elif chance < 0.35 and waiting:
@@ -373,16 +374,16 @@
                 net.deliver(index=rng.randrange(span), is_doubled=rng.random() < 0.02)
         while net.answers and rng.random() < 0.8:
             index = rng.randrange(len(net.answers))
-            is_read = any(net.answers[index].token in one.tokens and one.method == "GET" for one in net.calls)
+            is_read = any(net.answers[index].token in call.tokens and call.method == "GET" for call in net.calls)
             net.answer(index=index, is_lost=not is_read and rng.random() < self.answers_lost)
 
     def _change(self) -> None:
         net, rng = self.net, self.rng
         known = [one.label for one in net.calls if one.label and one.code == 200]
         known += [
-            _config_read(call=one).label
-            for one in net.calls
-            if one.method == "GET" and one.path == "/config" and one.code == 200
+            _config_read(call=call).label
+            for call in net.calls
+            if call.method == "GET" and call.path == "/config" and call.code == 200
         ]
         newest = max(known, default=0)
         base = newest if rng.random() < 0.8 else rng.choice([0, *known])
--- a/tests/proxy_kit.py
+++ b/tests/proxy_kit.py
@@ -205,19 +205,19 @@
 
 def calls(commands: list) -> list[StartCall]:
     """The calls among the commands."""
-    return [one for one in commands if isinstance(one, StartCall)]
+    return [command for command in commands if isinstance(command, StartCall)]
 
 
 def answers(commands: list) -> list[Respond]:
     """The answers among the commands."""
-    return [one for one in commands if isinstance(one, Respond)]
+    return [command for command in commands if isinstance(command, Respond)]
 
 
 def cancels(commands: list) -> list[CancelCall]:
     """The calls that are given up."""
-    return [one for one in commands if isinstance(one, CancelCall)]
+    return [command for command in commands if isinstance(command, CancelCall)]
 
 
 def logs(commands: list, *, event: str) -> list[LogEvent]:
     """The log lines of one event."""
-    return [one for one in commands if isinstance(one, LogEvent) and one.event == event]
+    return [command for command in commands if isinstance(command, LogEvent) and command.event == event]
--- a/tests/test_admin_api.py
+++ b/tests/test_admin_api.py
@@ -28,7 +28,7 @@
     monkeypatch.setattr(constants, "HISTORY_SEGMENT", segment)
     operators = RandomOperators(seed=seed)
     assert operators.run(steps=STEPS) is None
-    assert any(one.code == 200 for one in operators.net.calls if one.method == "PUT")
+    assert any(call.code == 200 for call in operators.net.calls if call.method == "PUT")
 
 
 @pytest.mark.parametrize(("focus", "answers_lost"), [("zones", 0.5), ("zones", 0.9), ("chains", 0.9)])
@@ -62,7 +62,7 @@
         net.resend(call=call, at=at % NODES)
     net.calm(rounds=3)
     assert [one.code for one in first] == [200] * 8
-    assert [one.code for one in losers] == [412] * 7
+    assert [loser.code for loser in losers] == [412] * 7
     assert net.finish() is None
 
 
@@ -80,7 +80,7 @@
     for _ in range(200):
         net.deliver(index=0) if net.messages else net.wait(seconds=0.05)
     assert [one.code for one in net.answers] == [503, 503]
-    assert all(b"history-too-short" in one.body for one in net.answers)
+    assert all(b"history-too-short" in answer.body for answer in net.answers)
     assert net.finish() is None
 
 
@@ -197,13 +197,13 @@
     @precondition(lambda self: any(one.is_open and one.method != "GET" for one in self.net.calls))
     @rule(at=at, index=st.integers(0, 7))
     def resend(self, at: int, index: int) -> None:
-        waiting = [one for one in self.net.calls if one.is_open and one.method != "GET"]
+        waiting = [call for call in self.net.calls if call.is_open and call.method != "GET"]
         self.net.resend(call=waiting[index % len(waiting)], at=at)
 
     @precondition(lambda self: any(one.method != "GET" for one in self.net.calls))
     @rule(at=at, index=st.integers(0, 7))
     def send_late(self, at: int, index: int) -> None:
-        sent = [one for one in self.net.calls if one.method != "GET"]
+        sent = [call for call in self.net.calls if call.method != "GET"]
         self.net.send_late(call=sent[index % len(sent)], at=at)
 
     @rule(count=st.integers(1, 40))
--- a/tests/test_data_file.py
+++ b/tests/test_data_file.py
@@ -114,7 +114,7 @@
             disk.give(
                 command=AppendRecords(seq=seq, records=(record,))
                 if seq != 3
-                else RewriteRecords(seq=seq, records=tuple({"k": "drop", "r": f"value {one}"} for one in given))
+                else RewriteRecords(seq=seq, records=tuple({"k": "drop", "r": f"value {item}"} for item in given))
             )
             disk.run_waiting()
             synced += [event.seq for event in events if isinstance(event, RecordsSynced)]
--- a/tests/test_dialect.py
+++ b/tests/test_dialect.py
@@ -178,10 +178,8 @@
     ]
     net.run(6.0)
     assert [net.answers[token].code for token in tokens] == [200, 200]
-    assert json.loads(net.machines[0].controller.learner.values["orders"].value["text"])["emptied"] == [
-        "ens-a",
-        "gdl-b",
-    ]
+    orders = net.machines[0].controller.learner.values["orders"].value["text"]
+    assert json.loads(orders)["emptied"] == ["ens-a", "gdl-b"]
 
 
 def orders_of(net: CoreNet) -> dict:
@@ -347,7 +345,8 @@
         )
         == 200
     )
-    hosts = {one["hostname"]: [rule["name"] for rule in one["ruleset"]] for one in shown(net)["listeners"]}
+    listeners = shown(net)["listeners"]
+    hosts = {listener["hostname"]: [rule["name"] for rule in listener["ruleset"]] for listener in listeners}
     assert hosts == {"one.example": ["r-2"], "two.example": ["r-1", "r-3", "r-0"]}
 
 
--- a/tests/test_endpoint_pages.py
+++ b/tests/test_endpoint_pages.py
@@ -61,22 +61,22 @@
         """One pass over these pages; the names it told, or None."""
         self.now = max(self.now, self.pager.next_at)
         commands, whole = self.pager.step(now=self.now, event=None)
-        for one in pages:
+        for page in pages:
             call = commands[0]
             self.paths.append(call.path)
-            code = one if isinstance(one, int) else 200
+            code = page if isinstance(page, int) else 200
             commands, whole = self.pager.step(
                 now=self.now,
                 event=CallFinished(
                     token=call.token,
                     code=code,
                     headers={},
-                    body=one if isinstance(one, bytes) else b"",
+                    body=page if isinstance(page, bytes) else b"",
                     fault="",
                     sent=True,
                 ),
             )
-        return None if whole is None else [one["id"] for one in whole.workers]
+        return None if whole is None else [worker["id"] for worker in whole.workers]
 
 
 def test_pages_are_asked_for_by_token_and_read_into_rows() -> None:
@@ -220,7 +220,7 @@
         ([500, "a:1", [0, ""]], True),
     ):
         commands = Subscribers(post="a:1").step(now=1.0, event=("p:1", ask(have)), updates=news)
-        assert [one.body["number"] for one in commands if isinstance(one, SendMessage)] == (
+        assert [command.body["number"] for command in commands if isinstance(command, SendMessage)] == (
             [101] if is_pushed else []
         ), have
 
@@ -241,4 +241,4 @@
         net.start(machine, bootstrap=True)
     net.run(2.0)
     listed = net.ask(net.machines[0], method="GET", path="/workers")[1]["workers"]
-    assert [one["id"] for one in listed] == ["i-1"] and listed[0]["capacity"] == 4
+    assert [row["id"] for row in listed] == ["i-1"] and listed[0]["capacity"] == 4
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -111,8 +111,10 @@
     made = OWNERS[owner]()
     for count in (1, 2):
         commands = made.step(now=50.0, event=EventOfALaterVersion())
-        logs = [one for one in commands if isinstance(one, LogEvent) and one.event == "event-unexpected"]
-        assert [one.fields for one in logs] == [{"type": "EventOfALaterVersion", "count": count}]
+        logs = [
+            command for command in commands if isinstance(command, LogEvent) and command.event == "event-unexpected"
+        ]
+        assert [log.fields for log in logs] == [{"type": "EventOfALaterVersion", "count": count}]
     made.step(now=50.1, event=TimerFired(wall=7.1))
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -22,7 +22,7 @@
         **whole.config,
         "services": {name: whole.config["services"][name] for name in keep},
         "pools": {name: one for name, one in whole.config["pools"].items() if one["service"] in keep},
-        "matches": [one for one in whole.config["matches"] if one["path"] == "/orders"],
+        "matches": [match for match in whole.config["matches"] if match["path"] == "/orders"],
     }
     daemons = [
         row
@@ -31,7 +31,7 @@
         in ("controller-0", "controller-1", "controller-2", "controller-3", "proxy-0", "proxy-2", "directory-0")
     ]
     workers = [row for row in whole.workers if row[1] in keep and row[0].endswith("-0")]
-    callers = [one for one in whole.callers if one.path == "/orders"]
+    callers = [caller for caller in whole.callers if caller.path == "/orders"]
     return dataclasses.replace(
         whole, config=config, daemons=tuple(daemons), workers=tuple(workers), callers=tuple(callers)
     )
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -47,7 +47,7 @@
     bench = make()
     assert [one.code for one in answers(bench.ask(path="/other"))] == [404]
     assert [one.code for one in answers(bench.ask(host="elsewhere"))] == [404]
-    assert [one.code for one in answers(bench.ask(host="SHOP:8080"))] == []
+    assert [answer.code for answer in answers(bench.ask(host="SHOP:8080"))] == []
 
 
 @pytest.mark.parametrize("code", [200, 204, 302, 400, 404, 409, 499])
@@ -55,7 +55,7 @@
     bench = make()
     [call] = calls(bench.ask())
     commands = bench.back(call=call, code=code)
-    assert [one.code for one in answers(commands)] == [code] and not calls(commands)
+    assert [answer.code for answer in answers(commands)] == [code] and not calls(commands)
 
 
 @pytest.mark.parametrize(
@@ -85,7 +85,7 @@
     [call] = calls(bench.ask(method="POST"))
     commands = bench.back(call=call, code=code)
     assert not calls(commands)
-    assert all(one.code not in PROMISES for one in answers(commands)) and len(answers(commands)) == 1
+    assert all(answer.code not in PROMISES for answer in answers(commands)) and len(answers(commands)) == 1
 
 
 @pytest.mark.parametrize("code", [429, 503, 421])
@@ -109,7 +109,7 @@
         tried.append(call.owner)
         commands = bench.fail(call=call, fault="refused", sent=False)
     assert len(tried) == constants.MAX_UNSENT + 1 and len(set(tried)) == len(tried)
-    assert [one.code for one in answers(commands)] == [503]
+    assert [answer.code for answer in answers(commands)] == [503]
 
 
 def test_a_repeatable_request_is_tried_again_to_its_bound() -> None:
@@ -136,14 +136,14 @@
 def test_a_success_without_the_seal_is_not_passed_on() -> None:
     bench = make(tries=1)
     [call] = calls(bench.ask())
-    assert [one.code for one in answers(bench.back(call=call, x_seal=None))] == [502]
+    assert [answer.code for answer in answers(bench.back(call=call, x_seal=None))] == [502]
 
 
 @pytest.mark.parametrize("name", ["another", None])
 def test_an_answer_to_another_request_is_not_passed_on(name: str | None) -> None:
     bench = make(tries=1, kind="once")
     [call] = calls(bench.ask())
-    assert [one.code for one in answers(bench.back(call=call, x_id=name))] == [502]
+    assert [answer.code for answer in answers(bench.back(call=call, x_id=name))] == [502]
 
 
 def test_a_stranger_at_the_address_is_not_asked_again() -> None:
@@ -197,7 +197,7 @@
     low = bench.ask()
     assert not calls(low) and not answers(low)
     bench.list(workers=[make_worker("w9")])
-    assert [one.owner for one in calls(bench.wait(0.05))] == ["w9"]
+    assert [call.owner for call in calls(bench.wait(0.05))] == ["w9"]
 
 
 def test_silence_ends_only_at_the_deadline() -> None:
@@ -220,8 +220,8 @@
         second = calls(bench.wait(0.05))
     assert second[0].owner != first.owner and not calls(bench.wait(0.5))
     commands = bench.back(call=second[0], body=b"quick")
-    assert [one.body for one in answers(commands)] == [b"quick"]
-    assert [one.token for one in cancels(commands)] == [first.token]
+    assert [answer.body for answer in answers(commands)] == [b"quick"]
+    assert [cancel.token for cancel in cancels(commands)] == [first.token]
     assert not bench.endpoint_selector.open
 
 
@@ -238,7 +238,7 @@
 def test_nothing_is_sent_when_too_little_time_is_left() -> None:
     bench = make()
     commands = bench.ask(within="10")
-    assert not calls(commands) and [one.code for one in answers(commands)] == [503]
+    assert not calls(commands) and [answer.code for answer in answers(commands)] == [503]
 
 
 def test_a_divided_service_goes_to_the_owner_and_comes_back_to_it() -> None:
@@ -261,7 +261,7 @@
 def test_a_divided_service_needs_a_key(key: str) -> None:
     bench = Bench(workers=[make_worker("w0")], plan=make_plan(ranged=True))
     bench.own(owner="w0")
-    assert [one.code for one in answers(bench.ask(x_key=key))] == [400]
+    assert [answer.code for answer in answers(bench.ask(x_key=key))] == [400]
 
 
 def test_a_refusal_is_logged_with_its_reason() -> None:
--- a/tests/test_fuzz_edges.py
+++ b/tests/test_fuzz_edges.py
@@ -71,7 +71,7 @@
     now = 1.0
     for code, body in answers:
         commands, _ = pager.step(now=now, event=None)
-        for call in [one for one in commands if isinstance(one, StartCall)] or [None]:
+        for call in [command for command in commands if isinstance(command, StartCall)] or [None]:
             token = call.token if call else pager.token
             if call:
                 assert call.path.isascii() and call.path.isprintable() and " " not in call.path
@@ -94,7 +94,7 @@
         commands, _ = pager.step(
             now=1.0, event=CallFinished(token=calls[0].token, code=200, headers={}, body=body, fault="", sent=True)
         )
-    assert [one.fields for one in commands] == [{"reason": "endless"}]
+    assert [command.fields for command in commands] == [{"reason": "endless"}]
 
 
 VALUE = {"number": 1, "mark": "m", "trail": [], "text": '{"members": {"a": "b"}}'}
@@ -245,7 +245,7 @@
         commands, changes = granting.step(now=now, event=None, context=context)
         for _, _, text in changes:
             value = {"number": value["number"] + 1, "text": text}
-        for call in [one for one in commands if isinstance(one, StartCall)]:
+        for call in [command for command in commands if isinstance(command, StartCall)]:
             called = CallFinished(
                 token=call.token, code=code, headers=headers, body=body, fault="" if code else "reset", sent=is_sent
             )
--- a/tests/test_fuzz_messages.py
+++ b/tests/test_fuzz_messages.py
@@ -99,7 +99,7 @@
         for at, body in enumerate(bodies):
             sender = "10.0.0.1:7620" if at % 2 else "10.0.0.2:7620"
             commands = made.step(now=now, event=MessageReceived(sender=sender, body=copy.deepcopy(body)))
-            assert not [one for one in commands if isinstance(one, Respond)], name
+            assert not [command for command in commands if isinstance(command, Respond)], name
         for heartbeat in range(1, 60, 6):
             made.step(now=now + 0.05 * heartbeat, event=TimerFired(wall=7.0 + heartbeat))
 
--- a/tests/test_granting.py
+++ b/tests/test_granting.py
@@ -32,7 +32,7 @@
         gap += constants.TICK if world.held_keys() < KEYS else 0.0
     assert world.now - start < 1.5
     assert gap + world.run_until_whole(within=2.0) < 1.0
-    assert f"from {worker.key}" in [one for other in world.workers for one in other.handovers]
+    assert f"from {worker.key}" in [handover for other in world.workers for handover in other.handovers]
     assert not world.overlaps
 
 
@@ -52,7 +52,7 @@
     world = make_settled()
     world.emptied = frozenset(world.zones)
     world.run(seconds=4.0)
-    assert world.held_keys() == 0 and {one.owner for one in read_shards(text=world.register["text"]).shards} == {""}
+    assert world.held_keys() == 0 and {shard.owner for shard in read_shards(text=world.register["text"]).shards} == {""}
     world.emptied = frozenset()
     assert world.run_until_whole(within=3.0) < 2.0 and not world.overlaps
 
@@ -134,7 +134,7 @@
     worker.seen.append((0, KEYS - 1, 5000))
     worker.holds = []
     assert world.run_until_whole(within=12.0) < 10.0
-    assert max(one.fencing_token for one in read_shards(text=world.register["text"]).shards) >= 5000
+    assert max(shard.fencing_token for shard in read_shards(text=world.register["text"]).shards) >= 5000
 
 
 def test_hot_keys_move_once_and_then_rest() -> None:
--- a/tests/test_granting_surplus.py
+++ b/tests/test_granting_surplus.py
@@ -39,7 +39,7 @@
 def test_a_surplus_answer_is_not_taken_for_the_end_of_a_release(seed: int) -> None:
     world = drain_beside_surplus_answers(seed=seed)
     assert world.overlaps == []
-    assert world.held_keys() == KEYS and not any(world.keys_of(worker=one) for one in world.workers[:2])
+    assert world.held_keys() == KEYS and not any(world.keys_of(worker=worker) for worker in world.workers[:2])
 
 
 def test_without_a_connection_of_its_own_a_release_is_believed_too_soon(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -72,7 +72,7 @@
     network.run(seconds=2.0)
     assert dict(network.messages) == {("ack", link): 2}
     assert dict(network.bytes) == {("ack", link): 2 * len(pack_body(body=ACK))}
-    assert [one.sent["messages"] for one in members] == [one.heard["messages"] for one in members] == [1, 1]
+    assert [one.sent["messages"] for one in members] == [member.heard["messages"] for member in members] == [1, 1]
     assert owners[1].heard[0][0] == pytest.approx(delay)
 
 
@@ -113,7 +113,7 @@
     assert sum(len(json.loads(page)["instances"]) for page in list_pages(size=Size(workers=120))) == 120
     assert len(json.loads(told_fleet(size=SMALL, zones=zones))["proxies"]) == 6
     document = make_document(size=SMALL, version=3)
-    assert sum(len(one["ruleset"]) for one in document["listeners"]) == 6 and len(document["pools"]) == 3
+    assert sum(len(listener["ruleset"]) for listener in document["listeners"]) == 6 and len(document["pools"]) == 3
 
 
 def test_a_small_fleet_plays_its_whole_day():
--- a/tests/test_hosted.py
+++ b/tests/test_hosted.py
@@ -26,7 +26,7 @@
     seen = set()
     for seed in SCENARIOS[name].seeds:
         outcome = run_scenario(scenario=SCENARIOS[name], seed=seed, without=safeguard)
-        seen |= {one.rule for one in outcome.broken} | {fault.split()[0] for fault in outcome.failed}
+        seen |= {breach.rule for breach in outcome.broken} | {fault.split()[0] for fault in outcome.failed}
         if rule in seen:
             return
     raise AssertionError(f"without {safeguard} the scenario shows {sorted(seen)}, not {rule}")
--- a/tests/test_hosted_draw.py
+++ b/tests/test_hosted_draw.py
@@ -75,7 +75,7 @@
     sizes = {one.disks * len(one.zones) + len(one.more_disks) for one in drawn}
     assert sizes == set(range(3, 9))
     assert {one.machines for one in drawn} == {1, 2}
-    assert all(one.machines == 1 or one.disks * len(one.zones) + len(one.more_disks) >= 5 for one in drawn)
+    assert all(kind.machines == 1 or kind.disks * len(kind.zones) + len(kind.more_disks) >= 5 for kind in drawn)
 
 
 TAKES = {"kill", "outage", "freeze", "cut-core", "fill", "stall-disk", "replace", "slow-node", "stop"}
--- a/tests/test_hosted_judge.py
+++ b/tests/test_hosted_judge.py
@@ -47,7 +47,7 @@
         made.begin, made.end = self.world.begin + begin, self.world.begin + end
 
     def reads(self) -> list:
-        return [one.rule for one in judge_reads(world=self.world, touch=Touch(world=self.world))]
+        return [read.rule for read in judge_reads(world=self.world, touch=Touch(world=self.world))]
 
     def evacuations(self, *, arrivals: list) -> list:
         found = judge_evacuations(world=self.world, arrivals=arrivals, touch=Touch(world=self.world))
--- a/tests/test_hosted_shrink.py
+++ b/tests/test_hosted_shrink.py
@@ -32,8 +32,8 @@
 def test_only_the_steps_that_matter_are_left(needed: set) -> None:
     def run_all(candidates: list) -> list:
         return [
-            frozenset({"TWICE"}) if needed <= {int(when) for when, _, _ in one.steps} else frozenset()
-            for one in candidates
+            frozenset({"TWICE"}) if needed <= {int(when) for when, _, _ in candidate.steps} else frozenset()
+            for candidate in candidates
         ]
 
     found = shrink(scenario=Scenario(steps=_steps(40), end=60.0), seed=1, run_all=run_all)
@@ -45,7 +45,8 @@
 def test_a_step_that_breaks_another_rule_is_not_taken_for_it() -> None:
     def run_all(candidates: list) -> list:
         return [
-            frozenset({"TWICE"} if {4, 5} <= {int(step[0]) for step in one.steps} else {"HOME"}) for one in candidates
+            frozenset({"TWICE"} if {4, 5} <= {int(step[0]) for step in candidate.steps} else {"HOME"})
+            for candidate in candidates
         ]
 
     found = shrink(scenario=Scenario(steps=_steps(12), end=20.0), seed=1, run_all=run_all)
@@ -61,7 +62,7 @@
     """Evacuations that no proxy hears of: traffic and one evacuation are enough to show it."""
 
     def run_all(candidates: list) -> list:
-        return [rules_broken(scenario=one, seed=1, without="evacuation") for one in candidates]
+        return [rules_broken(scenario=candidate, seed=1, without="evacuation") for candidate in candidates]
 
     found = shrink(scenario=read_scenario(text=PLANTED), seed=1, run_all=run_all)
     assert found is not None
--- a/tests/test_linearizability.py
+++ b/tests/test_linearizability.py
@@ -148,7 +148,7 @@
     assert list(check_operator_orders(history=history)) == []
     history.add(t=7, k="read-back", begun=6, number=1, config={"a": 1})
     history.add(t=7, k="orders-read", begun=6, emptied=[])
-    assert [one.detail.split(":")[0] for one in check_operator_orders(history=history)] == ["config", "x"]
+    assert [order.detail.split(":")[0] for order in check_operator_orders(history=history)] == ["config", "x"]
 
 
 def test_a_search_that_takes_too_long_says_so(monkeypatch) -> None:
@@ -167,8 +167,8 @@
                 if any(b.ended < a.begun for at, a in enumerate(line) for b in line[at + 1 :]):
                     continue
                 state = model.initial
-                for one in line:
-                    state = None if state is None else model.step(state=state, call=one.call)
+                for operation in line:
+                    state = None if state is None else model.step(state=state, call=operation.call)
                 if state is not None:
                     return True
     return False
--- a/tests/test_model_explorer.py
+++ b/tests/test_model_explorer.py
@@ -36,7 +36,7 @@
 
 
 def test_every_planted_fault_has_a_history() -> None:
-    assert {one.fault for one in HISTORIES.values()} == set(FAULTS)
+    assert {history.fault for history in HISTORIES.values()} == set(FAULTS)
 
 
 @pytest.mark.parametrize("name", ["small-crash", "small-larger", "small-smaller", "small-changes"])
--- a/tests/test_platform_config.py
+++ b/tests/test_platform_config.py
@@ -195,13 +195,15 @@
         },
     )
     assert merged["generation"] == "r2" and merged["limits"] == {"max_body_bytes": 5}
-    assert [(one["hostname"], [rule["name"] for rule in one["ruleset"]]) for one in merged["listeners"]] == [
+    assert [
+        (listener["hostname"], [rule["name"] for rule in listener["ruleset"]]) for listener in merged["listeners"]
+    ] == [
         ("one.example", ["r-0", "r-2"]),
         ("two.example", ["r-3"]),
         ("new.example", ["r-new"]),
     ]
     assert merged["listeners"][0]["ruleset"][1]["target_s"] == 9
-    assert [one["name"] for one in merged["pools"]] == ["red", "white", "blue"] and merged["pools"][0] == {
+    assert [pool["name"] for pool in merged["pools"]] == ["red", "white", "blue"] and merged["pools"][0] == {
         "name": "red",
         "max_conns": 7,
     }
@@ -210,7 +212,7 @@
 
 def test_a_patch_that_takes_the_last_rule_of_a_host_takes_the_host() -> None:
     merged = CONFIG.merge(make_written(label=1), {"generation": "r2", "remove": {"routes": ["r-0", "r-2"]}})
-    assert [one["hostname"] for one in merged["listeners"]] == ["two.example"]
+    assert [listener["hostname"] for listener in merged["listeners"]] == ["two.example"]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -153,7 +153,7 @@
 
 
 def calls(commands: list) -> list[StartCall]:
-    return [one for one in commands if isinstance(one, StartCall)]
+    return [command for command in commands if isinstance(command, StartCall)]
 
 
 def test_it_is_ready_when_it_has_both_a_configuration_and_a_list() -> None:
@@ -249,7 +249,7 @@
             sent=True,
         )
     )
-    assert [one.code for one in commands if isinstance(one, Respond)] == [200]
+    assert [command.code for command in commands if isinstance(command, Respond)] == [200]
     assert any(isinstance(one, ExitProcess) and one.code == 0 for one in bench.run(0.2))
 
 
--- a/tests/test_proxy_registry.py
+++ b/tests/test_proxy_registry.py
@@ -54,9 +54,9 @@
         end = self.now + seconds
         while self.now < end:
             for post, fleet in self.fleets.items():
-                for one in self.proxies[post]:
-                    one.last_seen_at = self.now
-                controllers = [make_entry(one, start=self.starts[one]) for one in ZONES]
+                for proxy in self.proxies[post]:
+                    proxy.last_seen_at = self.now
+                controllers = [make_entry(zone, start=self.starts[zone]) for zone in ZONES]
                 for command in fleet.step(
                     now=self.now, event=None, proxies=self.proxies[post], controllers=controllers
                 ):
@@ -163,8 +163,8 @@
         loads = pair.fleets[post].loads(now=pair.now, service="red")
         assert 60 < loads[7] < 120 and loads[8] < loads[7] / 10
     for proxies in pair.proxies.values():
-        for one in proxies:
-            one.report = {}
+        for proxy in proxies:
+            proxy.report = {}
     pair.run(5 * constants.LOAD_SPAN)
     assert sum(pair.fleets["c0"].loads(now=pair.now, service="red").values()) == pytest.approx(0.0, abs=3.0)
 
--- a/tests/test_quorum_contact.py
+++ b/tests/test_quorum_contact.py
@@ -108,16 +108,16 @@
 
 def serving(net: CoreNet) -> list[str]:
     return [
-        one.name
-        for one in net.machines
-        if one.controller is not None and one.controller.contact_watch.may_serve(now=net.now)
+        machine.name
+        for machine in net.machines
+        if machine.controller is not None and machine.controller.contact_watch.may_serve(now=net.now)
     ]
 
 
 def test_all_controllers_of_a_calm_core_serve_all_the_time() -> None:
     net = found()
     net.run(1.0)
-    names = [one.name for one in net.machines]
+    names = [machine.name for machine in net.machines]
     for _ in range(120):
         net.run(0.25)
         assert serving(net) == names
@@ -182,9 +182,9 @@
 
     [grant] = ask()
     assert grant["kind"] == "grant" and grant["contact"] is False
-    assert {post for post, _, _ in grant["controllers"]} == {one.post for one in net.machines[1:]}
+    assert {post for post, _, _ in grant["controllers"]} == {machine.post for machine in net.machines[1:]}
     *pushes, _ = ask(last_resort=True)
-    assert "config" in {one["name"] for one in pushes} and all(one["contact"] is False for one in pushes)
+    assert "config" in {one["name"] for one in pushes} and all(pushe["contact"] is False for pushe in pushes)
 
 
 def test_one_that_hears_the_others_sends_operators_there() -> None:
@@ -195,7 +195,7 @@
     event = RequestReceived(token="desk x", method="GET", path="/config", query={}, headers={}, body=b"")
     [answer] = cellar.step(now=net.now, event=event)
     assert answer.code == 307
-    assert answer.headers["Location"] in {f"http://{one.post}/config" for one in net.machines[1:]}
+    assert answer.headers["Location"] in {f"http://{machine.post}/config" for machine in net.machines[1:]}
 
 
 def test_after_a_cut_it_serves_the_newest_soon_and_never_an_older_one() -> None:
--- a/tests/test_second_loss.py
+++ b/tests/test_second_loss.py
@@ -20,7 +20,7 @@
     """Would a majority of the newest set act on after so many more losses?"""
     up = [one.controller for one in net.machines if one.controller is not None]
     newest = max((one.voters for one in up), key=lambda voters: voters["number"])
-    acting = [one for one in up if one.voting and one.voters["number"] == newest["number"]]
+    acting = [machine for machine in up if machine.voting and machine.voters["number"] == newest["number"]]
     return len(acting) - losses >= majority_of(members=newest["members"])
 
 
@@ -149,7 +149,7 @@
     net = make_core(machines=5, budget=1)
     put(net, label=1, on="0")
     leaving = a_voter(net)
-    waiting = [one for one in net.machines if one not in net.voting()]
+    waiting = [machine for machine in net.machines if machine not in net.voting()]
     for one in waiting:
         # it never finishes its copy
         one.controller.membership.copying.step = lambda **_: []
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -34,7 +34,7 @@
 
 def faults(config: dict) -> list[str]:
     verdict = check_config(config=config)
-    return [f"{one.path}: {one.reason}" for one in verdict.faults] if isinstance(verdict, Unsound) else []
+    return [f"{fault.path}: {fault.reason}" for fault in verdict.faults] if isinstance(verdict, Unsound) else []
 
 
 def test_a_match_says_host_kind_times_rank_and_homes() -> None:
@@ -96,7 +96,7 @@
 def test_pools_of_different_services_need_a_word_for_it() -> None:
     pools = [{"pool": POOL, "weight": 1}, {"pool": OTHER, "weight": 1}]
     config = {**CONFIG, "tenants": {}, "matches": [{"path": "/x", "pools": pools}]}
-    assert any("different services" in one for one in faults(config))
+    assert any("different services" in fault for fault in faults(config))
     assert not faults({**config, "matches": [{"path": "/x", "pools": pools, "across": True}]})
 
 
@@ -104,15 +104,15 @@
     near = {**CONFIG, "pools": {**CONFIG["pools"], "near": {"service": SERVICE, "tiers": "near"}}}
     verdict = check_config(config=near)
     assert isinstance(verdict, Sound) and verdict.full["pools"]["near"]["preferred"] == []
-    assert not any("near" in one.path for one in verdict.warnings)
+    assert not any("near" in warning.path for warning in verdict.warnings)
     assert plan_of(full=verdict.full, number=1).pools["near"].near
     far = {**CONFIG, "pools": {**CONFIG["pools"], "far": {"service": SERVICE}}}
-    assert any(one.startswith("pools.far.preferred") for one in faults(far))
+    assert any(fault.startswith("pools.far.preferred") for fault in faults(far))
 
 
 def test_homes_without_a_hall_are_told_not_refused() -> None:
     verdict = check_config(config=with_match(homes=["atlantis"]))
-    assert [one.path for one in verdict.warnings if "atlantis" in one.reason] == [
+    assert [warning.path for warning in verdict.warnings if "atlantis" in warning.reason] == [
         f"matches.{len(CONFIG['matches'])}.homes"
     ]
 
--- a/tests/test_shards.py
+++ b/tests/test_shards.py
@@ -31,7 +31,7 @@
 def assert_whole(*, spans: list[Span]) -> None:
     assert spans[0].start == 0 and spans[-1].end == KEYS - 1
     assert all(one.end + 1 == two.start for one, two in itertools.pairwise(spans))
-    assert all(one.start <= one.end for one in spans)
+    assert all(span.start <= span.end for span in spans)
 
 
 def changed(*, before: list[Span], after: list[Span]) -> int:
@@ -152,7 +152,7 @@
                     break
                 before, spans = spans, place(spans=spans, able=able, loads=loads, is_balancing=True)
                 assert_whole(spans=spans)
-                assert {one.owner for one in spans} <= set(able)
+                assert {span.owner for span in spans} <= set(able)
             assert before == spans
 
 
@@ -164,7 +164,7 @@
     owner = next(one.owner for one in spans if one.start <= hot <= one.end)
     for _ in range(10):
         spans = place(spans=spans, able=able, loads=loads, is_balancing=True)
-    assert next(one.owner for one in spans if one.start <= hot <= one.end) == owner
+    assert next(span.owner for span in spans if span.start <= hot <= span.end) == owner
     assert parts_of(spans=spans)[owner] < 0.05 * KEYS
     assert place(spans=spans, able=able, loads=loads, is_balancing=True) == spans
 
--- a/tests/test_stopping_proxy.py
+++ b/tests/test_stopping_proxy.py
@@ -135,8 +135,8 @@
     assert any(isinstance(one, StartCall) for one in ask(proxy=proxy, now=0.2, token="front 1"))
     assert any(isinstance(one, DrainConnections) for one in proxy.step(now=0.3, event=ShutdownRequested()))
     commands = [one for _, one in run_on(proxy=proxy, start=0.3, end=10.0)]
-    answers = [one for one in commands if isinstance(one, Respond)]
-    assert [(one.token, one.code) for one in answers] == [("front 1", 504)]
+    answers = [command for command in commands if isinstance(command, Respond)]
+    assert [(answer.token, answer.code) for answer in answers] == [("front 1", 504)]
     assert isinstance(commands[-1], ExitProcess) and commands.index(answers[0]) < len(commands) - 1
 
 
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -80,7 +80,7 @@
         entries = [{**entry, "id": f"other-{at}"}]
         reader = PeerTable(place=make_location(kind="proxy"), start=1)
         reader.step(now=0.0, event=("10.0.0.2:7000", {"kind": "gossip", "entries": entries, "reply": True}))
-        assert [one["id"] for one in reader.alive(kind=kind)] == [f"other-{at}"]
+        assert [peer["id"] for peer in reader.alive(kind=kind)] == [f"other-{at}"]
 
 
 def test_the_entries_of_the_last_version_are_known_by_their_kinds() -> None:
--- a/tests/test_words.py
+++ b/tests/test_words.py
@@ -176,7 +176,7 @@
     ]
     workers.append({**workers[0], "id": "lost", "hall": "attic", "service": "wine"})
     findings = forecast(full=new, now_full=full, workers=workers, rates={"stock": 450.0, "notes": 900.0}, states={})
-    assert [f"{one.kind}: {one.path}: {one.text}" for one in findings] == snapshot
+    assert [f"{finding.kind}: {finding.path}: {finding.text}" for finding in findings] == snapshot
 
 
 def test_sailctl_says_that_nobody_answers(tmp_path: Path) -> None:
