--- a/sailward/consensus/acceptor.py
+++ b/sailward/consensus/acceptor.py
@@ -124,3 +124,13 @@
         "round": highest_round,
         "voters": [],
     }
+
+
+def newest_vote(*, slots: Slots, name: str) -> list:
+    """Number, mark and ballot of a voter's newest vote of a register."""
+    slot = slots.get(name)
+    return (
+        [slot.value["number"], slot.value["mark"], slot.ballot]
+        if slot is not None and slot.value is not None
+        else [0, "", [0, ""]]
+    )
--- a/sailward/control/controller.py
+++ b/sailward/control/controller.py
@@ -8,19 +8,18 @@
 from sailward.config.dialect import OwnDialect
 from sailward.consensus.proposer import Proposer, StartOperation
 from sailward.control.administration.admin_api import AdminApi
-from sailward.control.administration.metrics import answer_metrics
-from sailward.control.administration.status_report import StatusSources, show_status
+from sailward.control.administration.status_report import StatusSources
 from sailward.control.controller_options import ControllerOptions
 from sailward.control.endpoints.endpoint_list import EndpointList
+from sailward.control.grant_codec import GrantCodec
 from sailward.control.group.catch_up import CatchUp
 from sailward.control.group.contact_watch import ContactWatch
-from sailward.control.group.disaster_recovery import log_founding
 from sailward.control.group.graceful_shutdown import GracefulShutdown
 from sailward.control.group.membership import Membership
 from sailward.control.group.quorum_contact import QuorumContact
-from sailward.control.group.redirect import redirect_or_reject
 from sailward.control.group.voter import Voter
 from sailward.control.message_handlers import MessageHandlers
+from sailward.control.operator_requests import OperatorRequests
 from sailward.control.proxies.aggregated_health import AggregatedHealth
 from sailward.control.proxies.proxy_registry import ProxyRegistry
 from sailward.control.proxies.serving import Serving
@@ -40,18 +39,20 @@
     RecordsSynced,
     RefusedInput,
     RequestReceived,
-    Respond,
     ShutdownRequested,
     TimerFired,
     UnexpectedEvents,
 )
-from sailward.routing.proxied_request import answer_json
 
 NEVER = -1e9
 
 
 class Controller:
-    """Owner of a controller process. `step` takes one event and gives commands."""
+    """Owner of a controller process. `step` takes one event and gives commands.
+
+    It only puts the parts together and hands each event to the part that it concerns; each part is given by name what
+    it needs, and none knows the controller.
+    """
 
     def __init__(
         self,
@@ -65,22 +66,34 @@
         now: float,
         options: ControllerOptions | None = None,
     ) -> None:
-        self.options = options = options or ControllerOptions()
+        self.options = options or ControllerOptions()
         self.place, self.start = place, start
         self.unexpected, self.refused = UnexpectedEvents(), RefusedInput()
-        self.voter = Voter(place=place, nonce=nonce, records=records, now=now, bootstrap=options.bootstrap)
+        self._operation_prefix = f"{place.name}#{nonce}"
+        self._build_voter(nonce=nonce, rng=rng, records=records, now=now)
+        self._build_membership(now=now)
+        self._build_administration()
+        self._build_contact(now=now)
+        self._build_endpoints(platform=platform)
+        self._build_proxies()
+        self._build_shards()
+        self._build_dispatch()
+        self._moves_begun = 0
+        self._startup_commands = self.voter.begun
+        self._health_updated_at, self._rewrite_tried_at = NEVER, NEVER
+
+    def _build_voter(self, *, nonce: str, rng: random.Random, records: list[dict], now: float) -> None:
+        """Votes, learned values, records on the disk, and the proposer of operations on registers."""
+        self.voter = Voter(place=self.place, nonce=nonce, records=records, now=now, bootstrap=self.options.bootstrap)
         self.learner, self.acceptor, self.write_ahead = self.voter.learner, self.voter.acceptor, self.voter.write_ahead
-        op_prefix = f"{place.name}#{nonce}"
-        self.proposer = Proposer(identity=op_prefix, rng=rng)
-        self.admin_api = AdminApi(
-            identity=op_prefix,
-            dialect=options.dialect or OwnDialect(),
-            timeout=options.operation_wait,
-            zones=frozenset(zone for zone, _ in options.zones),
-        )
+        self.proposer = Proposer(identity=self._operation_prefix, rng=rng)
+
+    def _build_membership(self, *, now: float) -> None:
+        """The peers heard of by gossip, and who of them votes."""
+        options = self.options
         self.peer_table = PeerTable(
-            place=place,
-            start=start,
+            place=self.place,
+            start=self.start,
             identity=self.voter.identity,
             every=options.gossip_every,
             suspect=options.suspect_after,
@@ -88,39 +101,60 @@
             has_disk=options.has_disk,
         )
         self.membership = Membership(
-            voter=self.voter, peer_table=self.peer_table, options=options, op_prefix=op_prefix, now=now
+            voter=self.voter,
+            peer_table=self.peer_table,
+            options=options,
+            op_prefix=self._operation_prefix,
+            now=now,
+        )
+        self.graceful_shutdown = GracefulShutdown(
+            voter=self.voter, peer_table=self.peer_table, is_enabled=options.bootstrap is not None
         )
+
+    def _build_administration(self) -> None:
+        """The operators' requests in flight."""
+        self.admin_api = AdminApi(
+            identity=self._operation_prefix,
+            dialect=self.options.dialect or OwnDialect(),
+            timeout=self.options.operation_wait,
+            zones=frozenset(zone for zone, _ in self.options.zones),
+        )
+
+    def _build_contact(self, *, now: float) -> None:
+        """Contact with a majority, and reads of registers that are behind."""
         contact = QuorumContact(started=now)
-        shown_contact = contact if options.is_mesh else None
+        self._required_contact = contact if self.options.is_mesh else None
         self.catch_up = CatchUp(
             voter=self.voter,
-            op_prefix=op_prefix,
-            every=options.read_every,
-            contact=shown_contact,
+            op_prefix=self._operation_prefix,
+            every=self.options.read_every,
+            contact=self._required_contact,
         )
         self.contact_watch = ContactWatch(
             contact=contact,
             voter=self.voter,
             peer_table=self.peer_table,
             catch_up=self.catch_up,
-            admin_api=self.admin_api,
-            is_required=options.is_mesh,
-        )
-        self.leaving = GracefulShutdown(
-            voter=self.voter, peer_table=self.peer_table, is_enabled=options.bootstrap is not None
+            pending_orders=self.admin_api,
+            is_required=self.options.is_mesh,
         )
-        self.moves = ShardMoves()
+
+    def _build_endpoints(self, *, platform: str) -> None:
+        """The platform's list of workers."""
         self.endpoint_list = EndpointList(
             platform=platform,
-            post=place.post,
-            start=start,
-            reader=options.reader,
-            rate=options.list_rate,
+            post=self.place.post,
+            start=self.start,
+            reader=self.options.reader,
+            rate=self.options.list_rate,
             refused=self.refused,
         )
-        self.subscribers = Subscribers(post=place.post if options.reader else "")
+
+    def _build_proxies(self) -> None:
+        """What proxies subscribe to, what they report, and who they are."""
+        self.subscribers = Subscribers(post=self.place.post if self.options.reader else "")
         self.aggregated_health = AggregatedHealth()
-        self.fleet = ProxyRegistry(post=place.post, zone=place.zone, region=place.region)
+        self.proxy_registry = ProxyRegistry(post=self.place.post, zone=self.place.zone, region=self.place.region)
         self.serving = Serving(
             voter=self.voter,
             peer_table=self.peer_table,
@@ -130,35 +164,29 @@
             subscribers=self.subscribers,
             endpoint_list=self.endpoint_list,
             aggregated_health=self.aggregated_health,
-            fleet=self.fleet,
-            options=options,
-        )
-        self.shard_leases = self._make_shard_leases(op_prefix=op_prefix) if options.grants else None
-        self._status = StatusSources(
-            voter=self.voter,
-            peer_table=self.peer_table,
-            membership=self.membership,
-            contact_watch=self.contact_watch,
-            subscribers=self.subscribers,
-            aggregated_health=self.aggregated_health,
-            endpoint_list=self.endpoint_list,
-            unexpected=self.unexpected,
-            refused=self.refused,
-            catch_up=self.catch_up,
-            admin_api=self.admin_api,
+            proxy_registry=self.proxy_registry,
+            options=self.options,
         )
+
+    def _build_shards(self) -> None:
+        """Moves of shards, and leases on key ranges where the platform's workers take them."""
+        self.shard_moves = ShardMoves()
+        self.shard_leases = self._make_shard_leases(codec=self.options.grants) if self.options.grants else None
+
+    def _build_dispatch(self) -> None:
+        """What joins the parts: operations on registers, messages by kind, operators' requests and the status."""
         self.registers = Registers(
             voter=self.voter,
             proposer=self.proposer,
-            contact=shown_contact,
+            contact=self._required_contact,
             admin_api=self.admin_api,
             peer_table=self.peer_table,
             membership=self.membership,
             catch_up=self.catch_up,
-            moves=self.moves,
+            shard_moves=self.shard_moves,
             serving=self.serving,
             shard_leases=self.shard_leases,
-            expand=options.expand,
+            expand=self.options.expand,
             refused=self.refused,
         )
         self.messages = MessageHandlers(
@@ -170,17 +198,37 @@
             contact_watch=self.contact_watch,
             serving=self.serving,
             endpoint_list=self.endpoint_list,
-            fleet=self.fleet,
+            proxy_registry=self.proxy_registry,
             shard_leases=self.shard_leases,
-            options=options,
+            options=self.options,
+        )
+        status = StatusSources(
+            voter=self.voter,
+            peer_table=self.peer_table,
+            membership=self.membership,
+            contact_watch=self.contact_watch,
+            subscribers=self.subscribers,
+            aggregated_health=self.aggregated_health,
+            endpoint_list=self.endpoint_list,
+            unexpected=self.unexpected,
+            refused=self.refused,
+            catch_up=self.catch_up,
+            admin_api=self.admin_api,
+        )
+        self.operator_requests = OperatorRequests(
+            admin_api=self.admin_api,
+            contact_watch=self.contact_watch,
+            peer_table=self.peer_table,
+            membership=self.membership,
+            registers=self.registers,
+            endpoint_list=self.endpoint_list,
+            write_ahead=self.write_ahead,
+            status=status,
         )
-        self._op_prefix, self._moves_begun = op_prefix, 0
-        self._begun = self.voter.begun
-        self._judged, self._rewrite_tried = NEVER, NEVER
 
     def step(self, *, now: float, event: Event) -> list[Command]:
         """Answer one event with commands."""
-        commands, self._begun = self._begun, []
+        commands, self._startup_commands = self._startup_commands, []
         return commands + self._dispatch(now=now, event=event)
 
     @property
@@ -203,7 +251,7 @@
             case MessageReceived():
                 return self.messages.step(now=now, sender=event.sender, body=event.body)
             case RequestReceived():
-                return self._on_request(now=now, event=event)
+                return self.operator_requests.step(now=now, event=event)
             case ClientDisconnected():
                 return self._drop_order(now=now, event=event)
             case CallFinished():
@@ -214,47 +262,12 @@
                 commands, begins = self.admin_api.step(event=event)
                 return commands + self.registers.begin(now=now, begins=begins)
             case ShutdownRequested():
-                return self.leaving.begin(now=now)
+                return self.graceful_shutdown.begin(now=now)
             case TimerFired():
                 return self._tick(now=now, event=event)
             case _:
                 return self.unexpected.add_unknown(event=event)
 
-    # operators
-
-    def _on_request(self, *, now: float, event: RequestReceived) -> list[Command]:
-        match (event.method, event.path):
-            case ("GET", "/status"):
-                return [answer_json(token=event.token, code=200, body=show_status(sources=self._status, now=now))]
-            case ("GET", "/metrics"):
-                return [answer_metrics(token=event.token, sources=self._status, now=now)]
-            case ("POST", "/found"):
-                return self.membership.found(now=now, event=event)
-            case ("POST", "/found-anew"):
-                return self._order_recovery(now=now, event=event)
-        if not self.contact_watch.may_attempt(now=now):
-            return [
-                redirect_or_reject(now=now, event=event, dialect=self.admin_api.dialect, peer_table=self.peer_table)
-            ]
-        if (event.method, event.path) == ("GET", "/workers"):
-            return [self._show_workers(event=event)]
-        commands, begins = self.admin_api.step(event=event)
-        return commands + self.registers.begin(now=now, begins=begins)
-
-    def _show_workers(self, *, event: RequestReceived) -> Respond:
-        workers = self.endpoint_list
-        body = {"epoch": workers.epoch, "revision": workers.revision, "workers": workers.rows()}
-        return answer_json(token=event.token, code=200, body=body)
-
-    def _order_recovery(self, *, now: float, event: RequestReceived) -> list[Command]:
-        order = self.membership.order_recovery(now=now, event=event)
-        if isinstance(order, Respond):
-            return [order]
-        commands = self.registers.learn(now=now, name="voters", ballot=order.ballot, value=order.value, deliver=True)
-        # told only when it lasts
-        replies = [log_founding(value=order.value), *commands, order.answer]
-        return self.write_ahead.step(records=[order.record], replies=replies)
-
     def _drop_order(self, *, now: float, event: ClientDisconnected) -> list[Command]:
         """The caller has gone, most likely to another controller: its order on a zone, if not begun, never begins."""
         self.admin_api.drop(token=event.token)
@@ -275,18 +288,18 @@
         )
         return commands + (self.serving.push(now=now) if is_newer else [])
 
-    def _make_shard_leases(self, *, op_prefix: str) -> ShardLeases:
+    def _make_shard_leases(self, *, codec: GrantCodec) -> ShardLeases:
         return ShardLeases(
             voter=self.voter,
             peer_table=self.peer_table,
             catch_up=self.catch_up,
-            moves=self.moves,
+            shard_moves=self.shard_moves,
             endpoint_list=self.endpoint_list,
-            fleet=self.fleet,
+            proxy_registry=self.proxy_registry,
             subscribers=self.subscribers,
-            codec=self.options.grants,
+            codec=codec,
             lease_max=self.options.lease_max,
-            op_prefix=op_prefix,
+            op_prefix=self._operation_prefix,
         )
 
     # time going on
@@ -298,20 +311,22 @@
         commands += self.contact_watch.send_heartbeats(now=now)
         commands += self._step_list(now=now, event=None)
         commands += self._move_slots(now=now)
-        commands += self._step_fleet(now=now)
+        commands += self._step_proxy_registry(now=now)
         commands += self.registers.step_shard_leases(now=now, event=None)
         commands += self.registers.begin(now=now, begins=self.catch_up.step(now=now))
         commands += self.voter.sweep_claims(now=now)
         commands += self._step_membership(now=now)
         self._describe_itself(now=now)
-        commands += self._update_aggregated_health(now=now) + self.leaving.step(now=now)
+        commands += self._update_aggregated_health(now=now) + self.graceful_shutdown.step(now=now)
         return commands + self._repair_disk(now=now)
 
-    def _step_fleet(self, *, now: float) -> list[Command]:
+    def _step_proxy_registry(self, *, now: float) -> list[Command]:
         if not self.options.tells_fleet:
             return []
         controllers = [*self.peer_table.alive(kind="controller"), self.peer_table.own_entry()]
-        return self.fleet.step(now=now, event=None, proxies=self.subscribers.proxies(), controllers=controllers)
+        return self.proxy_registry.step(
+            now=now, event=None, proxies=self.subscribers.proxies(), controllers=controllers
+        )
 
     def _step_membership(self, *, now: float) -> list[Command]:
         commands, begins = self.membership.step(now=now)
@@ -328,22 +343,26 @@
             self.peer_table.identity = self.identity if may_act else ""
 
     def _update_aggregated_health(self, *, now: float) -> list[Command]:
-        if now - self._judged < constants.JUDGE_EVERY:
+        if now - self._health_updated_at < constants.JUDGE_EVERY:
             return []
-        self._judged = now
+        self._health_updated_at = now
         return self.serving.push(now=now) + self.aggregated_health.step(now=now, proxies=self.subscribers.proxies())
 
     def _repair_disk(self, *, now: float) -> list[Command]:
         """Try the whole file again while the disk can't be written."""
-        if self.write_ahead.usable or self.write_ahead.rewriting or now - self._rewrite_tried <= constants.REPAIR_EVERY:
+        if (
+            self.write_ahead.usable
+            or self.write_ahead.rewriting
+            or now - self._rewrite_tried_at <= constants.REPAIR_EVERY
+        ):
             return []
-        self._rewrite_tried = now
+        self._rewrite_tried_at = now
         return [self.write_ahead.rewrite()]
 
     def _move_slots(self, *, now: float) -> list[Command]:
         if not self.voting:
             return []
-        changes = self.moves.step(
+        changes = self.shard_moves.step(
             now=now,
             own=self.identity,
             controllers=[*self.peer_table.alive(kind="controller"), self.peer_table.own_entry()],
@@ -356,7 +375,7 @@
         begins = []
         for name, number, text in changes:
             self._moves_begun += 1
-            op = f"{self._op_prefix}/move{self._moves_begun}"
+            op = f"{self._operation_prefix}/move{self._moves_begun}"
             begins.append(
                 StartOperation(op=op, register=name, expected=number, text=text, timeout=constants.ROUND_WAIT * 3)
             )
--- a/sailward/control/controller_options.py
+++ b/sailward/control/controller_options.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from sailward import constants
-from sailward.control.shards.grant_calls import GrantCodec
+from sailward.control.grant_codec import GrantCodec
 
 if TYPE_CHECKING:
     from sailward.config.dialect import Dialect
--- a/sailward/control/group/contact_watch.py
+++ b/sailward/control/group/contact_watch.py
@@ -2,11 +2,12 @@
 
 from __future__ import annotations
 
-from sailward.control.administration.admin_api import AdminApi
+from typing import Protocol
+
+from sailward.consensus.acceptor import newest_vote
 from sailward.control.group.catch_up import CatchUp
 from sailward.control.group.quorum_contact import QuorumContact
 from sailward.control.group.voter import Voter
-from sailward.control.shards.freshness import newest_vote
 from sailward.discovery.peer_table import PeerTable
 from sailward.events import Command, LogEvent
 
@@ -14,6 +15,13 @@
 """The registers of which voters tell the newest number that they voted for with their heartbeats."""
 
 
+class PendingOrders(Protocol):
+    """The operators' orders in flight, which are given up when contact is lost or comes too late."""
+
+    def give_up(self, *, now: float, is_lost: bool) -> list[Command]:
+        """Answer the orders that are late, or all of them if contact `is_lost`."""
+
+
 class ContactWatch:
     """Joins the owner of contact with the parts that show it. `step` judges the moment, `may_serve` tells the verdict.
 
@@ -27,11 +35,16 @@
         voter: Voter,
         peer_table: PeerTable,
         catch_up: CatchUp,
-        admin_api: AdminApi,
+        pending_orders: PendingOrders,
         is_required: bool,
     ) -> None:
         self.contact = contact
-        self._voter, self._peer_table, self._catch_up, self._admin_api = voter, peer_table, catch_up, admin_api
+        self._voter, self._peer_table, self._catch_up, self._pending_orders = (
+            voter,
+            peer_table,
+            catch_up,
+            pending_orders,
+        )
         self._is_required = is_required
 
     def may_serve(self, *, now: float) -> bool:
@@ -59,7 +72,7 @@
             # what was chosen during the gap was not told here
             self._catch_up.read_all_soon()
         is_lost = had_contact and not self.contact.had_contact
-        commands = self._admin_api.give_up(now=now, is_lost=is_lost)
+        commands = self._pending_orders.give_up(now=now, is_lost=is_lost)
         if had_contact != self.contact.had_contact:
             commands.append(LogEvent(event="contact-lost" if is_lost else "contact-found"))
         return commands
--- a/sailward/control/message_handlers.py
+++ b/sailward/control/message_handlers.py
@@ -32,14 +32,14 @@
         contact_watch: ContactWatch,
         serving: Serving,
         endpoint_list: EndpointList,
-        fleet: ProxyRegistry,
+        proxy_registry: ProxyRegistry,
         shard_leases: ShardLeases | None,
         options: ControllerOptions,
     ) -> None:
         self._voter, self._peer_table, self._registers, self._membership = voter, peer_table, registers, membership
         self._catch_up, self._serving, self._endpoint_list = catch_up, serving, endpoint_list
         self._contact_watch = contact_watch
-        self._fleet, self._shard_leases = fleet, shard_leases
+        self._proxy_registry, self._shard_leases = proxy_registry, shard_leases
         self._is_bootstrapped, self._is_mesh = options.bootstrap is not None, options.is_mesh
         self._handlers = self._table()
 
@@ -81,16 +81,16 @@
         if not body["voters"]:
             return self._registers.receive(now=now, sender=sender, body=body)
         ballot, value = body["voters"]
-        return self._registers.learn(now=now, name="voters", ballot=ballot, value=value, deliver=False)
+        return self._registers.learn(now=now, name="voters", ballot=ballot, value=value, announce=False)
 
     def _on_chosen(self, *, now: float, sender: str, body: dict) -> list[Command]:
         return self._registers.learn(
-            now=now, name=body["register"], ballot=body["ballot"], value=body["value"], deliver=False
+            now=now, name=body["register"], ballot=body["ballot"], value=body["value"], announce=False
         )
 
     def _on_push(self, *, now: float, sender: str, body: dict) -> list[Command]:
         return self._registers.learn(
-            now=now, name=body["name"], ballot=body["ballot"], value=body["value"], deliver=False
+            now=now, name=body["name"], ballot=body["ballot"], value=body["value"], announce=False
         )
 
     def _on_want(self, *, now: float, sender: str, body: dict) -> list[Command]:
@@ -99,7 +99,7 @@
         return self._voter.learner.send(to=sender, name=body["register"])
 
     def _on_fleet(self, *, now: float, sender: str, body: dict) -> list[Command]:
-        return self._fleet.step(now=now, event=(sender, body), proxies=[], controllers=[])
+        return self._proxy_registry.step(now=now, event=(sender, body), proxies=[], controllers=[])
 
     def _on_list(self, *, now: float, sender: str, body: dict) -> list[Command]:
         commands, is_newer = self._endpoint_list.receive(now=now, body=body)
@@ -110,7 +110,7 @@
 
     def _on_copy(self, *, now: float, sender: str, body: dict) -> list[Command]:
         commands = self._registers.learn(
-            now=now, name="voters", ballot=body["ballot"], value=body["value"], deliver=False
+            now=now, name="voters", ballot=body["ballot"], value=body["value"], announce=False
         )
         return commands + self._membership.send_page(sender=sender, body=body)
 
--- a/sailward/control/proxies/serving.py
+++ b/sailward/control/proxies/serving.py
@@ -40,15 +40,15 @@
         subscribers: Subscribers,
         endpoint_list: EndpointList,
         aggregated_health: AggregatedHealth,
-        fleet: ProxyRegistry,
+        proxy_registry: ProxyRegistry,
         options: ControllerOptions,
     ) -> None:
         self._voter, self._peer_table, self._membership, self._catch_up = voter, peer_table, membership, catch_up
-        self._subscribers, self._endpoint_list, self._aggregated_health, self._fleet = (
+        self._subscribers, self._endpoint_list, self._aggregated_health, self._proxy_registry = (
             subscribers,
             endpoint_list,
             aggregated_health,
-            fleet,
+            proxy_registry,
         )
         self._contact_watch = contact_watch
         self._tells_fleet, self._is_bootstrapped = options.tells_fleet, options.bootstrap is not None
@@ -89,7 +89,7 @@
         workers = self._endpoint_list
         if workers.value is not None:
             updates["workers"] = (workers.revision, [workers.epoch, ""], workers.value)
-        fleet = self._fleet.value() if self._tells_fleet else None
+        fleet = self._proxy_registry.value() if self._tells_fleet else None
         if fleet is not None:
             updates["fleet"] = (fleet["number"], [0, ""], fleet)
         return updates
--- a/sailward/control/registers.py
+++ b/sailward/control/registers.py
@@ -35,7 +35,7 @@
         peer_table: PeerTable,
         membership: Membership,
         catch_up: CatchUp,
-        moves: ShardMoves,
+        shard_moves: ShardMoves,
         serving: Serving,
         shard_leases: ShardLeases | None,
         expand: Callable[[dict], dict] | None,
@@ -43,7 +43,7 @@
     ) -> None:
         self._voter, self._proposer, self._admin_api, self._peer_table = voter, proposer, admin_api, peer_table
         self._contact = contact
-        self._membership, self._catch_up, self._moves = membership, catch_up, moves
+        self._membership, self._catch_up, self._shard_moves = membership, catch_up, shard_moves
         self._serving, self._shard_leases, self._expand = serving, shard_leases, expand
         self._refused = refused
         self._unreadable_mark: str | None = None
@@ -77,8 +77,8 @@
         commands, begins = self._shard_leases.step(now=now, event=event)
         return commands + self.begin(now=now, begins=begins)
 
-    def learn(self, *, now: float, name: str, ballot: list, value: dict, deliver: bool) -> list[Command]:
-        """Hold a value that is known to have been chosen, push it on, and `deliver` the other controllers."""
+    def learn(self, *, now: float, name: str, ballot: list, value: dict, announce: bool) -> list[Command]:
+        """Hold a value that is known to have been chosen, push it on, and `announce` it to the other controllers."""
         if not is_control(name=name):
             return []
         config = self._load_config(name=name, value=value)
@@ -92,10 +92,10 @@
         if name == "voters" and was_member and self._membership.is_out(value=value):
             logs.append(LogEvent(event="taken-out", fields={"was": self._voter.identity}))
         if config is not None:
-            self._admin_api.full, self._moves.plan = config
+            self._admin_api.full, self._shard_moves.plan = config
         commands = self._voter.write_ahead.know(ballot=ballot, value=value) if name == "voters" else []
         commands += self._serving.push(now=now)
-        if deliver:
+        if announce:
             commands += self._announce_chosen(name=name, ballot=ballot, value=value)
         return [*logs, *self.step_shard_leases(now=now, event=None), *commands]
 
@@ -110,7 +110,7 @@
         for end in finished:
             ballot, value = getattr(end.outcome, "ballot", [0, ""]), getattr(end.outcome, "value", None)
             if is_control(name=end.register) and value and value["number"]:
-                commands += self.learn(now=now, name=end.register, ballot=ballot, value=value, deliver=True)
+                commands += self.learn(now=now, name=end.register, ballot=ballot, value=value, announce=True)
             if is_control(name=end.register) and isinstance(end.outcome, Accepted):
                 self._catch_up.record_confirmed(now=now, name=end.register)
             if not self._catch_up.finish(now=now, end=end):
--- a/sailward/control/shards/freshness.py
+++ b/sailward/control/shards/freshness.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 from sailward import constants
-from sailward.consensus.acceptor import Slots
+from sailward.consensus.acceptor import Slots, newest_vote
 from sailward.consensus.learner import Learner
 from sailward.consensus.proposer import blocking_of
 from sailward.events import SendMessage
@@ -86,15 +86,5 @@
         return sorted(ends, reverse=True)[need - 1] if len(ends) >= need else NEVER
 
 
-def newest_vote(*, slots: Slots, name: str) -> list:
-    """Number, mark and ballot of a voter's newest vote of a register."""
-    slot = slots.get(name)
-    return (
-        [slot.value["number"], slot.value["mark"], slot.ballot]
-        if slot is not None and slot.value is not None
-        else [0, "", [0, ""]]
-    )
-
-
 def _covers(*, learner: Learner, register: str, newest: list) -> bool:
     return newest[0] <= learner.number(name=register) and learner.covers(name=register, newest=newest)
--- a/sailward/control/shards/grant_calls.py
+++ b/sailward/control/shards/grant_calls.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field, replace
-from typing import Protocol
 
 from sailward import constants
+from sailward.control.grant_codec import GrantCodec
 from sailward.events import CallFinished, LogEvent, StartCall
 from sailward.routing.shards import Shard
 
@@ -14,21 +14,6 @@
 GRANT, RELEASE = "grant", "release"
 
 
-class GrantCodec(Protocol):
-    """The words of the calls, which an adapter sets. A call is (method, path, headers, body)."""
-
-    def grant(
-        self, *, start: int, end: int, fencing_token: int, hold: float, handover: str, owner: str
-    ) -> tuple[str, str, dict, bytes]:
-        """The call that grants the keys from `start` to `end` to `owner` for `hold` s."""
-
-    def release(self, *, start: int, end: int, fencing_token: int, owner: str) -> tuple[str, str, dict, bytes]:
-        """The call that takes these keys back."""
-
-    def handover(self, *, headers: dict) -> str:
-        """What a worker that released keys hands over to the next owner, or ""."""
-
-
 @dataclass(kw_only=True)
 class Renewing:
     """The grants of one open shard."""
--- a/sailward/control/shards/granting.py
+++ b/sailward/control/shards/granting.py
@@ -28,7 +28,8 @@
 from dataclasses import replace
 
 from sailward import constants
-from sailward.control.shards.grant_calls import NEVER, GrantCalls, GrantCodec
+from sailward.control.grant_codec import GrantCodec
+from sailward.control.shards.grant_calls import NEVER, GrantCalls
 from sailward.control.shards.grant_targets import GrantContext, GrantTargets
 from sailward.control.shards.shard_plan import Span, place
 from sailward.events import CallFinished
--- a/sailward/control/shards/shard_leases.py
+++ b/sailward/control/shards/shard_leases.py
@@ -9,14 +9,15 @@
 from dataclasses import replace
 
 from sailward import constants
+from sailward.consensus.acceptor import newest_vote
 from sailward.consensus.proposer import StartOperation
 from sailward.control.endpoints.endpoint_list import EndpointList
+from sailward.control.grant_codec import GrantCodec
 from sailward.control.group.catch_up import CatchUp
 from sailward.control.group.voter import Voter
 from sailward.control.proxies.proxy_registry import ProxyRegistry
 from sailward.control.proxies.subscribers import Subscribers
-from sailward.control.shards.freshness import Freshness, newest_vote
-from sailward.control.shards.grant_calls import GrantCodec
+from sailward.control.shards.freshness import Freshness
 from sailward.control.shards.grant_targets import GrantContext
 from sailward.control.shards.granting import Granting
 from sailward.control.shards.shard_moves import ShardMoves
@@ -40,16 +41,16 @@
         voter: Voter,
         peer_table: PeerTable,
         catch_up: CatchUp,
-        moves: ShardMoves,
+        shard_moves: ShardMoves,
         endpoint_list: EndpointList,
-        fleet: ProxyRegistry,
+        proxy_registry: ProxyRegistry,
         subscribers: Subscribers,
         codec: GrantCodec,
         lease_max: float,
         op_prefix: str,
     ) -> None:
-        self._voter, self._peer_table, self._catch_up, self._moves = voter, peer_table, catch_up, moves
-        self._endpoint_list, self._fleet, self._subscribers = endpoint_list, fleet, subscribers
+        self._voter, self._peer_table, self._catch_up, self._shard_moves = voter, peer_table, catch_up, shard_moves
+        self._endpoint_list, self._proxy_registry, self._subscribers = endpoint_list, proxy_registry, subscribers
         self._codec, self._lease_max, self._op_prefix = codec, lease_max, op_prefix
         self.freshness = Freshness()
         self.granting: dict[str, Granting] = {}
@@ -101,7 +102,7 @@
     def step(self, *, now: float, event: CallFinished | None) -> tuple[list[Command], list[StartOperation]]:
         """Step the grants of each divided service: (commands, operations to begin)."""
         voter = self._voter
-        services = sorted(name for name, service in self._moves.plan.services.items() if service.ranged)
+        services = sorted(name for name, service in self._shard_moves.plan.services.items() if service.ranged)
         if event is not None:
             services = [
                 name for name in services if name in self.granting and self.granting[name].is_own(token=event.token)
@@ -119,7 +120,7 @@
         )
         acting = [name for name, lead in leads.items() if voter.voting and lead == voter.identity]
         if event is None:
-            self._fleet.readers = frozenset(well[lead] for lead in leads.values())
+            self._proxy_registry.readers = frozenset(well[lead] for lead in leads.values())
         members = voter.voters["members"]
         commands = (
             self.freshness.step(
@@ -181,10 +182,10 @@
         if now - at >= constants.GRANT_CHECK_INTERVAL:
             paces = {
                 key: pace
-                for key, pace in self._fleet.paces(now=now).items()
+                for key, pace in self._proxy_registry.paces(now=now).items()
                 if key in self._workers and self._workers[key].service == service
             }
-            found = {"loads": self._fleet.loads(now=now, service=service), "paces": paces}
+            found = {"loads": self._proxy_registry.loads(now=now, service=service), "paces": paces}
             self._loads[service] = now, found
         return found
 
@@ -213,7 +214,7 @@
             self._slow_start = {key: at for key, at in self._slow_start.items() if key in self._workers}
         for zone in self._emptied - emptied:
             for key, worker in self._workers.items():
-                service = self._moves.plan.services.get(worker.service)
+                service = self._shard_moves.plan.services.get(worker.service)
                 if worker.zone == zone and service is not None:
                     self._slow_start[key] = max(
                         self._slow_start.get(key, 0.0), now + service.slow_start + constants.SLOW_START_MARGIN
@@ -223,6 +224,6 @@
             key: replace(worker, slow_start=max(0.0, self._slow_start.get(key, now) - now))
             for key, worker in self._workers.items()
         }
-        reports = self._fleet.down(now=now, proxies=self._subscribers.proxies())
+        reports = self._proxy_registry.down(now=now, proxies=self._subscribers.proxies())
         down = {key for key, (count, voices) in reports.items() if 2 * count > voices}
         self._down = {key: self._down.get(key, now) for key in down}
--- a/simulation/hollow_fleet/parts.py
+++ b/simulation/hollow_fleet/parts.py
@@ -376,7 +376,7 @@
     return {
         "tick_s": statistics.fmean(ticks),
         "ask_s": ask,
-        "fleet_text_bytes": len(controller.fleet.text),
+        "fleet_text_bytes": len(controller.proxy_registry.text),
         "fleet_message_bytes": statistics.fmean(frames),
     }
 
--- a/simulation/sim/sabotage.py
+++ b/simulation/sim/sabotage.py
@@ -82,8 +82,8 @@
             for name, weight in exchange.match.shares
             if weight
             and any(
-                view.fraction >= constants.SPILL and zone in self.world.plan.pools[name].preferred
-                for zone, view in self.world.views_of(
+                view.fraction >= constants.SPILL and zone in self.routing_state.plan.pools[name].preferred
+                for zone, view in self.routing_state.views_of(
                     now=now, service=exchange.service.name, tenant=exchange.tenant
                 ).items()
             )
@@ -177,7 +177,7 @@
     "lease": _constant("LEASE", 1e9),
     "drain": _constant("DRAIN", -1.0),
     "spill": _constant("SPILL", 1e-9),
-    "hold": _constant("HOLD", 0.0),
+    "hold": _constant("ZONE_HOLD_DOWN", 0.0),
     "grace": _constant("STOP_GRACE", 0.0),
     "sync": _method(write_ahead.WriteAhead, "step", _told_unsynced),
     "claim": _method(idempotency.Claims, "_begin", _always_won),
@@ -230,7 +230,7 @@
     "copy": _method(copying.Copying, "slots", lambda old: lambda self, *, now, own=None: {}),
     "repair": _constant("REPLACE_AFTER", 1e9),
     "closing": _method(shard_assignment.ShardAssignment, "_judge", _opens_at_once),
-    "witness": _method(quiescence.Quiescence, "look", lambda old: lambda self, *, closing, slot: None),
+    "witness": _method(quiescence.Quiescence, "check", lambda old: lambda self, *, closing, slot: None),
     "refit": _method(proxied_requests, "refit_exchange", lambda old: lambda *, exchange, plan: None),
     "lower-start": _method(
         peer_table,
@@ -248,7 +248,7 @@
         membership, "merge_survivors", lambda old: lambda *, slots, told, now: old(slots=slots, told=[], now=now)
     ),
     "doubt": _method(routing_state.RoutingState, "has_unknown_outcomes", lambda old: lambda self, *, now: False),
-    "told-back": _method(learner.Learner, "deliver", lambda old: lambda self, *, to, name: []),
+    "told-back": _method(learner.Learner, "send", lambda old: lambda self, *, to, name: []),
     "fence": _method(membership.Membership, "is_out", lambda old: lambda self, *, value: False),
     "slots-last-resort": _method(
         shard_assignment.ShardAssignment, "_tiers", lambda old: lambda self, **pool: old(self, **pool)[:2]
--- a/simulation/sim/verbs/operators.py
+++ b/simulation/sim/verbs/operators.py
@@ -134,11 +134,11 @@
 
     def do_empty(self, zone: str, confirm: str = "") -> None:
         """Order a hall to be emptied."""
-        self.operators.order(hall=zone, empty=True, confirm=confirm == "confirm")
+        self.operators.order(zone=zone, empty=True, confirm=confirm == "confirm")
 
     def do_refill(self, zone: str) -> None:
         """Order a hall to be filled again."""
-        self.operators.order(hall=zone, empty=False)
+        self.operators.order(zone=zone, empty=False)
 
     def do_found_anew(self, *words: str) -> None:
         """`found-anew CONTROLLER SURVIVOR ... [confirm]`: the order is given to that controller."""
--- a/tests/test_dialect.py
+++ b/tests/test_dialect.py
@@ -45,7 +45,7 @@
     assert shown(net) == make_written(label=5)
     assert put(net, make_written(label=7, weight=1), "r5", at=3) == 200
     assert shown(net) == make_written(label=7, weight=1)
-    assert net.machines[2].controller.moves.plan.label == 7
+    assert net.machines[2].controller.shard_moves.plan.label == 7
 
 
 @pytest.mark.parametrize("at", [0, 1, 3])
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -7,9 +7,9 @@
 import pytest
 
 from sailward import constants
-from sailward.consensus.acceptor import Slots, fold_record
+from sailward.consensus.acceptor import Slots, fold_record, newest_vote
 from sailward.consensus.learner import Learner
-from sailward.control.shards.freshness import Freshness, newest_vote
+from sailward.control.shards.freshness import Freshness
 from sailward.events import SendMessage
 
 REGISTER = "slots/red"
