--- a/sailward/client/forecast.py
+++ b/sailward/client/forecast.py
@@ -34,7 +34,7 @@
 
 
 def shares_of(*, full: dict) -> dict:
-    """{(path, hall): expected part of the match while all is well}."""
+    """{(path, zone): expected part of the match while all is well}."""
     shares: dict = defaultdict(float)
     for match in full.get("matches", []):
         total = sum(share["weight"] for share in match["pools"])
--- a/sailward/config/check.py
+++ b/sailward/config/check.py
@@ -116,7 +116,7 @@
 
 
 def _without_near(*, config: dict) -> dict:
-    """Pools whose tiers follow the proxy need no list of halls."""
+    """Pools whose tiers follow the proxy need no list of zones."""
     pools = config.get("pools")
     if not isinstance(pools, dict):
         return config
--- a/sailward/consensus/proposer.py
+++ b/sailward/consensus/proposer.py
@@ -50,7 +50,7 @@
 class StartOperation:
     """Begin an operation: a read, or a change of the value numbered `expected`.
 
-    `first` tries one round under the shared first ballot, for a register that likely has no value.
+    `first` attempts one round under the shared first ballot, for a register that likely has no value.
     """
 
     op: str
--- a/sailward/constants/base.py
+++ b/sailward/constants/base.py
@@ -15,7 +15,7 @@
 ROUND_PER_BYTE = 1e-6
 """s more for a round for each byte of the value: 1 MB takes about half of it between two regions here."""
 BACKOFF = 0.04
-"""s, times a random factor and the tries so far. Lets one of two racing proposers through."""
+"""s, times a random factor and the attempts so far. Lets one of two racing proposers through."""
 OPERATION_EXPIRY = 3.0
 """s. An operators' change that is not settled by then is refused or unknown."""
 CLAIM_EXPIRY = 1.0
@@ -41,13 +41,13 @@
 """s. A proxy that has not asked for a lease for one lease's length no longer counts as subscribed."""
 
 GOSSIP = 0.5
-"""s between two tellings of the roster to each watched daemon."""
+"""s between two tellings of the peer table to each watched daemon."""
 WATCHED = 3
 """daemons that rendezvous hashing names for each: one may be lost and one cut off."""
 SUSPECT = 2.5
-"""s without a newer beat before a daemon counts as lost."""
+"""s without a newer heartbeat before a daemon counts as lost."""
 FORGET = 60.0
-"""s without a newer beat before a daemon is forgotten: longer than a restart."""
+"""s without a newer heartbeat before a daemon is forgotten: longer than a restart."""
 
 LIST_EVERY = 0.5
 """s between passes over the platform's list: leaves 2 s of the 2.5 s for push and draining."""
@@ -64,22 +64,22 @@
 """s. A probe without a result by then has failed."""
 
 SPILL = 0.70
-"""fraction healthy under which a hall spills (the source's failoverHealthThreshold)."""
+"""fraction healthy under which a zone spills (the source's failoverHealthThreshold)."""
 DRAIN = 0.25
-"""fraction healthy under which a hall is drained (the source's autoCapacityDrain)."""
+"""fraction healthy under which a zone is drained (the source's autoCapacityDrain)."""
 RESTORE = 0.35
-"""fraction healthy at which a drained hall begins its hold."""
+"""fraction healthy at which a drained zone begins its hold."""
 ZONE_HOLD_DOWN = 60.0
-"""s that a drained hall stays at RESTORE or over before it takes load again (the source's)."""
+"""s that a drained zone stays at RESTORE or over before it takes load again (the source's)."""
 DRAIN_CAP = 0.50
-"""of a pool's non-empty halls may be drained at once (the source's)."""
+"""of a pool's non-empty zones may be drained at once (the source's)."""
 SUSPECT_SELF = 0.5
-"""of all halls down in one proxy's view alone: it suspects itself."""
+"""of all zones down in one proxy's view alone: it suspects itself."""
 REPORT_TTL = 2.0
 """s. A proxy's digest older than this has no voice in the standing view."""
 
 COUNT_EVERY = 0.25
-"""s between two counts of the halls when nothing happens: a hold ends by time alone."""
+"""s between two counts of the zones when nothing happens: a hold ends by time alone."""
 JUDGE_EVERY = 0.2
 """s between two folds of the proxies' digests: half of their askings."""
 MOVES_AT_ONCE = 8
@@ -91,7 +91,10 @@
 PROXY_ACTIVITY_TTL = 9.0
 """s that a controller tells of a proxy after its last asking: the longest expiry (5 s), a lease, and the telling."""
 ACTIVITY_HEARTBEATS = 19
-"""beats (of GOSSIP) after its start before what a controller tells of the proxies is whole: over PROXY_ACTIVITY_TTL."""
+"""heartbeats (of GOSSIP) after its start before what a controller tells of the proxies is whole:
+
+over PROXY_ACTIVITY_TTL.
+"""
 ASSIGN_EVERY = 0.25
 """s between looks at the slots."""
 MAX_OPEN = 128
@@ -103,14 +106,14 @@
 SERVICE_EXPIRY = 3.0
 """s, default for a service: the longest that an exchange may take at a worker."""
 ATTEMPT_SHARE = 0.15
-"""of first tries may be tried again in ATTEMPT_WINDOW: with callers' own under the rules' fifth."""
+"""of first attempts may be retried in ATTEMPT_WINDOW: with callers' own under the rules' fifth."""
 LOOKUP_SHARE = 1.0
-"""of first tries in ATTEMPT_WINDOW that repeats of unsafe exchanges may look up their claim: it reaches no worker, only
-the core."""
+"""of first attempts in ATTEMPT_WINDOW that repeats of unsafe exchanges may look up their claim: it reaches no worker,
+only the core."""
 ATTEMPT_WINDOW = 10.0
 """s. The window that the rules name."""
 ATTEMPT_FLOOR = 2
-"""tries always allowed in a window, so that a quiet proxy can still try again."""
+"""attempts always allowed in a window, so that a quiet proxy can still retry."""
 CREDIT_TTL = 15.0
 """s that a refused first try, sent to no worker, is made up for by a caller's repeat."""
 MAX_ATTEMPTS = 2
--- a/sailward/constants/hosted.py
+++ b/sailward/constants/hosted.py
@@ -111,7 +111,7 @@
 GRANT_CHECK_INTERVAL = 0.1
 """s between looks at whether the key table should change, when nothing happens."""
 GRANT_CHANGE_WAIT = 1.0
-"""s before a change of a key table that did not show is tried again."""
+"""s before a change of a key table that did not show is retried."""
 GRANT_TAKEOVER = 2.0
 """s that a granter named in the table is left in its place at least, so that two of differing views don't take
 turns."""
@@ -226,7 +226,7 @@
 REPAIR_TURN = 0.6
 """s that each voter leaves the ones named before it to begin a repair, where the core founded itself."""
 REPAIR_AGAIN = 1.0
-"""s before a change of the voters that did not show is tried again, where the core founded itself."""
+"""s before a change of the voters that did not show is retried, where the core founded itself."""
 WAITING_POLL_INTERVAL = 2.0
 """s between askings for news of a controller that waits and knows the voters, where the core founded itself."""
 CONFIRM_EVERY = 0.35
@@ -246,13 +246,13 @@
 LOAD_LEAST = 0.05
 """requests left of a bucket's count, as it fades, under which it is forgotten."""
 ZONE_HOLD_DOWN_SHORT = 5.0
-"""s of a hall's hold where a deployment asks for service within seconds of a return: twice its longest flap."""
+"""s of a zone's hold where a deployment asks for service within seconds of a return: twice its longest flap."""
 MESH_FIRST = 4
-"""beats after its start in which a daemon tells the seeds its whole roster each time."""
+"""heartbeats after its start in which a daemon tells the seeds its whole peer table each time."""
 MESH_SEEDS = 8
-"""beats between two tellings of the whole roster to seeds that are not among the living."""
+"""heartbeats between two tellings of the whole peer table to seeds that are not among the living."""
 LEAD_WAIT = 0.4
-"""s after its start that a proxy waits for a controller of its own hall before it follows another's lists: a few round
+"""s after its start that a proxy waits for a controller of its own zone before it follows another's lists: a few round
 trips."""
 KEY_SHARE = 0.6
 """of a route's target that a request may wait for its key, which is on its way to another worker or about to be."""
--- a/sailward/control/administration/status_report.py
+++ b/sailward/control/administration/status_report.py
@@ -40,20 +40,53 @@
 
 
 def show_status(*, sources: StatusSources, now: float) -> dict:
-    """The status of the core, the halls and the proxies, as this controller sees it."""
+    """The status of the core, the zones and the proxies, as this controller sees it."""
     voter, peer_table, subscribers = sources.voter, sources.peer_table, sources.subscribers
-    registers = {
+    core = count_core(
+        members=voter.voters["members"], controllers=[*peer_table.alive(kind="controller"), peer_table.own_entry()]
+    )
+    return {
+        "id": voter.place.name,
+        "core": core,
+        "identity": voter.identity,
+        "version": sailward.__version__,
+        "founding": _show_founding(sources=sources, now=now),
+        "post": voter.place.post,
+        "voting": voter.voting,
+        "disk_usable": voter.write_ahead.usable,
+        "contact": _show_contact(sources=sources, now=now),
+        "voters": voter.voters,
+        "registers": _show_registers(sources=sources),
+        "daemons": _show_daemons(peer_table=peer_table),
+        "halls": _show_zones(sources=sources, now=now),
+        "proxies": len(subscribers.proxies()),
+        "list": {"epoch": sources.endpoint_list.epoch, "revision": sources.endpoint_list.revision},
+        "slots": len(voter.acceptor.slots),
+        "rates": _sum_rates(proxies=subscribers.proxies()),
+        "well": sorted(sources.aggregated_health.warm),
+        "metrics": show_metrics(sources=sources, now=now),
+        "unexpected_events": dict(sources.unexpected.counts),
+        "refused_input": dict(sources.refused.counts),
+    }
+
+
+def _show_registers(*, sources: StatusSources) -> dict[str, dict]:
+    """The number of each register learned here, and the proxies that are known to have it."""
+    return {
         name: {
             "number": learned.value["number"],
             "acknowledged_by": sorted(
                 member.entry.get("id", "")
-                for member in subscribers.members.values()
+                for member in sources.subscribers.members.values()
                 if member.acked.get(name, -1) >= learned.value["number"]
                 or (member.have.get(name) or [-1])[0] >= learned.value["number"]
             ),
         }
-        for name, learned in voter.learner.values.items()
+        for name, learned in sources.voter.learner.values.items()
     }
+
+
+def _show_daemons(*, peer_table: PeerTable) -> list[dict]:
     daemons = [
         {
             "id": known.entry["id"],
@@ -66,36 +99,14 @@
         }
         for known in peer_table.known.values()
     ]
-    zones = {
+    return sorted(daemons, key=lambda daemon: daemon["id"])
+
+
+def _show_zones(*, sources: StatusSources, now: float) -> dict[str, dict]:
+    return {
         f"{service}|{zone}": {"state": state.state, "fraction": state.fraction, "for_s": round(now - state.since, 1)}
         for (service, zone), state in sources.aggregated_health.table.zones.items()
     }
-    core = count_core(
-        members=voter.voters["members"], controllers=[*peer_table.alive(kind="controller"), peer_table.own_entry()]
-    )
-    return {
-        "id": voter.place.name,
-        "core": core,
-        "identity": voter.identity,
-        "version": sailward.__version__,
-        "founding": _show_founding(sources=sources, now=now),
-        "post": voter.place.post,
-        "voting": voter.voting,
-        "disk_usable": voter.write_ahead.usable,
-        "contact": _show_contact(sources=sources, now=now),
-        "voters": voter.voters,
-        "registers": registers,
-        "daemons": sorted(daemons, key=lambda daemon: daemon["id"]),
-        "halls": zones,
-        "proxies": len(subscribers.proxies()),
-        "list": {"epoch": sources.endpoint_list.epoch, "revision": sources.endpoint_list.revision},
-        "slots": len(voter.acceptor.slots),
-        "rates": _sum_rates(proxies=subscribers.proxies()),
-        "well": sorted(sources.aggregated_health.warm),
-        "metrics": show_metrics(sources=sources, now=now),
-        "unexpected_events": dict(sources.unexpected.counts),
-        "refused_input": dict(sources.refused.counts),
-    }
 
 
 def _show_contact(*, sources: StatusSources, now: float) -> dict:
--- a/sailward/control/controller.py
+++ b/sailward/control/controller.py
@@ -334,7 +334,7 @@
         return commands + self.registers.begin(now=now, begins=begins)
 
     def _describe_itself(self, *, now: float) -> None:
-        """What the roster tells others of this process."""
+        """What the peer table tells others of this process."""
         self.peer_table.fit = self.voting
         self.peer_table.asks = "" if self.options.is_mesh else self.subscribers.asks(now=now)
         if self.options.bootstrap:
--- a/sailward/control/controller_options.py
+++ b/sailward/control/controller_options.py
@@ -22,11 +22,11 @@
     `dialect`: the operators' words; None for the product's own JSON. `expand`: written configuration -> full form, for
     a dialect that keeps no full form in the register. `reader`: the words of the platform's list of workers; None for
     the product's own. `bootstrap`: None where an operator founds the core. `list_rate`: calls/s that the platform bears
-    from all daemons together, 0 if no bound is known. `zones`: every hall known from the settings, with its region.
+    from all daemons together, 0 if no bound is known. `zones`: every zone known from the settings, with its region.
     `grants`: the words of grants to workers, None where no service is divided by number. `tells_fleet`: proxies are
-    told of each other for the directory. `is_mesh`: controllers send each other beats instead of whole rosters; for
-    cores whose proxies don't gossip. `has_disk`: without one a controller serves proxies and operators, and votes only
-    if it is a founder, until one with a disk takes its place. All others in s.
+    told of each other for the directory. `is_mesh`: controllers send each other heartbeats instead of whole peer
+    tables; for cores whose proxies don't gossip. `has_disk`: without one a controller serves proxies and operators, and
+    votes only if it is a founder, until one with a disk takes its place. All others in s.
     """
 
     dialect: Dialect | None = None
--- a/sailward/control/group/contact_watch.py
+++ b/sailward/control/group/contact_watch.py
@@ -78,7 +78,7 @@
         return commands
 
     def send_heartbeats(self, *, now: float) -> list[Command]:
-        """Let the roster send what is due, and note each heartbeat as a question."""
+        """Let the peer table send what is due, and note each heartbeat as a question."""
         peer_table, before = self._peer_table, self._peer_table.heartbeat
         peer_table.contact = self.may_serve(now=now)
         peer_table.voted = [newest_vote(slots=self._voter.acceptor.slots, name=name)[0] for name in ANNOUNCED_REGISTERS]
--- a/sailward/control/group/disaster_recovery.py
+++ b/sailward/control/group/disaster_recovery.py
@@ -47,7 +47,7 @@
 
 
 def make_founding(
-    *, own: str, names: list, is_confirmed: bool, value: dict, opened: int, controllers: dict
+    *, own: str, names: list[str], is_confirmed: bool, value: dict, opened: int, controllers: dict
 ) -> dict | NotFounded:
     """The value of the voters register with the named survivors as its only members.
 
@@ -56,58 +56,20 @@
     members = json.loads(value["text"])["members"] if value["text"] else {}
     by_name = {identity.split("#")[0]: identity for identity in members}
     survivors = sorted({by_name.get(name, name) for name in names})
-    unknown = [name for name in survivors if name not in members]
-    lost = sorted(set(members) - set(survivors))
-    alive = {identity for identity in members if identity in controllers}
-    voting = [identity for identity in members if identity in controllers and controllers[identity]["fit"]]
-    if not members:
-        return NotFounded(
-            code=409, reason="never-founded", detail="this controller belongs to no core: `found` joins new ones"
-        )
-    if not survivors:
-        return NotFounded(code=422, reason="no-survivor", detail="name the controllers that still have their disks")
-    if unknown:
-        return NotFounded(
-            code=404, reason="survivor-unknown", detail=f"not among the voters {sorted(by_name)}: {unknown}"
-        )
-    if own not in survivors:
-        return NotFounded(
-            code=409, reason="not-a-survivor", detail="give this order to one of the survivors that it names"
-        )
-    if 2 * len(voting) > len(members):
-        return NotFounded(
-            code=409,
-            reason="core-whole",
-            detail=f"{len(voting)} of {len(members)} voters act: take single ones out by `part`",
-        )
-    if not set(survivors) <= alive:
-        return NotFounded(
-            code=409, reason="survivor-unreachable", detail=f"not heard of now: {sorted(set(survivors) - alive)}"
-        )
-    if set(lost) & alive:
-        return NotFounded(
-            code=409, reason="member-alive", detail=f"heard of now, so not lost: {sorted(set(lost) & alive)}"
-        )
+    fault = _refuse_survivors(own=own, members=members, survivors=survivors)
+    fault = fault or _refuse_by_peers(members=members, survivors=survivors, controllers=controllers)
+    if fault is not None:
+        return fault
     if not is_confirmed:
-        return NotFounded(
-            code=409,
-            reason="not-confirmed",
-            detail=f"confirm that these are gone for good and stay switched off: {lost}",
-        )
+        lost = sorted(set(members) - set(survivors))
+        detail = f"confirm that these are gone for good and stay switched off: {lost}"
+        return NotFounded(code=409, reason="not-confirmed", detail=detail)
     last = read_founding(value=value)
     if last.number > opened and list(last.survivors) == survivors:
         return value
     # the set whose choices the survivors hold: the last one that acted
     base = last.base if last.number > opened else members
-    # a gap in the numbers, so that no change that the old set may have made can reach the new one; within it a
-    # place of its own, so that of two foundings on two sides of a cut one is the newer
-    place = (
-        int.from_bytes(hashlib.blake2b(" ".join(survivors).encode(), digest_size=4).digest(), "big")
-        % constants.RECOVERY_LOCATIONS
-    )
-    number = (value["number"] // constants.RECOVERY_GAP + 1) * constants.RECOVERY_GAP + place * (
-        constants.RECOVERY_GAP // constants.RECOVERY_LOCATIONS // 2
-    )
+    number = _next_founding_number(value=value, survivors=survivors)
     unknown_outcomes = len(set(survivors) & set(base)) < blocking_of(members=base)
     text = {
         "members": {name: members[name] for name in survivors},
@@ -117,6 +79,54 @@
     return {"number": number, "mark": f"anew-{number}", "trail": [], "text": json.dumps(text, sort_keys=True)}
 
 
+def _refuse_survivors(*, own: str, members: dict[str, str], survivors: list[str]) -> NotFounded | None:
+    """Why these can't be the survivors, by the set of voters alone; None if they can."""
+    if not members:
+        detail = "this controller belongs to no core: `found` joins new ones"
+        return NotFounded(code=409, reason="never-founded", detail=detail)
+    if not survivors:
+        detail = "name the controllers that still have their disks"
+        return NotFounded(code=422, reason="no-survivor", detail=detail)
+    unknown = [name for name in survivors if name not in members]
+    if unknown:
+        known = sorted({identity.split("#")[0] for identity in members})
+        detail = f"not among the voters {known}: {unknown}"
+        return NotFounded(code=404, reason="survivor-unknown", detail=detail)
+    if own not in survivors:
+        detail = "give this order to one of the survivors that it names"
+        return NotFounded(code=409, reason="not-a-survivor", detail=detail)
+    return None
+
+
+def _refuse_by_peers(*, members: dict[str, str], survivors: list[str], controllers: dict) -> NotFounded | None:
+    """Why these can't be the survivors, by the controllers that are heard of now; None if they can."""
+    alive = {identity for identity in members if identity in controllers}
+    voting = [identity for identity in alive if controllers[identity]["fit"]]
+    if 2 * len(voting) > len(members):
+        detail = f"{len(voting)} of {len(members)} voters act: take single ones out by `part`"
+        return NotFounded(code=409, reason="core-whole", detail=detail)
+    unreachable = sorted(set(survivors) - alive)
+    if unreachable:
+        return NotFounded(code=409, reason="survivor-unreachable", detail=f"not heard of now: {unreachable}")
+    lost_alive = sorted(alive - set(survivors))
+    if lost_alive:
+        return NotFounded(code=409, reason="member-alive", detail=f"heard of now, so not lost: {lost_alive}")
+    return None
+
+
+def _next_founding_number(*, value: dict, survivors: list[str]) -> int:
+    """A number so far on that no change which the old set may have made can reach the new one.
+
+    Within the gap each set of survivors has a place of its own, so that of two foundings on two sides of a partition
+    one is the newer.
+    """
+    digest = hashlib.blake2b(" ".join(survivors).encode(), digest_size=4).digest()
+    location = int.from_bytes(digest, "big") % constants.RECOVERY_LOCATIONS
+    step = constants.RECOVERY_GAP // constants.RECOVERY_LOCATIONS // 2
+    gaps = int(value["number"]) // constants.RECOVERY_GAP + 1
+    return gaps * constants.RECOVERY_GAP + location * step
+
+
 @dataclass(kw_only=True)
 class DisasterRecovery:
     """Owner of one survivor's part. `step` asks the others for all they voted for, or folds a page of it.
--- a/sailward/control/group/membership.py
+++ b/sailward/control/group/membership.py
@@ -144,16 +144,13 @@
         record = {"k": "vote", "r": "voters", "b": [number, "founder"], "v": made}
         fold_record(slots=voter.acceptor.slots, record=record, now=now)
         founding = read_founding(value=made)
-        answer = answer_json(
-            token=event.token,
-            code=200,
-            body={
-                "outcome": "accepted",
-                "number": number,
-                "survivors": list(founding.survivors),
-                "claims": "in-doubt" if founding.unknown_outcomes else "kept",
-            },
-        )
+        body = {
+            "outcome": "accepted",
+            "number": number,
+            "survivors": list(founding.survivors),
+            "claims": "in-doubt" if founding.unknown_outcomes else "kept",
+        }
+        answer = answer_json(token=event.token, code=200, body=body)
         return RecoveryOrder(record=record, ballot=[number, "founder"], value=made, answer=answer)
 
     def is_out(self, *, value: dict) -> bool:
--- a/sailward/control/group/redirect.py
+++ b/sailward/control/group/redirect.py
@@ -10,7 +10,7 @@
 
 
 def other_controllers(*, peer_table: PeerTable, members: dict[str, str], own: str) -> list[list[str]]:
-    """[[post, hall, region], ...] of the controllers known here, also those that are out of reach from here."""
+    """[[post, zone, region], ...] of the controllers known here, also those that are out of reach from here."""
     places = {
         known.entry["post"]: [known.entry["post"], known.entry["hall"], known.entry["region"]]
         for known in peer_table.known.values()
--- a/sailward/control/group/repair.py
+++ b/sailward/control/group/repair.py
@@ -36,7 +36,7 @@
     tried: tuple = (-1, 0.0)
 
     def step(self, *, now: float, own: str, voters: dict, text: str, controllers: list[dict]) -> str:
-        """Judge by the roster's living `controllers`; only one of the voters, named by hashing, acts."""
+        """Judge by the peer table's living `controllers`; only one of the voters, named by hashing, acts."""
         if now - self.looked < self.every or not text:
             return ""
         self.looked = now
@@ -140,7 +140,7 @@
         return list(dict.fromkeys(name for kind in order for name in sorted(kind)))
 
     def _best(self, *, now: float, waiting: list, rest: list, alive: dict) -> str:
-        """The waiting controller that spreads the voters most over halls and regions.
+        """The waiting controller that spreads the voters most over zones and regions.
 
         Of equal ones that which is up for longest.
         """
--- a/sailward/control/proxies/aggregated_health.py
+++ b/sailward/control/proxies/aggregated_health.py
@@ -1,4 +1,4 @@
-"""The standing view of halls: what most proxies say, held before it changes."""
+"""The standing view of zones: what most proxies say, held before it changes."""
 
 from __future__ import annotations
 
--- a/sailward/control/proxies/proxy_registry.py
+++ b/sailward/control/proxies/proxy_registry.py
@@ -59,7 +59,7 @@
     def step(self, *, now: float, event: tuple | None, proxies: list[Subscriber], controllers: list[dict]) -> list:
         """A (sender, body) of kind fleet or want, or None for time going on.
 
-        `controllers` are those of the roster that are not lost.
+        `controllers` are those of the peer table that are not lost.
         """
         if event is not None:
             sender, body = event
--- a/sailward/control/registers.py
+++ b/sailward/control/registers.py
@@ -49,7 +49,7 @@
         self._unreadable_mark: str | None = None
 
     def tick(self, *, now: float) -> list[Command]:
-        """Time goes on: operations are tried again, or expire."""
+        """Time goes on: operations are retried, or expire."""
         commands, finished = self._proposer.step(now=now, voters=self._voter.voters, event=None)
         return commands + self._finish(now=now, finished=finished)
 
--- a/sailward/control/shards/quiescence.py
+++ b/sailward/control/shards/quiescence.py
@@ -26,7 +26,7 @@
     """What one moment proves of a service's closings.
 
     A proxy acts on grants of a blocking set, which meets every majority of the voters. So the proxies that
-    a majority of voters tell of, in beats made after the closing, are all that could act or have sent on.
+    a majority of voters tell of, in heartbeats made after the closing, are all that could act or have sent on.
     """
 
     service: str
@@ -36,7 +36,7 @@
     proxies: list[Subscriber]
 
     def heartbeats(self) -> dict:
-        """The voters' beats at this moment."""
+        """The voters' heartbeats at this moment."""
         return {voter["identity"]: (voter["start"], voter["beat"]) for voter in self._voters()}
 
     def check(self, *, closing: Closing, slot: str) -> None:
--- a/sailward/control/shards/shard_assignment.py
+++ b/sailward/control/shards/shard_assignment.py
@@ -156,7 +156,7 @@
         return ""
 
     def _tiers(self, *, pool: Pool) -> list[tuple[bool, tuple]]:
-        """(drained halls or the others, tier) in the order of choice: where only drained halls could serve, they do."""
+        """(drained zones or the others, tier) in the order of choice: where only drained zones could serve, they do."""
         return [(drained, tier) for drained in (False, True) for tier in (pool.preferred, pool.fallback)]
 
 
--- a/sailward/control/shards/shard_leases.py
+++ b/sailward/control/shards/shard_leases.py
@@ -101,7 +101,6 @@
 
     def step(self, *, now: float, event: CallFinished | None) -> tuple[list[Command], list[StartOperation]]:
         """Step the grants of each divided service: (commands, operations to begin)."""
-        voter = self._voter
         services = sorted(name for name, service in self._shard_moves.plan.services.items() if service.ranged)
         if event is not None:
             services = [
@@ -110,69 +109,71 @@
         if not services or self._endpoint_list.value is None:
             return [], []
         self._follow_endpoints(now=now)
-        well = {
-            peer["identity"]: peer["post"]
-            for peer in [*self._peer_table.alive(kind="controller"), self._peer_table.own_entry()]
-            if peer["fit"]
-        }
-        leads = (
-            {name: choose_names(key=PREFIX + name, names=set(well), count=1)[0] for name in services} if well else {}
-        )
-        acting = [name for name, lead in leads.items() if voter.voting and lead == voter.identity]
-        if event is None:
-            self._proxy_registry.readers = frozenset(well[lead] for lead in leads.values())
-        members = voter.voters["members"]
-        commands = (
-            self.freshness.step(
-                now=now,
-                body=None,
-                members=members,
-                number=voter.voters["number"],
-                own=voter.identity,
-                registers=[PREFIX + name for name in acting],
-            )
-            if event is None
-            else []
-        )
-        begins = []
+        acting = self._choose_acting(services=services, may_set_readers=event is None)
+        commands = self._step_freshness(now=now, acting=acting) if event is None else []
+        begins: list[StartOperation] = []
         for name in services:
             granting = self.granting.get(name)
             if granting is None:
                 granting = self.granting[name] = Granting(service=name, own=self._op_prefix, codec=self._codec)
-            learned = voter.learner.values.get(PREFIX + name)
-            until = self.freshness.until(
-                now=now,
-                register=PREFIX + name,
-                learner=voter.learner,
-                members=members,
-                own=voter.identity,
-                slots=voter.acceptor.slots,
-            )
-            context = GrantContext(
-                value=learned.value if learned else {"number": 0, "text": ""},
-                workers=self._workers,
-                fresh_until=until,
-                is_acting=name in acting,
-                emptied=self._emptied,
-                down=self._down,
-                lease_max=self._lease_max,
-                **self._loads_of(now=now, service=name, is_acting=name in acting),
-            )
+            context = self._grant_context(now=now, service=name, is_acting=name in acting)
             more, changes = granting.step(now=now, event=event, context=context)
             commands += more
-            for register, expected, text in changes:
-                self._ops += 1
-                begins.append(
-                    StartOperation(
-                        op=f"{self._op_prefix}/grant{self._ops}",
-                        register=register,
-                        expected=expected,
-                        text=text,
-                        timeout=constants.GRANT_LEASE,
-                    )
-                )
+            begins += [
+                self._change(register=register, expected=number, text=text) for register, number, text in changes
+            ]
         return commands, begins
 
+    def _choose_acting(self, *, services: list[str], may_set_readers: bool) -> list[str]:
+        """The services whose leases this controller grants: for each one voter is chosen by hashing."""
+        controllers = [*self._peer_table.alive(kind="controller"), self._peer_table.own_entry()]
+        well = {peer["identity"]: peer["post"] for peer in controllers if peer["fit"]}
+        leads = (
+            {name: choose_names(key=PREFIX + name, names=set(well), count=1)[0] for name in services} if well else {}
+        )
+        if may_set_readers:
+            self._proxy_registry.readers = frozenset(well[lead] for lead in leads.values())
+        return [name for name, lead in leads.items() if self._voter.voting and lead == self._voter.identity]
+
+    def _step_freshness(self, *, now: float, acting: list[str]) -> list[Command]:
+        voter = self._voter
+        return self.freshness.step(
+            now=now,
+            body=None,
+            members=voter.voters["members"],
+            number=voter.voters["number"],
+            own=voter.identity,
+            registers=[PREFIX + name for name in acting],
+        )
+
+    def _grant_context(self, *, now: float, service: str, is_acting: bool) -> GrantContext:
+        """What the granting of one service looks at in this moment."""
+        voter = self._voter
+        learned = voter.learner.values.get(PREFIX + service)
+        fresh_until = self.freshness.until(
+            now=now,
+            register=PREFIX + service,
+            learner=voter.learner,
+            members=voter.voters["members"],
+            own=voter.identity,
+            slots=voter.acceptor.slots,
+        )
+        return GrantContext(
+            value=learned.value if learned else {"number": 0, "text": ""},
+            workers=self._workers,
+            fresh_until=fresh_until,
+            is_acting=is_acting,
+            emptied=self._emptied,
+            down=self._down,
+            lease_max=self._lease_max,
+            **self._loads_of(now=now, service=service, is_acting=is_acting),
+        )
+
+    def _change(self, *, register: str, expected: int, text: str) -> StartOperation:
+        self._ops += 1
+        op = f"{self._op_prefix}/grant{self._ops}"
+        return StartOperation(op=op, register=register, expected=expected, text=text, timeout=constants.GRANT_LEASE)
+
     def _loads_of(self, *, now: float, service: str, is_acting: bool) -> dict:
         """Loads and paces for the one that acts, added up anew now and then."""
         if not is_acting:
--- a/sailward/control/shards/shard_moves.py
+++ b/sailward/control/shards/shard_moves.py
@@ -54,6 +54,7 @@
         for service in divided:
             name = PREFIX + service.name
             if choose_names(key=name, names=well, count=1) != [own]:
+                # another controller assigns the shards of this service
                 self.assigning.pop(name, None)
                 continue
             value = learner.values[name].value if name in learner.values else {"number": 0, "text": ""}
--- a/sailward/discovery/peer_table.py
+++ b/sailward/discovery/peer_table.py
@@ -1,4 +1,4 @@
-"""The roster of daemons: beats told to the few that each watches, until all know all."""
+"""The peer table of daemons: heartbeats told to the few that each watches, until all know all."""
 
 from __future__ import annotations
 
@@ -104,9 +104,9 @@
         return commands
 
     def _send_to_mesh(self, *, now: float) -> list:
-        """A beat to every daemon known to live.
+        """A heartbeat to every daemon known to live.
 
-        The whole roster to the seeds now and then, and to all lost ones in turn.
+        The whole peer table to the seeds now and then, and to all lost ones in turn.
         """
         alive = [known for known in self.known.values() if not known.lost]
         body = {
@@ -123,7 +123,7 @@
         ]
         lost = sorted(known.entry["post"] for known in self.known.values() if known.lost)
         if lost:
-            # each lost one in turn: after a cut both sides find each other with the next beats
+            # each lost one in turn: after a cut both sides find each other with the next heartbeats
             commands.append(SendMessage(to=lost[self.heartbeat % len(lost)], body=body))
         if not alive or self.heartbeat <= constants.MESH_FIRST or self.heartbeat % constants.MESH_SEEDS == 0:
             known = {peer.entry["post"] for peer in alive}
--- a/sailward/proxy/control_client.py
+++ b/sailward/proxy/control_client.py
@@ -76,7 +76,7 @@
         return commands
 
     def learn(self, *, controllers: list) -> None:
-        """Take the core as a controller tells it: [[post, hall, region], ...].
+        """Take the core as a controller tells it: [[post, zone, region], ...].
 
         Those it does not name go, unless they answer or are seeds.
         """
--- a/sailward/proxy/directory.py
+++ b/sailward/proxy/directory.py
@@ -19,7 +19,7 @@
     number: int = -1
 
     def learn(self, *, rows: list) -> None:
-        """Take the proxies: [[name, address, hall, region, is_fit], ...]."""
+        """Take the proxies: [[name, address, zone, region, is_fit], ...]."""
         self.rows = rows
 
     def step(self, *, event: RequestReceived, is_ready: bool) -> Respond:
--- a/sailward/routing/__init__.py
+++ b/sailward/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Data plane: match, allow, draw, hall, worker, send on."""
+"""Data plane: match, allow, draw, zone, worker, send on."""
--- a/sailward/routing/attempt_budget.py
+++ b/sailward/routing/attempt_budget.py
@@ -1,4 +1,4 @@
-"""The budget of tries: a share of first tries in a sliding window."""
+"""The budget of attempts: a share of first attempts in a sliding window."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     """Owner of the counts. `step` pays for one sending-on, or gives "" if nothing is left.
 
     A first try always pays for itself. A caller's repeat pays with the credit of a first try that was
-    refused here and sent to no worker, as it swells nothing; else, like the proxy's own second tries,
+    refused here and sent to no worker, as it swells nothing; else, like the proxy's own second attempts,
     from a share of the first ones.
     """
 
--- a/sailward/routing/endpoint_selection.py
+++ b/sailward/routing/endpoint_selection.py
@@ -1,4 +1,4 @@
-"""Which worker serves a request: pool by weight, hall by tier and health, worker by two random choices."""
+"""Which worker serves a request: pool by weight, zone by tier and health, worker by two random choices."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
         self.by_service = groupby(lambda worker: worker.service, workers.values())
 
     def counts(self) -> dict:
-        """{(service, hall): (listed, healthy, known)}; a leaving worker is listed and unhealthy."""
+        """{(service, zone): (listed, healthy, known)}; a leaving worker is listed and unhealthy."""
         counts: dict = {}
         for shown in self.passive_health.shown.values():
             zone_key = (shown.worker.service, shown.worker.zone)
@@ -65,7 +65,7 @@
         """The worker that is to run this request now; a refusal with `line` may be asked again shortly."""
         context = self.context
         if not request.is_drawn:
-            # by weight, before any health is looked at; further tries stay with it
+            # by weight, before any health is looked at; retries stay with it
             request.service, request.is_drawn = self._draw_service(request=request), True
         if request.service.ranged:
             return self._find_owner(now=now, request=request)
@@ -150,7 +150,7 @@
         return sum(calms) / len(calms) if calms else 0.0
 
     def _slow_start_ages(self, *, now: float, service: str) -> dict[str, float]:
-        """What the warm workers of each hall bear beside each other: their number, by their speeds."""
+        """What the warm workers of each zone bear beside each other: their number, by their speeds."""
         past_slow_start: dict[str, float] = {}
         mean = self._mean(service=service)
         for worker in self.context.by_service.get(service, ()):
--- a/sailward/routing/explain.py
+++ b/sailward/routing/explain.py
@@ -1,16 +1,18 @@
-"""Why an exchange would go where: the choosing, told without doing it."""
+"""Why a request would go where: the selection, told without making it."""
 
 from __future__ import annotations
 
 from sailward.routing.concurrency_limits import rate_of
 from sailward.routing.load_balancer import LoadBalancer
+from sailward.routing.plan import Match, Service, Tenant
 from sailward.routing.proxied_request import part_of
+from sailward.routing.routing_state import RoutingState
 from sailward.routing.shard_owners import pool_at, slot_of, space_of
-from sailward.routing.weighted_draw import share_zones
+from sailward.routing.weighted_draw import ZoneView, share_zones
 
 
-def explain(*, now: float, query: dict, load_balancer: LoadBalancer, acting: bool) -> dict:
-    """What this proxy would do with such an exchange now."""
+def explain(*, now: float, query: dict[str, str], load_balancer: LoadBalancer, acting: bool) -> dict:
+    """What this proxy would do with such a request now, by the operators' words."""
     routing_state = load_balancer.routing_state
     explanation: dict = {
         "acting": acting,
@@ -27,29 +29,47 @@
     service = routing_state.plan.services[routing_state.plan.pools[match.shares[0][0]].service]
     explanation |= {"match": match.path, "service": service.name, "homes": sorted(tenant.homes) or "anywhere"}
     if service.slots:
-        part = part_of(path=path, match=match)
-        slot, space = slot_of(key=part, slots=service.slots), space_of(homes=tenant.homes, service=service)
-        owned = routing_state.slots.find(service=service.name, space=space, slot=slot)
-        pool = pool_at(shares=match.shares, slot=slot, slots=service.slots)
-        return {
-            **explanation,
-            "key": part,
-            "slot": f"{space}/{slot}",
-            "pool": pool,
-            "owner": owned.owner if owned else "",
-            "open": bool(owned and owned.is_open),
-            "term": owned.term if owned else 0,
-        }
-    total = sum(weight for _, weight in match.shares)
+        shard = _explain_shard(routing_state=routing_state, service=service, tenant=tenant, match=match, path=path)
+        return {**explanation, **shard}
     views = routing_state.views_of(now=now, service=service.name, tenant=tenant)
-    explanation["pools"] = {}
+    return {
+        **explanation,
+        "pools": _explain_pools(routing_state=routing_state, match=match, views=views),
+        "halls": _explain_zones(views=views),
+        "workers": _explain_workers(now=now, load_balancer=load_balancer, service=service),
+    }
+
+
+def _explain_shard(
+    *, routing_state: RoutingState, service: Service, tenant: Tenant, match: Match, path: str
+) -> dict[str, str | bool | int]:
+    key = part_of(path=path, match=match)
+    slot, space = slot_of(key=key, slots=service.slots), space_of(homes=tenant.homes, service=service)
+    owned = routing_state.slots.find(service=service.name, space=space, slot=slot)
+    return {
+        "key": key,
+        "slot": f"{space}/{slot}",
+        "pool": pool_at(shares=match.shares, slot=slot, slots=service.slots),
+        "owner": owned.owner if owned else "",
+        "open": bool(owned and owned.is_open),
+        "term": owned.term if owned else 0,
+    }
+
+
+def _explain_pools(*, routing_state: RoutingState, match: Match, views: dict[str, ZoneView]) -> dict[str, dict]:
+    total = sum(weight for _, weight in match.shares)
+    pools = {}
     for name, weight in match.shares:
         shares = share_zones(pool=routing_state.plan.pools[name], views=views)
-        explanation["pools"][name] = {
+        pools[name] = {
             "drawn": round(weight / total, 4),
             "halls": {zone: round(share, 4) for zone, share in shares.items()} or "refuse: no-hall",
         }
-    explanation["halls"] = {
+    return pools
+
+
+def _explain_zones(*, views: dict[str, ZoneView]) -> dict[str, dict]:
+    return {
         zone: {
             "healthy": view.healthy,
             "listed": view.listed,
@@ -59,17 +79,19 @@
         }
         for zone, view in sorted(views.items())
     }
-    explanation["workers"] = {
+
+
+def _explain_workers(*, now: float, load_balancer: LoadBalancer, service: Service) -> dict[str, dict]:
+    routing_state = load_balancer.routing_state
+    probed = routing_state.prober.probed
+    return {
         key: {
             "hall": worker.zone,
-            "status": routing_state.prober.probed[key].state,
+            "status": probed[key].state,
             "leaving": worker.leaving,
             "open": load_balancer.open.get(key, 0),
-            "bound": round(
-                rate_of(service=service, warm=now - routing_state.prober.probed[key].slow_start_began_at), 1
-            ),
+            "bound": round(rate_of(service=service, warm=now - probed[key].slow_start_began_at), 1),
         }
         for key, worker in sorted(routing_state.endpoint_table.workers.items())
-        if worker.service == service.name and key in routing_state.prober.probed
+        if worker.service == service.name and key in probed
     }
-    return explanation
--- a/sailward/routing/forwarding.py
+++ b/sailward/routing/forwarding.py
@@ -1,4 +1,4 @@
-"""The requests under way in a proxy: place, send on, try again within the budget, or give up at once."""
+"""The requests under way in a proxy: place, send on, retry within the budget, or give up at once."""
 
 from __future__ import annotations
 
--- a/sailward/routing/load_balancer.py
+++ b/sailward/routing/load_balancer.py
@@ -1,4 +1,4 @@
-"""Choosing the worker: pool by weight, hall by share, worker by two random choices."""
+"""Choosing the worker: pool by weight, zone by share, worker by two random choices."""
 
 from __future__ import annotations
 
@@ -58,20 +58,30 @@
             return Refusal(code=503, reason="key-unowned", detail="no worker that may serve owns this key yet")
         if not owned.is_open:
             return Refusal(code=503, reason="key-moving", detail="this key is on its way to another worker")
-        worker, probed = (
-            routing_state.endpoint_table.workers.get(owned.owner),
-            routing_state.prober.probed.get(owned.owner),
-        )
-        if (
-            worker is None
-            or worker.leaving
-            or worker.zone in routing_state.emptied
-            or probed is None
-            or not probed.healthy
-            or (homes and routing_state.plan.regions.get(worker.zone) not in homes)
-            or owned.owner in exchange.tried
-        ):
+        worker = routing_state.endpoint_table.workers.get(owned.owner)
+        if worker is None or owned.owner in exchange.tried or not self._may_serve(worker=worker, homes=homes):
             return Refusal(code=503, reason="owner-lost", detail="this key's worker can't be used; it will move")
+        refusal = self._refuse_over_limit(now=now, exchange=exchange, owner=owned.owner)
+        if refusal is not None:
+            return refusal
+        exchange.term = owned.term
+        return worker
+
+    def _may_serve(self, *, worker: Worker, homes: frozenset[str]) -> bool:
+        """Is the owner of a key healthy, and where the request's tenant may be served?"""
+        routing_state = self.routing_state
+        probed = routing_state.prober.probed.get(worker.key)
+        return (
+            not worker.leaving
+            and worker.zone not in routing_state.emptied
+            and probed is not None
+            and probed.healthy
+            and (not homes or routing_state.plan.regions.get(worker.zone) in homes)
+        )
+
+    def _refuse_over_limit(self, *, now: float, exchange: ProxiedRequest, owner: str) -> Refusal | None:
+        """Why a key's owner takes nothing more now, by the key's own bound and the worker's; None if it does."""
+        routing_state, service = self.routing_state, exchange.service
         hot = replace(service, rate=service.rate * constants.HOT_KEY_SHARE)
         if not self.bounds.step(
             now=now,
@@ -83,14 +93,13 @@
             return Refusal(code=503, reason="hot-key", detail="this key has taken its part of its worker's bound")
         if not self.bounds.step(
             now=now,
-            key=owned.owner,
+            key=owner,
             service=service,
-            warm=now - probed.slow_start_began_at,
+            warm=now - routing_state.prober.probed[owner].slow_start_began_at,
             proxies=routing_state.proxies,
         ):
             return Refusal(code=503, reason="owner-full", detail="this key's worker is at its bound")
-        exchange.term = owned.term
-        return worker
+        return None
 
     def stands(self, *, exchange: ProxiedRequest) -> bool:
         """May the worker chosen a moment ago still be sent this exchange?"""
--- a/sailward/routing/passive_health.py
+++ b/sailward/routing/passive_health.py
@@ -82,7 +82,7 @@
         return commands
 
     def chill(self, *, now: float, zone: str, plan: Plan) -> None:
-        """The workers of this hall may have gone cold: its emptying has ended."""
+        """The workers of this zone may have gone cold: its emptying has ended."""
         for shown in self.shown.values():
             service = plan.services.get(shown.worker.service)
             if shown.worker.zone == zone and service is not None:
--- a/sailward/routing/plan.py
+++ b/sailward/routing/plan.py
@@ -15,9 +15,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Pool:
-    """One weighted pool: a service, and its halls in two tiers.
+    """One weighted pool: a service, and its zones in two tiers.
 
-    The tiers of a pool that is `near` follow the proxy: the halls of its own region are preferred, all others are
+    The tiers of a pool that is `near` follow the proxy: the zones of its own region are preferred, all others are
     its fallback.
     """
 
@@ -147,56 +147,13 @@
 
 def plan_of(*, full: dict, number: int) -> Plan:
     """The plan in a configuration's full form."""
-    services = {
-        name: Service(
-            name=name,
-            expiry=one["expiry_s"],
-            rate=one["rate"],
-            slow_start_rate=one["cold_rate"],
-            slow_start_ramp=one["cold_ramp_s"],
-            result_bytes=one["result_bytes"],
-            digest_required=one["digest_required"],
-            timed_keys=one.get("timed_keys", False),
-            slots=one["slots"],
-            keys_shared=one["keys"] == "shared",
-            ranged=one["keys"] == "ranged",
-            health_path=one.get("health_path", "/status"),
-            connections=one.get("connections", 0),
-            slow_start=one.get("cold_s", 0.0),
-            warm_up=one.get("warm_s", 0.0),
-        )
-        for name, one in full["services"].items()
-    }
-    pools = {
-        name: Pool(
-            name=name,
-            service=one["service"],
-            preferred=tuple(one["preferred"]),
-            fallback=tuple(one["fallback"]),
-            near=one.get("tiers") == "near",
-        )
-        for name, one in full["pools"].items()
-    }
+    services = {name: _read_service(name=name, fields=fields) for name, fields in full["services"].items()}
+    pools = {name: _read_pool(name=name, fields=fields) for name, fields in full["pools"].items()}
     tenants = {
-        name: Tenant(name=name, homes=frozenset(one["homes"]), share=one["share"])
-        for name, one in full["tenants"].items()
+        name: Tenant(name=name, homes=frozenset(fields["homes"]), share=fields["share"])
+        for name, fields in full["tenants"].items()
     }
-    matches = [
-        Match(
-            path=one["path"],
-            methods=frozenset(one["methods"]),
-            tenants=frozenset(one["tenants"]),
-            shares=tuple((share["pool"], share["weight"]) for share in one["pools"]),
-            host=one.get("host", ""),
-            kind=one.get("kind", ""),
-            expiry=one.get("expiry_s", 0.0),
-            max_attempts=one.get("tries", 0),
-            target=one.get("target_s", 0.0),
-            rank=one.get("rank", 0),
-            homes=frozenset(one.get("homes", ())),
-        )
-        for one in full["matches"]
-    ]
+    matches = [_read_match(fields=fields) for fields in full["matches"]]
     matches.sort(key=lambda match: (-len(match.path), not match.tenants, not match.methods))
     return Plan(
         number=number,
@@ -209,3 +166,49 @@
         label=full.get("label", 0),
         regions={name: zone["region"] for name, zone in full["halls"].items()},
     )
+
+
+def _read_service(*, name: str, fields: dict) -> Service:
+    return Service(
+        name=name,
+        expiry=fields["expiry_s"],
+        rate=fields["rate"],
+        slow_start_rate=fields["cold_rate"],
+        slow_start_ramp=fields["cold_ramp_s"],
+        result_bytes=fields["result_bytes"],
+        digest_required=fields["digest_required"],
+        timed_keys=fields.get("timed_keys", False),
+        slots=fields["slots"],
+        keys_shared=fields["keys"] == "shared",
+        ranged=fields["keys"] == "ranged",
+        health_path=fields.get("health_path", "/status"),
+        connections=fields.get("connections", 0),
+        slow_start=fields.get("cold_s", 0.0),
+        warm_up=fields.get("warm_s", 0.0),
+    )
+
+
+def _read_pool(*, name: str, fields: dict) -> Pool:
+    return Pool(
+        name=name,
+        service=fields["service"],
+        preferred=tuple(fields["preferred"]),
+        fallback=tuple(fields["fallback"]),
+        near=fields.get("tiers") == "near",
+    )
+
+
+def _read_match(*, fields: dict) -> Match:
+    return Match(
+        path=fields["path"],
+        methods=frozenset(fields["methods"]),
+        tenants=frozenset(fields["tenants"]),
+        shares=tuple((share["pool"], share["weight"]) for share in fields["pools"]),
+        host=fields.get("host", ""),
+        kind=fields.get("kind", ""),
+        expiry=fields.get("expiry_s", 0.0),
+        max_attempts=fields.get("tries", 0),
+        target=fields.get("target_s", 0.0),
+        rank=fields.get("rank", 0),
+        homes=frozenset(fields.get("homes", ())),
+    )
--- a/sailward/routing/proxied_request.py
+++ b/sailward/routing/proxied_request.py
@@ -111,22 +111,10 @@
     """The exchange that a caller asked for, or why it can't be one."""
     if event.body is None:
         return Refusal(code=413, reason="too-large", detail=f"at most {constants.BODY_BYTES} bytes")
-    if event.method not in KNOWN:
-        return Refusal(code=405, reason="method-unknown", detail=event.method[:40])
-    tenant = plan.tenants.get(event.headers.get("sailward-tenant", ""))
-    if tenant is None:
-        return Refusal(code=400, reason="tenant-unknown", detail="give Sailward-Tenant, a tenant's name")
-    turn = _read_turn(text=event.headers.get("sailward-try", ""))
-    if turn is None:
-        return Refusal(code=400, reason="try-ill-formed", detail="Sailward-Try is a number from 1")
-    key = event.headers.get("idempotency-key", "")
-    if len(key) > 255:
-        return Refusal(code=400, reason="key-too-long", detail="Idempotency-Key has 255 characters at most")
-    match = plan.match(path=event.path, method=event.method, tenant=tenant.name)
-    if match is None:
-        return Refusal(code=404, reason="unmatched", detail=event.path[:200])
-    if event.method not in SAFE and not key:
-        return Refusal(code=428, reason="key-missing", detail="an unsafe exchange needs an Idempotency-Key")
+    head = _read_head(event=event, plan=plan)
+    if isinstance(head, Refusal):
+        return head
+    match, key = head.match, head.key
     service = plan.services[plan.pools[match.shares[0][0]].service]
     fault = judge_key(key=key, clock=clock, is_required=service.timed_keys) if event.method not in SAFE else None
     if fault is not None:
@@ -134,21 +122,19 @@
     part = event.headers.get("sailward-key", "") or part_of(path=event.path, match=match)
     if service.slots and not part:
         return Refusal(code=400, reason="part-missing", detail="this service is divided: give the key in the path")
-    path = quote(event.path, safe="/%:@!$&'()*+,;=~-._") + (
-        "?" + urlencode(event.query, doseq=True) if event.query else ""
-    )
+    query = "?" + urlencode(event.query, doseq=True) if event.query else ""
     return ProxiedRequest(
         token=event.token,
         name=name,
-        tenant=tenant,
+        tenant=head.tenant,
         method=event.method,
-        path=path,
+        path=quote(event.path, safe="/%:@!$&'()*+,;=~-._") + query,
         headers=event.headers,
         body=event.body,
         match=match,
         service=service,
         key=key,
-        turn=turn,
+        turn=head.turn,
         part=part if service.slots else "",
         raw_path=event.path,
         plan=plan.number,
@@ -157,6 +143,37 @@
     )
 
 
+@dataclass(frozen=True, kw_only=True)
+class _Head:
+    """What the head of a request says: whose it is, how often it was sent, its idempotency key and its route."""
+
+    tenant: Tenant
+    turn: int
+    key: str
+    match: Match
+
+
+def _read_head(*, event: RequestReceived, plan: Plan) -> _Head | Refusal:
+    """Tenant, turn, idempotency key and route of a request, or why it has none."""
+    if event.method not in KNOWN:
+        return Refusal(code=405, reason="method-unknown", detail=event.method[:40])
+    tenant = plan.tenants.get(event.headers.get("sailward-tenant", ""))
+    if tenant is None:
+        return Refusal(code=400, reason="tenant-unknown", detail="give Sailward-Tenant, a tenant's name")
+    turn = _read_turn(text=event.headers.get("sailward-try", ""))
+    if turn is None:
+        return Refusal(code=400, reason="try-ill-formed", detail="Sailward-Try is a number from 1")
+    key = event.headers.get("idempotency-key", "")
+    if len(key) > 255:
+        return Refusal(code=400, reason="key-too-long", detail="Idempotency-Key has 255 characters at most")
+    match = plan.match(path=event.path, method=event.method, tenant=tenant.name)
+    if match is None:
+        return Refusal(code=404, reason="unmatched", detail=event.path[:200])
+    if event.method not in SAFE and not key:
+        return Refusal(code=428, reason="key-missing", detail="an unsafe exchange needs an Idempotency-Key")
+    return _Head(tenant=tenant, turn=turn, key=key, match=match)
+
+
 def part_of(*, path: str, match: Match) -> str:
     """The key of a divided service in a path: its first part behind the matched one."""
     return path[len(match.path.rstrip("/")) :].strip("/").split("/")[0]
--- a/sailward/routing/proxied_requests.py
+++ b/sailward/routing/proxied_requests.py
@@ -1,4 +1,4 @@
-"""The exchanges under way in a proxy: allow, claim, send on, try again or give up at once."""
+"""The exchanges under way in a proxy: allow, claim, send on, retry or give up at once."""
 
 from __future__ import annotations
 
@@ -10,6 +10,7 @@
 from sailward.routing.attempt_budget import LOOKUP, AttemptBudget
 from sailward.routing.fair_queues import FairQueues
 from sailward.routing.idempotency import Claims, Lost, Replayed, Won
+from sailward.routing.idempotency_cache import Memory
 from sailward.routing.load_balancer import LoadBalancer
 from sailward.routing.proxied_request import (
     ProxiedRequest,
@@ -67,11 +68,11 @@
 
     def busy(self, *, now: float) -> list[str]:
         """The slots in which something sent on from here may still run."""
-        self.lingering = {place: end for place, end in self.lingering.items() if now < end}
-        sent = {self._select_pool(exchange=row) for row in self.sent.values() if row.slot >= 0}
+        self.lingering = {shard: end for shard, end in self.lingering.items() if now < end}
+        sent = {self._shard_label(exchange=row) for row in self.sent.values() if row.slot >= 0}
         return sorted({*sent, *self.lingering})
 
-    def _select_pool(self, *, exchange: ProxiedRequest) -> str:
+    def _shard_label(self, *, exchange: ProxiedRequest) -> str:
         return f"{exchange.service.name}|{exchange.space}/{exchange.slot}"
 
     def _arrive(self, *, now: float, event: RequestReceived, acting: bool) -> tuple[list, list]:
@@ -93,38 +94,12 @@
                 self.attempt_budget.credit(now=now)
             return [answer_refusal(token=event.token, refusal=taken, not_run=promise)], []
         memory = self.claims.memory.by_digest.get(taken.digest) if taken.key else None
-        repeat = taken.turn > 1 or (memory is not None and memory.state == "unsent")
-        replay = memory is not None and memory.state != "unsent"
-        # a repeat whose claim is not known here swells nothing until it is sent on
-        taken.paid = (
-            ""
-            if replay
-            else self.attempt_budget.lookup(now=now)
-            if taken.unsafe and repeat and memory is None
-            else self.attempt_budget.step(now=now, first=not repeat, caller=True)
-        )
-        if not replay and not taken.paid:
-            return [
-                self._refuse(
-                    exchange=taken, reason="too-many-repeats", detail="repeats are over their share of the traffic"
-                )
-            ], []
-        if (
-            taken.unsafe
-            and memory is None
-            and taken.turn != 1
-            and self.load_balancer.routing_state.has_unknown_outcomes(now=now)
-        ):
-            return [
-                self._refuse(
-                    exchange=taken,
-                    reason="claims-in-doubt",
-                    detail="the core lost claims: an exchange that may have been "
-                    "sent before is not sent on until their life is over",
-                )
-            ], []
+        is_replay = memory is not None and memory.state != "unsent"
+        refusal = self._charge(now=now, exchange=taken, memory=memory, is_replay=is_replay)
+        if refusal is not None:
+            return [refusal], []
         self.live[taken.token] = taken
-        if replay or (len(self.sent) < constants.MAX_OPEN and not self.queues.waits(name=taken.queue_name)):
+        if is_replay or (len(self.sent) < constants.MAX_OPEN and not self.queues.waits(name=taken.queue_name)):
             dispatched = self._dispatch(now=now, exchange=taken)
             if dispatched is not None:
                 return dispatched
@@ -133,6 +108,30 @@
             return [self._refuse(exchange=taken, reason="line-full", detail="this tenant's line is full")], []
         return [], []
 
+    def _charge(
+        self, *, now: float, exchange: ProxiedRequest, memory: Memory | None, is_replay: bool
+    ) -> Respond | None:
+        """Charge the request to the budget of attempts; the refusal if it is spent, or its claim may be lost."""
+        is_repeat = exchange.turn > 1 or (memory is not None and memory.state == "unsent")
+        if is_replay:
+            exchange.paid = ""
+        elif exchange.unsafe and is_repeat and memory is None:
+            # a repeat whose claim is not known here swells nothing until it is sent on
+            exchange.paid = self.attempt_budget.lookup(now=now)
+        else:
+            exchange.paid = self.attempt_budget.step(now=now, first=not is_repeat, caller=True)
+        if not is_replay and not exchange.paid:
+            detail = "repeats are over their share of the traffic"
+            return self._refuse(exchange=exchange, reason="too-many-repeats", detail=detail)
+        is_unclaimed_repeat = exchange.unsafe and memory is None and exchange.turn != 1
+        if is_unclaimed_repeat and self.load_balancer.routing_state.has_unknown_outcomes(now=now):
+            detail = (
+                "the core lost claims: an exchange that may have been "
+                "sent before is not sent on until their life is over"
+            )
+            return self._refuse(exchange=exchange, reason="claims-in-doubt", detail=detail)
+        return None
+
     def _dispatch(self, *, now: float, exchange: ProxiedRequest) -> tuple[list, list] | None:
         """Choose, claim if it must be, send on; None if it must wait for room at a worker."""
         if not self.claims.remembers(exchange=exchange):
@@ -261,7 +260,7 @@
         exchange.may_have_run = exchange.may_have_run or isinstance(verdict, (Bad, Good))
         if exchange.slot >= 0 and isinstance(verdict, Bad):
             # its worker may run on, though nobody hears of it
-            self.lingering[self._select_pool(exchange=exchange)] = exchange.sent_at + exchange.service.expiry
+            self.lingering[self._shard_label(exchange=exchange)] = exchange.sent_at + exchange.service.expiry
         if ran:
             memory = self.claims.memory.by_digest.get(exchange.digest)
             if memory is not None:
--- a/sailward/routing/result_replicas.py
+++ b/sailward/routing/result_replicas.py
@@ -80,7 +80,7 @@
 def spread_copy(
     *, exchange: ProxiedRequest, number: int, code: int, headers: dict, body: bytes, zone: str, peers: list[Peer]
 ) -> list:
-    """Give the result to the one proxy that hashing names, at home, in another hall if there is one."""
+    """Give the result to the one proxy that hashing names, at home, in another zone if there is one."""
     homes = exchange.tenant.homes
     able = [peer for peer in peers if may_keep(region=peer.region, homes=homes)]
     able = [peer for peer in able if peer.zone != zone] or able
--- a/sailward/routing/retry_budget.py
+++ b/sailward/routing/retry_budget.py
@@ -1,6 +1,6 @@
 """The retry budget of a service, of which each proxy has its part.
 
-A share of first tries in a sliding window, and a small floor.
+A share of first attempts in a sliding window, and a small floor.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
     accounts: dict = field(default_factory=dict)
 
     def step(self, *, now: float, service: str, first: bool, proxies: int, is_hedge: bool = False) -> bool:
-        """May it be sent on? What may be is counted; a hedge may take only a small part of what further tries may."""
+        """May it be sent on? What may be is counted; a hedge may take only a small part of what retries may."""
         account = self.accounts.setdefault(service, Account())
         self._forget_old(now=now, account=account)
         if first:
--- a/sailward/routing/routing_state.py
+++ b/sailward/routing/routing_state.py
@@ -29,7 +29,7 @@
     slots: ShardOwners = field(default_factory=ShardOwners)
 
     def counts(self) -> dict[tuple[str, str], tuple[int, int, int]]:
-        """{(service, hall): (listed, healthy, known)}; a leaving worker is listed and unhealthy."""
+        """{(service, zone): (listed, healthy, known)}; a leaving worker is listed and unhealthy."""
         counts: dict = {}
         for key, worker in self.endpoint_table.workers.items():
             probed = self.prober.probed.get(key)
@@ -47,7 +47,7 @@
             self.walls[identity] = (now, view["wall"] - now)
 
     def drained_by_aggregated_health(self, *, now: float, service: str, zone: str) -> bool:
-        """Do most controllers heard of late keep this hall drained?"""
+        """Do most controllers heard of late keep this zone drained?"""
         fresh = [view for at, view in self.views.values() if now - at < constants.REPORT_TTL]
         name = f"{service}|{zone}"
         return bool(fresh) and 2 * sum(name in view.get("drained", ()) for view in fresh) > len(fresh)
@@ -75,7 +75,7 @@
         return warm
 
     def views_of(self, *, now: float, service: str, tenant: Tenant | None) -> dict[str, ZoneView]:
-        """The halls of a service as this tenant's draw sees them."""
+        """The zones of a service as this tenant's draw sees them."""
         views = {}
         for (name, zone), state in self.zones.zones.items():
             if name != service:
@@ -107,5 +107,5 @@
 
 
 def read_orders(*, value: dict) -> frozenset:
-    """The emptied halls in the register's value."""
+    """The emptied zones in the register's value."""
     return frozenset(json.loads(value["text"])["emptied"]) if value["text"] else frozenset()
--- a/sailward/routing/weighted_draw.py
+++ b/sailward/routing/weighted_draw.py
@@ -1,4 +1,4 @@
-"""The source's design: the pool is drawn by weight, before any status; then halls by status."""
+"""The source's design: the pool is drawn by weight, before any status; then zones by status."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ZoneView:
-    """A hall of the pool's service as the draw sees it: overrides are already applied by `allowed`.
+    """A zone of the pool's service as the draw sees it: overrides are already applied by `allowed`.
 
-    `weight` is its part of the spray beside its tier's other halls: even by default.
+    `weight` is its part of the spray beside its tier's other zones: even by default.
     """
 
     fraction: float
@@ -36,11 +36,11 @@
 
 
 def share_zones(*, pool: Pool, views: dict[str, ZoneView]) -> dict[str, float]:
-    """The share of each hall of the pool; empty if nothing may serve.
+    """The share of each zone of the pool; empty if nothing may serve.
 
-    Overrides go first and ignore the cap. Marked halls leave, up to the cap, and the others of the tier
-    take their part. A hall that the cap keeps in stays in the spread: what it can't keep, all of it if it
-    has no healthy worker, spills. Where only marked halls could serve, they do: the hold guards against
+    Overrides go first and ignore the cap. Marked zones leave, up to the cap, and the others of the tier
+    take their part. A zone that the cap keeps in stays in the spread: what it can't keep, all of it if it
+    has no healthy worker, spills. Where only marked zones could serve, they do: the hold guards against
     flapping, not against serving.
     """
     marked = _marked(pool=pool, views=views)
@@ -72,7 +72,7 @@
 
 
 def draw_zone(*, shares: dict[str, float], rng: random.Random) -> str:
-    """A hall by its share: the spray."""
+    """A zone by its share: the spray."""
     return rng.choices(list(shares), weights=list(shares.values()))[0]
 
 
--- a/sailward/routing/zone_health.py
+++ b/sailward/routing/zone_health.py
@@ -1,4 +1,4 @@
-"""Halls of one service: healthy fraction, drained or open, with a hold before the return."""
+"""Zones of one service: healthy fraction, drained or open, with a hold before the return."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(kw_only=True)
 class ZoneHealth:
-    """One hall of one service."""
+    """One zone of one service."""
 
     state: str = CHART.initial
     since: float = 0.0
@@ -28,14 +28,14 @@
 
 
 class ZoneHealthTable:
-    """Owner of the halls' states. `step` folds the counts of one moment."""
+    """Owner of the zones' states. `step` folds the counts of one moment."""
 
     def __init__(self, *, hold: float | None = None) -> None:
         self.zones: dict[tuple[str, str], ZoneHealth] = {}
         self._hold = hold
 
     def step(self, *, now: float, counts: dict[tuple[str, str], tuple[int, int, int]]) -> list:
-        """Fold {(service, hall): (listed, healthy, known)}; halls with no worker listed are forgotten."""
+        """Fold {(service, zone): (listed, healthy, known)}; zones with no worker listed are forgotten."""
         commands = []
         self.zones = {key: zone for key, zone in self.zones.items() if key in counts}
         for key, (listed, healthy, known) in counts.items():
--- a/sailward/transport/curl_client.py
+++ b/sailward/transport/curl_client.py
@@ -105,7 +105,7 @@
     """Task that makes the calls. `give` puts one in line; `run` makes them for ever."""
 
     def __init__(self, *, deliver: Callable[[object], None]) -> None:
-        self._send_update = deliver
+        self._deliver = deliver
         self._line: collections.deque = collections.deque()
         self._wake_in, self._wake_out = socket.socketpair()
         self._wake_in.setblocking(False)
@@ -145,52 +145,19 @@
         try:
             self._begin(call=call)
         except (ValueError, TypeError, pycurl.error):
-            self._send_update(
-                CallFinished(token=call.token, code=0, headers={}, body=b"", fault="malformed", sent=False)
-            )
+            self._deliver(CallFinished(token=call.token, code=0, headers={}, body=b"", fault="malformed", sent=False))
 
     def _begin(self, *, call: StartCall) -> None:
         if time.monotonic() > call.begin_by:
-            self._send_update(
-                CallFinished(token=call.token, code=0, headers={}, body=b"", fault="too-late", sent=False)
-            )
+            self._deliver(CallFinished(token=call.token, code=0, headers={}, body=b"", fault="too-late", sent=False))
             return
         handle = self._spare.pop() if self._spare else pycurl.Curl()
         live = Live(call=call, handle=handle)
         self._clean = {fd: owner for fd, owner in self._clean.items() if owner != call.owner}
         handle.setopt(pycurl.SOCKOPTFUNCTION, lambda fd, _: self._open_socket(fd=fd, live=live))
         handle.setopt(pycurl.CLOSESOCKETFUNCTION, lambda fd: self._close_socket(fd=fd))
-        host, port = call.address.rsplit(":", 1)
-        # a connection belongs to its owner: a name of its own keeps it apart in the cache
-        name = hashlib.blake2b(call.owner.encode(), digest_size=12).hexdigest()
-        handle.setopt(pycurl.URL, f"http://{name}:{port}{call.path}")
-        handle.setopt(pycurl.CONNECT_TO, [f"{name}:{port}:{host}:{port}"])
-        handle.setopt(pycurl.PROXY, "")
-        handle.setopt(pycurl.PATH_AS_IS, 1)
-        handle.setopt(pycurl.HTTP_VERSION, pycurl.CURL_HTTP_VERSION_1_1)
-        handle.setopt(pycurl.NOSIGNAL, 1)
-        handle.setopt(pycurl.MAXAGE_CONN, constants.IDLE_CALL)
-        handle.setopt(pycurl.TIMEOUT_MS, max(1, int(call.timeout * 1000)))
-        handle.setopt(pycurl.CONNECTTIMEOUT_MS, max(1, int(min(call.timeout, constants.DIAL_WAIT) * 1000)))
-        if call.fresh:
-            # a kept connection that dies is tried again by the library: never for an unsafe exchange
-            handle.setopt(pycurl.FRESH_CONNECT, 1)
-            handle.setopt(pycurl.FORBID_REUSE, 1)
-        headers = {
-            "host": call.address,
-            "expect": "",
-            "accept": "",
-            "user-agent": "sailward",
-            "content-type": "",
-            **call.headers,
-        }
-        handle.setopt(pycurl.HTTPHEADER, [f"{n}: {v}" if v != "" else f"{n}:" for n, v in headers.items()])
-        if call.method == "HEAD":
-            handle.setopt(pycurl.NOBODY, 1)
-        elif call.body or call.method in ("POST", "PUT", "PATCH"):
-            handle.setopt(pycurl.POSTFIELDS, call.body)
-        if call.method not in ("GET", "HEAD"):
-            handle.setopt(pycurl.CUSTOMREQUEST, call.method)
+        _set_connection(handle=handle, call=call)
+        _set_request(handle=handle, call=call)
         handle.setopt(pycurl.HEADERFUNCTION, lambda line: live.take_header(line=line))
         handle.setopt(pycurl.WRITEFUNCTION, lambda data: live.take_body(data=data))
         self._live[handle] = live
@@ -247,7 +214,7 @@
         handle.reset()
         if len(self._spare) < constants.CALL_THREADS:
             self._spare.append(handle)
-        self._send_update(called)
+        self._deliver(called)
 
 
 @contextlib.contextmanager
@@ -258,3 +225,42 @@
         yield connection
     finally:
         connection.detach()
+
+
+def _set_connection(*, handle: pycurl.Curl, call: StartCall) -> None:
+    """Where the call goes, over which connection and for how long at the most."""
+    host, port = call.address.rsplit(":", 1)
+    # a connection belongs to its owner: a name of its own keeps it apart in the cache
+    name = hashlib.blake2b(call.owner.encode(), digest_size=12).hexdigest()
+    handle.setopt(pycurl.URL, f"http://{name}:{port}{call.path}")
+    handle.setopt(pycurl.CONNECT_TO, [f"{name}:{port}:{host}:{port}"])
+    handle.setopt(pycurl.PROXY, "")
+    handle.setopt(pycurl.PATH_AS_IS, 1)
+    handle.setopt(pycurl.HTTP_VERSION, pycurl.CURL_HTTP_VERSION_1_1)
+    handle.setopt(pycurl.NOSIGNAL, 1)
+    handle.setopt(pycurl.MAXAGE_CONN, constants.IDLE_CALL)
+    handle.setopt(pycurl.TIMEOUT_MS, max(1, int(call.timeout * 1000)))
+    handle.setopt(pycurl.CONNECTTIMEOUT_MS, max(1, int(min(call.timeout, constants.DIAL_WAIT) * 1000)))
+    if call.fresh:
+        # a kept connection that dies is retried by the library: never for an unsafe exchange
+        handle.setopt(pycurl.FRESH_CONNECT, 1)
+        handle.setopt(pycurl.FORBID_REUSE, 1)
+
+
+def _set_request(*, handle: pycurl.Curl, call: StartCall) -> None:
+    """What is sent. The library adds no header of its own."""
+    headers = {
+        "host": call.address,
+        "expect": "",
+        "accept": "",
+        "user-agent": "sailward",
+        "content-type": "",
+        **call.headers,
+    }
+    handle.setopt(pycurl.HTTPHEADER, [f"{n}: {v}" if v != "" else f"{n}:" for n, v in headers.items()])
+    if call.method == "HEAD":
+        handle.setopt(pycurl.NOBODY, 1)
+    elif call.body or call.method in ("POST", "PUT", "PATCH"):
+        handle.setopt(pycurl.POSTFIELDS, call.body)
+    if call.method not in ("GET", "HEAD"):
+        handle.setopt(pycurl.CUSTOMREQUEST, call.method)
--- a/simulation/deployments.py
+++ b/simulation/deployments.py
@@ -83,7 +83,7 @@
 
 
 def make_arriaga() -> Deployment:
-    """Wine: 11 machines, 4 halls in 2 regions, 32 workers in 4 services, 155 exchanges/s."""
+    """Wine: 11 machines, 4 zones in 2 regions, 32 workers in 4 services, 155 exchanges/s."""
     zones = _zones(("guadalajara", "gdl"), ("ensenada", "ens"))
     services = ("stock", "orders", "notes", "deliveries")
     tenants = {"restaurants": {}, "hotels": {}, "shops": {}, "tapatia": {"homes": ["guadalajara"]}}
@@ -107,7 +107,7 @@
 
 
 def make_peachtree() -> Deployment:
-    """Desks: 12 machines, 4 halls in 2 regions, 33 workers in 4 services, 225 exchanges/s."""
+    """Desks: 12 machines, 4 zones in 2 regions, 33 workers in 4 services, 225 exchanges/s."""
     zones = _zones(("atlanta", "atl"), ("savannah", "sav"))
     services = ("lookup", "booking", "usage", "occupancy")
     tenants = {"brand-a": {"share": 1}, "brand-b": {"share": 1}, "brand-c": {"share": 1, "homes": ["savannah"]}}
@@ -131,7 +131,7 @@
 
 
 def make_source() -> Deployment:
-    """The source's laboratory: three halls in each of two regions, one service, 70/30."""
+    """The source's laboratory: three zones in each of two regions, one service, 70/30."""
     zones = {f"{region}-{letter}": region for region in ("south", "east") for letter in "abc"}
     callers = (CallerKind(tenant="lab", path="/lab", unsafe=False, part=1.0, region="south"),)
     daemons = [("controller", f"controller-{i}", list(zones)[i]) for i in range(4)]
--- a/simulation/hollow_fleet/parts.py
+++ b/simulation/hollow_fleet/parts.py
@@ -266,7 +266,7 @@
 
 
 def _zones(*, size: int) -> dict:
-    # one worker in each zone of each service at the least, as each place with a worker is a hall of the service
+    # one worker in each zone of each service at the least, as each place with a worker is a zone of the service
     services = max(2, size // 88)
     zones = min(88, size // 2)
     shape = Size(
--- a/simulation/hosted/clients.py
+++ b/simulation/hosted/clients.py
@@ -1,6 +1,6 @@
 """Clients of the platform's kind.
 
-They ask the directory, keep or rotate addresses, and try again as the protocol says.
+They ask the directory, keep or rotate addresses, and retry as the protocol says.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
     from simulation.hosted.world import World
 
 TRIES = 2
-"""further tries of a client."""
+"""retries of a client."""
 FINAL = (400, 401, 404, 413, 431)
 PROMISES = (408, 421, 429, 503)
 FORGET = 3.0
@@ -42,7 +42,7 @@
 
 @dataclass(kw_only=True)
 class Request:
-    """One request of a client over all its tries."""
+    """One request of a client over all its attempts."""
 
     number: int
     kind: Kind
--- a/simulation/hosted/judge_places.py
+++ b/simulation/hosted/judge_places.py
@@ -1,4 +1,4 @@
-"""Rules on who is sent what: leaving, cold, homes, evacuations, keys, further tries."""
+"""Rules on who is sent what: leaving, cold, homes, evacuations, keys, retries."""
 
 from __future__ import annotations
 
@@ -138,7 +138,7 @@
 
 
 def judge_budget(*, world: World, arrivals: list, attempts: dict):
-    """BUDGET: a service gets more further tries than its share in some window."""
+    """BUDGET: a service gets more retries than its share in some window."""
     bounds = world.deployment.bounds
     window = bounds["retry_window_s"]
     seen: set = set()
--- a/simulation/hosted/operator_call.py
+++ b/simulation/hosted/operator_call.py
@@ -23,7 +23,7 @@
 LARGE = 100_000
 """bytes of a body over which it waits twice as long."""
 FIRST_PAUSE, PAUSE_GROWTH, LONGEST_PAUSE = 0.1, 1.6, 1.0
-"""s before it tries again, times what for each turn, and s at the most."""
+"""s before it attempts again, times what for each turn, and s at the most."""
 
 
 @dataclass(kw_only=True)
--- a/simulation/hosted/people_verbs.py
+++ b/simulation/hosted/people_verbs.py
@@ -31,7 +31,7 @@
         self._world.load(until=self._world.clock.now + float(seconds), times=float(times), kinds=chosen, key=int(key))
 
     def do_eager(self, share: str, seconds: str = "") -> None:
-        """So many of the clients try again at once, and often."""
+        """So many of the clients retry at once, and often."""
         for at, client in enumerate(self._world.clients):
             client.is_eager = at < float(share) * len(self._world.clients)
         if seconds:
--- a/simulation/rules/control.py
+++ b/simulation/rules/control.py
@@ -14,7 +14,7 @@
 RUN_ON = 2.5 + SLACK
 """s: the longest that what was sent on under one configuration may reach a worker after another's (an expiry)."""
 QUIET = 65.0
-"""s without trouble before weights are judged: a hall's hold, and its workers' ramps."""
+"""s without trouble before weights are judged: a zone's hold, and its workers' ramps."""
 
 
 class Changes:
@@ -180,7 +180,7 @@
 
 
 def check_emptied(*, history: History, runs: list):
-    """An emptied hall still gets exchanges 5 s after the order."""
+    """An emptied zone still gets exchanges 5 s after the order."""
     spans: dict = {}
     for row in sorted([*history.of(k="emptied"), *history.of(k="refilled")], key=lambda one: one["t"]):
         if row["k"] == "emptied":
--- a/simulation/rules/exchanges.py
+++ b/simulation/rules/exchanges.py
@@ -101,7 +101,7 @@
 def check_retries(*, history: History, runs: list, proxies: int):
     """Retries swell past a fifth of the traffic over any 10 s: what reaches workers of what had reached one before.
 
-    In small traffic one more for each proxy, which must be able to try again at all.
+    In small traffic one more for each proxy, which must be able to retry at all.
     """
     seen, times, again = set(), [], []
     for row in sorted([*runs, *history.of(k="reached")], key=lambda run: run["t"]):
--- a/simulation/rules/places.py
+++ b/simulation/rules/places.py
@@ -1,4 +1,4 @@
-"""Workers, halls and keys: who may be sent what, where, and how much."""
+"""Workers, zones and keys: who may be sent what, where, and how much."""
 
 from __future__ import annotations
 
--- a/simulation/rules/service.py
+++ b/simulation/rules/service.py
@@ -12,13 +12,16 @@
 LOOKUP = 8.0
 """s that are looked at, from then on or from a loss that must be borne."""
 BACK_GOOD = 0.90
-"""of first tries: workers are still within their cold ramps, and callers' backlog is being served."""
+"""of first attempts: workers are still within their cold ramps, and callers' backlog is being served."""
 CONTROLLER_GOOD = 0.97
-"""of first tries from the loss of a disk machine on: only claims under way wait for a round more."""
+"""of first attempts from the loss of a disk machine on: only claims under way wait for a round more."""
 HALL_GOOD = 0.90
-"""of first tries from the loss of a hall on: a quarter of proxies and workers are gone; what was open there is lost."""
+"""of first attempts from the loss of a zone on:
+
+a quarter of proxies and workers are gone; what was open there is lost.
+"""
 FEWEST = 40
-"""first tries from which a share means something."""
+"""first attempts from which a share means something."""
 TIDE = 4.0
 """times a rival's load from which a tenant counts as flooding."""
 
@@ -64,7 +67,7 @@
 
 
 def check_borne(*, history: History, daemons: list, zones: dict):
-    """The loss of one disk machine, or of one hall, with nothing else wrong, is not borne at once."""
+    """The loss of one disk machine, or of one zone, with nothing else wrong, is not borne at once."""
     troubles = history.of(k="trouble")
     downs = history.of(k="daemon-down")
     for row in troubles:
@@ -89,7 +92,7 @@
 
 
 def _count(*, history: History, low: float, high: float) -> tuple[int, int, dict]:
-    """Good ones and all of the first tries sent in that time by tenants who have a place.
+    """Good ones and all of the first attempts sent in that time by tenants who have a place.
 
     And what became of the others.
     """
@@ -109,7 +112,7 @@
 
 
 def _barred(*, history: History, low: float, high: float) -> set:
-    """Bound tenants while some hall is emptied by an operators' order: they may have no place."""
+    """Bound tenants while some zone is emptied by an operators' order: they may have no place."""
     orders = [row["t"] for row in history.of(k="emptied") if row["t"] < high]
     ends = [row["t"] for row in history.of(k="refilled") if row["t"] < low]
     homes = (history.of(k="homes") or [{"homes": {}}])[-1]["homes"]
--- a/simulation/sim/chaos_scene.py
+++ b/simulation/sim/chaos_scene.py
@@ -56,7 +56,7 @@
         )
 
     def zone(self) -> str:
-        """Any hall."""
+        """Any zone."""
         return self.rng.choice(sorted(self.world.deployment.zones))
 
     def service(self) -> str:
--- a/simulation/sim/expect.py
+++ b/simulation/sim/expect.py
@@ -44,7 +44,7 @@
 
 
 def _judge_share(*, words: list[str], world: World, begin: float) -> tuple[str, object]:
-    """`share PLACE LOW HIGH [field=value ...] from A to B`: the part of the runs in a region, hall or worker."""
+    """`share PLACE LOW HIGH [field=value ...] from A to B`: the part of the runs in a region, zone or worker."""
     words, low, high = _window(words=words, begin=begin)
     place, least, most = words[0], float(words[1]), float(words[2])
     runs = _picked(rows=world.history.of(k="run"), low=low, high=high)
@@ -59,7 +59,7 @@
 
 
 def _judge_split(*, words: list[str], world: World, begin: float) -> tuple[str, object]:
-    """`split SERVICE from A to B`: shows the part of each hall; judges nothing by itself."""
+    """`split SERVICE from A to B`: shows the part of each zone; judges nothing by itself."""
     words, low, high = _window(words=words, begin=begin)
     runs = [run for run in _picked(rows=world.history.of(k="run"), low=low, high=high) if run["service"] == words[0]]
     zones = {
@@ -69,7 +69,7 @@
 
 
 def _judge_good(*, words: list[str], world: World, begin: float) -> tuple[str, object]:
-    """`good LEAST [field=value ...] from A to B`: the part of tries with a good result."""
+    """`good LEAST [field=value ...] from A to B`: the part of attempts with a good result."""
     words, low, high = _window(words=words, begin=begin)
     rows = _picked(rows=world.history.of(k="got"), low=low, high=high)
     for name, value in _pairs(words=words).items():
--- a/simulation/sim/network.py
+++ b/simulation/sim/network.py
@@ -23,7 +23,7 @@
     held: list = field(default_factory=list)
 
     def is_cut(self, *, a: frozenset, b: frozenset) -> bool:
-        """Does a cut stand between these two (each a set of its names: own, hall, region, kind)?"""
+        """Does a cut stand between these two (each a set of its names: own, zone, region, kind)?"""
         for left, right in self.cuts:
             one_way = (a & left and b & right) or (a & right and b & left)
             if one_way:
--- a/simulation/sim/operators.py
+++ b/simulation/sim/operators.py
@@ -149,7 +149,7 @@
         self.ask(method="GET", path="/config", controller=controller, then=then)
 
     def read_orders(self) -> None:
-        """Read which halls are emptied."""
+        """Read which zones are emptied."""
         world, begun = self._world, self._world.clock.now
 
         def then(answer: Respond | None) -> None:
@@ -160,7 +160,7 @@
         self.ask(method="GET", path="/orders", then=then)
 
     def order(self, *, zone: str, empty: bool, confirm: bool = False, controller: str = "") -> None:
-        """Empty a hall, or take it back."""
+        """Empty a zone, or take it back."""
         world, begun = self._world, self._world.clock.now
 
         def then(answer: Respond | None) -> None:
--- a/simulation/sim/scenario.py
+++ b/simulation/sim/scenario.py
@@ -14,7 +14,7 @@
 
 
 LAST_LOOK = 1.5
-"""s before the end of a run at which operators read which halls are emptied, if they gave orders on halls."""
+"""s before the end of a run at which operators read which zones are emptied, if they gave orders on zones."""
 GRAMMAR = Grammar(
     fleet="arriaga",
     seeds=range(1, 4),
--- a/simulation/sim/verbs/operators.py
+++ b/simulation/sim/verbs/operators.py
@@ -85,7 +85,7 @@
         self.operators.put(config=patch, controller=controller, if_match=if_match, is_patch=True)
 
     def do_put_stamped(self, *zones: str) -> None:
-        """Send the configuration with one tenant's route made from a template, with these halls as its parameter."""
+        """Send the configuration with one tenant's route made from a template, with these zones as its parameter."""
         config = copy.deepcopy(self.operators.config)
         shape = {
             "pools": {"${stamp}": {"service": "notes", "preferred": "${halls}"}},
@@ -129,15 +129,15 @@
         self.operators.read_back(controller=controller)
 
     def do_read_orders(self) -> None:
-        """Read which halls are emptied."""
+        """Read which zones are emptied."""
         self.operators.read_orders()
 
     def do_empty(self, zone: str, confirm: str = "") -> None:
-        """Order a hall to be emptied."""
+        """Order a zone to be emptied."""
         self.operators.order(zone=zone, empty=True, confirm=confirm == "confirm")
 
     def do_refill(self, zone: str) -> None:
-        """Order a hall to be filled again."""
+        """Order a zone to be filled again."""
         self.operators.order(zone=zone, empty=False)
 
     def do_found_anew(self, *words: str) -> None:
