--- a/sailward/programs/controller.py
+++ b/sailward/programs/controller.py
@@ -1,8 +1,9 @@
 """sailward-controller: a machine that holds the state of the control side, on a disk.
 
 Usage:
-  sailward-controller --settings FILE [options] sailward-controller [options] sailward-controller (-h | --help |
-  --version)
+  sailward-controller --settings FILE [options]
+  sailward-controller [options]
+  sailward-controller (-h | --help | --version)
 
 Options:
   --settings FILE    Settings in TOML; a flag goes before the file.
--- a/sailward/programs/directory.py
+++ b/sailward/programs/directory.py
@@ -1,7 +1,9 @@
 """sailward-directory: hands callers the addresses of proxies.
 
 Usage:
-  sailward-directory --settings FILE [options] sailward-directory [options] sailward-directory (-h | --help | --version)
+  sailward-directory --settings FILE [options]
+  sailward-directory [options]
+  sailward-directory (-h | --help | --version)
 
 Options:
   --settings FILE    Settings in TOML; a flag goes before the file.
--- a/sailward/programs/proxy.py
+++ b/sailward/programs/proxy.py
@@ -1,7 +1,9 @@
 """sailward-proxy: forwards requests to workers. It keeps nothing on disk.
 
 Usage:
-  sailward-proxy --settings FILE [options] sailward-proxy [options] sailward-proxy (-h | --help | --version)
+  sailward-proxy --settings FILE [options]
+  sailward-proxy [options]
+  sailward-proxy (-h | --help | --version)
 
 Options:
   --settings FILE    Settings in TOML; a flag goes before the file.
--- a/sailward/programs/sailctl.py
+++ b/sailward/programs/sailctl.py
@@ -1,11 +1,22 @@
 """sailctl: the operators' client of sailward.
 
 Usage:
-  sailctl [options] found sailctl [options] found-anew CONTROLLER... [--confirm] sailctl [options] get sailctl [options]
-  put FILE sailctl [options] patch FILE sailctl [options] check FILE [--offline] sailctl [options] explain TENANT METHOD
-  PATH --proxy=ADDRESS sailctl [options] empty HALL [--confirm] sailctl [options] refill HALL sailctl [options] join
-  CONTROLLER sailctl [options] part CONTROLLER sailctl [options] voters sailctl [options] orders sailctl [options]
-  status sailctl [options] workers sailctl (-h | --help | --version)
+  sailctl [options] found
+  sailctl [options] found-anew CONTROLLER... [--confirm]
+  sailctl [options] get
+  sailctl [options] put FILE
+  sailctl [options] patch FILE
+  sailctl [options] check FILE [--offline]
+  sailctl [options] explain TENANT METHOD PATH --proxy=ADDRESS
+  sailctl [options] empty HALL [--confirm]
+  sailctl [options] refill HALL
+  sailctl [options] join CONTROLLER
+  sailctl [options] part CONTROLLER
+  sailctl [options] voters
+  sailctl [options] orders
+  sailctl [options] status
+  sailctl [options] workers
+  sailctl (-h | --help | --version)
 
 Options:
   --controllers LIST  IP:port of the controllers' operators' interfaces, with commas
--- a/simulation/hosted/__main__.py
+++ b/simulation/hosted/__main__.py
@@ -1,7 +1,9 @@
 """Run scenarios of the users' platform in virtual time.
 
 Usage:
-  hosted shrink [options] FILE hosted draw [options] FILE hosted [options] FILE...
+  hosted shrink [options] FILE
+  hosted draw [options] FILE
+  hosted [options] FILE...
 
 `shrink` looks for the fewest steps of a failing run that still break one of its rules, shows its progress, and
 writes them as a scenario. `draw` writes out the steps that a seed draws.
--- a/simulation/model/__main__.py
+++ b/simulation/model/__main__.py
@@ -3,7 +3,8 @@
 Run as `python -m simulation.model`.
 
 Usage:
-  model [options] [<case>...] model --list
+  model [options] [<case>...]
+  model --list
 
 Options:
   --most=N         States to visit in each case, 0 for no bound [default: 0].
