--- a/sailward/control/administration/metrics.py
+++ b/sailward/control/administration/metrics.py
@@ -8,14 +8,12 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, Literal
+from typing import Literal
 
+from sailward.control.administration.status_sources import StatusSources
 from sailward.control.group.repair import count_core
 from sailward.events import Respond
 
-if TYPE_CHECKING:
-    from sailward.control.administration.status_report import StatusSources
-
 CONTENT_TYPE = "application/openmetrics-text; version=1.0.0; charset=utf-8"
 PREFIX = "sailward_"
 
--- a/sailward/control/administration/status_report.py
+++ b/sailward/control/administration/status_report.py
@@ -2,41 +2,14 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
-
 import sailward
 from sailward import constants
-from sailward.control.administration.admin_api import AdminApi
 from sailward.control.administration.metrics import show_metrics
-from sailward.control.endpoints.endpoint_list import EndpointList
-from sailward.control.group.catch_up import CatchUp
-from sailward.control.group.contact_watch import ContactWatch
+from sailward.control.administration.status_sources import StatusSources
 from sailward.control.group.disaster_recovery import read_founding
-from sailward.control.group.membership import Membership
 from sailward.control.group.quorum_contact import NEVER
 from sailward.control.group.repair import count_core
-from sailward.control.group.voter import Voter
-from sailward.control.proxies.aggregated_health import AggregatedHealth
-from sailward.control.proxies.subscribers import Subscribers
 from sailward.discovery.peer_table import PeerTable, kind_of
-from sailward.events import RefusedInput, UnexpectedEvents
-
-
-@dataclass(frozen=True, kw_only=True)
-class StatusSources:
-    """The parts of a controller that its status is read from."""
-
-    voter: Voter
-    peer_table: PeerTable
-    membership: Membership
-    contact_watch: ContactWatch
-    subscribers: Subscribers
-    aggregated_health: AggregatedHealth
-    endpoint_list: EndpointList
-    unexpected: UnexpectedEvents
-    refused: RefusedInput
-    catch_up: CatchUp
-    admin_api: AdminApi
 
 
 def show_status(*, sources: StatusSources, now: float) -> dict:
--- a/sailward/control/controller.py
+++ b/sailward/control/controller.py
@@ -8,7 +8,7 @@
 from sailward.config.dialect import OwnDialect
 from sailward.consensus.proposer import Proposer, StartOperation
 from sailward.control.administration.admin_api import AdminApi
-from sailward.control.administration.status_report import StatusSources
+from sailward.control.administration.status_sources import StatusSources
 from sailward.control.controller_options import ControllerOptions
 from sailward.control.endpoints.endpoint_list import EndpointList
 from sailward.control.grant_codec import GrantCodec
--- a/sailward/control/controller_options.py
+++ b/sailward/control/controller_options.py
@@ -11,7 +11,7 @@
 
 if TYPE_CHECKING:
     from sailward.config.dialect import Dialect
-    from sailward.control.group.bootstrap import Bootstrap
+    from sailward.control.bootstrap import Bootstrap
     from sailward.discovery.endpoint_pages import ListReader
 
 
--- a/sailward/control/group/voter.py
+++ b/sailward/control/group/voter.py
@@ -7,7 +7,7 @@
 from sailward import constants
 from sailward.consensus.acceptor import CLAIM, KNOWN, Acceptor, Slot, Slots, fold_record, slot_records
 from sailward.consensus.learner import LearnedValue, Learner, read_voters
-from sailward.control.group.bootstrap import Bootstrap, make_founder
+from sailward.control.bootstrap import Bootstrap, make_founder
 from sailward.control.group.disaster_recovery import read_founding
 from sailward.control.group.write_ahead import WriteAhead
 from sailward.discovery.peer_table import Location
--- a/sailward/control/operator_requests.py
+++ b/sailward/control/operator_requests.py
@@ -4,7 +4,8 @@
 
 from sailward.control.administration.admin_api import AdminApi
 from sailward.control.administration.metrics import answer_metrics
-from sailward.control.administration.status_report import StatusSources, show_status
+from sailward.control.administration.status_report import show_status
+from sailward.control.administration.status_sources import StatusSources
 from sailward.control.endpoints.endpoint_list import EndpointList
 from sailward.control.group.contact_watch import ContactWatch
 from sailward.control.group.disaster_recovery import log_founding
--- a/sailward/programs/hosted.py
+++ b/sailward/programs/hosted.py
@@ -20,7 +20,7 @@
 from sailward.transport.http_client import HttpClient
 from sailward.transport.http_server import Front
 from sailward.transport.message_transport import MessageTransport
-from sailward.transport.wire_names import WireNames
+from sailward.wire_names import WireNames
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/sailward/proxy/proxy.py
+++ b/sailward/proxy/proxy.py
@@ -45,7 +45,7 @@
 from sailward.routing.shard_owners import PREFIX as SLOTS
 from sailward.routing.zone_health import ZoneHealthTable
 from sailward.state_machines import Chart
-from sailward.transport.wire_names import WireNames
+from sailward.wire_names import WireNames
 
 STOPPING = Chart(name="stopping")
 
--- a/sailward/routing/forwarding.py
+++ b/sailward/routing/forwarding.py
@@ -23,7 +23,7 @@
 from sailward.routing.request import Attempt, Request, headers_to_caller, headers_to_worker, take_request
 from sailward.routing.retry_budget import RetryBudget
 from sailward.routing.worker_response import Broken, NotSent, Whole, WorkerRejected, judge_reply
-from sailward.transport.wire_names import WireNames
+from sailward.wire_names import WireNames
 
 SHORT = frozenset({"no-room", "key-moving", "key-unowned", "owner-lost", "owner-cold", "no-worker"})
 """Refusals that may be over in a moment: the request waits for that long."""
--- a/sailward/routing/passive_health.py
+++ b/sailward/routing/passive_health.py
@@ -10,7 +10,7 @@
 from sailward.events import CallFinished, CloseConnections, LogEvent, StartCall
 from sailward.routing.plan import Plan
 from sailward.state_machines import Chart
-from sailward.transport.wire_names import WireNames
+from sailward.wire_names import WireNames
 
 CHART = Chart(name="instance")
 EVENTS = {"timed-out": "late", "refused": "refused", "no-connection": "dark", "connect-timeout": "dark"}
--- a/sailward/routing/request.py
+++ b/sailward/routing/request.py
@@ -8,7 +8,7 @@
 from sailward.events import RequestReceived
 from sailward.routing.plan import Match, Plan, Service
 from sailward.routing.proxied_request import Refusal
-from sailward.transport.wire_names import WireNames
+from sailward.wire_names import WireNames
 
 HOP = frozenset(
     {
--- a/sailward/routing/worker_response.py
+++ b/sailward/routing/worker_response.py
@@ -6,7 +6,7 @@
 
 from sailward.events import CallFinished
 from sailward.routing.request import Request
-from sailward.transport.wire_names import WireNames, names_another
+from sailward.wire_names import WireNames, names_another
 
 PROMISES = frozenset({408, 421, 429, 503})
 """Codes that tell a caller: it did not run and never will."""
--- a/sailward/transport/curl_client.py
+++ b/sailward/transport/curl_client.py
@@ -18,7 +18,7 @@
 
 from sailward import constants
 from sailward.events import CallFinished, StartCall
-from sailward.transport.wire_names import WireNames, names_another
+from sailward.wire_names import WireNames, names_another
 
 NAMES = WireNames()
 ABORT = struct.pack("ii", 1, 0)
--- a/sailward/transport/http_client.py
+++ b/sailward/transport/http_client.py
@@ -16,7 +16,7 @@
 from sailward.events import CallFinished, StartCall
 from sailward.runtime.reactor import Alarm, Reactor
 from sailward.transport.http_exchange import Broken, Exchange, Whole
-from sailward.transport.wire_names import WireNames
+from sailward.wire_names import WireNames
 
 ABORT = struct.pack("ii", 1, 0)
 CLEAN, SURPLUS, GONE = "clean", "surplus", "gone"
--- a/sailward/transport/http_exchange.py
+++ b/sailward/transport/http_exchange.py
@@ -9,7 +9,7 @@
 
 from sailward import constants
 from sailward.events import StartCall
-from sailward.transport.wire_names import names_another
+from sailward.wire_names import names_another
 
 BODY_METHODS = frozenset(("POST", "PUT", "PATCH"))
 OWN_HEADERS = frozenset(("host", "content-length", "transfer-encoding", "upgrade", "expect"))
--- a/simulation/core_group.py
+++ b/simulation/core_group.py
@@ -15,9 +15,9 @@
 from sailward import constants
 from sailward.consensus.messages import pack_message
 from sailward.consensus.proposer import StartOperation
+from sailward.control.bootstrap import Bootstrap
 from sailward.control.controller import Controller
 from sailward.control.controller_options import ControllerOptions
-from sailward.control.group.bootstrap import Bootstrap
 from sailward.discovery.peer_table import Location
 from sailward.events import AppendRecords, ExitProcess, MessageReceived, RewriteRecords, SendMessage, TimerFired
 from sailward.storage.disk import Disk, Read
--- a/simulation/hosted/calls.py
+++ b/simulation/hosted/calls.py
@@ -13,7 +13,7 @@
 
 from sailward import constants
 from sailward.events import CallFinished, StartCall
-from sailward.transport.wire_names import names_another
+from sailward.wire_names import names_another
 
 if TYPE_CHECKING:
     from simulation.hosted.process import Process
--- a/tests/core_net.py
+++ b/tests/core_net.py
@@ -9,9 +9,9 @@
 
 from sailward.config.check import check_config
 from sailward.consensus.messages import check_message
+from sailward.control.bootstrap import Bootstrap
 from sailward.control.controller import Controller
 from sailward.control.controller_options import ControllerOptions
-from sailward.control.group.bootstrap import Bootstrap
 from sailward.discovery.peer_table import Location
 from sailward.events import (
     AppendRecords,
--- a/tests/http_client_peer.py
+++ b/tests/http_client_peer.py
@@ -13,7 +13,7 @@
 from sailward.events import CallFinished, StartCall
 from sailward.runtime.reactor import Reactor
 from sailward.transport.http_client import HttpClient
-from sailward.transport.wire_names import WireNames
+from sailward.wire_names import WireNames
 
 WAIT = 8.0
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"
--- a/tests/http_client_script.py
+++ b/tests/http_client_script.py
@@ -17,7 +17,7 @@
 from sailward.routing.worker_response import Broken, NotSent, Whole, WorkerRejected, judge_reply
 from sailward.runtime.reactor import Alarm
 from sailward.transport import http_client
-from sailward.transport.wire_names import WireNames
+from sailward.wire_names import WireNames
 
 NAMES = WireNames(exchange="x-id", answered_by="x-who", not_run="x-not-run", not_run_value="", seal="x-seal")
 FIN, RESET = "fin", "reset"
--- a/tests/proxy_kit.py
+++ b/tests/proxy_kit.py
@@ -13,7 +13,7 @@
 from sailward.routing.retry_budget import RetryBudget
 from sailward.routing.shards import OPEN, Shard, ShardTable, write_shards
 from sailward.routing.zone_health import ZoneHealthTable
-from sailward.transport.wire_names import WireNames
+from sailward.wire_names import WireNames
 
 NAMES = WireNames(
     exchange="x-id",
--- a/tests/storage_machine.py
+++ b/tests/storage_machine.py
@@ -13,9 +13,9 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, precondition, rule
 
 from sailward import constants
+from sailward.control.bootstrap import Bootstrap
 from sailward.control.controller import Controller
 from sailward.control.controller_options import ControllerOptions
-from sailward.control.group.bootstrap import Bootstrap
 from sailward.discovery.peer_table import Location
 from sailward.events import AppendRecords, ExitProcess, MessageReceived, RewriteRecords, SendMessage, TimerFired
 from sailward.storage.disk import Disk, Read
--- a/tests/test_bootstrap.py
+++ b/tests/test_bootstrap.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from sailward.control.group.bootstrap import Bootstrap
+from sailward.control.bootstrap import Bootstrap
 from sailward.control.group.repair import Repair
 from tests.core_net import CoreNet, make_written
 
--- a/tests/test_fuzz_operators.py
+++ b/tests/test_fuzz_operators.py
@@ -13,9 +13,9 @@
 from hypothesis import strategies as st
 
 from sailward.config.check import check_config
+from sailward.control.bootstrap import Bootstrap
 from sailward.control.controller import Controller
 from sailward.control.controller_options import ControllerOptions
-from sailward.control.group.bootstrap import Bootstrap
 from sailward.discovery.peer_table import Location
 from sailward.events import (
     AppendRecords,
