--- a/sailward/client/forecast.py
+++ b/sailward/client/forecast.py
@@ -28,7 +28,7 @@
     return [
         *_find_moves(full=full, old=now_full),
         *_find_strangers(full=full, workers=workers),
-        *_find_empty_homes(full=full, workers=well),
+        *_find_empty_residency(full=full, workers=well),
         *_find_short(full=full, workers=well, rates=rates),
     ]
 
@@ -47,11 +47,13 @@
 
 def _find_moves(*, full: dict, old: dict) -> Iterator[Finding]:
     before, after = shares_of(full=old), shares_of(full=full)
-    for place in sorted({*before, *after}):
-        left, right = before.get(place, 0.0), after.get(place, 0.0)
+    for zone_key in sorted({*before, *after}):
+        left, right = before.get(zone_key, 0.0), after.get(zone_key, 0.0)
         if abs(left - right) > 1e-9:
             yield Finding(
-                kind="note", path=f"matches {place[0]}", text=f"hall {place[1]} goes from {left:.1%} to {right:.1%}"
+                kind="note",
+                path=f"matches {zone_key[0]}",
+                text=f"hall {zone_key[1]} goes from {left:.1%} to {right:.1%}",
             )
 
 
@@ -71,7 +73,7 @@
         )
 
 
-def _find_empty_homes(*, full: dict, workers: list) -> Iterator[Finding]:
+def _find_empty_residency(*, full: dict, workers: list) -> Iterator[Finding]:
     for tenant, name, zones in find_home_zones(full=full):
         service = full["pools"][name]["service"]
         if not any(worker["service"] == service and worker["hall"] in zones for worker in workers):
--- a/sailward/config/check.py
+++ b/sailward/config/check.py
@@ -69,7 +69,12 @@
         if faults:
             return Unsound(faults=tuple(faults))
     full = {name: part for name, part in full.items() if name not in ("templates", "stamps")}
-    faults = [*_check_pools(full=full), *_check_matches(full=full), *_check_homes(full=full), *_check_ranged(full=full)]
+    faults = [
+        *_check_pools(full=full),
+        *_check_matches(full=full),
+        *_check_residency(full=full),
+        *_check_ranged(full=full),
+    ]
     faults = faults or list(_check_shared_keys(full=full))
     if faults:
         return Unsound(faults=tuple(faults))
@@ -92,7 +97,7 @@
         errors = validator.errors
         if plain:
             errors = {
-                name: _place(errors=inner, odd=odd) if name == "matches" else inner for name, inner in errors.items()
+                name: _locate(errors=inner, odd=odd) if name == "matches" else inner for name, inner in errors.items()
             }
         return [Fault(path=path, reason=reason) for path, reason in list_errors(errors=errors)], {}
     full = validator.document
@@ -105,7 +110,7 @@
     return [], full
 
 
-def _place(*, errors: list, odd: list) -> list:
+def _locate(*, errors: list, odd: list) -> list:
     """The errors of the matches that took part, under the places that they were written at."""
     return [
         {odd[at] if isinstance(at, int) else at: inner for at, inner in error.items()}
@@ -174,7 +179,7 @@
         yield Fault(path=path, reason="a pool is listed twice")
 
 
-def _check_homes(*, full: dict) -> Iterator[Fault]:
+def _check_residency(*, full: dict) -> Iterator[Fault]:
     regions = {zone["region"] for zone in full["halls"].values()}
     for name, tenant in full["tenants"].items():
         for home in tenant["homes"]:
--- a/sailward/consensus/messages.py
+++ b/sailward/consensus/messages.py
@@ -104,7 +104,7 @@
 
 _is_digest = row_of(is_complete, is_text, is_ballot)
 """Number, mark and ballot of a value."""
-_is_held = either_of(row_of(is_complete), row_of(is_complete, is_text), _is_digest)
+_is_known_version = either_of(row_of(is_complete), row_of(is_complete, is_text), _is_digest)
 """What an asker holds of a register: its number, and maybe more."""
 _is_health = row_of(is_count, is_count, is_text)
 """Listed workers, healthy ones, and the state of a zone."""
@@ -114,7 +114,7 @@
     """Is it what an asker holds, by name?"""
     return (
         isinstance(given, dict)
-        and all(isinstance(name, str) and _is_held(held) for name, held in given.items())
+        and all(isinstance(name, str) and _is_known_version(held) for name, held in given.items())
         and all(len(given[name]) > 1 for name in OWN_LISTS if name in given)
     )
 
--- a/sailward/control/administration/status_report.py
+++ b/sailward/control/administration/status_report.py
@@ -19,12 +19,12 @@
         members=voter.voters["members"], controllers=[*peer_table.alive(kind="controller"), peer_table.own_entry()]
     )
     return {
-        "id": voter.place.name,
+        "id": voter.location.name,
         "core": core,
         "identity": voter.identity,
         "version": sailward.__version__,
         "founding": _show_founding(sources=sources, now=now),
-        "post": voter.place.post,
+        "post": voter.location.post,
         "voting": voter.voting,
         "disk_usable": voter.write_ahead.usable,
         "contact": _show_contact(sources=sources, now=now),
--- a/sailward/control/controller.py
+++ b/sailward/control/controller.py
@@ -57,7 +57,7 @@
     def __init__(
         self,
         *,
-        place: Location,
+        location: Location,
         platform: str,
         nonce: str,
         start: int,
@@ -67,9 +67,9 @@
         options: ControllerOptions | None = None,
     ) -> None:
         self.options = options or ControllerOptions()
-        self.place, self.start = place, start
+        self.location, self.start = location, start
         self.unexpected, self.refused = UnexpectedEvents(), RefusedInput()
-        self._operation_prefix = f"{place.name}#{nonce}"
+        self._operation_prefix = f"{location.name}#{nonce}"
         self._build_voter(nonce=nonce, rng=rng, records=records, now=now)
         self._build_membership(now=now)
         self._build_administration()
@@ -84,7 +84,9 @@
 
     def _build_voter(self, *, nonce: str, rng: random.Random, records: list[dict], now: float) -> None:
         """Votes, learned values, records on the disk, and the proposer of operations on registers."""
-        self.voter = Voter(place=self.place, nonce=nonce, records=records, now=now, bootstrap=self.options.bootstrap)
+        self.voter = Voter(
+            location=self.location, nonce=nonce, records=records, now=now, bootstrap=self.options.bootstrap
+        )
         self.learner, self.acceptor, self.write_ahead = self.voter.learner, self.voter.acceptor, self.voter.write_ahead
         self.proposer = Proposer(identity=self._operation_prefix, rng=rng)
 
@@ -92,7 +94,7 @@
         """The peers heard of by gossip, and who of them votes."""
         options = self.options
         self.peer_table = PeerTable(
-            place=self.place,
+            location=self.location,
             start=self.start,
             identity=self.voter.identity,
             every=options.gossip_every,
@@ -143,7 +145,7 @@
         """The platform's list of workers."""
         self.endpoint_list = EndpointList(
             platform=platform,
-            post=self.place.post,
+            post=self.location.post,
             start=self.start,
             reader=self.options.reader,
             rate=self.options.list_rate,
@@ -152,9 +154,11 @@
 
     def _build_proxies(self) -> None:
         """What proxies subscribe to, what they report, and who they are."""
-        self.subscribers = Subscribers(post=self.place.post if self.options.reader else "")
+        self.subscribers = Subscribers(post=self.location.post if self.options.reader else "")
         self.aggregated_health = AggregatedHealth()
-        self.proxy_registry = ProxyRegistry(post=self.place.post, zone=self.place.zone, region=self.place.region)
+        self.proxy_registry = ProxyRegistry(
+            post=self.location.post, zone=self.location.zone, region=self.location.region
+        )
         self.serving = Serving(
             voter=self.voter,
             peer_table=self.peer_table,
--- a/sailward/control/group/membership.py
+++ b/sailward/control/group/membership.py
@@ -214,7 +214,7 @@
         body = {"kind": "gossip", "entries": [peer_table.own_entry()], "reply": True}
         return [
             SendMessage(to=post, body=body)
-            for post in sorted({*self._voter.voters["members"].values()} - {peer_table.place.post})
+            for post in sorted({*self._voter.voters["members"].values()} - {peer_table.location.post})
         ]
 
     def _opened(self) -> list:
--- a/sailward/control/group/redirect.py
+++ b/sailward/control/group/redirect.py
@@ -33,9 +33,9 @@
         and known.contact
     ]
     if able:
-        place = peer_table.place
+        location = peer_table.location
         nearest = min(
-            able, key=lambda entry: (entry["region"] != place.region, entry["hall"] != place.zone, entry["id"])
+            able, key=lambda entry: (entry["region"] != location.region, entry["hall"] != location.zone, entry["id"])
         )
         headers = {"Location": f"http://{nearest['http']}{event.target or event.path}"}
         body = {"outcome": "elsewhere", "detail": "this controller has no contact with a majority of the voters"}
--- a/sailward/control/group/repair.py
+++ b/sailward/control/group/repair.py
@@ -26,7 +26,7 @@
     """
 
     seen: dict = field(default_factory=dict)
-    looked: float = -1e9
+    last_check_at: float = -1e9
     replace_after: float = field(default_factory=lambda: constants.REPLACE_AFTER)
     every: float = field(default_factory=lambda: constants.REPAIR_EVERY)
     is_brisk: bool = False
@@ -37,9 +37,9 @@
 
     def step(self, *, now: float, own: str, voters: dict, text: str, controllers: list[dict]) -> str:
         """Judge by the peer table's living `controllers`; only one of the voters, named by hashing, acts."""
-        if now - self.looked < self.every or not text:
+        if now - self.last_check_at < self.every or not text:
             return ""
-        self.looked = now
+        self.last_check_at = now
         members, number = voters["members"], voters["number"]
         alive = {entry["identity"]: entry for entry in controllers}
         if self.is_brisk:
--- a/sailward/control/group/voter.py
+++ b/sailward/control/group/voter.py
@@ -59,14 +59,14 @@
     """
 
     def __init__(
-        self, *, place: Location, nonce: str, records: list[dict], now: float, bootstrap: Bootstrap | None
+        self, *, location: Location, nonce: str, records: list[dict], now: float, bootstrap: Bootstrap | None
     ) -> None:
         remembered = read_records(records=records, now=now)
-        self.place = place
+        self.location = location
         is_new = not remembered.identity
-        is_founder = is_new and bootstrap is not None and bootstrap.is_founder(post=place.post)
+        is_founder = is_new and bootstrap is not None and bootstrap.is_founder(post=location.post)
         self.identity = remembered.identity or (
-            make_founder(post=place.post) if is_founder else make_identity(name=place.name, nonce=nonce)
+            make_founder(post=location.post) if is_founder else make_identity(name=location.name, nonce=nonce)
         )
         self.learner = Learner()
         self.acceptor = Acceptor(slots=remembered.slots)
--- a/sailward/control/message_handlers.py
+++ b/sailward/control/message_handlers.py
@@ -58,7 +58,7 @@
             "nack": self._on_nack,
             "chosen": self._on_chosen,
             "push": self._on_push,
-            "want": self._on_want,
+            "want": self._on_value_request,
             "fleet": self._on_fleet,
             "list": self._on_list,
             **dict.fromkeys(("confirm", "confirmed"), self._on_confirmation),
@@ -93,7 +93,7 @@
             now=now, name=body["name"], ballot=body["ballot"], value=body["value"], announce=False
         )
 
-    def _on_want(self, *, now: float, sender: str, body: dict) -> list[Command]:
+    def _on_value_request(self, *, now: float, sender: str, body: dict) -> list[Command]:
         if body["register"] == "fleet":
             return self._on_fleet(now=now, sender=sender, body=body)
         return self._voter.learner.send(to=sender, name=body["register"])
--- a/sailward/control/proxies/aggregated_health.py
+++ b/sailward/control/proxies/aggregated_health.py
@@ -41,12 +41,12 @@
         for name, fractions in reported.items():
             if 2 * len(fractions) <= len(voices):
                 continue
-            place = tuple(name.split("|", 1))
+            location = tuple(name.split("|", 1))
             middle = sorted(fractions)[len(fractions) // 2]
-            counts[place] = (PARTS, round(middle * PARTS), PARTS)
-            if place not in self.table.zones and 2 * sum(marks[name]) > len(marks[name]):
+            counts[location] = (PARTS, round(middle * PARTS), PARTS)
+            if location not in self.table.zones and 2 * sum(marks[name]) > len(marks[name]):
                 # lost with this controller, told by those who know: drained until its hold is over
-                self.table.step(now=now, counts={**self._old(), place: (PARTS, 0, PARTS)})
+                self.table.step(now=now, counts={**self._old(), location: (PARTS, 0, PARTS)})
         return self.table.step(now=now, counts=counts) if counts else []
 
     def view(self, *, with_slow_start: bool) -> dict:
@@ -55,4 +55,4 @@
         return {"drained": drained, **({"warm": self.warm} if with_slow_start else {})}
 
     def _old(self) -> dict:
-        return {place: (zone.listed, zone.healthy, zone.listed) for place, zone in self.table.zones.items()}
+        return {location: (zone.listed, zone.healthy, zone.listed) for location, zone in self.table.zones.items()}
--- a/sailward/control/proxies/serving.py
+++ b/sailward/control/proxies/serving.py
@@ -113,7 +113,7 @@
 
         An answer that does not say has contact. One without names the other controllers that may be asked.
         """
-        place = self._voter.place
+        location = self._voter.location
         grant = {
             "kind": "grant",
             "seq": body["seq"],
@@ -121,12 +121,12 @@
             "identity": "",
             "voting": self._voter.voting,
             "proxies": 0,
-            "view": {"place": [place.zone, place.region]},
+            "view": {"place": [location.zone, location.region]},
         }
         if not may_serve:
             grant["contact"] = False
             members = self._voter.voters["members"]
-            grant["controllers"] = other_controllers(peer_table=self._peer_table, members=members, own=place.post)
+            grant["controllers"] = other_controllers(peer_table=self._peer_table, members=members, own=location.post)
         return SendMessage(to=sender, body=grant)
 
     def _grant(self, *, now: float, sender: str, body: dict, newest: dict) -> SendMessage:
--- a/sailward/control/registers.py
+++ b/sailward/control/registers.py
@@ -46,7 +46,7 @@
         self._membership, self._catch_up, self._shard_moves = membership, catch_up, shard_moves
         self._serving, self._shard_leases, self._expand = serving, shard_leases, expand
         self._refused = refused
-        self._unreadable_mark: str | None = None
+        self._unreadable_change: str | None = None
 
     def tick(self, *, now: float) -> list[Command]:
         """Time goes on: operations are retried, or expire."""
@@ -83,7 +83,7 @@
             return []
         config = self._load_config(name=name, value=value)
         if isinstance(config, Unreadable):
-            self._unreadable_mark = value["mark"]
+            self._unreadable_change = value["mark"]
             return self._refused.add(kind="config", reason=config.reason, number=value["number"])
         was_member = self._voter.is_member
         if not self._voter.learner.step(name=name, ballot=ballot, value=value):
@@ -115,7 +115,7 @@
                 self._catch_up.record_confirmed(now=now, name=end.register)
             if not self._catch_up.finish(now=now, end=end):
                 mark = value["mark"] if value else None
-                is_unreadable = end.register == "config" and mark is not None and mark == self._unreadable_mark
+                is_unreadable = end.register == "config" and mark is not None and mark == self._unreadable_change
                 more, begins = self._admin_api.step(event=_without_value(end=end) if is_unreadable else end)
                 commands += more + self.begin(now=now, begins=begins)
         return commands
@@ -126,7 +126,7 @@
             *self._voter.voters["members"].values(),
             *(peer["post"] for peer in self._peer_table.alive(kind="controller")),
         }
-        return [SendMessage(to=post, body=body) for post in sorted(posts - {self._voter.place.post})]
+        return [SendMessage(to=post, body=body) for post in sorted(posts - {self._voter.location.post})]
 
 
 def _without_value(*, end: OperationFinished) -> OperationFinished:
--- a/sailward/control/shards/granting.py
+++ b/sailward/control/shards/granting.py
@@ -53,13 +53,13 @@
         self._named_at = float("inf")
         self._granter_at = NEVER
         self._requested = (-1, NEVER)
-        self._look_at = NEVER
+        self._next_check_at = NEVER
 
     def step(self, *, now: float, event: CallFinished | None, context: GrantContext) -> tuple[list, list]:
         """Take the result of a call of ours, or None for time going on."""
         commands = []
         if event is not None and self.is_own(token=event.token):
-            self._look_at = NEVER
+            self._next_check_at = NEVER
             commands = self._calls.take_result(now=now, event=event)
         self._take_table(now=now, value=context.value)
         self._calls.addresses |= {key: worker.address for key, worker in self._targets.listed(context=context).items()}
@@ -101,13 +101,13 @@
             self._named_at = now if self._is_named() else float("inf")
             self._granter_at = NEVER if before is None else now
         self._calls.take_table(now=now, shards=shards, is_new_term=is_new_term)
-        self._look_at = NEVER
+        self._next_check_at = NEVER
 
     def _change(self, *, now: float, context: GrantContext) -> list:
         number, requested_at = self._requested
-        if now < self._look_at or (number == self._number and now - requested_at < constants.GRANT_CHANGE_WAIT):
+        if now < self._next_check_at or (number == self._number and now - requested_at < constants.GRANT_CHANGE_WAIT):
             return []
-        self._look_at = now + constants.GRANT_CHECK_INTERVAL
+        self._next_check_at = now + constants.GRANT_CHECK_INTERVAL
         table = self._next_table(now=now, context=context)
         if table is None or table == self._table:
             return []
--- a/sailward/control/shards/shard_assignment.py
+++ b/sailward/control/shards/shard_assignment.py
@@ -9,7 +9,7 @@
 from sailward.discovery.endpoint_table import Worker
 from sailward.discovery.rendezvous import choose_names
 from sailward.routing.plan import Plan, Pool, Service
-from sailward.routing.shard_owners import Owned, common_homes, pool_at, read_table, space_of, write_table
+from sailward.routing.shard_owners import Owned, common_residency, pool_at, read_table, space_of, write_table
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -105,20 +105,20 @@
             return old
         if old.owner == "":
             return Owned(owner=best, term=old.term + 1, is_open=True) if best else old
-        place = (space, slot)
+        location = (space, slot)
         if (
             old.owner in context.healthy
             and old.owner in context.workers
             and not context.workers[old.owner].leaving
             and context.workers[old.owner].zone not in context.emptied
         ):
-            self.missing.pop(place, None)
+            self.missing.pop(location, None)
             return replace(old, is_open=False) if best and best != old.owner and capacity > 0 else old
-        since = self.missing.setdefault(place, now)
+        since = self.missing.setdefault(location, now)
         worker = context.workers.get(old.owner)
         certain = worker is None or worker.leaving or worker.zone in context.emptied
         if certain or now - since >= constants.OWNER_GRACE:
-            self.missing.pop(place, None)
+            self.missing.pop(location, None)
             return replace(old, is_open=False)
         return old
 
@@ -136,7 +136,7 @@
         pool: Pool = context.plan.pools[pool_at(shares=shares, slot=slot, slots=service.slots)]
         homes = set(space.split("+")) if space else set()
         if service.keys_shared:
-            homes = common_homes(plan=context.plan, service=service.name)
+            homes = common_residency(plan=context.plan, service=service.name)
         for drained, tier in self._tiers(pool=pool):
             zones = [
                 zone
--- a/sailward/control/shards/shard_moves.py
+++ b/sailward/control/shards/shard_moves.py
@@ -25,7 +25,7 @@
     plan: Plan = field(default_factory=Plan)
     table: EndpointTable = field(default_factory=EndpointTable)
     assigning: dict = field(default_factory=dict)
-    looked: float = -1e9
+    last_check_at: float = -1e9
 
     def step(
         self,
@@ -40,9 +40,9 @@
         proxies: list[Subscriber],
     ) -> list[tuple[str, int, str]]:
         """Look at each divided service that this controller minds; `epoch` is that of the list of workers."""
-        if now - self.looked < constants.ASSIGN_EVERY or workers is None:
+        if now - self.last_check_at < constants.ASSIGN_EVERY or workers is None:
             return []
-        self.looked = now
+        self.last_check_at = now
         divided = [service for service in self.plan.services.values() if service.slots]
         if not divided:
             return []
@@ -75,7 +75,7 @@
         self, *, learner: Learner, aggregated_health: AggregatedHealth, proxies: list[Subscriber]
     ) -> AssignmentContext:
         emptied = read_orders(value=learner.values["orders"].value) if "orders" in learner.values else frozenset()
-        drained = frozenset(place for place, zone in aggregated_health.table.zones.items() if zone.drained)
+        drained = frozenset(location for location, zone in aggregated_health.table.zones.items() if zone.drained)
         fresh = [
             proxy.report["warm"]
             for proxy in proxies
--- a/sailward/discovery/peer_table.py
+++ b/sailward/discovery/peer_table.py
@@ -67,7 +67,7 @@
 class PeerTable:
     """Owner of the daemons known; `step` takes a gossip message or None for time going on."""
 
-    place: Location
+    location: Location
     start: int
     fit: bool = False
     identity: str = ""
@@ -111,7 +111,7 @@
         alive = [known for known in self.known.values() if not known.lost]
         body = {
             "kind": "beat",
-            "id": self.place.name,
+            "id": self.location.name,
             "start": self.start,
             "beat": self.heartbeat,
             "fit": self.fit,
@@ -130,8 +130,8 @@
             announcement = {"kind": "gossip", "entries": self._entries(now=now), "reply": False}
             commands += [
                 SendMessage(to=seed, body=announcement)
-                for seed in self.place.seeds
-                if seed != self.place.post and seed not in known
+                for seed in self.location.seeds
+                if seed != self.location.post and seed not in known
             ]
         return commands
 
@@ -165,18 +165,18 @@
 
     def own_entry(self) -> dict:
         """What this daemon says of itself."""
-        place = self.place
+        location = self.location
         return {
-            "id": place.name,
-            "kind": KINDS_ON_WIRE.get(place.kind, place.kind),
-            "hall": place.zone,
-            "region": place.region,
-            "post": place.post,
-            "http": place.http,
+            "id": location.name,
+            "kind": KINDS_ON_WIRE.get(location.kind, location.kind),
+            "hall": location.zone,
+            "region": location.region,
+            "post": location.post,
+            "http": location.http,
             "start": self.start,
             "beat": self.heartbeat,
             "fit": self.fit,
-            "version": place.version,
+            "version": location.version,
             "identity": self.identity,
             "asks": self.asks,
             **({} if self.has_disk else {"disk": False}),
@@ -189,12 +189,12 @@
 
     def _watched(self) -> list[str]:
         others = {known.entry["id"]: known.entry["post"] for known in self.known.values()}
-        names = choose_names(key=self.place.name, names=others, count=constants.WATCHED)
+        names = choose_names(key=self.location.name, names=others, count=constants.WATCHED)
         addresses = [others[name] for name in names]
         alive = sum(not known.lost for known in self.known.values())
         if alive < constants.WATCHED or self.heartbeat % 10 == 0:
-            addresses += [seed for seed in self.place.seeds if seed not in addresses]
-        return [address for address in addresses if address != self.place.post]
+            addresses += [seed for seed in self.location.seeds if seed not in addresses]
+        return [address for address in addresses if address != self.location.post]
 
     def _entries(self, *, now: float) -> list[dict]:
         fresh = [known.entry for known in self.known.values() if not known.lost]
@@ -203,7 +203,7 @@
     def _fold(self, *, now: float, entries: list, sender: str) -> list:
         commands = []
         for entry in entries:
-            if not is_entry(given=entry) or entry["id"] == self.place.name:
+            if not is_entry(given=entry) or entry["id"] == self.location.name:
                 continue
             known = self.known.get(entry["id"])
             if known and not _is_newer(entry=entry, known=known):
--- a/sailward/programs/common.py
+++ b/sailward/programs/common.py
@@ -17,8 +17,8 @@
 from sailward.runtime.startup import BadStartup, read_startup
 from sailward.storage.disk import Disk
 from sailward.transport.address import Post
-from sailward.transport.curl_client import Calls
-from sailward.transport.wsgi_server import Web
+from sailward.transport.curl_client import CurlClient
+from sailward.transport.wsgi_server import WsgiServer
 
 
 def read_flags(*, doc: str, argv: list[str] | None) -> dict:
@@ -70,7 +70,7 @@
     threads = ThreadPoolExecutor(max_workers=2 * constants.HTTP_THREADS)
     try:
         post = Post(address=settings["post"], deliver=loop.deliver, threads=threads)
-        web = Web(
+        web = WsgiServer(
             address=settings["http"],
             limit=limit,
             deliver=loop.deliver,
@@ -83,7 +83,7 @@
             level="error",
         )
         os._exit(constants.EXIT_TAKEN)
-    calls = Calls(deliver=loop.deliver) if calling else None
+    calls = CurlClient(deliver=loop.deliver) if calling else None
     edges = Edges(loop=loop, post=post, web=web, calls=calls, disk=disk, checks=ThreadPoolExecutor(max_workers=1))
     edges.connect()
     post.start()
--- a/sailward/programs/controller.py
+++ b/sailward/programs/controller.py
@@ -46,7 +46,7 @@
     records = open_folder(disk=disk, folder=settings["data"])
     nonce = make_nonce()
     owner = Controller(
-        place=make_location(settings=settings, kind="controller"),
+        location=make_location(settings=settings, kind="controller"),
         platform=settings["platform"],
         nonce=nonce,
         start=make_start(),
--- a/sailward/programs/directory.py
+++ b/sailward/programs/directory.py
@@ -36,7 +36,7 @@
     settings = read_settings(flags=read_flags(doc=__doc__, argv=argv), schema=COMMON)
     loop, nonce = Loop(), make_nonce()
     owner = DirectoryServer(
-        place=make_location(settings=settings, kind="directory"), start=make_start(), rng=random.Random(nonce)
+        location=make_location(settings=settings, kind="directory"), start=make_start(), rng=random.Random(nonce)
     )
     edges = start_edges(settings=settings, loop=loop, limit=constants.BODY_BYTES, calling=False)
     end_process(code=loop.run(step=owner.step), web=edges.web)
--- a/sailward/programs/hosted.py
+++ b/sailward/programs/hosted.py
@@ -18,7 +18,7 @@
 from sailward.runtime.logs import start_logs, write_log
 from sailward.runtime.reactor import Reactor
 from sailward.transport.http_client import HttpClient
-from sailward.transport.http_server import Front
+from sailward.transport.http_server import HttpServer
 from sailward.transport.message_transport import MessageTransport
 from sailward.wire_names import WireNames
 
@@ -42,7 +42,7 @@
     are of the daemon's kind.
     """
 
-    place: Location
+    location: Location
     names: WireNames
     listen: dict
     words: Words = Words()
@@ -55,7 +55,7 @@
 
 def begin_host(*, hosted: Hosted) -> tuple[Reactor, Host]:
     """The reactor of a process and its host, with the log begun."""
-    start_logs(level=hosted.log_level, name=hosted.place.name)
+    start_logs(level=hosted.log_level, name=hosted.location.name)
     reactor = Reactor()
     return reactor, Host(reactor=reactor)
 
@@ -65,14 +65,14 @@
     return time.time_ns() // 1000
 
 
-def open_front(*, hosted: Hosted, edge: str, reactor: Reactor, host: Host, limits: Callable[[], Limits]) -> Front:
+def open_front(*, hosted: Hosted, edge: str, reactor: Reactor, host: Host, limits: Callable[[], Limits]) -> HttpServer:
     """Open one of the daemon's listeners; an address in use ends the process with EXIT_TAKEN."""
 
     def deliver(event: object) -> None:
         host.deliver(hosted.words.ask(event) if isinstance(event, RequestReceived) and edge != "front" else event)
 
     try:
-        return Front(
+        return HttpServer(
             reactor=reactor,
             address=hosted.listen[edge],
             name=edge,
@@ -101,20 +101,25 @@
     """Serve the owner until it stops, and end the process with its code."""
     http_client = HttpClient(reactor=reactor, deliver=host.deliver, names=hosted.names)
     try:
-        message_transport = MessageTransport(reactor=reactor, address=hosted.place.post, deliver=host.deliver)
+        message_transport = MessageTransport(reactor=reactor, address=hosted.location.post, deliver=host.deliver)
     except OSError as fault:
-        write_log(event="address-taken", fields={"address": hosted.place.post, "reason": fault}, level="error")
+        write_log(event="address-taken", fields={"address": hosted.location.post, "reason": fault}, level="error")
         sys.exit(constants.EXIT_TAKEN)
     host.handlers = {
         SendMessage: lambda command: message_transport.send(to=command.to, body=command.body),
         StartCall: lambda command: http_client.give(call=command),
         CancelCall: lambda command: http_client.cancel(token=command.token),
-        CloseConnections: lambda command: http_client.hang_up(owner=command.owner),
+        CloseConnections: lambda command: http_client.close_connections(owner=command.owner),
         **handlers,
     }
     write_log(
         event="started",
-        fields={"post": hosted.place.post, "hall": hosted.place.zone, "version": sailward.__version__, **hosted.listen},
+        fields={
+            "post": hosted.location.post,
+            "hall": hosted.location.zone,
+            "version": sailward.__version__,
+            **hosted.listen,
+        },
     )
     # what start-up made lives as long as the process: it need not be looked at again
     gc.collect()
--- a/sailward/programs/hosted_controller.py
+++ b/sailward/programs/hosted_controller.py
@@ -30,7 +30,7 @@
         records = open_folder(disk=disk, folder=hosted.data)
     nonce = os.urandom(constants.NONCE_BYTES).hex()
     owner = Controller(
-        place=hosted.place,
+        location=hosted.location,
         platform=hosted.platform,
         nonce=nonce,
         start=start_number(),
--- a/sailward/programs/hosted_proxy.py
+++ b/sailward/programs/hosted_proxy.py
@@ -12,7 +12,7 @@
 def run_proxy(*, hosted: Hosted) -> None:
     """Run a proxy with its directory until it is told to stop."""
     reactor, host = begin_host(hosted=hosted)
-    owner = Proxy(place=hosted.place, start=start_number(), rng=random.Random(), options=hosted.options)
+    owner = Proxy(location=hosted.location, start=start_number(), rng=random.Random(), options=hosted.options)
     fronts = {
         edge: open_front(hosted=hosted, edge=edge, reactor=reactor, host=host, limits=lambda: owner.context.plan.limits)
         for edge in hosted.listen
--- a/sailward/programs/proxy.py
+++ b/sailward/programs/proxy.py
@@ -37,7 +37,7 @@
     settings = read_settings(flags=read_flags(doc=__doc__, argv=argv), schema=COMMON)
     loop, nonce = Loop(), make_nonce()
     owner = TenantProxy(
-        place=make_location(settings=settings, kind="proxy"),
+        location=make_location(settings=settings, kind="proxy"),
         nonce=nonce,
         start=make_start(),
         rng=random.Random(nonce),
--- a/sailward/proxy/control_client.py
+++ b/sailward/proxy/control_client.py
@@ -55,9 +55,9 @@
             known.has_contact = body.get("contact") is not False
             self.trusted_at = now if known.has_contact else self.trusted_at
             self._record_named(named=body.get("controllers", []))
-            place = body.get("view", {}).get("place")
-            if isinstance(place, list) and len(place) == 2:
-                known.zone, known.region = place
+            location = body.get("view", {}).get("place")
+            if isinstance(location, list) and len(location) == 2:
+                known.zone, known.region = location
             before, commands = self.lead, self._choose_lead(now=now)
             if self.lead != before:
                 self.next_at = NEVER
--- a/sailward/proxy/directory.py
+++ b/sailward/proxy/directory.py
@@ -14,7 +14,7 @@
 class Directory:
     """Owner of the fleet as the directory tells it. `step` answers who asks for addresses."""
 
-    place: Location
+    location: Location
     rows: list = field(default_factory=list)
     number: int = -1
 
@@ -26,10 +26,10 @@
         """The proxies of the caller's region, or all if it has none."""
         if event.method != "GET" or event.path != "/proxies":
             return answer_json(token=event.token, code=404, body={"error": "unknown", "detail": "GET /proxies"})
-        zone, region = event.query.get("hall", self.place.zone), event.query.get("region", self.place.region)
-        fit = [row for row in self.rows if row[4] and row[0] != self.place.name]
+        zone, region = event.query.get("hall", self.location.zone), event.query.get("region", self.location.region)
+        fit = [row for row in self.rows if row[4] and row[0] != self.location.name]
         if is_ready:
-            fit.append([self.place.name, self.place.http, self.place.zone, self.place.region, True])
+            fit.append([self.location.name, self.location.http, self.location.zone, self.location.region, True])
         near = [row for row in fit if row[3] == region] or fit
         near.sort(key=lambda row: (row[2] != zone, row[0]))
         proxies = [{"id": row[0], "address": row[1], "hall": row[2], "region": row[3]} for row in near]
--- a/sailward/proxy/directory_server.py
+++ b/sailward/proxy/directory_server.py
@@ -30,9 +30,9 @@
 class DirectoryServer:
     """Owner of a directory process. It decides no failover: it names who says of itself that it is fit."""
 
-    def __init__(self, *, place: Location, start: int, rng: random.Random) -> None:
-        self.place = place
-        self.peer_table = PeerTable(place=place, start=start, fit=True)
+    def __init__(self, *, location: Location, start: int, rng: random.Random) -> None:
+        self.location = location
+        self.peer_table = PeerTable(location=location, start=start, fit=True)
         self.unexpected = UnexpectedEvents()
         self._rng = rng
 
@@ -66,9 +66,9 @@
                 {**known.entry, "kind": kind_of(entry=known.entry), "lost": known.lost}
                 for known in self.peer_table.known.values()
             ]
-            return answer_json(token=event.token, code=200, body={"id": self.place.name, "daemons": daemons})
-        zone = event.query.get("hall", self.place.zone)
-        region = event.query.get("region", self.place.region)
+            return answer_json(token=event.token, code=200, body={"id": self.location.name, "daemons": daemons})
+        zone = event.query.get("hall", self.location.zone)
+        region = event.query.get("region", self.location.region)
         fit = [entry for entry in self.peer_table.alive(kind="proxy") if entry["fit"]]
         # nearest first; among the equally near, one caller keeps its order and callers differ
         who = event.query.get("caller", event.token)
--- a/sailward/proxy/proxy.py
+++ b/sailward/proxy/proxy.py
@@ -60,7 +60,7 @@
     retry_ratio: float = constants.ATTEMPT_SHARE
     retry_slack: float = constants.ATTEMPT_FLOOR
     retry_window: float = constants.ATTEMPT_WINDOW
-    hold: float = constants.ZONE_HOLD_DOWN
+    hold_down: float = constants.ZONE_HOLD_DOWN
     leave_after: float = constants.LEASE
     leave_wait: float = constants.LEAVE_WAIT
     stop_grace: float = constants.STOP_GRACE
@@ -69,26 +69,26 @@
 class Proxy:
     """Owner of a proxy process. `step` takes one event and gives commands."""
 
-    def __init__(self, *, place: Location, start: int, rng: random.Random, options: ProxyOptions) -> None:
-        self.place, self.start, self.options = place, start, options
+    def __init__(self, *, location: Location, start: int, rng: random.Random, options: ProxyOptions) -> None:
+        self.location, self.start, self.options = location, start, options
         self.learner = Learner()
         self.endpoint_table = EndpointTable()
-        self.control_client = ControlClient(zone=place.zone, region=place.region, seeds=place.seeds)
+        self.control_client = ControlClient(zone=location.zone, region=location.region, seeds=location.seeds)
         self.passive_health = PassiveHealth(names=options.names, rng=rng)
         self.context = SelectionContext(
-            name=place.name,
-            zone=place.zone,
-            region=place.region,
+            name=location.name,
+            zone=location.zone,
+            region=location.region,
             regions=dict(options.regions),
             passive_health=self.passive_health,
-            zones=ZoneHealthTable(hold=options.hold),
+            zones=ZoneHealthTable(hold_down=options.hold_down),
             leave_after=options.leave_after,
         )
         budget = RetryBudget(ratio=options.retry_ratio, slack=options.retry_slack, window=options.retry_window)
         self.forwarder = Forwarder(
             endpoint_selector=EndpointSelector(context=self.context, rng=rng), names=options.names, budget=budget
         )
-        self.directory = Directory(place=place)
+        self.directory = Directory(location=location)
         self.stopping, self.stop_at = STOPPING.initial, 0.0
         self.lists: dict = {"workers": ("", -1), "fleet": ("", -1)}
         self.unexpected, self.refused = UnexpectedEvents(), RefusedInput()
@@ -204,7 +204,7 @@
         elif name == "orders":
             emptied = read_orders(value=value)
             for zone in self.context.emptied - emptied:
-                self.passive_health.chill(now=now, zone=zone, plan=self.context.plan)
+                self.passive_health.begin_slow_start(now=now, zone=zone, plan=self.context.plan)
             self.context.emptied = emptied
         elif name.startswith(SLOTS):
             self.context.shards.step(name=name, value=value)
@@ -223,16 +223,16 @@
         if now < self.control_client.next_at:
             return []
         self._heartbeat += 1
-        place = self.place
+        location = self.location
         daemon = {
-            "id": place.name,
-            "kind": KINDS_ON_WIRE[place.kind],
-            "hall": place.zone,
-            "region": place.region,
-            "http": place.http,
+            "id": location.name,
+            "kind": KINDS_ON_WIRE[location.kind],
+            "hall": location.zone,
+            "region": location.region,
+            "http": location.http,
             "start": self.start,
             "fit": self.is_ready,
-            "version": place.version,
+            "version": location.version,
         }
         lead = self.control_client.lead
         have = {name: [learned.value["number"]] for name, learned in self.learner.values.items()}
@@ -265,7 +265,7 @@
             for key, times in self.passive_health.take_times().items()
             if key in workers
             and workers[key].service in divided
-            and self.context.regions.get(workers[key].zone) == self.place.region
+            and self.context.regions.get(workers[key].zone) == self.location.region
         }
 
     def _count_zones(self, *, now: float) -> list:
@@ -304,7 +304,7 @@
         workers = {key: shown.state for key, shown in self.passive_health.shown.items()}
         registers = {name: learned.value["number"] for name, learned in self.learner.values.items()}
         return {
-            "id": self.place.name,
+            "id": self.location.name,
             "ready": self.is_ready,
             "stopping": self.stopping,
             "registers": registers,
--- a/sailward/proxy/tenant_proxy.py
+++ b/sailward/proxy/tenant_proxy.py
@@ -49,21 +49,21 @@
 class TenantProxy:
     """Owner of a proxy process. `step` takes one event and gives commands."""
 
-    def __init__(self, *, place: Location, nonce: str, start: int, rng: random.Random, now: float) -> None:
-        self.place = place
-        self.identity = f"{place.name}#{nonce}"
+    def __init__(self, *, location: Location, nonce: str, start: int, rng: random.Random, now: float) -> None:
+        self.location = location
+        self.identity = f"{location.name}#{nonce}"
         self.learner = Learner()
         self.lease = Lease(learner=self.learner)
         self.proposer = Proposer(identity=self.identity, rng=rng)
-        self.peer_table = PeerTable(place=place, start=start)
+        self.peer_table = PeerTable(location=location, start=start)
         self.routing_state = RoutingState(prober=Prober(rng=rng))
         self.load_balancer = LoadBalancer(rng=rng, routing_state=self.routing_state)
         self.claims = Claims(
             identity=self.identity,
-            post=place.post,
-            region=place.region,
-            zone=place.zone,
-            replicas=ResultReplicas(region=place.region),
+            post=location.post,
+            region=location.region,
+            zone=location.zone,
+            replicas=ResultReplicas(region=location.region),
         )
         self.exchanges = ProxiedRequests(identity=self.identity, load_balancer=self.load_balancer, claims=self.claims)
         self.stopping = STOPPING.initial
@@ -319,7 +319,7 @@
             for (service, zone), state in self.routing_state.zones.zones.items()
         }
         return {
-            "id": self.place.name,
+            "id": self.location.name,
             "fit": self.peer_table.fit,
             "acting": self.acting(now=now),
             "suspect": self.suspect,
--- a/sailward/routing/endpoint_selection.py
+++ b/sailward/routing/endpoint_selection.py
@@ -75,7 +75,7 @@
             if pool is not None and pool.service == request.service.name
         )
         pool = self._near(pool=pool, homes=request.match.homes)
-        able = self._able(now=now, request=request)
+        able = self._eligible(now=now, request=request)
         views = self._views(now=now, service=request.service.name, homes=request.match.homes)
         shares = share_zones(pool=pool, views=views)
         if not shares:
@@ -164,7 +164,7 @@
                 past_slow_start[worker.zone] = past_slow_start.get(worker.zone, 0.0) + shown.speed(mean=mean)
         return past_slow_start
 
-    def _able(self, *, now: float, request: Request) -> dict[str, list[Shown]]:
+    def _eligible(self, *, now: float, request: Request) -> dict[str, list[Shown]]:
         able: dict[str, list[Shown]] = {}
         for worker in self.context.by_service.get(request.service.name, ()):
             shown = self.context.passive_health.shown.get(worker.key)
@@ -193,7 +193,7 @@
         slow_start = [shown for shown in free if now < shown.slow_start_until]
         self.rng.shuffle(slow_start)
         for shown in slow_start:
-            if self._bears(now=now, shown=shown, request=request):
+            if self._is_within_limits(now=now, shown=shown, request=request):
                 return shown.worker
         return None
 
@@ -210,7 +210,7 @@
         most = min(max(constants.WINDOW_LEAST, constants.WINDOW_PARTS * part), shown.window)
         return self.open.get(shown.worker.key, 0) < max(1.0, most)
 
-    def _bears(self, *, now: float, shown: Shown, request: Request) -> bool:
+    def _is_within_limits(self, *, now: float, shown: Shown, request: Request) -> bool:
         """Has the cold worker's bound room for one from here? Only the few proxies that hashing names send to it."""
         context, key = self.context, shown.worker.key
         names = [
@@ -252,6 +252,6 @@
             return Refusal(code=503, reason="key-moving")
         if not self._has_capacity(shown=shown) or now < shown.busy_until:
             return Refusal(code=503, reason="no-room")
-        if now < shown.slow_start_until and not self._bears(now=now, shown=shown, request=request):
+        if now < shown.slow_start_until and not self._is_within_limits(now=now, shown=shown, request=request):
             return Refusal(code=503, reason="owner-cold")
         return worker
--- a/sailward/routing/forwarding.py
+++ b/sailward/routing/forwarding.py
@@ -22,7 +22,7 @@
 from sailward.routing.proxied_request import Refusal, answer_json
 from sailward.routing.request import Attempt, Request, headers_to_caller, headers_to_worker, take_request
 from sailward.routing.retry_budget import RetryBudget
-from sailward.routing.worker_response import Broken, NotSent, Whole, WorkerRejected, judge_reply
+from sailward.routing.worker_response import Broken, CompleteResponse, NotSent, WorkerRejected, judge_reply
 from sailward.wire_names import WireNames
 
 SHORT = frozenset({"no-room", "key-moving", "key-unowned", "owner-lost", "owner-cold", "no-worker"})
@@ -53,7 +53,7 @@
             case RequestReceived():
                 return self._arrive(now=now, event=event)
             case CallFinished():
-                return self._return(now=now, event=event) + self._pump(now=now)
+                return self._return(now=now, event=event) + self._dispatch_waiting(now=now)
             case ClientDisconnected():
                 return self._leave(token=event.token)
             case None:
@@ -85,14 +85,14 @@
         if taken.service.ranged and taken.key >= 0:
             buckets = self.loads.setdefault(taken.service.name, Counter())
             buckets[taken.key // constants.KEYS_IN_BUCKET] += 1
-        return self._place(now=now, request=taken)
+        return self._select_and_forward(now=now, request=taken)
 
-    def _place(self, *, now: float, request: Request) -> list:
+    def _select_and_forward(self, *, now: float, request: Request) -> list:
         """Send it on now, let it wait for a moment, or refuse it."""
         choice = self.endpoint_selector.step(now=now, request=request)
         if not isinstance(choice, Refusal):
             self.waiting.pop(request.token, None)
-            return self._send_on(now=now, request=request, worker=choice)
+            return self._forward(now=now, request=request, worker=choice)
         if request.waits_since < 0:
             request.waits_since = now
         if choice.reason in SHORT and now + constants.TICK - request.waits_since <= self._patience(
@@ -110,7 +110,7 @@
         share = constants.KEY_SHARE if reason in ("key-moving", "key-unowned", "owner-lost") else constants.LINE_SHARE
         return min(constants.LINE_WAIT, share * (request.match.target or constants.LINE_WAIT))
 
-    def _send_on(self, *, now: float, request: Request, worker: Worker) -> list:
+    def _forward(self, *, now: float, request: Request, worker: Worker) -> list:
         """Send it on, if it has the time left and the retry budget bears it; give it up otherwise."""
         if request.expiry - now <= constants.LEAST_LEFT:
             code = 504 if request.sent else 503
@@ -174,23 +174,23 @@
         self._forget(token=event.token, worker=attempt.worker)
         verdict = judge_reply(request=request, worker=attempt.worker, event=event, names=self.names)
         commands = self._record(now=now, attempt=attempt, verdict=verdict)
-        if isinstance(verdict, Whole):
+        if isinstance(verdict, CompleteResponse):
             self._record_overtaken(now=now, attempt=attempt)
         if request.token not in self.live:
             return commands
-        if isinstance(verdict, Whole) and not verdict.is_failure:
+        if isinstance(verdict, CompleteResponse) and not verdict.is_failure:
             return commands + self._answer(request=request, verdict=verdict)
         if isinstance(verdict, NotSent):
             request.sent, request.unsent = request.sent - 1, request.unsent + 1
-        elif isinstance(verdict, (Broken, Whole)):
+        elif isinstance(verdict, (Broken, CompleteResponse)):
             request.ran = True
         elif verdict.why == "not-owner":
             request.rejected.add(attempt.worker)
         if request.attempts:
             return commands
         if self._may_retry(now=now, request=request, verdict=verdict):
-            return commands + self._place(now=now, request=request)
-        if isinstance(verdict, Whole):
+            return commands + self._select_and_forward(now=now, request=request)
+        if isinstance(verdict, CompleteResponse):
             return commands + self._answer(request=request, verdict=verdict)
         return commands + self._give_up(now=now, request=request, refusal=_refusal_of(verdict=verdict))
 
@@ -231,7 +231,7 @@
                     )
 
     def _record(self, *, now: float, attempt: Attempt, verdict: object) -> list:
-        if isinstance(verdict, Whole):
+        if isinstance(verdict, CompleteResponse):
             event = "pass"
         elif isinstance(verdict, WorkerRejected):
             event = verdict.why if verdict.why in ("full", "stranger") else ""
@@ -247,7 +247,7 @@
             else []
         )
 
-    def _answer(self, *, request: Request, verdict: Whole) -> list:
+    def _answer(self, *, request: Request, verdict: CompleteResponse) -> list:
         commands = self._end(request=request)
         self.tally["answered"] += 1
         return [
@@ -311,15 +311,15 @@
             token=token, code=refusal.code, body={"error": refusal.reason, "detail": refusal.detail}, headers=headers
         )
 
-    def _pump(self, *, now: float) -> list:
+    def _dispatch_waiting(self, *, now: float) -> list:
         commands = []
         for request in sorted(self.waiting.values(), key=lambda waiting: (waiting.match.rank, waiting.arrived)):
             if request.token in self.waiting:
-                commands += self._place(now=now, request=request)
+                commands += self._select_and_forward(now=now, request=request)
         return commands
 
     def _on_timer(self, *, now: float) -> list:
-        commands = self._pump(now=now)
+        commands = self._dispatch_waiting(now=now)
         for request in list(self.live.values()):
             if now >= request.expiry:
                 code = 504 if request.sent else 503
--- a/sailward/routing/passive_health.py
+++ b/sailward/routing/passive_health.py
@@ -81,7 +81,7 @@
             shown.worker = worker
         return commands
 
-    def chill(self, *, now: float, zone: str, plan: Plan) -> None:
+    def begin_slow_start(self, *, now: float, zone: str, plan: Plan) -> None:
         """The workers of this zone may have gone cold: its emptying has ended."""
         for shown in self.shown.values():
             service = plan.services.get(shown.worker.service)
--- a/sailward/routing/proxied_requests.py
+++ b/sailward/routing/proxied_requests.py
@@ -56,7 +56,7 @@
         else:
             commands, begins, verdicts = self.claims.step(now=now, event=event)
             commands += self._on_verdicts(now=now, verdicts=verdicts, acting=acting)
-        more, others = self._pump(now=now, acting=acting)
+        more, others = self._dispatch_waiting(now=now, acting=acting)
         return commands + more, begins + others
 
     def rates(self, *, now: float) -> dict[str, float]:
@@ -142,7 +142,7 @@
             exchange.state = "claiming"
             commands, begins, verdicts = self.claims.step(now=now, event=exchange)
             return commands + self._on_verdicts(now=now, verdicts=verdicts, acting=True), begins
-        return self._send_on(now=now, exchange=exchange), []
+        return self._forward(now=now, exchange=exchange), []
 
     def _choose(self, *, now: float, exchange: ProxiedRequest) -> Refusal | None:
         refusal = refit_exchange(exchange=exchange, plan=self.load_balancer.routing_state.plan)
@@ -152,7 +152,7 @@
         exchange.chosen = choice
         return None
 
-    def _send_on(self, *, now: float, exchange: ProxiedRequest) -> list:
+    def _forward(self, *, now: float, exchange: ProxiedRequest) -> list:
         plan_moved = exchange.plan != self.load_balancer.routing_state.plan.number
         if exchange.chosen is None or plan_moved or not self.load_balancer.stands(exchange=exchange):
             refusal = self._choose(now=now, exchange=exchange)
@@ -211,7 +211,7 @@
                             self._refuse(exchange=exchange, reason="no-lease", detail="lost while claiming")
                         )
                 else:
-                    commands += self._send_on(now=now, exchange=exchange)
+                    commands += self._forward(now=now, exchange=exchange)
             elif exchange.answered:
                 continue
             elif isinstance(verdict, Replayed):
@@ -247,7 +247,7 @@
         may_retry = not ran and acting and exchange.attempts < constants.MAX_ATTEMPTS and now < exchange.expiry
         if may_retry and self.attempt_budget.step(now=now, first=False):
             self.tally["tried-again"] += 1
-            return commands + self._send_on(now=now, exchange=exchange), []
+            return commands + self._forward(now=now, exchange=exchange), []
         if isinstance(verdict, Good):
             return commands + self._finish(exchange=exchange, verdict=verdict), []
         code = 504 if getattr(verdict, "reason", "") == "timed-out" else 502
@@ -331,7 +331,7 @@
     def _count_refusal(self, *, reason: str) -> None:
         self.tally[f"refused-{reason}"] += 1
 
-    def _pump(self, *, now: float, acting: bool) -> tuple[list, list]:
+    def _dispatch_waiting(self, *, now: float, acting: bool) -> tuple[list, list]:
         commands, begins, blocked = [], [], set()
         while acting and len(self.sent) < constants.MAX_OPEN:
             turn = self.queues.take(blocked=blocked)
--- a/sailward/routing/shard_owners.py
+++ b/sailward/routing/shard_owners.py
@@ -69,7 +69,7 @@
     return "" if service.keys_shared else "+".join(sorted(homes))
 
 
-def common_homes(*, plan: Plan, service: str) -> set[str]:
+def common_residency(*, plan: Plan, service: str) -> set[str]:
     """The regions that are home to every bound tenant of a service with shared keys; empty if none is bound."""
     bound = [
         plan.tenants[name].homes
--- a/sailward/routing/worker_response.py
+++ b/sailward/routing/worker_response.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Whole:
+class CompleteResponse:
     """The worker's own answer, whole; it may be given to the caller. `is_failure`: another worker may do better."""
 
     code: int
@@ -49,7 +49,7 @@
 
 def judge_reply(
     *, request: Request, worker: str, event: CallFinished, names: WireNames
-) -> Whole | WorkerRejected | NotSent | Broken:
+) -> CompleteResponse | WorkerRejected | NotSent | Broken:
     """Judge the end of one sending-on."""
     if event.code == 0:
         return Broken(reason=event.fault) if event.sent else NotSent(reason=event.fault)
@@ -71,4 +71,4 @@
     if event.code in PROMISES:
         # without its mark the worker promises nothing, so neither may we
         return Broken(reason=f"code:{event.code}")
-    return Whole(code=event.code, headers=headers, body=event.body, is_failure=event.code >= 500)
+    return CompleteResponse(code=event.code, headers=headers, body=event.body, is_failure=event.code >= 500)
--- a/sailward/routing/zone_health.py
+++ b/sailward/routing/zone_health.py
@@ -30,9 +30,9 @@
 class ZoneHealthTable:
     """Owner of the zones' states. `step` folds the counts of one moment."""
 
-    def __init__(self, *, hold: float | None = None) -> None:
+    def __init__(self, *, hold_down: float | None = None) -> None:
         self.zones: dict[tuple[str, str], ZoneHealth] = {}
-        self._hold = hold
+        self._hold_down = hold_down
 
     def step(self, *, now: float, counts: dict[tuple[str, str], tuple[int, int, int]]) -> list:
         """Fold {(service, zone): (listed, healthy, known)}; zones with no worker listed are forgotten."""
@@ -76,7 +76,7 @@
         if zone.fraction < constants.RESTORE:
             return ["under_restore"]
         if zone.state == "holding" and now - zone.since >= (
-            constants.ZONE_HOLD_DOWN if self._hold is None else self._hold
+            constants.ZONE_HOLD_DOWN if self._hold_down is None else self._hold_down
         ):
             return ["held"]
         return ["at_restore"]
--- a/sailward/transport/curl_client.py
+++ b/sailward/transport/curl_client.py
@@ -101,7 +101,7 @@
         return None
 
 
-class Calls:
+class CurlClient:
     """Task that makes the calls. `give` puts one in line; `run` makes them for ever."""
 
     def __init__(self, *, deliver: Callable[[object], None]) -> None:
--- a/sailward/transport/http_client.py
+++ b/sailward/transport/http_client.py
@@ -15,7 +15,7 @@
 from sailward import constants
 from sailward.events import CallFinished, StartCall
 from sailward.runtime.reactor import Alarm, Reactor
-from sailward.transport.http_exchange import Broken, Exchange, Whole
+from sailward.transport.http_exchange import Broken, CompleteResponse, Exchange
 from sailward.wire_names import WireNames
 
 ABORT = struct.pack("ii", 1, 0)
@@ -92,7 +92,7 @@
         if running is not None:
             self._forget(running=running, is_aborted=True)
 
-    def hang_up(self, *, owner: str) -> None:
+    def close_connections(self, *, owner: str) -> None:
         """Close the owner's idle connections now, its busy ones behind their answers."""
         for connection in self._idle.pop(owner, []):
             self._close(connection=connection, is_aborted=False)
@@ -163,12 +163,12 @@
         call = running.call
         sock = None
         try:
-            family, place = _resolve(address=call.address)
+            family, location = _resolve(address=call.address)
             sock = socket.socket(family, socket.SOCK_STREAM)
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(constants.LEASE * 1000))
-            code = sock.connect_ex(place)
+            code = sock.connect_ex(location)
         except (OSError, ValueError, OverflowError):
             code = errno.EADDRNOTAVAIL
         if code not in (0, errno.EINPROGRESS):
@@ -263,10 +263,10 @@
         result = running.exchange.feed(data=data) if data else running.exchange.end()
         if isinstance(result, Broken):
             self._fail(running=running, fault=result.fault)
-        elif isinstance(result, Whole):
+        elif isinstance(result, CompleteResponse):
             self._finish(running=running, response=result)
 
-    def _finish(self, *, running: Running, response: Whole) -> None:
+    def _finish(self, *, running: Running, response: CompleteResponse) -> None:
         connection = running.connection
         if running.unsent or running.is_broken:
             self._forget(running=running, is_aborted=True)
@@ -376,5 +376,5 @@
     host, _, port = address.rpartition(":")
     if not 0 < int(port) < 1 << 16:
         raise ValueError(port)
-    family, _, _, _, place = socket.getaddrinfo(host.strip("[]"), int(port), type=socket.SOCK_STREAM)[0]
-    return family, place
+    family, _, _, _, location = socket.getaddrinfo(host.strip("[]"), int(port), type=socket.SOCK_STREAM)[0]
+    return family, location
--- a/sailward/transport/http_exchange.py
+++ b/sailward/transport/http_exchange.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Whole:
+class CompleteResponse:
     """A whole answer. `idle` is how many s its connection may be kept idle, 0 if it must be closed.
 
     It must be closed behind an answer that doesn't bear the id of its request: that may have been a surplus one, and
@@ -70,7 +70,7 @@
             raise ValueError("not a request") from error
         self.request = head + body
 
-    def feed(self, *, data: bytes) -> Whole | Broken | None:
+    def feed(self, *, data: bytes) -> CompleteResponse | Broken | None:
         """Read what came; `data` is never empty. None while the answer is unfinished."""
         self.is_received = True
         try:
@@ -126,14 +126,14 @@
         self._parts.append(data)
         return "too-large" if self._size > constants.RESULT_BYTES else ""
 
-    def _finish(self) -> Whole:
+    def _finish(self) -> CompleteResponse:
         is_kept_alive = (
             self._parser.their_state is h11.DONE
             and self._parser.our_state is h11.DONE
             and not self._parser.trailing_data[0]
             and self._is_named
         )
-        return Whole(
+        return CompleteResponse(
             code=self._code,
             headers=self._headers,
             body=b"".join(self._parts),
--- a/sailward/transport/http_server.py
+++ b/sailward/transport/http_server.py
@@ -23,7 +23,7 @@
 """What a caller is told that sends too slowly."""
 
 
-class Front:
+class HttpServer:
     """Listens at `address` ("ip:port", port 0 for any); all on the reactor's thread.
 
     Delivers RequestReceived and ClientDisconnected.
--- a/sailward/transport/wsgi_server.py
+++ b/sailward/transport/wsgi_server.py
@@ -87,7 +87,7 @@
             self._capacity.release()
 
 
-class Web:
+class WsgiServer:
     """Task that owns the HTTP listener. Each request is told to the owner and waits for its answer."""
 
     def __init__(
--- a/simulation/core_group.py
+++ b/simulation/core_group.py
@@ -105,7 +105,7 @@
         assert isinstance(found, Read), found
         nonce = f"{self._random.getrandbits(48):012x}"
         member.controller = Controller(
-            place=Location(
+            location=Location(
                 name=member.name,
                 kind="controller",
                 zone=f"z{member.name}",
--- a/simulation/hollow_fleet/added.py
+++ b/simulation/hollow_fleet/added.py
@@ -19,7 +19,7 @@
 from sailward.runtime.host import Host
 from sailward.runtime.reactor import Reactor
 from sailward.transport.http_client import HttpClient
-from sailward.transport.http_server import Front
+from sailward.transport.http_server import HttpServer
 
 from .deployment import Size, hosted_of, told_fleet, told_rows, zones_of
 from .parts import LEAD, config_text, free_route, push_of
@@ -231,7 +231,7 @@
     reactor = Reactor()
     host = Host(reactor=reactor)
     hosted = hosted_of(size=size, role="proxy", index=0, zones=zones_of(size=size))
-    owner = Proxy(place=hosted.place, start=1, rng=random.Random(1), options=hosted.options)
+    owner = Proxy(location=hosted.location, start=1, rng=random.Random(1), options=hosted.options)
     owner.control_client.lead = LEAD
     rows = told_rows(size=size)
     for row in {part.split('"')[0] for part in rows.split('"address":"')[1:]}:
@@ -244,7 +244,7 @@
         owner.step(
             now=reactor.clock(), event=MessageReceived(sender=LEAD, body=push_of(name=name, number=1, text=text))
         )
-    front = Front(
+    front = HttpServer(
         reactor=reactor,
         address="127.0.0.1:0",
         name="front",
@@ -257,7 +257,7 @@
         StartCall: lambda one: http_client.give(call=one),
         SendMessage: lambda one: None,
         CancelCall: lambda one: http_client.cancel(token=one.token),
-        CloseConnections: lambda one: http_client.hang_up(owner=one.owner),
+        CloseConnections: lambda one: http_client.close_connections(owner=one.owner),
     }
 
     def tell_cpu() -> None:
--- a/simulation/hollow_fleet/fleet.py
+++ b/simulation/hollow_fleet/fleet.py
@@ -97,7 +97,7 @@
             start, nonce = int(1e12 + now * 1e6), f"{rng.getrandbits(48):012x}"
             if member.role == "controller":
                 return Controller(
-                    place=hosted.place,
+                    location=hosted.location,
                     platform=hosted.platform,
                     nonce=nonce,
                     start=start,
@@ -106,7 +106,7 @@
                     now=now,
                     options=hosted.options,
                 )
-            return Proxy(place=hosted.place, start=start, rng=random.Random(nonce), options=hosted.options)
+            return Proxy(location=hosted.location, start=start, rng=random.Random(nonce), options=hosted.options)
 
         for role, count, members in (
             ("controller", size.core, self.controllers),
@@ -114,13 +114,13 @@
         ):
             for index in range(count):
                 hosted = hosted_of(size=size, role=role, index=index, zones=zones)
-                place = hosted.place
+                location = hosted.location
                 member = Member(
-                    name=place.name,
+                    name=location.name,
                     role=role,
-                    zone=place.zone,
-                    region=place.region,
-                    post=place.post,
+                    zone=location.zone,
+                    region=location.region,
+                    post=location.post,
                     make=lambda member, now, hosted=hosted: make(member, now, hosted),
                 )
                 self.network.add(member=member)
--- a/simulation/hollow_fleet/parts.py
+++ b/simulation/hollow_fleet/parts.py
@@ -80,7 +80,7 @@
 def make_proxy(*, size: Size) -> Proxy:
     """A proxy that has heard a controller."""
     hosted = hosted_of(size=size, role="proxy", index=0, zones=zones_of(size=size))
-    proxy = Proxy(place=hosted.place, start=1, rng=random.Random(1), options=hosted.options)
+    proxy = Proxy(location=hosted.location, start=1, rng=random.Random(1), options=hosted.options)
     proxy.control_client.lead = LEAD
     return proxy
 
@@ -314,7 +314,7 @@
     zones = zones_of(size=size)
     hosted = hosted_of(size=one, role="controller", index=0, zones=zones)
     controller = Controller(
-        place=hosted.place,
+        location=hosted.location,
         platform="",
         nonce="n",
         start=1,
@@ -325,13 +325,13 @@
     )
     asks = []
     for index in range(askers):
-        place = hosted_of(size=one, role="proxy", index=index, zones=zones).place
+        location = hosted_of(size=one, role="proxy", index=index, zones=zones).location
         daemon = {
-            "id": place.name,
-            "kind": KINDS_ON_WIRE[place.kind],
-            "hall": place.zone,
-            "region": place.region,
-            "http": place.http,
+            "id": location.name,
+            "kind": KINDS_ON_WIRE[location.kind],
+            "hall": location.zone,
+            "region": location.region,
+            "http": location.http,
             "start": 1,
             "fit": True,
             "version": "",
@@ -339,7 +339,7 @@
         have = {"workers": [-1, "elsewhere"], "fleet": [1, "elsewhere"]}
         asks.append(
             MessageReceived(
-                sender=place.post,
+                sender=location.post,
                 body={
                     "kind": "ask",
                     "seq": 1,
--- a/simulation/hosted/ailments.py
+++ b/simulation/hosted/ailments.py
@@ -55,7 +55,7 @@
                 return name.removeprefix("lie-")
         return ""
 
-    def says_ill(self, *, now: float) -> bool:
+    def reports_unhealthy(self, *, now: float) -> bool:
         """Do its health answers say that it is ill, though it is well?"""
         return self.strikes(now=now, name="lie-bad")
 
--- a/simulation/hosted/calls.py
+++ b/simulation/hosted/calls.py
@@ -149,7 +149,7 @@
             if owner is process:
                 line.finish(called=None, is_aborted=not is_dark)
 
-    def hang_up(self, *, process: Process, owner: str) -> None:
+    def close_connections(self, *, process: Process, owner: str) -> None:
         """Close the kept connections of an owner."""
         self._kept = {key: worker for key, worker in self._kept.items() if key[0] is not process or key[1] != owner}
 
--- a/simulation/hosted/draw_machines.py
+++ b/simulation/hosted/draw_machines.py
@@ -112,11 +112,11 @@
     return True
 
 
-def _strike(day: Day, moment: str, verb: str = "outage", wipe: bool = False, by_lot: bool = False) -> bool:
+def _strike(day: Day, moment: str, verb: str = "outage", wipe: bool = False, by_random_choice: bool = False) -> bool:
     seconds = day.seconds(0.3, 3.0)
     if not day.loses(seconds=WAIT + seconds):
         return False
-    machine = day.core() if by_lot else "taker" if moment == "taken" else "leader"
+    machine = day.core() if by_random_choice else "taker" if moment == "taken" else "leader"
     if verb == "kill":
         day.at(0.0, "upon", moment, WAIT, "kill", f"all@{machine}")
     else:
@@ -252,7 +252,7 @@
     "after_ack_kill timed": partial(_strike, moment="sent"),
     "after_ack_kill taken": partial(_strike, moment="taken"),
     "after_ack_wipe": partial(_strike, moment="answered", wipe=True),
-    "after_ack_wipe lot": partial(_strike, moment="answered", wipe=True, by_lot=True),
+    "after_ack_wipe lot": partial(_strike, moment="answered", wipe=True, by_random_choice=True),
     "after_ack_wipe timed": partial(_strike, moment="sent", wipe=True),
     "after_ack_wipe taken": partial(_strike, moment="taken", wipe=True),
     "zone_loss": _zone_loss,
--- a/simulation/hosted/judge_config.py
+++ b/simulation/hosted/judge_config.py
@@ -76,15 +76,15 @@
                 detail=f"{sent['path']} ran at {run['service']}, which r{due[0].number if due else 0} "
                 f"no longer lets, by {run['proxy']}",
             )
-        place = (run["proxy"], run["life"])
+        location = (run["proxy"], run["life"])
         least, most = min(one.number for one in allowing), max(one.number for one in allowing)
-        seen = [(number, t) for number, t in newest.get(place, ()) if t + bounds["downgrade_s"] < sent["t"]]
+        seen = [(number, t) for number, t in newest.get(location, ()) if t + bounds["downgrade_s"] < sent["t"]]
         if any(number > most for number, _ in seen):
             yield Broken(
                 rule="CONFIG", t=run["t"], detail=f"{run['proxy']} went back to r{most} after r{max(seen)[0]} had shown"
             )
-        newest.setdefault(place, []).append((least, run["t"]))
-        newest[place] = newest[place][-200:]
+        newest.setdefault(location, []).append((least, run["t"]))
+        newest[location] = newest[location][-200:]
     for row in got.values():
         sent = attempts[row["id"]]
         if row["code"] != 404:
--- a/simulation/hosted/process.py
+++ b/simulation/hosted/process.py
@@ -122,7 +122,7 @@
         if self.role == "controller":
             found = self.machine.disk.read()
             self.owner = Controller(
-                place=self.hosted.place,
+                location=self.hosted.location,
                 platform=self.hosted.platform,
                 nonce=nonce,
                 start=start,
@@ -133,7 +133,7 @@
             )
         else:
             self.owner = Proxy(
-                place=self.hosted.place, start=start, rng=random.Random(nonce), options=self.hosted.options
+                location=self.hosted.location, start=start, rng=random.Random(nonce), options=self.hosted.options
             )
         self._record(k="up")
         self._tick(life=self.life)
@@ -196,7 +196,7 @@
     def hang_up_signal(self) -> None:
         """SIGHUP: the settings file has changed. The proxies read the seeds again, as their host does."""
         if self.owner is not None and self.role == "proxy":
-            self.owner.control_client.seeds = self.world.host(machine=self.machine, role=self.role).place.seeds
+            self.owner.control_client.seeds = self.world.host(machine=self.machine, role=self.role).location.seeds
 
     def give(self, *, event: object) -> None:
         """Let the owner answer an event; on a slowed machine it comes late, in order."""
@@ -313,7 +313,7 @@
         elif isinstance(command, CancelCall):
             calls.cancel(process=self, token=command.token)
         else:
-            calls.hang_up(process=self, owner=command.owner)
+            calls.close_connections(process=self, owner=command.owner)
 
     def _stop(self) -> None:
         self.end(is_dark=False)
@@ -355,7 +355,7 @@
             raise AssertionError(f"{self.name} sent a bad message: {body.reason} {command.body}")
         self.world.count[f"told-{body['kind']}"] += 1
         self._note_push(to=to, body=body)
-        event, life, own = MessageReceived(sender=self.hosted.place.post, body=body), to.life, self.life
+        event, life, own = MessageReceived(sender=self.hosted.location.post, body=body), to.life, self.life
         self.world.network.send(
             a=self.machine.spot,
             b=to.machine.spot,
--- a/simulation/hosted/sabotage.py
+++ b/simulation/hosted/sabotage.py
@@ -71,7 +71,9 @@
     def judge_reply(*, request, worker, event, names):
         if event.code == 0 or names.not_run in event.headers:
             return old(request=request, worker=worker, event=event, names=names)
-        return worker_response.Whole(code=event.code, headers=event.headers, body=event.body, is_failure=False)
+        return worker_response.CompleteResponse(
+            code=event.code, headers=event.headers, body=event.body, is_failure=False
+        )
 
     return judge_reply
 
@@ -170,8 +172,12 @@
             lambda old: lambda self, *, pool, homes: old(self, pool=pool, homes=frozenset()),
         ),
     ),
-    "cold-bound": _all(_patch(endpoint_selection.EndpointSelector, "_bears", lambda old: lambda self, **fields: True)),
-    "cold-news": _all(_patch(passive_health.PassiveHealth, "chill", lambda old: lambda self, **fields: None)),
+    "cold-bound": _all(
+        _patch(endpoint_selection.EndpointSelector, "_is_within_limits", lambda old: lambda self, **fields: True)
+    ),
+    "cold-news": _all(
+        _patch(passive_health.PassiveHealth, "begin_slow_start", lambda old: lambda self, **fields: None)
+    ),
     "evacuation": _all(_patch(proxy, "read_orders", _no_zone_emptied)),
     "late-orders": _all(_patch(admin_api.AdminApi, "drop", lambda old: lambda self, *, token: None)),
     "zone-counts": _all(_patch(zone_orders.ZoneOrders, "count", lambda old: lambda self, *, kind, zone: 0)),
--- a/simulation/hosted/worker_verbs.py
+++ b/simulation/hosted/worker_verbs.py
@@ -70,7 +70,7 @@
             else [worker for worker in self._world.workers.values() if where in worker.spot.names and worker.is_up]
         )
         for one in chosen:
-            self._world.chill(worker=one)
+            self._world.begin_slow_start(worker=one)
 
     def do_lose(self, worker: str, seconds: str, share: str = "1") -> None:
         """Workers run requests and the answers of a share of them are lost."""
--- a/simulation/hosted/workers.py
+++ b/simulation/hosted/workers.py
@@ -140,8 +140,8 @@
             return
         slow_start = max(0.0, self.slow_start_until - self.world.clock.now)
         headers = {"instance-id": self.id, **({"cold-remaining": f"{slow_start:.2f}"} if slow_start else {})}
-        is_ill = self.is_draining or self.ailments.says_ill(now=self.world.clock.now)
-        line.answer(code=503 if is_ill else 200, headers=headers)
+        is_unhealthy = self.is_draining or self.ailments.reports_unhealthy(now=self.world.clock.now)
+        line.answer(code=503 if is_unhealthy else 200, headers=headers)
 
     def _take_request(self, *, line: Line, headers: dict, is_meant: bool) -> None:
         now = self.world.clock.now
--- a/simulation/hosted/world.py
+++ b/simulation/hosted/world.py
@@ -215,7 +215,7 @@
         serves = self.deployment.list_lag + self.deployment.bounds["drain_s"] + 1.5
         self.clock.after(serves if notice is None else notice, end)
 
-    def chill(self, *, worker: Worker) -> None:
+    def begin_slow_start(self, *, worker: Worker) -> None:
         """A worker goes cold; its health answers say so."""
         served = next(service for service in self.deployment.services if service.name == worker.service)
         worker.slow_start_until = self.clock.now + served.slow_start
--- a/simulation/model/node.py
+++ b/simulation/model/node.py
@@ -79,7 +79,7 @@
         shared = [
             controller.options,
             controller.peer_table,
-            controller.place,
+            controller.location,
             membership.repair,
             controller.proposer._rng,
         ]
@@ -157,7 +157,7 @@
     """Start a node on what its disk holds."""
     post = f"{name}:1"
     controller = Controller(
-        place=Location(name=name, kind="controller", zone="h", region="r", post=post, http=post),
+        location=Location(name=name, kind="controller", zone="h", region="r", post=post, http=post),
         platform="p:1",
         nonce=f"n{starts}",
         start=starts,
--- a/simulation/real/worker.py
+++ b/simulation/real/worker.py
@@ -26,7 +26,7 @@
     request_queue_size = 128
     mind: Mind
     rows: object
-    place: dict
+    location: dict
     lock = threading.Lock()
 
 
@@ -83,7 +83,7 @@
             "worker": mind.key,
             "service": mind.service,
             "hall": mind.zone,
-            "region": self.server.place["region"],
+            "region": self.server.location["region"],
             "asked": headers.get("sailward-service", ""),
             "key": headers.get("idempotency-key", ""),
             "tenant": headers.get("sailward-tenant", ""),
@@ -110,7 +110,7 @@
         zone=flags["--hall"],
         rng=random.Random(flags["--name"]),
     )
-    server.place = {"region": flags["--region"]}
+    server.location = {"region": flags["--region"]}
     with open(flags["--history"], "a", encoding="utf-8") as rows:
         server.rows = rows
         server.serve_forever(poll_interval=0.5)
--- a/simulation/sim/callers.py
+++ b/simulation/sim/callers.py
@@ -77,9 +77,9 @@
         name = (kind.tenant, kind.path)
         begin, self.floods[name] = not self.floods.get(name) and rate > 0, rate
         if begin:
-            self._pour(kind=kind, hot=hot)
+            self._fill(kind=kind, hot=hot)
 
-    def _pour(self, *, kind: CallerKind, hot: str) -> None:
+    def _fill(self, *, kind: CallerKind, hot: str) -> None:
         rate = self.floods[(kind.tenant, kind.path)]
         if rate <= 0:
             return
@@ -87,7 +87,7 @@
         part = hot or (f"part{self._rng.randrange(kind.keys)}" if kind.keys else "")
         order = Order(kind=kind, nonce=f"f{number}", key=f"f{number}" if kind.unsafe else "", hot=part)
         self._send(order=order, proxy="", most=1)
-        self._world.clock.after(self._rng.expovariate(rate), lambda: self._pour(kind=kind, hot=hot))
+        self._world.clock.after(self._rng.expovariate(rate), lambda: self._fill(kind=kind, hot=hot))
 
     def _part(self, *, kind: CallerKind, key: str) -> str:
         if not kind.keys:
@@ -108,7 +108,7 @@
         at, known = self._known.get(region, (-1e9, []))
         if now - at < 1.0 and known:
             return known
-        nodes = [node for node in self._world.nodes.values() if node.place.kind == "directory"]
+        nodes = [node for node in self._world.nodes.values() if node.location.kind == "directory"]
         self._rng.shuffle(nodes)
         for node in nodes:
             if not node.up:
@@ -175,7 +175,7 @@
             tenant=order.kind.tenant,
             path=order.kind.path,
             unsafe=order.kind.unsafe,
-            proxy=node.place.name,
+            proxy=node.location.name,
             region=order.kind.region,
         )
         ended: list = []
@@ -187,7 +187,7 @@
             ended.append(1)
             world.clock.after(
                 self._delay(),
-                lambda: self._got(order=order, answer=answer, proxy=node.place.name, most=most, taken=not refused),
+                lambda: self._got(order=order, answer=answer, proxy=node.location.name, most=most, taken=not refused),
             )
 
         def arrive() -> None:
@@ -200,7 +200,7 @@
         def wait_out() -> None:
             if not ended:
                 ended.append(1)
-                self._got(order=order, answer=None, proxy=node.place.name, most=most, held=True)
+                self._got(order=order, answer=None, proxy=node.location.name, most=most, held=True)
 
         world.clock.after(PATIENCE, wait_out)
 
--- a/simulation/sim/chaos.py
+++ b/simulation/sim/chaos.py
@@ -55,7 +55,7 @@
             "proxies": ["proxy"],
             "disks": ["all"],
         }[kind]
-        controller = next(name for name, node in self._world.nodes.items() if node.place.kind == "controller")
+        controller = next(name for name, node in self._world.nodes.items() if node.location.kind == "controller")
         context.do("power-off" if kind != "proxies" else "kill", *lost)
         if kind in ("everything", "region", "disks"):
             context.do("worker-down", *lost)
--- a/simulation/sim/chaos_machines.py
+++ b/simulation/sim/chaos_machines.py
@@ -38,7 +38,7 @@
     context.do("wipe", name)
     index = context.next_index()
     context.later(
-        0.5, 3.0, "machine-new", f"controller-{index}", "controller", context.world.nodes[name].place.zone, index
+        0.5, 3.0, "machine-new", f"controller-{index}", "controller", context.world.nodes[name].location.zone, index
     )
     return True
 
@@ -73,7 +73,7 @@
 
 def _clock_jumps(context: ChaosContext) -> bool:
     name = context.daemon("controller", "proxy", "directory")
-    if context.world.nodes[name].place.kind == "controller" and not context.may_lose_controller(seconds=6.0):
+    if context.world.nodes[name].location.kind == "controller" and not context.may_lose_controller(seconds=6.0):
         return False
     context.do("clock-jump", str(context.rng.choice([-7200, -60, 60, 7200])), name)
     context.do("kill", name)
@@ -143,7 +143,7 @@
 
 def _frozen(context: ChaosContext) -> bool:
     name = context.daemon("proxy", "directory", "controller")
-    if context.world.nodes[name].place.kind == "controller" and not context.may_lose_controller(seconds=8.0):
+    if context.world.nodes[name].location.kind == "controller" and not context.may_lose_controller(seconds=8.0):
         return False
     context.do("freeze", name)
     context.later(0.5, 6.0, "thaw", name)
@@ -163,7 +163,7 @@
 
 def _rolled(context: ChaosContext) -> bool:
     """Three machines are stopped and started, one after the other."""
-    names = [name for name, node in context.world.nodes.items() if node.up and node.place.kind != "controller"]
+    names = [name for name, node in context.world.nodes.items() if node.up and node.location.kind != "controller"]
     context.rng.shuffle(names)
     for at, name in enumerate(names[:3]):
         context.later(at * 8.0, at * 8.0, "stop", name)
--- a/simulation/sim/chaos_scene.py
+++ b/simulation/sim/chaos_scene.py
@@ -40,14 +40,14 @@
 
     def daemon(self, *kinds: str) -> str:
         """One that is up; if none is, this trouble can't happen now."""
-        names = [name for name, node in self.world.nodes.items() if node.place.kind in kinds and node.up]
+        names = [name for name, node in self.world.nodes.items() if node.location.kind in kinds and node.up]
         if not names:
             raise NobodyUp
         return self.rng.choice(names)
 
     def core(self) -> list[str]:
         """The controllers that are up."""
-        return [name for name, node in self.world.nodes.items() if node.place.kind == "controller" and node.up]
+        return [name for name, node in self.world.nodes.items() if node.location.kind == "controller" and node.up]
 
     def worker(self) -> str:
         """One that runs."""
--- a/simulation/sim/expect.py
+++ b/simulation/sim/expect.py
@@ -46,15 +46,15 @@
 def _judge_share(*, words: list[str], world: World, begin: float) -> tuple[str, object]:
     """`share PLACE LOW HIGH [field=value ...] from A to B`: the part of the runs in a region, zone or worker."""
     words, low, high = _window(words=words, begin=begin)
-    place, least, most = words[0], float(words[1]), float(words[2])
+    location, least, most = words[0], float(words[1]), float(words[2])
     runs = _picked(rows=world.history.of(k="run"), low=low, high=high)
     for name, value in _pairs(words=words).items():
         runs = [run for run in runs if str(run[name]) == value]
     if not runs:
-        return f"share {place}: no runs", None
-    part = sum(place in (run["region"], run["hall"], run["worker"]) for run in runs) / len(runs)
+        return f"share {location}: no runs", None
+    part = sum(location in (run["region"], run["hall"], run["worker"]) for run in runs) / len(runs)
     return (
-        "" if least <= part <= most else f"share {place} is {part:.3f} of {len(runs)}, not {least} to {most}"
+        "" if least <= part <= most else f"share {location} is {part:.3f} of {len(runs)}, not {least} to {most}"
     ), round(part, 4)
 
 
@@ -141,7 +141,7 @@
     """`says EVENT LEAST MOST from A to B`: how many daemons told their operators so in their logs."""
     words, low, high = _window(words=words, begin=begin)
     told = [
-        node.place.name
+        node.location.name
         for node in world.nodes.values()
         if any(event == words[0] and low <= t < high for t, event, _ in node.logs)
     ]
--- a/simulation/sim/faults.py
+++ b/simulation/sim/faults.py
@@ -88,14 +88,18 @@
         world = self._world
         tenants = {row["nonce"]: row["tenant"] for row in world.history.of(k="sent")}
         for node in world.nodes.values():
-            if node.place.kind != "proxy" or node.owner is None:
+            if node.location.kind != "proxy" or node.owner is None:
                 continue
             claims = node.owner.claims
             for memory in [*claims.memory.by_digest.values(), *claims.replicas.replicas.values()]:
                 tenant = tenants.get(_nonce_of(body=memory.body))
                 if tenant:
                     world.history.add(
-                        t=world.clock.now, k="stored", tenant=tenant, region=node.place.region, where=node.place.name
+                        t=world.clock.now,
+                        k="stored",
+                        tenant=tenant,
+                        region=node.location.region,
+                        where=node.location.name,
                     )
 
 
--- a/simulation/sim/node.py
+++ b/simulation/sim/node.py
@@ -44,7 +44,7 @@
 
     def __init__(self, *, world: World, name: str, kind: str, zone: str, region: str, index: int, seeds: tuple) -> None:
         self.world = world
-        self.place = Location(
+        self.location = Location(
             name=name,
             kind=kind,
             zone=zone,
@@ -77,12 +77,12 @@
         self.life += 1
         nonce = f"{self.rng.getrandbits(48):012x}"
         common = {
-            "place": self.place,
+            "location": self.location,
             "start": int((self.world.clock.now + self.skew) * 1000),
             "rng": random.Random(nonce),
         }
         self.code = None
-        if self.place.kind == "controller":
+        if self.location.kind == "controller":
             found = self.disk.read()
             if isinstance(found, Damaged):
                 self.code = constants.EXIT_DISK
@@ -90,7 +90,7 @@
             self.owner = Controller(
                 platform=self.world.platform.address, nonce=nonce, records=found.records, now=self.now(), **common
             )
-        elif self.place.kind == "proxy":
+        elif self.location.kind == "proxy":
             self.owner = TenantProxy(nonce=nonce, now=self.now(), **common)
         else:
             self.owner = DirectoryServer(**common)
@@ -128,7 +128,7 @@
 
     def now(self) -> float:
         """Its monotonic clock: of its own beginning, but of the same rate."""
-        return self.world.clock.now - 900.0 + self.place.post.__len__()
+        return self.world.clock.now - 900.0 + self.location.post.__len__()
 
     def give(self, *, event: object) -> None:
         """Let the owner answer an event."""
@@ -144,7 +144,7 @@
             self.world.history.add(
                 t=self.world.clock.now,
                 k="crash",
-                daemon=self.place.name,
+                daemon=self.location.name,
                 fault="".join(traceback.format_exception(fault)[-2:]),
             )
             self.code = constants.EXIT_FAULT
@@ -164,7 +164,7 @@
         self.give(event=event)
 
     def _record(self, *, k: str) -> None:
-        self.world.history.add(t=self.world.clock.now, k=k, daemon=self.place.name)
+        self.world.history.add(t=self.world.clock.now, k=k, daemon=self.location.name)
 
     def _end(self) -> None:
         if self.owner is not None:
@@ -216,13 +216,13 @@
             return
         body = check_message(body=marshal.loads(marshal.dumps(command.body)))
         if isinstance(body, BadMessage):
-            raise AssertionError(f"{self.place.name} sent a bad message: {body.reason} {command.body}")
+            raise AssertionError(f"{self.location.name} sent a bad message: {body.reason} {command.body}")
         self.world.count_message(kind=body["kind"])
-        event = MessageReceived(sender=self.place.post, body=body)
+        event = MessageReceived(sender=self.location.post, body=body)
         delays = (
             [0.0001]
             if to is self
-            else self.world.network.delays(a=self.names, b=to.names, near=self.place.region == to.place.region)
+            else self.world.network.delays(a=self.names, b=to.names, near=self.location.region == to.location.region)
         )
         if not delays and self.world.network.is_cut(a=self.names, b=to.names):
             held_life = to.life
--- a/simulation/sim/operators.py
+++ b/simulation/sim/operators.py
@@ -39,7 +39,7 @@
         nodes = [
             node
             for node in world.nodes.values()
-            if node.place.kind == "controller" and (node.up or node.place.name == controller)
+            if node.location.kind == "controller" and (node.up or node.location.name == controller)
         ]
         node = world.nodes[controller] if controller else (nodes[0] if nodes else None)
         if node is None:
@@ -69,9 +69,9 @@
     def found(self, *, controllers: list[str]) -> None:
         """Join the controllers into a core."""
         nodes = [self._world.nodes[name] for name in controllers]
-        members = {node.owner.identity: node.place.post for node in nodes}
+        members = {node.owner.identity: node.location.post for node in nodes}
         for node in nodes:
-            self.ask(method="POST", path="/found", body={"members": members}, controller=node.place.name)
+            self.ask(method="POST", path="/found", body={"members": members}, controller=node.location.name)
 
     def note_bounds(self, *, config: dict, begun: float) -> None:
         """Write down what each service's workers bear, as the operator wrote it."""
--- a/simulation/sim/verbs/callers.py
+++ b/simulation/sim/verbs/callers.py
@@ -44,7 +44,7 @@
         key = f"{bits[:8]}-{bits[8:]}-7000-8000-{int.from_bytes(name.encode()[:6], 'big'):012x}"
         kind = CallerKind(tenant=tenant, path=path, unsafe=True, part=0.0, region="", keys=0)
         self.callers.order(
-            kind=kind, key=key, proxy=self._world.nodes[proxy].place.http, turn=int(turn), nonce=f"by-{name}", most=1
+            kind=kind, key=key, proxy=self._world.nodes[proxy].location.http, turn=int(turn), nonce=f"by-{name}", most=1
         )
 
     def do_storm(self, share: str) -> None:
@@ -57,5 +57,5 @@
         kind = CallerKind(
             tenant=tenant, path=path, unsafe=True, part=0.0, region="", keys=kinds[0].keys if kinds else 0
         )
-        address = self._world.nodes[proxy].place.http
+        address = self._world.nodes[proxy].location.http
         self.callers.order(kind=kind, key=key, proxy=address, turn=int(turn), nonce=f"by-{key}", most=1)
--- a/simulation/sim/verbs/daemons.py
+++ b/simulation/sim/verbs/daemons.py
@@ -51,13 +51,13 @@
         """Ask the processes to stop, as a planned stop does."""
         world = self._world
         for node in self._nodes(names):
-            world.history.add(t=world.clock.now, k="planned-stop", daemon=node.place.name)
+            world.history.add(t=world.clock.now, k="planned-stop", daemon=node.location.name)
             node.stop()
             self._watch_stop(node=node)
 
     def _watch_stop(self, *, node: Node) -> None:
         if node.owner is None:
-            self._world.history.add(t=self._world.clock.now, k="stopped", daemon=node.place.name)
+            self._world.history.add(t=self._world.clock.now, k="stopped", daemon=node.location.name)
         else:
             self._world.clock.after(0.01, lambda: self._watch_stop(node=node))
 
@@ -85,7 +85,7 @@
 
     def do_machine_new(self, name: str, kind: str, zone: str, index: str) -> None:
         """A new, empty machine at an address of its own."""
-        seeds = next(iter(self._world.nodes.values())).place.seeds
+        seeds = next(iter(self._world.nodes.values())).location.seeds
         self._world.add_node(name=name, kind=kind, zone=zone, index=int(index), seeds=seeds).start()
 
     def do_clock_jump(self, seconds: str, *names: str) -> None:
@@ -122,11 +122,11 @@
             cut = [
                 node
                 for node in world.nodes.values()
-                if node.place.kind == "proxy" and world.network.is_cut(a=node.names, b=machine.names)
+                if node.location.kind == "proxy" and world.network.is_cut(a=node.names, b=machine.names)
             ]
             if cut:
                 # judged as come back only if no proxy could reach it
-                proxies = [node for node in world.nodes.values() if node.place.kind == "proxy"]
+                proxies = [node for node in world.nodes.values() if node.location.kind == "proxy"]
                 away = world.clock.now - self._cut_at if len(cut) == len(proxies) else 0.0
                 world.history.add(t=world.clock.now, k="worker-back", worker=machine.mind.key, away=away)
         world.network.heal(now=world.clock.now)
--- a/simulation/sim/verbs/operators.py
+++ b/simulation/sim/verbs/operators.py
@@ -35,7 +35,7 @@
         world = self._world
         for node in world.nodes.values():
             world.clock.after(world.rng.uniform(0.0, 0.5), node.start)
-        controllers = [node.place.name for node in world.nodes.values() if node.place.kind == "controller"]
+        controllers = [node.location.name for node in world.nodes.values() if node.location.kind == "controller"]
         world.clock.after(1.5, lambda: self.operators.found(controllers=controllers))
         world.clock.after(2.5, self.do_put)
         world.clock.after(8.0, lambda: self.step(verb="load", words=[rate]))
--- a/simulation/sim/world.py
+++ b/simulation/sim/world.py
@@ -59,7 +59,7 @@
         node = Node(
             world=self, name=name, kind=kind, zone=zone, region=self.deployment.zones[zone], index=index, seeds=seeds
         )
-        self.nodes[name] = self.by_post[node.place.post] = self.by_http[node.place.http] = node
+        self.nodes[name] = self.by_post[node.location.post] = self.by_http[node.location.http] = node
         return node
 
     def add_worker(self, *, name: str, service: str, zone: str, address: str, generation: int = 1) -> Machine:
@@ -138,7 +138,7 @@
             )
         if not machine.up:
             return fail(fault="no-connection", sent=False, delay=0.001)
-        near = caller.place.region == machine.region
+        near = caller.location.region == machine.region
         there = (0.0005 if near else 0.012) * self.network.slow * self.rng.uniform(0.7, 1.5)
         self.clock.after(
             there,
@@ -184,7 +184,7 @@
                 turn=int(headers.get("x-caller-try", "0")),
                 path=command.path,
                 unsafe=command.method not in ("GET", "HEAD"),
-                proxy=caller.place.name,
+                proxy=caller.location.name,
                 until=self.clock.now + busy,
                 slot_key=headers.get("sailward-key", ""),
             )
@@ -223,7 +223,7 @@
             return
         query = {name: values[0] for name, values in parse_qs(urlsplit(command.path).query).items()}
         page = self.platform.page(after=query.get("after", ""), limit=int(query["limit"]))
-        self.history.add(t=self.clock.now, k="list-read", controller=caller.place.name, revision=page["revision"])
+        self.history.add(t=self.clock.now, k="list-read", controller=caller.location.name, revision=page["revision"])
         end(
             delay=self.rng.uniform(0.005, 0.03),
             called=CallFinished(
--- a/simulation/simulate.py
+++ b/simulation/simulate.py
@@ -20,7 +20,7 @@
 
 
 def _logs_of(world: World) -> list[str]:
-    rows = [(moment, node.place.name, *rest) for node in world.nodes.values() for moment, *rest in node.logs]
+    rows = [(moment, node.location.name, *rest) for node in world.nodes.values() for moment, *rest in node.logs]
     return [*show_logs(rows=rows, begin=BEGIN), f"  messages {dict(world.messages)}"]
 
 
--- a/tests/core_net.py
+++ b/tests/core_net.py
@@ -100,7 +100,7 @@
             has_disk=machine.name not in self.bare,
             **self.options,
         )
-        place = Location(
+        location = Location(
             name=machine.name,
             kind="controller",
             zone=machine.zone,
@@ -113,7 +113,7 @@
         if machine.name in self.bare:
             machine.disk = []
         machine.controller = Controller(
-            place=place,
+            location=location,
             platform="10.9.9.9:1",
             nonce=nonce,
             start=start or int(1e6 + self.now * 1e6),
--- a/tests/http_client_script.py
+++ b/tests/http_client_script.py
@@ -14,7 +14,7 @@
 
 from sailward import constants
 from sailward.events import CallFinished, StartCall
-from sailward.routing.worker_response import Broken, NotSent, Whole, WorkerRejected, judge_reply
+from sailward.routing.worker_response import Broken, CompleteResponse, NotSent, WorkerRejected, judge_reply
 from sailward.runtime.reactor import Alarm
 from sailward.transport import http_client
 from sailward.wire_names import WireNames
@@ -78,7 +78,7 @@
         self.answers = 0
         self._accepts = accepts
 
-    def connect_ex(self, place: tuple) -> int:
+    def connect_ex(self, location: tuple) -> int:
         return errno.EINPROGRESS
 
     def getsockopt(self, *names: int) -> int:
@@ -229,7 +229,7 @@
         self.do_give(owner, is_once, 0)
         self.reactor.run_soon()
         token = list(self.calls)[-1]
-        sock = next((one for one in self.sockets if self._bears(sock=one, token=token)), None)
+        sock = next((one for one in self.sockets if self._is_within_limits(sock=one, token=token)), None)
         if sock is not None and not sock.is_up:
             sock.is_up = True
             self._call(sock=sock, which=1)
@@ -294,7 +294,7 @@
 
     def do_hang_up(self, owner: int, _: int, __: int) -> None:
         """The owner's worker is gone."""
-        self.http_client.hang_up(owner=f"w{owner % 2}")
+        self.http_client.close_connections(owner=f"w{owner % 2}")
 
     def do_wait(self, ticks: int, _: int, __: int) -> None:
         """Time goes on."""
@@ -314,7 +314,7 @@
                 event=called,
                 names=NAMES,
             )
-            if isinstance(verdict, Whole):
+            if isinstance(verdict, CompleteResponse):
                 body = b"" if call.method == "HEAD" else f"body of id-{token}".encode()
                 assert verdict.body == body, f"{token} got {verdict.body!r}"
                 assert verdict.headers["x-id"] == f"id-{token}"
@@ -336,7 +336,7 @@
         there = [sock for sock in self.sockets if not sock.is_closed]
         return [there[at % len(there)]] if there else []
 
-    def _bears(self, *, sock: ScriptedSocket, token: str) -> bool:
+    def _is_within_limits(self, *, sock: ScriptedSocket, token: str) -> bool:
         running = self.http_client._running.get(token)
         return running is not None and running.connection is not None and running.connection.sock is sock
 
--- a/tests/http_server_harness.py
+++ b/tests/http_server_harness.py
@@ -12,7 +12,7 @@
 from sailward.events import RequestReceived, Respond
 from sailward.routing.plan import Limits
 from sailward.runtime.reactor import Reactor
-from sailward.transport.http_server import Front
+from sailward.transport.http_server import HttpServer
 
 PATIENCE = 10.0
 
@@ -27,7 +27,7 @@
         self.changed = threading.Condition()
         self.at_once = None
         self.reactor = Reactor(clock=lambda: time.monotonic() + self.ahead)
-        self.front = Front(
+        self.front = HttpServer(
             reactor=self.reactor, address="127.0.0.1:0", name="edge", deliver=self.deliver, limits=lambda: self.limits
         )
         self.thread = threading.Thread(target=self.reactor.run, daemon=True)
--- a/tests/http_server_script.py
+++ b/tests/http_server_script.py
@@ -82,7 +82,7 @@
         self.answered: set[str] = set()
         self.left: set[str] = set()
         with mock.patch.object(http_server.socket, "socket", lambda *kind: self.listener):
-            self.front = http_server.Front(
+            self.front = http_server.HttpServer(
                 reactor=self.reactor, address="127.0.0.1:0", name="front", deliver=self._take, limits=lambda: LIMITS
             )
         self.callers = [self._connect(number=number) for number in range(CALLERS)]
--- a/tests/proxy_kit.py
+++ b/tests/proxy_kit.py
@@ -117,7 +117,7 @@
             region="north",
             regions=dict(ZONES),
             passive_health=self.passive_health,
-            zones=ZoneHealthTable(hold=1.0),
+            zones=ZoneHealthTable(hold_down=1.0),
             plan=plan or make_plan(),
         )
         self.context.proxies = proxies
--- a/tests/storage_machine.py
+++ b/tests/storage_machine.py
@@ -114,7 +114,7 @@
         self.files.room = room
         assert isinstance(found, Read), found
         self.controller = Controller(
-            place=Location(name="v", kind="controller", zone="z", region="r", post=POST, http=POST, seeds=(POST,)),
+            location=Location(name="v", kind="controller", zone="z", region="r", post=POST, http=POST, seeds=(POST,)),
             platform="10.9.9.9:1",
             nonce=f"{self.incarnations}",
             start=self.incarnations,
--- a/tests/test_copy_sources.py
+++ b/tests/test_copy_sources.py
@@ -35,8 +35,8 @@
     ]
     if copied_under is not None:
         records.append({"k": "copied", "n": copied_under})
-    place = Location(name="new", kind="controller", zone="z", region="r", post="10.0.1.1:1", http="")
-    return Voter(place=place, nonce="n", records=records, now=0.0, bootstrap=None)
+    location = Location(name="new", kind="controller", zone="z", region="r", post="10.0.1.1:1", http="")
+    return Voter(location=location, nonce="n", records=records, now=0.0, bootstrap=None)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_curl_client_responses.py
+++ b/tests/test_curl_client_responses.py
@@ -13,7 +13,7 @@
 import pytest
 
 from sailward.events import CallFinished, StartCall
-from sailward.transport.curl_client import Calls
+from sailward.transport.curl_client import CurlClient
 from tests.http_client_peer import WAIT, Line, Peer
 
 
@@ -28,7 +28,7 @@
 
     def __init__(self) -> None:
         self.told: queue.Queue = queue.Queue()
-        self.calls = Calls(deliver=self.told.put)
+        self.calls = CurlClient(deliver=self.told.put)
         self.peers: list[Peer] = []
         self._count = 0
         threading.Thread(target=self.calls.run, daemon=True).start()
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -31,8 +31,8 @@
 from sailward.runtime.loop import Loop
 from sailward.storage.disk import Damaged, Disk, Read, Taken, pack_frame, read_frames
 from sailward.transport.address import GREETING, Post
-from sailward.transport.curl_client import Calls
-from sailward.transport.wsgi_server import Web
+from sailward.transport.curl_client import CurlClient
+from sailward.transport.wsgi_server import WsgiServer
 from simulation.real.callers import ask
 from simulation.real.fleet import free_addresses
 
@@ -61,9 +61,9 @@
         connection.close()
 
 
-def make_calls() -> tuple[Calls, queue.Queue]:
+def make_calls() -> tuple[CurlClient, queue.Queue]:
     events: queue.Queue = queue.Queue()
-    calls = Calls(deliver=events.put)
+    calls = CurlClient(deliver=events.put)
     threading.Thread(target=calls.run, daemon=True).start()
     return calls, events
 
@@ -214,7 +214,7 @@
         web.answer(command=Respond(token=event.token, code=413 if event.body is None else 200, body=b"{}"))
 
     address = free_addresses(count=1)[0]
-    web = Web(address=address, limit=1000, deliver=deliver, threads=ThreadPoolExecutor(max_workers=8))
+    web = WsgiServer(address=address, limit=1000, deliver=deliver, threads=ThreadPoolExecutor(max_workers=8))
     threading.Thread(target=web.run, daemon=True).start()
     assert ask(address=address, method="POST", path="/a?b=c", body=b"x" * 1000)[0] == 200
     assert (asked[0].path, asked[0].query, len(asked[0].body)) == ("/a", {"b": "c"}, 1000)
--- a/tests/test_endpoint_selection.py
+++ b/tests/test_endpoint_selection.py
@@ -187,7 +187,7 @@
 
 def test_after_an_emptying_the_halls_workers_count_as_cold() -> None:
     bench = make(workers=[make_worker("w0")])
-    bench.passive_health.chill(now=bench.now, zone="north-a", plan=bench.context.plan)
+    bench.passive_health.begin_slow_start(now=bench.now, zone="north-a", plan=bench.context.plan)
     taken = sum(not isinstance(place(bench), Refusal) for _ in range(50))
     assert taken <= 1
     bench.now += 3.0 + constants.SLOW_START_MARGIN + 0.1
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -68,15 +68,15 @@
 
 
 def make_proxy() -> Proxy:
-    return Proxy(place=make_location(kind="proxy"), start=1, rng=random.Random(1), options=ProxyOptions())
+    return Proxy(location=make_location(kind="proxy"), start=1, rng=random.Random(1), options=ProxyOptions())
 
 
 def make_tenant_proxy() -> TenantProxy:
-    return TenantProxy(place=make_location(kind="proxy"), nonce="n", start=1, rng=random.Random(1), now=0.0)
+    return TenantProxy(location=make_location(kind="proxy"), nonce="n", start=1, rng=random.Random(1), now=0.0)
 
 
 def make_directory() -> DirectoryServer:
-    return DirectoryServer(place=make_location(kind="directory"), start=1, rng=random.Random(1))
+    return DirectoryServer(location=make_location(kind="directory"), start=1, rng=random.Random(1))
 
 
 OWNERS = {
--- a/tests/test_forwarding_model.py
+++ b/tests/test_forwarding_model.py
@@ -43,7 +43,7 @@
     def judge(*, request, worker, event, names):
         if event.code:
             code = 200 if event.code == 503 else event.code
-            return worker_response.Whole(code=code, headers=event.headers, body=event.body, is_failure=False)
+            return worker_response.CompleteResponse(code=code, headers=event.headers, body=event.body, is_failure=False)
         return old(request=request, worker=worker, event=event, names=names)
 
     return judge
--- a/tests/test_fuzz_edges.py
+++ b/tests/test_fuzz_edges.py
@@ -25,7 +25,7 @@
 from sailward.runtime.reactor import Reactor
 from sailward.runtime.startup import CONTROLLER, BadStartup, read_startup
 from sailward.storage.disk import Damaged, Newer, Read, pack_frame, read_frames
-from sailward.transport.curl_client import Calls
+from sailward.transport.curl_client import CurlClient
 from sailward.transport.http_server_head import Head, Refused, read_head
 from sailward.transport.message_transport import MessageTransport
 from tests.core_net import FOLDER, WORKERS
@@ -114,9 +114,9 @@
     """Read a data file, and let a controller start on what it holds."""
     found = read_frames(data=data)
     if isinstance(found, Read):
-        place = Location(name="c1", kind="controller", zone="z", region="r", post="10.0.0.1:1", http="10.0.0.1:2")
+        location = Location(name="c1", kind="controller", zone="z", region="r", post="10.0.0.1:1", http="10.0.0.1:2")
         owner = Controller(
-            place=place, platform="", nonce="1", start=1, rng=random.Random(1), records=found.records, now=0.0
+            location=location, platform="", nonce="1", start=1, rng=random.Random(1), records=found.records, now=0.0
         )
         for heartbeat in range(1, 5):
             owner.step(now=float(heartbeat), event=TimerFired(wall=1.0))
@@ -299,7 +299,7 @@
         told.append(called)
         ended.set()
 
-    calls = Calls(deliver=deliver)
+    calls = CurlClient(deliver=deliver)
     threading.Thread(target=calls.run, daemon=True).start()
     calls.give(
         call=StartCall(
--- a/tests/test_fuzz_messages.py
+++ b/tests/test_fuzz_messages.py
@@ -64,7 +64,7 @@
     """One owner of each kind, as it stands in a fleet, and a controller that has just started on an empty disk."""
     net = whole_net()
     proxy = Proxy(
-        place=make_location(kind="proxy"),
+        location=make_location(kind="proxy"),
         start=1,
         rng=random.Random(1),
         options=ProxyOptions(expand=lambda given: CONFIG.expand(given, ZONES), regions=tuple(ZONES.items())),
@@ -75,7 +75,7 @@
     return {
         "voter": net.machines[0].controller,
         "fresh": Controller(
-            place=make_location(kind="controller"),
+            location=make_location(kind="controller"),
             platform="",
             nonce="1",
             start=1,
@@ -85,9 +85,9 @@
         ),
         "proxy": proxy,
         "tenant proxy": TenantProxy(
-            place=make_location(kind="proxy"), nonce="1", start=1, rng=random.Random(1), now=0.0
+            location=make_location(kind="proxy"), nonce="1", start=1, rng=random.Random(1), now=0.0
         ),
-        "directory": DirectoryServer(place=make_location(kind="directory"), start=1, rng=random.Random(1)),
+        "directory": DirectoryServer(location=make_location(kind="directory"), start=1, rng=random.Random(1)),
     }
 
 
--- a/tests/test_fuzz_operators.py
+++ b/tests/test_fuzz_operators.py
@@ -79,9 +79,9 @@
             bootstrap=options.bootstrap,
             zones=options.zones,
         )
-    place = Location(name="c1", kind="controller", zone="gdl-a", region="gdl", post=POST, http=POST, seeds=(POST,))
+    location = Location(name="c1", kind="controller", zone="gdl-a", region="gdl", post=POST, http=POST, seeds=(POST,))
     owner = Controller(
-        place=place, platform="", nonce="1", start=1, rng=random.Random(1), records=[], now=0.0, options=options
+        location=location, platform="", nonce="1", start=1, rng=random.Random(1), records=[], now=0.0, options=options
     )
     pump(owner, now=0.1, event=TimerFired(wall=1.0))
     headers, given_config = ({"if-match": "0"}, make_written(label=7)) if is_platform else ({}, GOOD)
--- a/tests/test_group_machine.py
+++ b/tests/test_group_machine.py
@@ -84,10 +84,10 @@
     """A wiped machine comes back under the identity that it founded with, and as one that has all registers."""
     old = controller.Controller.__init__
 
-    def init(self, *, records, place, **fields):
+    def init(self, *, records, location, **fields):
         if not records:
-            records = [{"k": "identity", "id": f"{place.post}#0"}, {"k": "copied"}]
-        old(self, records=records, place=place, **fields)
+            records = [{"k": "identity", "id": f"{location.post}#0"}, {"k": "copied"}]
+        old(self, records=records, location=location, **fields)
 
     monkeypatch.setattr(controller.Controller, "__init__", init)
 
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -75,7 +75,7 @@
 def make_hosted_controller() -> Controller:
     post = "10.0.0.1:7620"
     return Controller(
-        place=Location(name="c0", kind="controller", zone="z", region="r", post=post, http=post, seeds=(post,)),
+        location=Location(name="c0", kind="controller", zone="z", region="r", post=post, http=post, seeds=(post,)),
         platform="10.9.9.9:1",
         nonce="1",
         start=1,
@@ -92,7 +92,7 @@
         now += 0.1
         entry = {"id": f"p{number}", "kind": "proxy", "hall": "z", "region": "r", "http": f"10.1.{number}.1:1"}
         entry |= {"start": number, "fit": True, "version": "", "post": f"10.1.{number}.1:2", "beat": 1, "identity": ""}
-        report = {"turn": 1, "lead": controller.place.post, "loads": {}, "paces": {}, "down": []}
+        report = {"turn": 1, "lead": controller.location.post, "loads": {}, "paces": {}, "down": []}
         sender = entry["post"]
         events = [
             {"kind": "ask", "seq": 1, "have": {}, "report": report, "daemon": entry},
@@ -158,9 +158,9 @@
 
 def test_a_proxy_remembers_no_more_after_400_changes_and_400_workers_than_after_100() -> None:
     post = "10.1.0.1:7621"
-    place = Location(name="p0", kind="proxy", zone="z", region="r", post=post, http=post, seeds=("10.0.0.1:7620",))
+    location = Location(name="p0", kind="proxy", zone="z", region="r", post=post, http=post, seeds=("10.0.0.1:7620",))
     proxy = Proxy(
-        place=place,
+        location=location,
         start=1,
         rng=random.Random(1),
         options=ProxyOptions(regions=(("z", "r"),), expand=lambda written: EMPTY_FULL),
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -316,7 +316,7 @@
     assert peer.get() == (0, b"GET /a")
     edge.give(address=peer.address, fresh=True)
     assert peer.get() == (1, b"GET /a")
-    edge.do(lambda: edge.http_client.hang_up(owner="w"))
+    edge.do(lambda: edge.http_client.close_connections(owner="w"))
     assert peer.get() == (0, b"")
     gate.set()
     assert edge.told.get(timeout=WAIT).code == 200
--- a/tests/test_http_server_properties.py
+++ b/tests/test_http_server_properties.py
@@ -66,8 +66,8 @@
             connection.exchanges.appendleft(exchange)
         return old(self, command=command)
 
-    old = http_server.Front.answer
-    return [mock.patch.object(http_server.Front, "answer", answer)]
+    old = http_server.HttpServer.answer
+    return [mock.patch.object(http_server.HttpServer, "answer", answer)]
 
 
 def reuse_tokens() -> list:
@@ -77,13 +77,13 @@
         self._numbers = iter([len(connection.exchanges)])
         old(self, connection=connection, body=body)
 
-    old = http_server.Front._deliver_request
-    return [mock.patch.object(http_server.Front, "_deliver_request", ask)]
+    old = http_server.HttpServer._deliver_request
+    return [mock.patch.object(http_server.HttpServer, "_deliver_request", ask)]
 
 
 def keep_silent_of_callers_that_left() -> list:
     """A connection that ends is not told of."""
-    return [mock.patch.object(http_server.Front, "_forget", lambda self, *, exchange: None)]
+    return [mock.patch.object(http_server.HttpServer, "_forget", lambda self, *, exchange: None)]
 
 
 def read_on_behind_the_last() -> list:
@@ -95,8 +95,8 @@
         old(self, connection=connection, body=body)
         exchange.is_last = was
 
-    old = http_server.Front._deliver_request
-    return [mock.patch.object(http_server.Front, "_deliver_request", ask)]
+    old = http_server.HttpServer._deliver_request
+    return [mock.patch.object(http_server.HttpServer, "_deliver_request", ask)]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_http_server_requests.py
+++ b/tests/test_http_server_requests.py
@@ -48,8 +48,8 @@
         + b"3;a=b\r\nabc\r\n2\r\nde\r\n0\r\nX-T: 1\r\n\r\n"
     )
     raw = get("/", method="POST", more="Content-Length: 4\r\n") + b"body" + b"\r\n" + chunks + get("/")
-    for place in range(len(raw)):
-        sock.sendall(raw[place : place + 1])
+    for location in range(len(raw)):
+        sock.sendall(raw[location : location + 1])
     reader = Reader(sock)
     assert [reader.response()[2] for _ in range(3)] == [b"body", b"abcde", b""]
     sock.sendall(chunks + chunks)
@@ -112,9 +112,9 @@
     sock.sendall(get("/first"))
     (event,) = edge.wait(RequestReceived, 1)
     if is_split:
-        for place in range(len(raw)):
+        for location in range(len(raw)):
             try:
-                sock.sendall(raw[place : place + 1])
+                sock.sendall(raw[location : location + 1])
             except OSError:
                 break
     else:
--- a/tests/test_platform_real.py
+++ b/tests/test_platform_real.py
@@ -147,7 +147,7 @@
             "zone": zone,
             "region": ZONES[zone],
             "zones": ZONES,
-            "listen": {name: f"{address}:{self.port + 10 + place}" for place, name in enumerate(names)},
+            "listen": {name: f"{address}:{self.port + 10 + location}" for location, name in enumerate(names)},
             "inner_port_range": [self.port, self.port + 8],
             "bootstrap": True,
             "fault_budget": {"machines": 1},
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -67,11 +67,11 @@
             regions=tuple(ZONES.items()),
             expand=lambda written: CONFIG.expand(written, ZONES),
             retry_slack=60.0,
-            hold=1.0,
+            hold_down=1.0,
             leave_wait=3.0,
             stop_grace=5.2,
         )
-        self.proxy = Proxy(place=PLACE, start=1, rng=random.Random(1), options=options)
+        self.proxy = Proxy(location=PLACE, start=1, rng=random.Random(1), options=options)
         self.now, self.count, self.log = 100.0, 0, []
         self.answering = {"c0"}
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -78,9 +78,9 @@
 def test_a_whole_file_makes_a_host(tmp_path: Path, role: str) -> None:
     settings = read(tmp_path, GIVEN, role)
     hosted = HOSTING.host_of(settings=settings, role=role)
-    assert (hosted.place.name, hosted.place.zone, hosted.place.region) == ("edge-1", "gdl-a", "gdl")
-    assert hosted.place.post == f"10.1.0.13:{7620 if role == 'controller' else 7621}"
-    assert hosted.place.seeds == ("10.1.0.13:7620", "10.2.0.18:7620", "10.3.0.34:7620")
+    assert (hosted.location.name, hosted.location.zone, hosted.location.region) == ("edge-1", "gdl-a", "gdl")
+    assert hosted.location.post == f"10.1.0.13:{7620 if role == 'controller' else 7621}"
+    assert hosted.location.seeds == ("10.1.0.13:7620", "10.2.0.18:7620", "10.3.0.34:7620")
     assert set(hosted.listen) == ({"desk"} if role == "controller" else {"front", "ready", "directory"})
     assert hosted.platform == "10.200.0.146:8642"
     if role == "controller":
--- a/tests/test_stopping_proxy.py
+++ b/tests/test_stopping_proxy.py
@@ -68,7 +68,7 @@
 
 
 def make_proxy() -> Proxy:
-    place = Location(
+    location = Location(
         name="p1",
         kind="proxy",
         zone="gdl-a",
@@ -78,7 +78,7 @@
         seeds=(CONTROLLER,),
     )
     proxy = Proxy(
-        place=place,
+        location=location,
         start=1,
         rng=random.Random(1),
         options=ProxyOptions(regions=(("gdl-a", "gdl"),), leave_wait=3.0, stop_grace=5.2),
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -37,7 +37,7 @@
 
 def make_controller(*, records: list) -> Controller:
     return Controller(
-        place=make_location(kind="controller"),
+        location=make_location(kind="controller"),
         platform="",
         nonce="1",
         start=1,
@@ -51,8 +51,8 @@
     assert set(MESSAGES) == set(FIELDS) - NEW_KINDS
     owners = [
         make_controller(records=read_frames(data=DATA).records),
-        DirectoryServer(place=make_location(kind="directory"), start=1, rng=random.Random(1)),
-        TenantProxy(place=make_location(kind="proxy"), nonce="1", start=1, rng=random.Random(1), now=0.0),
+        DirectoryServer(location=make_location(kind="directory"), start=1, rng=random.Random(1)),
+        TenantProxy(location=make_location(kind="proxy"), nonce="1", start=1, rng=random.Random(1), now=0.0),
     ]
     heard = {}
     for kind, rows in MESSAGES.items():
@@ -73,12 +73,12 @@
     ("kind", "word"), [("controller", "cellar"), ("proxy", "sommelier"), ("directory", "concierge")]
 )
 def test_a_daemon_is_known_by_its_kind_whichever_version_wrote_its_entry(kind: str, word: str) -> None:
-    teller = PeerTable(place=make_location(kind=kind), start=1)
+    teller = PeerTable(location=make_location(kind=kind), start=1)
     written = teller.own_entry()
     assert written["kind"] == word, "the last version knows this word only"
     for at, entry in enumerate((written, {**written, "kind": kind})):
         entries = [{**entry, "id": f"other-{at}"}]
-        reader = PeerTable(place=make_location(kind="proxy"), start=1)
+        reader = PeerTable(location=make_location(kind="proxy"), start=1)
         reader.step(now=0.0, event=("10.0.0.2:7000", {"kind": "gossip", "entries": entries, "reply": True}))
         assert [peer["id"] for peer in reader.alive(kind=kind)] == [f"other-{at}"]
 
