--- a/sailward/consensus/learner.py
+++ b/sailward/consensus/learner.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-import json
 from dataclasses import dataclass, field
 
 from sailward.consensus.proposer import EMPTY
+from sailward.consensus.voter_set import VoterSet, read_voters
 from sailward.events import SendMessage
 
 CONTROL = ("config", "orders", "voters")
@@ -29,7 +29,7 @@
     """Owner of the chosen values; `step` folds one, and an older one never replaces a newer."""
 
     values: dict = field(default_factory=dict)
-    _voters: dict = field(default_factory=lambda: {"number": 0, "members": {}, "joined": {}, "before": None})
+    _voters: VoterSet = field(default_factory=VoterSet)
 
     def is_newer(self, *, name: str, value: dict) -> bool:
         """Is this value newer than what is held?"""
@@ -77,21 +77,6 @@
         values = self.values.get(name)
         return values is not None and (mark == values.value["mark"] or ballot <= values.ballot)
 
-    def voters(self) -> dict:
+    def voters(self) -> VoterSet:
         """The voters as a proposer needs them."""
         return self._voters
-
-
-def read_voters(*, value: dict) -> dict:
-    """The voters in a register's value.
-
-    `joined` gives for a member the number of the set under which it must have copied at the earliest; `before` are
-    members and `joined` of the set before, None if it is not known.
-    """
-    decoded = json.loads(value["text"]) if value["text"] else {}
-    return {
-        "number": value["number"],
-        "members": decoded.get("members", {}),
-        "joined": decoded.get("joined", {}),
-        "before": decoded.get("before"),
-    }
--- a/sailward/consensus/proposer.py
+++ b/sailward/consensus/proposer.py
@@ -3,10 +3,12 @@
 from __future__ import annotations
 
 import random
+from collections.abc import Mapping
 from dataclasses import dataclass, field
 
 from sailward import constants
 from sailward.consensus.acceptor import FIRST
+from sailward.consensus.voter_set import VoterSet
 from sailward.events import SendMessage
 
 EMPTY = {"number": 0, "mark": "", "trail": [], "text": ""}
@@ -68,7 +70,7 @@
     begin: StartOperation
     mark: str
     expiry: float
-    voters: dict
+    voters: Mapping[str, str]
     number: int = 0
     phase: str = "read"
     ballot: list = field(default_factory=lambda: [0, ""])
@@ -91,7 +93,7 @@
         self._live: dict[str, Operation] = {}
         self._round = 0
 
-    def step(self, *, now: float, voters: dict, event: object) -> tuple[list, list[OperationFinished]]:
+    def step(self, *, now: float, voters: VoterSet, event: object) -> tuple[list, list[OperationFinished]]:
         """Take a Begin, a message from a voter (sender, body), or None for time going on."""
         if isinstance(event, StartOperation):
             return self._begin(now=now, voters=voters, begin=event)
@@ -104,8 +106,8 @@
             return [], []
         return self._on_reply(now=now, operation=operation, sender=sender, body=body)
 
-    def _begin(self, *, now: float, voters: dict, begin: StartOperation) -> tuple[list, list[OperationFinished]]:
-        if not voters.get("members"):
+    def _begin(self, *, now: float, voters: VoterSet, begin: StartOperation) -> tuple[list, list[OperationFinished]]:
+        if not voters.members:
             outcome = Refused(reason="no-voters", value=EMPTY, ballot=[0, ""])
             return [], [OperationFinished(op=begin.op, register=begin.register, outcome=outcome)]
         self._count += 1
@@ -113,8 +115,8 @@
             begin=begin,
             mark=f"{self.identity}.{self._count}",
             expiry=now + begin.timeout,
-            voters=voters["members"],
-            number=voters["number"],
+            voters=voters.members,
+            number=voters.number,
             highest_round=self._round,
         )
         self._live[begin.op] = operation
@@ -140,13 +142,13 @@
             body |= {"kind": "accept", "ballot": operation.ballot, "value": operation.value}
         return [SendMessage(to=address, body=body) for address in sorted(set(operation.voters.values()))]
 
-    def _on_timer(self, *, now: float, voters: dict) -> tuple[list, list[OperationFinished]]:
+    def _on_timer(self, *, now: float, voters: VoterSet) -> tuple[list, list[OperationFinished]]:
         commands, finished = [], []
         for operation in list(self._live.values()):
             if now >= operation.expiry:
                 finished.append(self._give_up(operation=operation))
             elif now >= operation.retry_at:
-                operation.voters, operation.number = voters["members"], voters["number"]
+                operation.voters, operation.number = voters.members, voters.number
                 operation.phase, operation.attempts = "prepare", operation.attempts + 1
                 commands += self._open_round(now=now, operation=operation)
         return commands, finished
@@ -258,7 +260,7 @@
     return Accepted(number=value["number"], ballot=ballot, value=value)
 
 
-def newest_of(*, votes: list, members: dict) -> dict:
+def newest_of(*, votes: list, members: Mapping[str, str]) -> dict:
     """The value that may have been chosen, by the votes of so many voters; empty if none can have been.
 
     Under the first ballot voters may hold different values: one can have been chosen only if so many of
@@ -276,16 +278,16 @@
     return EMPTY
 
 
-def fast_of(*, members: dict) -> int:
+def fast_of(*, members: Mapping[str, str]) -> int:
     """How many voters choose under the first ballot: any two such sets and a majority have one in common."""
     return (2 * len(members) - majority_of(members=members)) // 2 + 1
 
 
-def majority_of(*, members: dict) -> int:
+def majority_of(*, members: Mapping[str, str]) -> int:
     """How many of these voters are a majority."""
     return len(members) // 2 + 1
 
 
-def blocking_of(*, members: dict) -> int:
+def blocking_of(*, members: Mapping[str, str]) -> int:
     """How many of these voters have one in common with every majority."""
     return len(members) - majority_of(members=members) + 1
--- a/sailward/control/administration/metrics.py
+++ b/sailward/control/administration/metrics.py
@@ -77,7 +77,7 @@
 
 def _collect_voters(*, sources: StatusSources) -> list[Family]:
     voter, peer_table = sources.voter, sources.peer_table
-    members = voter.voters["members"]
+    members = voter.voters.members
     controllers = [*peer_table.alive(kind="controller"), peer_table.own_entry()]
     core = count_core(members=members, controllers=controllers)
     copying = sorted(
@@ -88,7 +88,7 @@
         _gauge("voters", "Members of the set of voters.", len(members)),
         _gauge("voters_voting", "Voters that are heard of as voting.", core["voting"]),
         _gauge("voters_needed", "Voters that a majority needs.", core["needed"]),
-        _gauge("voters_number", "Number of the set of voters.", voter.voters["number"]),
+        _gauge("voters_number", "Number of the set of voters.", voter.voters.number),
         _labelled(
             "voter_not_voting", "Voters that are up and copy, or can not write.", "daemon", dict.fromkeys(copying, 1)
         ),
--- a/sailward/control/administration/status_report.py
+++ b/sailward/control/administration/status_report.py
@@ -16,7 +16,7 @@
     """The status of the core, the zones and the proxies, as this controller sees it."""
     voter, peer_table, subscribers = sources.voter, sources.peer_table, sources.subscribers
     core = count_core(
-        members=voter.voters["members"], controllers=[*peer_table.alive(kind="controller"), peer_table.own_entry()]
+        members=voter.voters.members, controllers=[*peer_table.alive(kind="controller"), peer_table.own_entry()]
     )
     return {
         "id": voter.location.name,
@@ -28,7 +28,7 @@
         "voting": voter.voting,
         "disk_usable": voter.write_ahead.usable,
         "contact": _show_contact(sources=sources, now=now),
-        "voters": voter.voters,
+        "voters": voter.voters.show(),
         "registers": _show_registers(sources=sources),
         "daemons": _show_daemons(peer_table=peer_table),
         "halls": _show_zones(sources=sources, now=now),
--- a/sailward/control/controller.py
+++ b/sailward/control/controller.py
@@ -7,6 +7,7 @@
 from sailward import constants
 from sailward.config.dialect import OwnDialect
 from sailward.consensus.proposer import Proposer, StartOperation
+from sailward.consensus.voter_set import VoterSet
 from sailward.control.administration.admin_api import AdminApi
 from sailward.control.administration.status_sources import StatusSources
 from sailward.control.controller_options import ControllerOptions
@@ -241,7 +242,7 @@
         return self.voter.identity
 
     @property
-    def voters(self) -> dict:
+    def voters(self) -> VoterSet:
         """The set of voters that this process acts under."""
         return self.voter.voters
 
@@ -286,7 +287,7 @@
 
     def _step_list(self, *, now: float, event: CallFinished | None) -> list[Command]:
         # a controller outside the core reads the list only for proxies that follow it
-        is_needed = not self.voters["members"] or self.voting or self.subscribers.has_followers()
+        is_needed = not self.voters.members or self.voting or self.subscribers.has_followers()
         commands, is_newer = self.endpoint_list.step(
             now=now, event=event, peer_table=self.peer_table, is_needed=is_needed
         )
--- a/sailward/control/group/catch_up.py
+++ b/sailward/control/group/catch_up.py
@@ -66,7 +66,7 @@
     def _names(self) -> list[str]:
         if self._voter.is_member:
             return sorted({*CONTROL, *self._voter.acceptor.slots.control})
-        if self._contact is not None and self._voter.voters["members"]:
+        if self._contact is not None and self._voter.voters.members:
             return sorted({*self._contact.unread, *self._behind})
         return []
 
--- a/sailward/control/group/contact_watch.py
+++ b/sailward/control/group/contact_watch.py
@@ -49,7 +49,7 @@
 
     def may_serve(self, *, now: float) -> bool:
         """May control state be handed out and operators' calls be begun?"""
-        members = self._voter.voters["members"]
+        members = self._voter.voters.members
         return not self._is_required or self.contact.may_serve(now=now, members=members, own=self._own_vote())
 
     def may_attempt(self, *, now: float) -> bool:
@@ -61,14 +61,14 @@
 
     def shown_at(self, *, now: float) -> float:
         """The latest moment at which a majority is known to have been in reach."""
-        return self.contact.shown_at(now=now, members=self._voter.voters["members"], own=self._own_vote())
+        return self.contact.shown_at(now=now, members=self._voter.voters.members, own=self._own_vote())
 
     def step(self, *, now: float) -> list[Command]:
         """Find out whether there is contact; operators are not kept waiting for it."""
         if not self._is_required:
             return []
         had_contact = self.contact.had_contact
-        if self.contact.step(now=now, members=self._voter.voters["members"], own=self._own_vote()):
+        if self.contact.step(now=now, members=self._voter.voters.members, own=self._own_vote()):
             # what was chosen during the gap was not told here
             self._catch_up.read_all_soon()
         is_lost = had_contact and not self.contact.had_contact
@@ -90,7 +90,7 @@
     def on_heartbeat(self, *, now: float, sender: str, body: dict) -> None:
         """A voter's heartbeat answers one from here, and tells the numbers of its newest votes for what is served."""
         echo = body.get("echo")
-        is_voter = self._voter.voters["members"].get(body["identity"]) == sender
+        is_voter = self._voter.voters.members.get(body["identity"]) == sender
         if (
             not is_voter
             or not isinstance(echo, list)
--- a/sailward/control/group/copying.py
+++ b/sailward/control/group/copying.py
@@ -7,8 +7,9 @@
 
 from sailward import constants
 from sailward.consensus.acceptor import FIRST, Slot
-from sailward.consensus.learner import LearnedValue, read_voters
+from sailward.consensus.learner import LearnedValue
 from sailward.consensus.proposer import blocking_of, majority_of, newest_of
+from sailward.consensus.voter_set import VoterSet, read_voters
 from sailward.events import SendMessage
 
 
@@ -33,7 +34,7 @@
     def step(self, *, now: float, voters: LearnedValue, event: tuple | None) -> list:
         """Take a (sender, copied) or None for time going on."""
         members = read_voters(value=voters.value)
-        if members["number"] != self.number:
+        if members.number != self.number:
             self._restart(members=members)
         if event is not None:
             return self._fold(now=now, voters=voters, sender=event[0], body=event[1])
@@ -89,14 +90,12 @@
                     marks.setdefault(name, set()).add(value["mark"])
         return any(len(marks_of_register) > 1 for marks_of_register in marks.values())
 
-    def _restart(self, *, members: dict) -> None:
-        self.number = members["number"]
-        before = members["before"] or {"members": members["members"]}
-        self.old = {
-            name: post for name, post in before["members"].items() if name != self.identity or members["before"]
-        }
+    def _restart(self, *, members: VoterSet) -> None:
+        self.number = members.number
+        before = members.before or VoterSet(members=members.members)
+        self.old = {name: post for name, post in before.members.items() if name != self.identity or members.before}
         # one that came back with an empty disk has the address of a member that is no more
-        own = members["members"].get(self.identity)
+        own = members.members.get(self.identity)
         self.others = {name: post for name, post in self.old.items() if name != self.identity and post != own}
         self.copied, self.cursors, self.done = {}, {}, set()
 
--- a/sailward/control/group/graceful_shutdown.py
+++ b/sailward/control/group/graceful_shutdown.py
@@ -51,7 +51,7 @@
     def _is_of_use(self) -> bool:
         """Can another take this one's place, or is it still copying from this one?"""
         voter, others = self._voter, {peer["identity"]: peer for peer in self._peer_table.alive(kind="controller")}
-        members = voter.voters["members"]
+        members = voter.voters.members
         if not self._is_enabled or not voter.write_ahead.copied or not voter.write_ahead.usable:
             return False
         if not voter.is_member:
--- a/sailward/control/group/membership.py
+++ b/sailward/control/group/membership.py
@@ -9,8 +9,9 @@
 from sailward import constants
 from sailward.config.check import Unsound, read_config
 from sailward.consensus.acceptor import Slot, fold_record
-from sailward.consensus.learner import is_control, read_voters
+from sailward.consensus.learner import is_control
 from sailward.consensus.proposer import StartOperation
+from sailward.consensus.voter_set import read_voters
 from sailward.control.controller_options import ControllerOptions
 from sailward.control.group.copying import Copying, copy_page
 from sailward.control.group.disaster_recovery import (
@@ -158,18 +159,18 @@
         voter = self._voter
         return (
             voter.write_ahead.copied
-            and voter.identity not in read_voters(value=value)["members"]
+            and voter.identity not in read_voters(value=value).members
             and value["number"] >= voter.voted_voters()["number"]
         )
 
     def send_page(self, *, sender: str, body: dict) -> list[Command]:
         """A page of all this voter has voted for, to one that copies under the same set."""
-        voter, number = self._voter, self._voter.voters["number"]
+        voter, number = self._voter, self._voter.voters.number
         if not voter.is_copy_source or number != body["value"]["number"]:
             return []
         if body["after"] == "" or sender not in self._names:
             # nothing is voted for under the old set from here on: one order for the whole copy
-            copiers = {*voter.voters["members"].values()}
+            copiers = {*voter.voters.members.values()}
             self._names = {post: names for post, names in self._names.items() if post in copiers}
             self._names[sender] = sorted(voter.acceptor.slots)
         page = copy_page(slots=voter.acceptor.slots, names=self._names[sender], after=body["after"], number=number)
@@ -214,7 +215,7 @@
         body = {"kind": "gossip", "entries": [peer_table.own_entry()], "reply": True}
         return [
             SendMessage(to=post, body=body)
-            for post in sorted({*self._voter.voters["members"].values()} - {peer_table.location.post})
+            for post in sorted({*self._voter.voters.members.values()} - {peer_table.location.post})
         ]
 
     def _opened(self) -> list:
@@ -262,10 +263,10 @@
         begin = StartOperation(
             op=f"{self._op_prefix}/repair{self._ops}",
             register="voters",
-            expected=voter.voters["number"],
+            expected=voter.voters.number,
             text=text,
         )
-        return [LogEvent(event="voters-change", fields={"from": voter.voters["number"], "to": text})], [begin]
+        return [LogEvent(event="voters-change", fields={"from": voter.voters.number, "to": text})], [begin]
 
     def _catch_up(self, *, now: float) -> list[Command]:
         """Copy what the voters hold, or open a founding anew."""
@@ -292,12 +293,12 @@
         return [SendMessage(to=other["post"], body=body) for other in others]
 
     def _request_backoff(self) -> float:
-        is_waiting = self._voter.voters["number"] and not self._voter.is_member
+        is_waiting = self._voter.voters.number and not self._voter.is_member
         return constants.WAITING_POLL_INTERVAL if self._options.bootstrap and is_waiting else self._options.repair_every
 
     def _report_core(self, *, now: float, others: list[dict]) -> list[Command]:
         """Say so when too much is lost for any change, and when it is back."""
-        members = self._voter.voters["members"]
+        members = self._voter.voters.members
         core = count_core(members=members, controllers=[*others, self._peer_table.own_entry()])
         short = bool(members) and core["voting"] < core["needed"]
         if not short:
--- a/sailward/control/group/quorum_contact.py
+++ b/sailward/control/group/quorum_contact.py
@@ -15,6 +15,7 @@
 
 from __future__ import annotations
 
+from collections.abc import Mapping
 from dataclasses import dataclass, field
 
 from sailward import constants
@@ -53,7 +54,7 @@
         if sent_at is not None:
             self.reached[peer] = max(self.reached.get(peer, NEVER), sent_at)
 
-    def shown_at(self, *, now: float, members: dict[str, str], own: str) -> float:
+    def shown_at(self, *, now: float, members: Mapping[str, str], own: str) -> float:
         """The latest moment at which a majority of these voters was reached; NEVER if there is none.
 
         `members` is {identity: address}, `own` this controller's identity if it is a voter that keeps what it voted
@@ -64,18 +65,18 @@
         times = [now if identity == own else self.reached.get(post, NEVER) for identity, post in members.items()]
         return sorted(times, reverse=True)[majority_of(members=members) - 1]
 
-    def has_contact(self, *, now: float, members: dict[str, str], own: str) -> bool:
+    def has_contact(self, *, now: float, members: Mapping[str, str], own: str) -> bool:
         """Was a majority reached within the last CONTACT_TTL seconds?"""
         return now - self.shown_at(now=now, members=members, own=own) <= constants.CONTACT_TTL
 
-    def may_serve(self, *, now: float, members: dict[str, str], own: str) -> bool:
+    def may_serve(self, *, now: float, members: Mapping[str, str], own: str) -> bool:
         """Is there contact, and was every control register read since it was last missing?"""
         if not self.has_contact(now=now, members=members, own=own):
             self._lose(now=now)
             return False
         return not self.unread
 
-    def step(self, *, now: float, members: dict[str, str], own: str) -> bool:
+    def step(self, *, now: float, members: Mapping[str, str], own: str) -> bool:
         """Judge the moment and forget old questions; was contact found just now?"""
         self._questions = {name: at for name, at in self._questions.items() if now - at <= constants.CONTACT_TTL}
         before = self.had_contact
--- a/sailward/control/group/redirect.py
+++ b/sailward/control/group/redirect.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from collections.abc import Mapping
+
 from sailward import constants
 from sailward.config.dialect import Dialect, Outcome
 from sailward.discovery.peer_table import PeerTable, kind_of
@@ -9,7 +11,7 @@
 from sailward.routing.proxied_request import answer_json
 
 
-def other_controllers(*, peer_table: PeerTable, members: dict[str, str], own: str) -> list[list[str]]:
+def other_controllers(*, peer_table: PeerTable, members: Mapping[str, str], own: str) -> list[list[str]]:
     """[[post, zone, region], ...] of the controllers known here, also those that are out of reach from here."""
     places = {
         known.entry["post"]: [known.entry["post"], known.entry["hall"], known.entry["region"]]
--- a/sailward/control/group/repair.py
+++ b/sailward/control/group/repair.py
@@ -11,10 +11,12 @@
 from __future__ import annotations
 
 import json
+from collections.abc import Mapping
 from dataclasses import dataclass, field
 
 from sailward import constants
 from sailward.consensus.proposer import majority_of
+from sailward.consensus.voter_set import VoterSet
 from sailward.discovery.rendezvous import choose_names
 
 
@@ -35,12 +37,12 @@
     due: tuple = (-1, 0.0)
     tried: tuple = (-1, 0.0)
 
-    def step(self, *, now: float, own: str, voters: dict, text: str, controllers: list[dict]) -> str:
+    def step(self, *, now: float, own: str, voters: VoterSet, text: str, controllers: list[dict]) -> str:
         """Judge by the peer table's living `controllers`; only one of the voters, named by hashing, acts."""
         if now - self.last_check_at < self.every or not text:
             return ""
         self.last_check_at = now
-        members, number = voters["members"], voters["number"]
+        members, number = voters.members, voters.number
         alive = {entry["identity"]: entry for entry in controllers}
         if self.is_brisk:
             return self._step_brisk(now=now, own=own, number=number, text=text, members=members, alive=alive)
@@ -65,7 +67,7 @@
             return change_members(text=text, number=number, add=(waiting[0], alive[waiting[0]]["post"]))
         return ""
 
-    def _gone(self, *, now: float, members: dict, alive: dict) -> list[str]:
+    def _gone(self, *, now: float, members: Mapping[str, str], alive: dict) -> list[str]:
         """Voters whose machine is back without their data, or that have been lost for long."""
         names = {entry["id"]: name for name, entry in alive.items()}
         return sorted(
@@ -75,7 +77,9 @@
             and (names.get(name.split("#")[0], name) != name or now - self.seen[name] > self.replace_after)
         )
 
-    def _step_brisk(self, *, now: float, own: str, number: int, text: str, members: dict, alive: dict) -> str:
+    def _step_brisk(
+        self, *, now: float, own: str, number: int, text: str, members: Mapping[str, str], alive: dict
+    ) -> str:
         well = [name for name in members if name in alive and alive[name]["fit"]]
         self.seen = {name: now if name in alive else self.seen.get(name, now) for name in members}
         self.well_at = {name: now if name in well else self.well_at.get(name, now) for name in members}
@@ -96,7 +100,9 @@
         self.tried = (number, now)
         return change
 
-    def _choose(self, *, now: float, number: int, text: str, members: dict, alive: dict, well: list) -> str:
+    def _choose(
+        self, *, now: float, number: int, text: str, members: Mapping[str, str], alive: dict, well: list
+    ) -> str:
         """The next change of the voters, one member added, dropped or exchanged; "" if there is none to make."""
         size = json.loads(text).get("size", len(members))
         gone = self._gone_brisk(now=now, members=members, alive=alive)
@@ -125,7 +131,7 @@
             return made if len(members) < 3 or keeps_majority(text=made, well=set(well)) else ""
         return ""
 
-    def _gone_brisk(self, *, now: float, members: dict, alive: dict) -> list[str]:
+    def _gone_brisk(self, *, now: float, members: Mapping[str, str], alive: dict) -> list[str]:
         """Voters that are lost, back on an empty disk, that don't come to act, that leave, or have no disk.
 
         In this order.
@@ -179,12 +185,12 @@
     return json.dumps({**value, "members": members, "joined": joined, "before": before}, sort_keys=True)
 
 
-def is_waiting(*, entry: dict, members: dict) -> bool:
+def is_waiting(*, entry: dict, members: Mapping[str, str]) -> bool:
     """May this controller be brought in? Not one that says that it acts: it has not heard yet that it was taken out."""
     return bool(entry["identity"]) and entry["identity"] not in members and not (entry["fit"] or entry.get("leaving"))
 
 
-def count_core(*, members: dict, controllers: list[dict]) -> dict:
+def count_core(*, members: Mapping[str, str], controllers: list[dict]) -> dict:
     """How many voters are heard of as voting, how many a majority needs, and who is missing."""
     well = {entry["identity"] for entry in controllers if entry["fit"]} & set(members)
     return {"voting": len(well), "needed": majority_of(members=members), "missing": sorted(set(members) - well)}
--- a/sailward/control/group/voter.py
+++ b/sailward/control/group/voter.py
@@ -6,7 +6,8 @@
 
 from sailward import constants
 from sailward.consensus.acceptor import CLAIM, KNOWN, Acceptor, Slot, Slots, fold_record, slot_records
-from sailward.consensus.learner import LearnedValue, Learner, read_voters
+from sailward.consensus.learner import LearnedValue, Learner
+from sailward.consensus.voter_set import VoterSet, read_voters
 from sailward.control.bootstrap import Bootstrap, make_founder
 from sailward.control.group.disaster_recovery import read_founding
 from sailward.control.group.write_ahead import WriteAhead
@@ -88,18 +89,18 @@
         self._swept = now
 
     @property
-    def voters(self) -> dict:
+    def voters(self) -> VoterSet:
         """The voters known to be chosen; until that is known again after a start, those voted for."""
         known = self.learner.voters()
         slot = self.acceptor.slots.get("voters")
-        if known["number"] or slot is None or slot.value is None:
+        if known.number or slot is None or slot.value is None:
             return known
         return read_voters(value=slot.value)
 
     @property
     def is_member(self) -> bool:
         """Is this process in the set of voters that it knows?"""
-        return self.identity in self.voters["members"]
+        return self.identity in self.voters.members
 
     @property
     def is_opening(self) -> bool:
@@ -114,7 +115,7 @@
     @property
     def is_complete(self) -> bool:
         """Do the slots hold what was chosen before the set that this voter must have copied under?"""
-        return self.write_ahead.copied and self.write_ahead.under >= self.voters["joined"].get(self.identity, 0)
+        return self.write_ahead.copied and self.write_ahead.under >= self.voters.joined.get(self.identity, 0)
 
     @property
     def is_copy_source(self) -> bool:
@@ -122,9 +123,9 @@
 
         Also if it must copy itself or was taken out, if it could act under the set before.
         """
-        before = self.voters["before"] or {"members": {}, "joined": {}}
-        was_complete = self.write_ahead.copied and self.write_ahead.under >= before["joined"].get(self.identity, 0)
-        is_source = (self.is_member and self.is_complete) or (self.identity in before["members"] and was_complete)
+        before = self.voters.before or VoterSet()
+        was_complete = self.write_ahead.copied and self.write_ahead.under >= before.joined.get(self.identity, 0)
+        is_source = (self.is_member and self.is_complete) or (self.identity in before.members and was_complete)
         return is_source and self.write_ahead.usable
 
     def learned_voters(self) -> LearnedValue:
@@ -140,7 +141,7 @@
         """Judge one prepare, accept, first or read; the reply goes when what it tells is synced."""
         if not self.voting:
             return []
-        if body["voters"] != self.voters["number"]:
+        if body["voters"] != self.voters.number:
             # a voter acts under one set at a time: the newest that it knows to be chosen
             return [self._refuse_set(sender=sender, body=body)]
         records, reply = self.acceptor.step(now=now, body=body)
--- a/sailward/control/message_handlers.py
+++ b/sailward/control/message_handlers.py
@@ -71,7 +71,7 @@
         }
 
     def _on_vote_request(self, *, now: float, sender: str, body: dict) -> list[Command]:
-        if self._is_bootstrapped and body["voters"] > self._voter.voters["number"]:
+        if self._is_bootstrapped and body["voters"] > self._voter.voters.number:
             # who acts under a newer set shows that there is one: ask for it, or read it, soon
             self._membership.request_soon()
             self._catch_up.record_behind(now=now, name="voters")
--- a/sailward/control/proxies/serving.py
+++ b/sailward/control/proxies/serving.py
@@ -125,7 +125,7 @@
         }
         if not may_serve:
             grant["contact"] = False
-            members = self._voter.voters["members"]
+            members = self._voter.voters.members
             grant["controllers"] = other_controllers(peer_table=self._peer_table, members=members, own=location.post)
         return SendMessage(to=sender, body=grant)
 
--- a/sailward/control/proxies/subscribers.py
+++ b/sailward/control/proxies/subscribers.py
@@ -37,7 +37,7 @@
     post, or none, as the teller of the list that they follow.
     """
 
-    members: dict = field(default_factory=dict)
+    members: dict[str, Subscriber] = field(default_factory=dict)
     seq: int = 0
     active_proxies: dict = field(default_factory=dict)
     post: str = ""
--- a/sailward/control/registers.py
+++ b/sailward/control/registers.py
@@ -123,7 +123,7 @@
     def _announce_chosen(self, *, name: str, ballot: list, value: dict) -> list[Command]:
         body = {"kind": "chosen", "register": name, "ballot": ballot, "value": value}
         posts = {
-            *self._voter.voters["members"].values(),
+            *self._voter.voters.members.values(),
             *(peer["post"] for peer in self._peer_table.alive(kind="controller")),
         }
         return [SendMessage(to=post, body=body) for post in sorted(posts - {self._voter.location.post})]
--- a/sailward/control/shards/freshness.py
+++ b/sailward/control/shards/freshness.py
@@ -5,6 +5,7 @@
 
 from __future__ import annotations
 
+from collections.abc import Mapping
 from dataclasses import dataclass, field
 
 from sailward import constants
@@ -41,7 +42,9 @@
     seq: int = 0
     next_at: float = NEVER
 
-    def step(self, *, now: float, body: dict | None, members: dict, number: int, own: str, registers: list) -> list:
+    def step(
+        self, *, now: float, body: dict | None, members: Mapping[str, str], number: int, own: str, registers: list
+    ) -> list:
         """`members` are the voters and `number` their register's, `own` this one's identity."""
         if body is not None:
             requested_at = self.requested_at.get(body["seq"])
@@ -60,7 +63,9 @@
             if name != own
         ]
 
-    def until(self, *, now: float, register: str, learner: Learner, members: dict, own: str, slots: Slots) -> float:
+    def until(
+        self, *, now: float, register: str, learner: Learner, members: Mapping[str, str], own: str, slots: Slots
+    ) -> float:
         """The moment until which the value held of this register may be acted on as the newest."""
         if not members:
             return NEVER
--- a/sailward/control/shards/quiescence.py
+++ b/sailward/control/shards/quiescence.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from collections.abc import Mapping
 from dataclasses import dataclass, field
 
 from sailward import constants
@@ -31,7 +32,7 @@
 
     service: str
     number: int
-    members: dict
+    members: Mapping[str, str]
     controllers: list
     proxies: list[Subscriber]
 
--- a/sailward/control/shards/shard_leases.py
+++ b/sailward/control/shards/shard_leases.py
@@ -66,7 +66,7 @@
         """Answer another controller's asking, or fold an answer."""
         voter = self._voter
         if body["kind"] == "confirm":
-            known, learned = voter.voters["number"], voter.learner.values.get("voters")
+            known, learned = voter.voters.number, voter.learner.values.get("voters")
             if voter.voting and body["voters"] < known and learned is not None:
                 return [
                     SendMessage(
@@ -93,8 +93,8 @@
         return self.freshness.step(
             now=now,
             body=body,
-            members=voter.voters["members"],
-            number=voter.voters["number"],
+            members=voter.voters.members,
+            number=voter.voters.number,
             own=voter.identity,
             registers=[],
         )
@@ -140,8 +140,8 @@
         return self.freshness.step(
             now=now,
             body=None,
-            members=voter.voters["members"],
-            number=voter.voters["number"],
+            members=voter.voters.members,
+            number=voter.voters.number,
             own=voter.identity,
             registers=[PREFIX + name for name in acting],
         )
@@ -154,7 +154,7 @@
             now=now,
             register=PREFIX + service,
             learner=voter.learner,
-            members=voter.voters["members"],
+            members=voter.voters.members,
             own=voter.identity,
             slots=voter.acceptor.slots,
         )
--- a/sailward/control/shards/shard_moves.py
+++ b/sailward/control/shards/shard_moves.py
@@ -62,7 +62,7 @@
             quiescence = Quiescence(
                 service=service.name,
                 number=value["number"],
-                members=learner.voters()["members"],
+                members=learner.voters().members,
                 controllers=controllers,
                 proxies=proxies,
             )
--- a/sailward/proxy/tenant_proxy.py
+++ b/sailward/proxy/tenant_proxy.py
@@ -163,7 +163,7 @@
 
     def _step_lease(self, *, now: float, event: tuple | None) -> list:
         voters = self.learner.voters()
-        addresses = {*voters["members"].values(), *(peer["post"] for peer in self.peer_table.alive(kind="controller"))}
+        addresses = {*voters.members.values(), *(peer["post"] for peer in self.peer_table.alive(kind="controller"))}
         epoch, revision = self.routing_state.endpoint_table.revision
         have = {**self.learner.have(), "workers": [revision, str(epoch), [epoch, ""]]}
         report = {}
--- a/sailward/routing/lease.py
+++ b/sailward/routing/lease.py
@@ -7,6 +7,7 @@
 from sailward import constants
 from sailward.consensus.learner import Learner
 from sailward.consensus.proposer import blocking_of
+from sailward.consensus.voter_set import VoterSet
 from sailward.events import LogEvent, SendMessage
 from sailward.state_machines import Chart
 
@@ -35,7 +36,15 @@
         self._next = -1e9
 
     def step(
-        self, *, now: float, event: tuple | None, voters: dict, addresses: list, report: dict, daemon: dict, have: dict
+        self,
+        *,
+        now: float,
+        event: tuple | None,
+        voters: VoterSet,
+        addresses: list,
+        report: dict,
+        daemon: dict,
+        have: dict,
     ) -> list:
         """Fold what came, judge the lease, ask again when it is time."""
         if event is not None:
@@ -50,14 +59,14 @@
         for grant in self._grants.values():
             grant.until = max(grant.until, self._end_of(grant=grant))
 
-    def until(self, *, voters: dict) -> float:
+    def until(self, *, voters: VoterSet) -> float:
         """When the lease runs out."""
-        members = voters.get("members") or {}
+        members = voters.members
         ends = sorted((grant.until for name, grant in self._grants.items() if name in members), reverse=True)
         need = blocking_of(members=members)
         return ends[need - 1] if members and len(ends) >= need else -1e9
 
-    def is_valid(self, *, now: float, voters: dict) -> bool:
+    def is_valid(self, *, now: float, voters: VoterSet) -> bool:
         """May the proxy act now?"""
         return now < self.until(voters=voters) and all(self._learner.number(name=name) for name in ("config", "voters"))
 
@@ -68,9 +77,9 @@
         body = {"kind": "ask", "seq": self._seq, "have": have, "report": report, "daemon": daemon}
         return [SendMessage(to=address, body=body) for address in addresses]
 
-    def _take_grant(self, *, body: dict, voters: dict) -> None:
+    def _take_grant(self, *, body: dict, voters: VoterSet) -> None:
         requested_at = self._requested_at.get(body["seq"])
-        if requested_at is None or not body["voting"] or body["identity"] not in (voters.get("members") or {}):
+        if requested_at is None or not body["voting"] or body["identity"] not in voters.members:
             return
         grant = self._grants.setdefault(body["identity"], Grant(requested_at=requested_at, newest={}))
         if requested_at < grant.requested_at:
@@ -84,7 +93,7 @@
     def _end_of(self, *, grant: Grant) -> float:
         return -1e9 if self._behind_in(grant=grant) else grant.requested_at + constants.LEASE
 
-    def _judge(self, *, now: float, voters: dict) -> list:
+    def _judge(self, *, now: float, voters: VoterSet) -> list:
         live = [grant for grant in self._grants.values() if now - grant.requested_at < constants.LEASE]
         names = {name for grant in live for name in self._behind_in(grant=grant)}
         self.behind = {name: self.behind.get(name, now) for name in names}
--- a/simulation/hosted/judge_contact.py
+++ b/simulation/hosted/judge_contact.py
@@ -4,6 +4,7 @@
 
 from typing import TYPE_CHECKING
 
+from sailward.consensus.voter_set import VoterSet
 from simulation.rules import Broken
 
 if TYPE_CHECKING:
@@ -121,5 +122,5 @@
 def voters_of(*, world: World) -> list[Machine]:
     """The machines of the newest set of voters that any controller holds at the end of the day."""
     owners = [controller.owner for controller in world.controllers() if controller.owner is not None]
-    newest = max((owner.voters for owner in owners), key=lambda voters: voters["number"], default={"members": {}})
-    return [world.by_post[post].machine for post in newest["members"].values()]
+    newest = max((owner.voters for owner in owners), key=lambda voters: voters.number, default=VoterSet())
+    return [world.by_post[post].machine for post in newest.members.values()]
--- a/simulation/hosted/sabotage.py
+++ b/simulation/hosted/sabotage.py
@@ -132,7 +132,7 @@
 
 
 def _always_serves(old):
-    return lambda self, *, now: bool(self._voter.voters["members"])
+    return lambda self, *, now: bool(self._voter.voters.members)
 
 
 def _judged_by(*, change):
--- a/simulation/model/faults.py
+++ b/simulation/model/faults.py
@@ -5,8 +5,10 @@
 import json
 from collections.abc import Callable
 from contextlib import AbstractContextManager
+from dataclasses import replace
 from unittest import mock
 
+from sailward.consensus.voter_set import VoterSet
 from sailward.control.group import copying, repair, write_ahead
 from sailward.control.group.voter import Voter
 from simulation.model import changes
@@ -21,14 +23,14 @@
 
 def _acts_under_any_set(old: Callable) -> Callable:
     def answer(self, *, now: float, sender: str, body: dict) -> list:
-        return old(self, now=now, sender=sender, body={**body, "voters": self.voters["number"]})
+        return old(self, now=now, sender=sender, body={**body, "voters": self.voters.number})
 
     return answer
 
 
 def _without_set_before(old: Callable) -> Callable:
-    def read(*, value: dict) -> dict:
-        return {**old(value=value), "before": None}
+    def read(*, value: dict) -> VoterSet:
+        return replace(old(value=value), before=None)
 
     return read
 
--- a/simulation/model/node.py
+++ b/simulation/model/node.py
@@ -236,8 +236,8 @@
     told = controller.learner.send(to="", name="voters")
     return Facts(
         identity=controller.identity,
-        number=voters["number"],
-        members=tuple(sorted(voters["members"].items())),
+        number=voters.number,
+        members=tuple(sorted(voters.members.items())),
         is_voting=controller.voting,
         live=frozenset(_work(op=op, work=work) for op, work in controller.proposer._live.items()),
         told=told[0].body if told else {},
--- a/tests/core_net.py
+++ b/tests/core_net.py
@@ -135,9 +135,9 @@
     def members(self) -> list[str]:
         newest = max(
             (machine.controller.voters for machine in self.machines if machine.controller),
-            key=lambda voters: voters["number"],
+            key=lambda voters: voters.number,
         )
-        return sorted(newest["members"].values())
+        return sorted(newest.members.values())
 
     def ask(
         self,
--- a/tests/group_machine.py
+++ b/tests/group_machine.py
@@ -222,8 +222,8 @@
         members = self.group.members
         if self.network != "calm" or any(one.controller is None or one.is_cut for one in members):
             return False
-        sets = {member.controller.voters["number"] for member in members}
-        return len(sets) == 1 and self._count_voting() == len(members[0].controller.voters["members"]) == 3
+        sets = {member.controller.voters.number for member in members}
+        return len(sets) == 1 and self._count_voting() == len(members[0].controller.voters.members) == 3
 
     def _is_caught_up(self) -> bool:
         numbers = {member.controller.learner.number(name="config") for member in self.group.members}
--- a/tests/orders_net.py
+++ b/tests/orders_net.py
@@ -1,8 +1,7 @@
 """Three control machines cut down to what takes orders: acceptor, proposer and operators' interface, step by step.
 
 Messages and answers wait until a test lets them through, loses or doubles them. A crash ends the proposer and the
-operators' interface; what the acceptor voted stays. What operators saw is judged as one history by the linearizability
-check.
+operators' interface; what the acceptor voted stays. What operators saw is judged as one history (linearizability).
 """
 
 from __future__ import annotations
@@ -15,6 +14,7 @@
 from sailward.config.check import Sound
 from sailward.consensus.acceptor import Acceptor, Slots
 from sailward.consensus.proposer import Proposer, StartOperation
+from sailward.consensus.voter_set import VoterSet
 from sailward.control.administration.admin_api import AdminApi
 from sailward.events import ConfigValidated, RequestReceived, Respond, SendMessage, ValidateConfig
 from simulation.linearizability import Operation, Violation, find_violation
@@ -83,7 +83,7 @@
 
     def __init__(self) -> None:
         self.nodes = [Node(name=f"m{at}") for at in range(NODES)]
-        self.voters = {"number": 1, "members": {f"v{at}": one.name for at, one in enumerate(self.nodes)}}
+        self.voters = VoterSet(number=1, members={f"v{at}": node.name for at, node in enumerate(self.nodes)})
         self.now, self.moment = 0.0, 0
         self.messages: list[tuple[str, str, dict]] = []
         self.answers: list[Respond] = []
--- a/tests/storage_machine.py
+++ b/tests/storage_machine.py
@@ -64,7 +64,7 @@
                 sender=PROPOSER, body={"kind": "chosen", "register": "voters", "ballot": ballot, "value": value}
             )
         )
-        self.known_learnt = self.controller.voters["number"]
+        self.known_learnt = self.controller.voters.number
 
     @rule()
     def work(self) -> None:
@@ -124,14 +124,14 @@
             options=ControllerOptions(bootstrap=Bootstrap(is_first=is_first, posts=(POST,)), is_mesh=True),
         )
         self._check_start()
-        self.known_learnt = self.controller.voters["number"]
+        self.known_learnt = self.controller.voters.number
 
     def _check_start(self) -> None:
         controller = self.controller
         if self.promised or self.voted:
             assert controller.identity == self.identity, "another identity"
             assert controller.write_ahead.copied, "it forgot that it has its registers"
-            assert controller.voters["number"] >= self.known_lasting, "it forgot a set of voters"
+            assert controller.voters.number >= self.known_lasting, "it forgot a set of voters"
         for register, ballot in self.promised.items():
             slot = controller.acceptor.slots.get(register)
             assert slot is not None and slot.promised >= ballot, f"{register}: a promise is lost"
@@ -142,7 +142,7 @@
 
     def _on_message(self, *, kind: str, register: str, ballot: list, **fields: object) -> None:
         body = {"kind": kind, "op": f"o{ballot}", "register": register, "ballot": ballot, **fields}
-        self._give(MessageReceived(sender=PROPOSER, body={**body, "voters": self.controller.voters["number"]}))
+        self._give(MessageReceived(sender=PROPOSER, body={**body, "voters": self.controller.voters.number}))
 
     def _give(self, event: object) -> None:
         for command in self.controller.step(now=self.now, event=event):
--- a/tests/test_bootstrap.py
+++ b/tests/test_bootstrap.py
@@ -34,7 +34,7 @@
 def test_three_seeds_found_one_core_without_talk_and_the_fourth_waits() -> None:
     net = found()
     assert [one.name for one in net.voting()] == ["m0", "m1", "m2"]
-    assert {machine.controller.voters["number"] for machine in net.machines} == {1}
+    assert {machine.controller.voters.number for machine in net.machines} == {1}
     put(net, label=3, on="0")
     assert net.members() == sorted(net.posts)
 
--- a/tests/test_copy_sources.py
+++ b/tests/test_copy_sources.py
@@ -46,6 +46,6 @@
     copied_under: int | None, is_copy_source: bool
 ) -> None:
     voter = make_voter(copied_under=copied_under)
-    assert voter.voters["number"] == 3
-    assert NEWCOMER in voter.voters["before"]["members"]
+    assert voter.voters.number == 3
+    assert NEWCOMER in voter.voters.before.members
     assert voter.is_copy_source is is_copy_source
--- a/tests/test_group_machine.py
+++ b/tests/test_group_machine.py
@@ -15,7 +15,9 @@
 
 EXAMPLES = int(os.environ.get("SAILWARD_MODEL_EXAMPLES", "15"))
 """Histories of the sound product; wide runs give more by the environment."""
-PLANTED_EXAMPLES, STEPS = 150, 30
+PLANTED_EXAMPLES, STEPS = 600, 30
+"""Histories in which a planted fault is looked for: the search ends with the first that shows it. What is drawn also
+depends on which constants the loaded modules hold, so that 150, which were enough at first, missed one after a rename."""
 
 
 def run_machine(*, examples: int, phases: tuple = tuple(Phase)) -> None:
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -61,7 +61,7 @@
     group.wipe(member=wiped)
     group.start(member=wiped)
     controllers = [member.controller for member in group.members]
-    assert group.run(seconds=5.0, until=lambda: controllers[2].identity in controllers[0].voters["members"])
+    assert group.run(seconds=5.0, until=lambda: controllers[2].identity in controllers[0].voters.members)
     values = read_metrics(controller=group.members[0].controller, now=group.now)
     assert ("voter_not_voting", "m2") in values
     group.run(seconds=5.0)
--- a/tests/test_second_loss.py
+++ b/tests/test_second_loss.py
@@ -19,9 +19,9 @@
 def bears(net: CoreNet, *, losses: int) -> bool:
     """Would a majority of the newest set act on after so many more losses?"""
     up = [one.controller for one in net.machines if one.controller is not None]
-    newest = max((one.voters for one in up), key=lambda voters: voters["number"])
-    acting = [machine for machine in up if machine.voting and machine.voters["number"] == newest["number"]]
-    return len(acting) - losses >= majority_of(members=newest["members"])
+    newest = max((one.voters for one in up), key=lambda voters: voters.number)
+    acting = [machine for machine in up if machine.voting and machine.voters.number == newest.number]
+    return len(acting) - losses >= majority_of(members=newest.members)
 
 
 def make_core(*, machines: int, budget: int, seed: int = 1, spare: int = 0) -> CoreNet:
