--- a/sailward/config/dialect.py
+++ b/sailward/config/dialect.py
@@ -11,6 +11,7 @@
 from sailward.config.patch import merge_patch
 from sailward.events import RequestReceived, Respond
 from sailward.routing.proxied_request import answer_json
+from sailward.wire_types import RegisterValue
 
 CONFIG_KINDS = ("put", "patch")
 
@@ -46,7 +47,7 @@
     reason: str = ""
     detail: str = ""
     number: int | None = None
-    value: dict = field(default_factory=dict)
+    value: RegisterValue = field(default_factory=lambda: RegisterValue(number=0, mark="", trail=[], text=""))
     faults: tuple = ()
     notes: dict = field(default_factory=dict)
 
@@ -165,7 +166,7 @@
     return Outcome(kind="refused", code=code, reason=reason, detail=detail)
 
 
-def _show(*, token: str, register: str, value: dict) -> Respond:
+def _show(*, token: str, register: str, value: RegisterValue) -> Respond:
     inner = json.loads(value["text"]) if value["text"] else {}
     body = (
         {"number": value["number"], "config": inner.get("written")}
--- a/sailward/consensus/acceptor.py
+++ b/sailward/consensus/acceptor.py
@@ -4,6 +4,8 @@
 
 from dataclasses import dataclass, field
 
+from sailward.wire_types import Ballot, Message, RegisterValue
+
 CLAIM = "exchange/"
 """What the name of a claim's register begins with."""
 KNOWN = "known/voters"
@@ -18,9 +20,9 @@
 class Slot:
     """What a voter remembers of one register."""
 
-    promised: list = field(default_factory=lambda: list(NONE))
-    ballot: list = field(default_factory=lambda: list(NONE))
-    value: dict | None = None
+    promised: Ballot = field(default_factory=lambda: list(NONE))
+    ballot: Ballot = field(default_factory=lambda: list(NONE))
+    value: RegisterValue | None = None
     since: float = 0.0
 
     def vote(self) -> list:
@@ -48,7 +50,7 @@
     def __init__(self, *, slots: Slots) -> None:
         self.slots = slots
 
-    def step(self, *, now: float, body: dict) -> tuple[list[dict], dict]:
+    def step(self, *, now: float, body: Message) -> tuple[list[dict], dict]:
         """Judge one prepare, accept or read."""
         name, op = body["register"], body["op"]
         slot = self.slots.get(name) or Slot()
@@ -73,7 +75,7 @@
         fold_record(slots=self.slots, record=record, now=now)
         return [record], reply
 
-    def _vote_first(self, *, now: float, body: dict, slot: Slot) -> tuple[list[dict], dict]:
+    def _vote_first(self, *, now: float, body: Message, slot: Slot) -> tuple[list[dict], dict]:
         name, op = body["register"], body["op"]
         voted = {"kind": "voted", "op": op, "register": name, "ballot": FIRST}
         if (
@@ -114,7 +116,7 @@
     return records
 
 
-def _nack(*, op: str, name: str, ballot: list, reason: str, highest_round: int) -> dict:
+def _nack(*, op: str, name: str, ballot: Ballot, reason: str, highest_round: int) -> dict:
     return {
         "kind": "nack",
         "op": op,
--- a/sailward/consensus/learner.py
+++ b/sailward/consensus/learner.py
@@ -7,6 +7,7 @@
 from sailward.consensus.proposer import EMPTY
 from sailward.consensus.voter_set import VoterSet, read_voters
 from sailward.events import SendMessage
+from sailward.wire_types import Ballot, RegisterValue
 
 CONTROL = ("config", "orders", "voters")
 
@@ -20,8 +21,8 @@
 class LearnedValue:
     """A register's value that is known to have been chosen."""
 
-    ballot: list = field(default_factory=lambda: [0, ""])
-    value: dict = field(default_factory=lambda: dict(EMPTY))
+    ballot: Ballot = field(default_factory=lambda: [0, ""])
+    value: RegisterValue = field(default_factory=EMPTY.copy)
 
 
 @dataclass(kw_only=True)
@@ -31,11 +32,11 @@
     values: dict = field(default_factory=dict)
     _voters: VoterSet = field(default_factory=VoterSet)
 
-    def is_newer(self, *, name: str, value: dict) -> bool:
+    def is_newer(self, *, name: str, value: RegisterValue) -> bool:
         """Is this value newer than what is held?"""
         return bool(value["number"] > self.number(name=name))
 
-    def step(self, *, name: str, ballot: list, value: dict) -> bool:
+    def step(self, *, name: str, ballot: Ballot, value: RegisterValue) -> bool:
         """Hold this value; is it news?"""
         values = self.values.get(name) or LearnedValue()
         if value["number"] < values.value["number"]:
--- a/sailward/consensus/messages.py
+++ b/sailward/consensus/messages.py
@@ -31,6 +31,7 @@
     record_of,
     row_of,
 )
+from sailward.wire_types import Message
 
 SLOTS = "slots/"
 """What the name of a divided service's register begins with."""
@@ -234,7 +235,7 @@
     reason: str
 
 
-def pack_message(*, body: dict) -> bytes:
+def pack_message(*, body: Message) -> bytes:
     """The bytes of a message."""
     return bytes(flexbuffers.Dumps(body))
 
@@ -265,7 +266,7 @@
     return body
 
 
-def _values_in(*, body: dict) -> list[tuple[str, dict]]:
+def _values_in(*, body: Message) -> list[tuple[str, dict]]:
     """Each value that the message carries, with the register that it belongs to."""
     match body["kind"]:
         case "accept" | "first" | "chosen":
--- a/sailward/consensus/proposer.py
+++ b/sailward/consensus/proposer.py
@@ -10,8 +10,9 @@
 from sailward.consensus.acceptor import FIRST
 from sailward.consensus.voter_set import VoterSet
 from sailward.events import SendMessage
+from sailward.wire_types import Ballot, Message, RegisterValue
 
-EMPTY = {"number": 0, "mark": "", "trail": [], "text": ""}
+EMPTY: RegisterValue = {"number": 0, "mark": "", "trail": [], "text": ""}
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -19,8 +20,8 @@
     """The change with this number was chosen; `value` is what stands now, which may be a later one."""
 
     number: int
-    ballot: list
-    value: dict
+    ballot: Ballot
+    value: RegisterValue
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -28,8 +29,8 @@
     """The change is not in force and never will be; `value` is the current one if it is known."""
 
     reason: str
-    value: dict
-    ballot: list
+    value: RegisterValue
+    ballot: Ballot
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -73,9 +74,9 @@
     voters: Mapping[str, str]
     number: int = 0
     phase: str = "read"
-    ballot: list = field(default_factory=lambda: [0, ""])
+    ballot: Ballot = field(default_factory=lambda: [0, ""])
     answers: dict = field(default_factory=dict)
-    value: dict = field(default_factory=dict)
+    value: RegisterValue = field(default_factory=EMPTY.copy)
     offered: bool = False
     retry_at: float = 0.0
     attempts: int = 0
@@ -163,7 +164,7 @@
         return OperationFinished(op=operation.begin.op, register=operation.begin.register, outcome=outcome)
 
     def _on_reply(
-        self, *, now: float, operation: Operation, sender: str, body: dict
+        self, *, now: float, operation: Operation, sender: str, body: Message
     ) -> tuple[list, list[OperationFinished]]:
         kind = body["kind"]
         if kind == "nack" and operation.phase == "first":
@@ -192,7 +193,7 @@
         operation.phase = "prepare"
         return self._open_round(now=now, operation=operation)
 
-    def _on_nack(self, *, now: float, operation: Operation, body: dict) -> list:
+    def _on_nack(self, *, now: float, operation: Operation, body: Message) -> list:
         if body["reason"] != "promised" or body["ballot"] != operation.ballot or operation.phase == "read":
             return []
         operation.highest_round = max(operation.highest_round, body["round"])
@@ -256,11 +257,11 @@
         return Refused(reason="number", value=operation.value, ballot=operation.ballot)
 
 
-def _read(*, ballot: list, value: dict) -> Accepted:
+def _read(*, ballot: Ballot, value: RegisterValue) -> Accepted:
     return Accepted(number=value["number"], ballot=ballot, value=value)
 
 
-def newest_of(*, votes: list, members: Mapping[str, str]) -> dict:
+def newest_of(*, votes: list, members: Mapping[str, str]) -> RegisterValue:
     """The value that may have been chosen, by the votes of so many voters; empty if none can have been.
 
     Under the first ballot voters may hold different values: one can have been chosen only if so many of
@@ -268,7 +269,7 @@
     """
     cast = [vote for vote in votes if vote]
     top = max((vote[0] for vote in cast), default=[0, ""])
-    newest = [vote[1] for vote in cast if vote[0] == top]
+    newest: list[RegisterValue] = [vote[1] for vote in cast if vote[0] == top]
     if top != FIRST:
         return newest[0] if newest else EMPTY
     need = fast_of(members=members) + len(votes) - len(members)
--- a/sailward/consensus/voter_set.py
+++ b/sailward/consensus/voter_set.py
@@ -6,6 +6,8 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
+from sailward.wire_types import RegisterValue
+
 
 @dataclass(frozen=True, kw_only=True)
 class VoterSet:
@@ -26,7 +28,7 @@
         return {"number": self.number, "members": self.members, "joined": self.joined, "before": before}
 
 
-def read_voters(*, value: dict) -> VoterSet:
+def read_voters(*, value: RegisterValue) -> VoterSet:
     """The voters in a register's value."""
     text = json.loads(value["text"]) if value["text"] else {}
     before = text.get("before")
--- a/sailward/control/bootstrap.py
+++ b/sailward/control/bootstrap.py
@@ -5,6 +5,8 @@
 import json
 from dataclasses import dataclass
 
+from sailward.wire_types import RegisterValue
+
 FIRST_START = "0"
 """The nonce of a founder's identity: the same at every founder, as none of them talks to another."""
 
@@ -34,7 +36,7 @@
         """Does the daemon at this post found the core on an empty disk?"""
         return self.is_first and post in self.founders()
 
-    def value(self) -> dict:
+    def value(self) -> RegisterValue:
         """The first value of the voters register, the same at every founder."""
         members = {make_founder(post=post): post for post in self.founders()}
         text = json.dumps({"members": members, "size": self.target}, sort_keys=True)
--- a/sailward/control/controller.py
+++ b/sailward/control/controller.py
@@ -44,6 +44,7 @@
     TimerFired,
     UnexpectedEvents,
 )
+from sailward.wire_types import Record
 
 NEVER = -1e9
 
@@ -63,7 +64,7 @@
         nonce: str,
         start: int,
         rng: random.Random,
-        records: list[dict],
+        records: list[Record],
         now: float,
         options: ControllerOptions | None = None,
     ) -> None:
@@ -83,7 +84,7 @@
         self._startup_commands = self.voter.begun
         self._health_updated_at, self._rewrite_tried_at = NEVER, NEVER
 
-    def _build_voter(self, *, nonce: str, rng: random.Random, records: list[dict], now: float) -> None:
+    def _build_voter(self, *, nonce: str, rng: random.Random, records: list[Record], now: float) -> None:
         """Votes, learned values, records on the disk, and the proposer of operations on registers."""
         self.voter = Voter(
             location=self.location, nonce=nonce, records=records, now=now, bootstrap=self.options.bootstrap
--- a/sailward/control/endpoints/endpoint_list.py
+++ b/sailward/control/endpoints/endpoint_list.py
@@ -9,6 +9,7 @@
 from sailward.discovery.endpoint_pages import ListReader, Pager
 from sailward.discovery.peer_table import PeerTable
 from sailward.events import CallFinished, Command, LogEvent, RefusedInput
+from sailward.wire_types import Message, RegisterValue
 
 
 class EndpointList:
@@ -29,7 +30,7 @@
         refused: RefusedInput,
     ) -> None:
         self.epoch, self.revision = -1, -1
-        self.value: dict | None = None
+        self.value: RegisterValue | None = None
         self._has_reader = reader is not None
         self._pager = Pager(platform=platform, reader=reader, rate=rate)
         self._listing = EndpointPoller(
@@ -56,7 +57,7 @@
         self._adopt_incarnations()
         return commands, is_newer
 
-    def receive(self, *, now: float, body: dict) -> tuple[list[Command], bool]:
+    def receive(self, *, now: float, body: Message) -> tuple[list[Command], bool]:
         """Take the list of the controller that reads it."""
         commands, is_newer = self._listing.receive(now=now, body=body)
         self._adopt_incarnations()
--- a/sailward/control/endpoints/endpoint_poller.py
+++ b/sailward/control/endpoints/endpoint_poller.py
@@ -11,6 +11,7 @@
 from sailward.discovery.endpoint_rows import UNREADABLE_LIST, is_incarnation, read_workers
 from sailward.discovery.rendezvous import choose_names
 from sailward.events import CallFinished, LogEvent, RefusedInput, SendMessage
+from sailward.wire_types import Message, PeerEntry
 
 
 @dataclass(kw_only=True)
@@ -30,7 +31,7 @@
     refused: RefusedInput = field(default_factory=RefusedInput)
 
     def step(
-        self, *, now: float, event: CallFinished | None, controllers: list[dict], own: dict, is_needed: bool
+        self, *, now: float, event: CallFinished | None, controllers: list[PeerEntry], own: PeerEntry, is_needed: bool
     ) -> tuple[list, bool]:
         """(commands, is the list news).
 
@@ -58,7 +59,7 @@
             commands += [self._send_list(to=controller, rows=complete_list.workers) for controller in controllers]
         return commands, is_newer
 
-    def receive(self, *, now: float, body: dict) -> tuple[list, bool]:
+    def receive(self, *, now: float, body: Message) -> tuple[list, bool]:
         """Take the reader's list."""
         self.last_update_at = now
         if not body["rows"]:
--- a/sailward/control/endpoints/incarnations.py
+++ b/sailward/control/endpoints/incarnations.py
@@ -6,6 +6,7 @@
 from dataclasses import dataclass, field
 
 from sailward import constants
+from sailward.wire_types import RegisterValue
 
 
 @dataclass(kw_only=True)
@@ -17,7 +18,7 @@
 
     post: str
     number: int
-    value: dict | None = None
+    value: RegisterValue | None = None
     rows: dict = field(default_factory=dict)
     slow_start_until: dict = field(default_factory=dict)
 
--- a/sailward/control/group/contact_watch.py
+++ b/sailward/control/group/contact_watch.py
@@ -10,6 +10,7 @@
 from sailward.control.group.voter import Voter
 from sailward.discovery.peer_table import PeerTable
 from sailward.events import Command, LogEvent
+from sailward.wire_types import Message
 
 ANNOUNCED_REGISTERS = ("config", "orders")
 """The registers of which voters tell the newest number that they voted for with their heartbeats."""
@@ -87,7 +88,7 @@
             self.contact.record_question(now=now, question=peer_table.echo_number())
         return commands
 
-    def on_heartbeat(self, *, now: float, sender: str, body: dict) -> None:
+    def on_heartbeat(self, *, now: float, sender: str, body: Message) -> None:
         """A voter's heartbeat answers one from here, and tells the numbers of its newest votes for what is served."""
         echo = body.get("echo")
         is_voter = self._voter.voters.members.get(body["identity"]) == sender
--- a/sailward/control/group/copying.py
+++ b/sailward/control/group/copying.py
@@ -11,6 +11,7 @@
 from sailward.consensus.proposer import blocking_of, majority_of, newest_of
 from sailward.consensus.voter_set import VoterSet, read_voters
 from sailward.events import SendMessage
+from sailward.wire_types import Message
 
 
 @dataclass(kw_only=True)
@@ -105,7 +106,7 @@
             body={"kind": "copy", "after": self.cursors.get(to, ""), "ballot": voters.ballot, "value": voters.value},
         )
 
-    def _fold(self, *, now: float, voters: LearnedValue, sender: str, body: dict) -> list:
+    def _fold(self, *, now: float, voters: LearnedValue, sender: str, body: Message) -> list:
         if (
             body["voters"] != self.number
             or sender not in self.others.values()
--- a/sailward/control/group/disaster_recovery.py
+++ b/sailward/control/group/disaster_recovery.py
@@ -12,6 +12,7 @@
 from sailward.consensus.proposer import blocking_of
 from sailward.control.group.copying import Copying
 from sailward.events import LogEvent
+from sailward.wire_types import RegisterValue
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -33,7 +34,7 @@
     detail: str
 
 
-def read_founding(*, value: dict) -> Founding:
+def read_founding(*, value: RegisterValue) -> Founding:
     """The last founding anew in a register's value: number 0 if there was none."""
     decoded = json.loads(value["text"]).get("anew") if value["text"] else None
     if not decoded:
@@ -47,8 +48,8 @@
 
 
 def make_founding(
-    *, own: str, names: list[str], is_confirmed: bool, value: dict, opened: int, controllers: dict
-) -> dict | NotFounded:
+    *, own: str, names: list[str], is_confirmed: bool, value: RegisterValue, opened: int, controllers: dict
+) -> RegisterValue | NotFounded:
     """The value of the voters register with the named survivors as its only members.
 
     `value` is the newest vote known, `opened` the last founding that acts here, `controllers` those heard of now.
@@ -114,7 +115,7 @@
     return None
 
 
-def _next_founding_number(*, value: dict, survivors: list[str]) -> int:
+def _next_founding_number(*, value: RegisterValue, survivors: list[str]) -> int:
     """A number so far on that no change which the old set may have made can reach the new one.
 
     Within the gap each set of survivors has a place of its own, so that of two foundings on two sides of a partition
@@ -185,7 +186,7 @@
     return merged
 
 
-def log_founding(*, value: dict) -> LogEvent:
+def log_founding(*, value: RegisterValue) -> LogEvent:
     """What the operators read of a founding."""
     founding = read_founding(value=value)
     return LogEvent(
--- a/sailward/control/group/membership.py
+++ b/sailward/control/group/membership.py
@@ -27,6 +27,7 @@
 from sailward.events import Command, LogEvent, RequestReceived, Respond, SendMessage
 from sailward.routing.proxied_request import answer_json
 from sailward.shapes import is_text, list_of, map_of
+from sailward.wire_types import Ballot, Message, Record, RegisterValue
 
 is_members = map_of(is_text)
 is_names = list_of(is_text)
@@ -36,9 +37,9 @@
 class RecoveryOrder:
     """An order to go on with the survivors alone, already voted for here: to be told once `record` is synced."""
 
-    record: dict
-    ballot: list
-    value: dict
+    record: Record
+    ballot: Ballot
+    value: RegisterValue
     answer: Respond
 
 
@@ -93,7 +94,7 @@
                     detail="give members: {identity: address}, this one among them",
                 )
             ]
-        value = {
+        value: RegisterValue = {
             "number": 1,
             "mark": "founded",
             "trail": [],
@@ -154,7 +155,7 @@
         answer = answer_json(token=event.token, code=200, body=body)
         return RecoveryOrder(record=record, ballot=[number, "founder"], value=made, answer=answer)
 
-    def is_out(self, *, value: dict) -> bool:
+    def is_out(self, *, value: RegisterValue) -> bool:
         """Does this chosen set of voters take this controller out? An older one, told late, does not."""
         voter = self._voter
         return (
@@ -163,7 +164,7 @@
             and value["number"] >= voter.voted_voters()["number"]
         )
 
-    def send_page(self, *, sender: str, body: dict) -> list[Command]:
+    def send_page(self, *, sender: str, body: Message) -> list[Command]:
         """A page of all this voter has voted for, to one that copies under the same set."""
         voter, number = self._voter, self._voter.voters.number
         if not voter.is_copy_source or number != body["value"]["number"]:
--- a/sailward/control/group/repair.py
+++ b/sailward/control/group/repair.py
@@ -18,6 +18,7 @@
 from sailward.consensus.proposer import majority_of
 from sailward.consensus.voter_set import VoterSet
 from sailward.discovery.rendezvous import choose_names
+from sailward.wire_types import PeerEntry
 
 
 @dataclass(kw_only=True)
@@ -37,7 +38,7 @@
     due: tuple = (-1, 0.0)
     tried: tuple = (-1, 0.0)
 
-    def step(self, *, now: float, own: str, voters: VoterSet, text: str, controllers: list[dict]) -> str:
+    def step(self, *, now: float, own: str, voters: VoterSet, text: str, controllers: list[PeerEntry]) -> str:
         """Judge by the peer table's living `controllers`; only one of the voters, named by hashing, acts."""
         if now - self.last_check_at < self.every or not text:
             return ""
@@ -185,12 +186,12 @@
     return json.dumps({**value, "members": members, "joined": joined, "before": before}, sort_keys=True)
 
 
-def is_waiting(*, entry: dict, members: Mapping[str, str]) -> bool:
+def is_waiting(*, entry: PeerEntry, members: Mapping[str, str]) -> bool:
     """May this controller be brought in? Not one that says that it acts: it has not heard yet that it was taken out."""
     return bool(entry["identity"]) and entry["identity"] not in members and not (entry["fit"] or entry.get("leaving"))
 
 
-def count_core(*, members: Mapping[str, str], controllers: list[dict]) -> dict:
+def count_core(*, members: Mapping[str, str], controllers: list[PeerEntry]) -> dict:
     """How many voters are heard of as voting, how many a majority needs, and who is missing."""
     well = {entry["identity"] for entry in controllers if entry["fit"]} & set(members)
     return {"voting": len(well), "needed": majority_of(members=members), "missing": sorted(set(members) - well)}
--- a/sailward/control/group/voter.py
+++ b/sailward/control/group/voter.py
@@ -13,6 +13,7 @@
 from sailward.control.group.write_ahead import WriteAhead
 from sailward.discovery.peer_table import Location
 from sailward.events import Command, SendMessage
+from sailward.wire_types import Message, Record, RegisterValue
 
 
 def make_identity(*, name: str, nonce: str) -> str:
@@ -32,7 +33,7 @@
     slots: Slots
 
 
-def read_records(*, records: list[dict], now: float) -> Remembered:
+def read_records(*, records: list[Record], now: float) -> Remembered:
     """Fold the records of the disk, oldest first."""
     identity, copied, under, opened, known, slots = "", False, 0, 0, None, Slots()
     for record in records:
@@ -60,7 +61,7 @@
     """
 
     def __init__(
-        self, *, location: Location, nonce: str, records: list[dict], now: float, bootstrap: Bootstrap | None
+        self, *, location: Location, nonce: str, records: list[Record], now: float, bootstrap: Bootstrap | None
     ) -> None:
         remembered = read_records(records=records, now=now)
         self.location = location
@@ -132,12 +133,12 @@
         """The register of the voters as it is known to be chosen."""
         return self.learner.values.get("voters") or LearnedValue()
 
-    def voted_voters(self) -> dict:
+    def voted_voters(self) -> RegisterValue:
         """The newest value of the voters' register that was voted for here."""
         slot = self.acceptor.slots.get("voters")
         return slot.value if slot and slot.value else LearnedValue().value
 
-    def answer(self, *, now: float, sender: str, body: dict) -> list[Command]:
+    def answer(self, *, now: float, sender: str, body: Message) -> list[Command]:
         """Judge one prepare, accept, first or read; the reply goes when what it tells is synced."""
         if not self.voting:
             return []
@@ -158,7 +159,7 @@
 
     def put(self, *, slots: dict[str, Slot]) -> list[dict]:
         """Take these as voted for; the records that make it last."""
-        records: list[dict] = []
+        records: list[Record] = []
         for name, slot in slots.items():
             self.acceptor.slots[name] = slot
             records += slot_records(name=name, slot=slot)
@@ -186,7 +187,7 @@
             del self.acceptor.slots[name]
         return self.write_ahead.step(records=[{"k": "drop", "r": name} for name in old], replies=[])
 
-    def _found_alone(self, *, now: float, value: dict) -> list[dict]:
+    def _found_alone(self, *, now: float, value: RegisterValue) -> list[dict]:
         """Found the core without talk: the records, which must last before anything is told."""
         ballot = [0, "founder"]
         record = {"k": "vote", "r": "voters", "b": ballot, "v": value}
@@ -196,7 +197,7 @@
         self.learner.step(name="voters", ballot=ballot, value=value)
         return [record, {"k": "copied"}, self.write_ahead.known]
 
-    def _refuse_set(self, *, sender: str, body: dict) -> SendMessage:
+    def _refuse_set(self, *, sender: str, body: Message) -> SendMessage:
         learner = self.learner.values.get("voters")
         return SendMessage(
             to=sender,
--- a/sailward/control/group/write_ahead.py
+++ b/sailward/control/group/write_ahead.py
@@ -8,6 +8,7 @@
 from sailward import constants
 from sailward.consensus.acceptor import KNOWN, slot_records
 from sailward.events import AppendRecords, DiskWriteFailed, ExitProcess, LogEvent, RecordsSynced, RewriteRecords
+from sailward.wire_types import Ballot, RegisterValue
 
 
 @dataclass(kw_only=True)
@@ -61,7 +62,7 @@
         most_bytes = max(constants.REWRITE_BYTES, constants.REWRITE_FACTOR * self.live_size)
         return self.count > most_records or self.size > most_bytes
 
-    def know(self, *, ballot: list, value: dict) -> list:
+    def know(self, *, ballot: Ballot, value: RegisterValue) -> list:
         """Store the voters that are known to be chosen: after a start it is by them that the next set is found."""
         self.known = {"k": "promise", "r": KNOWN, "b": ballot, "v": value}
         return self.step(records=[self.known], replies=[]) if self.usable else []
--- a/sailward/control/message_handlers.py
+++ b/sailward/control/message_handlers.py
@@ -16,6 +16,7 @@
 from sailward.control.shards.shard_leases import ShardLeases
 from sailward.discovery.peer_table import PeerTable
 from sailward.events import Command, LogEvent
+from sailward.wire_types import Message
 
 
 class MessageHandlers:
@@ -43,7 +44,7 @@
         self._is_bootstrapped, self._is_mesh = options.bootstrap is not None, options.is_mesh
         self._handlers = self._table()
 
-    def step(self, *, now: float, sender: str, body: dict) -> list[Command]:
+    def step(self, *, now: float, sender: str, body: Message) -> list[Command]:
         """Give a message to the part that its kind concerns; one that concerns none is logged."""
         handler = self._handlers.get(body["kind"])
         if handler is None:
@@ -70,58 +71,58 @@
             **dict.fromkeys(("gossip", "beat"), self._on_gossip),
         }
 
-    def _on_vote_request(self, *, now: float, sender: str, body: dict) -> list[Command]:
+    def _on_vote_request(self, *, now: float, sender: str, body: Message) -> list[Command]:
         if self._is_bootstrapped and body["voters"] > self._voter.voters.number:
             # who acts under a newer set shows that there is one: ask for it, or read it, soon
             self._membership.request_soon()
             self._catch_up.record_behind(now=now, name="voters")
         return self._voter.answer(now=now, sender=sender, body=body)
 
-    def _on_nack(self, *, now: float, sender: str, body: dict) -> list[Command]:
+    def _on_nack(self, *, now: float, sender: str, body: Message) -> list[Command]:
         if not body["voters"]:
             return self._registers.receive(now=now, sender=sender, body=body)
         ballot, value = body["voters"]
         return self._registers.learn(now=now, name="voters", ballot=ballot, value=value, announce=False)
 
-    def _on_chosen(self, *, now: float, sender: str, body: dict) -> list[Command]:
+    def _on_chosen(self, *, now: float, sender: str, body: Message) -> list[Command]:
         return self._registers.learn(
             now=now, name=body["register"], ballot=body["ballot"], value=body["value"], announce=False
         )
 
-    def _on_push(self, *, now: float, sender: str, body: dict) -> list[Command]:
+    def _on_push(self, *, now: float, sender: str, body: Message) -> list[Command]:
         return self._registers.learn(
             now=now, name=body["name"], ballot=body["ballot"], value=body["value"], announce=False
         )
 
-    def _on_value_request(self, *, now: float, sender: str, body: dict) -> list[Command]:
+    def _on_value_request(self, *, now: float, sender: str, body: Message) -> list[Command]:
         if body["register"] == "fleet":
             return self._on_fleet(now=now, sender=sender, body=body)
         return self._voter.learner.send(to=sender, name=body["register"])
 
-    def _on_fleet(self, *, now: float, sender: str, body: dict) -> list[Command]:
+    def _on_fleet(self, *, now: float, sender: str, body: Message) -> list[Command]:
         return self._proxy_registry.step(now=now, event=(sender, body), proxies=[], controllers=[])
 
-    def _on_list(self, *, now: float, sender: str, body: dict) -> list[Command]:
+    def _on_list(self, *, now: float, sender: str, body: Message) -> list[Command]:
         commands, is_newer = self._endpoint_list.receive(now=now, body=body)
         return commands + (self._serving.push(now=now) if is_newer else [])
 
-    def _on_confirmation(self, *, now: float, sender: str, body: dict) -> list[Command]:
+    def _on_confirmation(self, *, now: float, sender: str, body: Message) -> list[Command]:
         return self._shard_leases.receive(now=now, sender=sender, body=body) if self._shard_leases else []
 
-    def _on_copy(self, *, now: float, sender: str, body: dict) -> list[Command]:
+    def _on_copy(self, *, now: float, sender: str, body: Message) -> list[Command]:
         commands = self._registers.learn(
             now=now, name="voters", ballot=body["ballot"], value=body["value"], announce=False
         )
         return commands + self._membership.send_page(sender=sender, body=body)
 
-    def _on_copied(self, *, now: float, sender: str, body: dict) -> list[Command]:
+    def _on_copied(self, *, now: float, sender: str, body: Message) -> list[Command]:
         return self._membership.take_page(now=now, event=(sender, body))
 
-    def _on_grant(self, *, now: float, sender: str, body: dict) -> list[Command]:
+    def _on_grant(self, *, now: float, sender: str, body: Message) -> list[Command]:
         """The answer to this process's own asking for news: what it lacks is pushed."""
         return []
 
-    def _on_gossip(self, *, now: float, sender: str, body: dict) -> list[Command]:
+    def _on_gossip(self, *, now: float, sender: str, body: Message) -> list[Command]:
         commands = self._peer_table.step(now=now, event=(sender, body))
         if self._is_mesh and any(isinstance(command, LogEvent) for command in commands):
             # one that was lost is back, or this one is
--- a/sailward/control/proxies/proxy_registry.py
+++ b/sailward/control/proxies/proxy_registry.py
@@ -12,6 +12,7 @@
 from sailward.control.proxies.key_loads import KeyLoads, WorkerPaces, has_shifted, read_rates, write_rates
 from sailward.control.proxies.subscribers import Subscriber
 from sailward.events import SendMessage
+from sailward.wire_types import PeerEntry
 
 SAME = ["same"]
 """Rows that are as the receiver has them."""
@@ -56,7 +57,7 @@
     rates_sent: dict = field(default_factory=dict)
     loads_at: float = -1e9
 
-    def step(self, *, now: float, event: tuple | None, proxies: list[Subscriber], controllers: list[dict]) -> list:
+    def step(self, *, now: float, event: tuple | None, proxies: list[Subscriber], controllers: list[PeerEntry]) -> list:
         """A (sender, body) of kind fleet or want, or None for time going on.
 
         `controllers` are those of the peer table that are not lost.
@@ -247,7 +248,7 @@
             if count >= max(constants.DOWN_LEAST, constants.DOWN_SHARE * voices)
         )
 
-    def _compose(self, *, now: float, own: list, controllers: list[dict], down: list) -> None:
+    def _compose(self, *, now: float, own: list, controllers: list[PeerEntry], down: list) -> None:
         rows = {
             row[0]: row for told in self.others.values() if now - told.at < constants.FLEET_TTL for row in told.rows
         }
--- a/sailward/control/proxies/serving.py
+++ b/sailward/control/proxies/serving.py
@@ -19,6 +19,7 @@
 from sailward.control.proxies.subscribers import Subscribers
 from sailward.discovery.peer_table import PeerTable, kind_of
 from sailward.events import Command, SendMessage
+from sailward.wire_types import Message, PeerEntry
 
 
 class Serving:
@@ -54,7 +55,7 @@
         self._tells_fleet, self._is_bootstrapped = options.tells_fleet, options.bootstrap is not None
         self.wall_offset = 0.0
 
-    def answer(self, *, now: float, sender: str, body: dict) -> list[Command]:
+    def answer(self, *, now: float, sender: str, body: Message) -> list[Command]:
         """Answer one `ask`: push what it lacks, and grant."""
         if self._tells_fleet and kind_of(entry=body["daemon"]) != "controller":
             return self._answer_proxy(now=now, sender=sender, body=body)
@@ -70,7 +71,7 @@
         commands += self._record_versions(now=now, sender=sender, have=body["have"])
         return [*commands, self._grant(now=now, sender=sender, body=body, newest=newest)]
 
-    def acknowledge(self, *, now: float, sender: str, body: dict) -> list[Command]:
+    def acknowledge(self, *, now: float, sender: str, body: Message) -> list[Command]:
         """Fold one `ack` of a push."""
         return self._subscribers.step(now=now, event=(sender, body), updates={})
 
@@ -94,7 +95,7 @@
             updates["fleet"] = (fleet["number"], [0, ""], fleet)
         return updates
 
-    def _answer_proxy(self, *, now: float, sender: str, body: dict) -> list[Command]:
+    def _answer_proxy(self, *, now: float, sender: str, body: Message) -> list[Command]:
         """Push what a proxy lacks.
 
         Without contact with a majority only to one that finds no other controller, and marked so.
@@ -108,7 +109,7 @@
         commands += self._record_versions(now=now, sender=sender, have=body["have"])
         return [*commands, self._say_present(sender=sender, body=body, may_serve=may_serve)]
 
-    def _say_present(self, *, sender: str, body: dict, may_serve: bool) -> SendMessage:
+    def _say_present(self, *, sender: str, body: Message, may_serve: bool) -> SendMessage:
         """No lease is asked for: only that this controller is there, where it stands, and whether it has contact.
 
         An answer that does not say has contact. One without names the other controllers that may be asked.
@@ -129,7 +130,7 @@
             grant["controllers"] = other_controllers(peer_table=self._peer_table, members=members, own=location.post)
         return SendMessage(to=sender, body=grant)
 
-    def _grant(self, *, now: float, sender: str, body: dict, newest: dict) -> SendMessage:
+    def _grant(self, *, now: float, sender: str, body: Message, newest: dict) -> SendMessage:
         is_slow_start_over = now - self._subscribers.members[sender].first < constants.SLOW_START_REPORT_INTERVAL
         return SendMessage(
             to=sender,
@@ -159,7 +160,7 @@
                     commands.append(SendMessage(to=sender, body={"kind": "want", "register": name}))
         return commands
 
-    def _on_joiner(self, *, now: float, sender: str, daemon: dict) -> list[Command]:
+    def _on_joiner(self, *, now: float, sender: str, daemon: PeerEntry) -> list[Command]:
         if kind_of(entry=daemon) != "controller":
             return []
         return self._peer_table.step(now=now, event=(sender, {"entries": [daemon], "reply": True}))
--- a/sailward/control/proxies/subscribers.py
+++ b/sailward/control/proxies/subscribers.py
@@ -7,6 +7,7 @@
 from sailward import constants
 from sailward.discovery.peer_table import kind_of
 from sailward.events import SendMessage
+from sailward.wire_types import Ballot, Message, PeerEntry, RegisterValue
 
 OWN_LIST = "workers"
 """The name under which the list of workers is pushed."""
@@ -20,7 +21,7 @@
 class Subscriber:
     """One daemon that asks this controller for its lease."""
 
-    entry: dict
+    entry: PeerEntry
     first: float
     last_seen_at: float
     have: dict = field(default_factory=dict)
@@ -86,7 +87,7 @@
             name: at for name, at in self.active_proxies.items() if now - at < constants.PROXY_ACTIVITY_TTL
         }
 
-    def _fold(self, *, now: float, sender: str, body: dict) -> None:
+    def _fold(self, *, now: float, sender: str, body: Message) -> None:
         member = self.members.get(sender)
         if body["kind"] == "ack":
             if member is not None:
@@ -109,8 +110,8 @@
         member: Subscriber,
         name: str,
         number: int,
-        ballot: list,
-        value: dict,
+        ballot: Ballot,
+        value: RegisterValue,
         is_requested: bool = False,
     ) -> list:
         given = member.have.get(name)
@@ -134,7 +135,15 @@
         return self._send(now=now, address=address, member=member, name=name, at=at, ballot=ballot, value=value)
 
     def _push_own(
-        self, *, now: float, address: str, member: Subscriber, name: str, given: list | None, number: int, value: dict
+        self,
+        *,
+        now: float,
+        address: str,
+        member: Subscriber,
+        name: str,
+        given: list | None,
+        number: int,
+        value: RegisterValue,
     ) -> list:
         teller = given[1] if given else ""
         if teller not in ("", self.post) or (teller == self.post and given[0] == number):
@@ -148,7 +157,15 @@
         )
 
     def _send(
-        self, *, now: float, address: str, member: Subscriber, name: str, at: tuple, ballot: list, value: dict
+        self,
+        *,
+        now: float,
+        address: str,
+        member: Subscriber,
+        name: str,
+        at: tuple,
+        ballot: Ballot,
+        value: RegisterValue,
     ) -> list:
         pushed = member.pushed.get(name)
         if pushed and pushed[0] == at and now - pushed[1] < constants.PUSH_AGAIN:
--- a/sailward/control/registers.py
+++ b/sailward/control/registers.py
@@ -17,6 +17,7 @@
 from sailward.discovery.peer_table import PeerTable
 from sailward.events import CallFinished, Command, LogEvent, RefusedInput, SendMessage
 from sailward.routing.plan import Plan, Unreadable, load_config
+from sailward.wire_types import Ballot, Message, RegisterValue
 
 
 class Registers:
@@ -53,7 +54,7 @@
         commands, finished = self._proposer.step(now=now, voters=self._voter.voters, event=None)
         return commands + self._finish(now=now, finished=finished)
 
-    def receive(self, *, now: float, sender: str, body: dict) -> list[Command]:
+    def receive(self, *, now: float, sender: str, body: Message) -> list[Command]:
         """Take a voter's answer to an operation; only one of a voter of the same set shows contact."""
         if self._contact is not None and body["kind"] != "nack":
             self._contact.on_answer(peer=sender, question=body["op"])
@@ -77,7 +78,7 @@
         commands, begins = self._shard_leases.step(now=now, event=event)
         return commands + self.begin(now=now, begins=begins)
 
-    def learn(self, *, now: float, name: str, ballot: list, value: dict, announce: bool) -> list[Command]:
+    def learn(self, *, now: float, name: str, ballot: Ballot, value: RegisterValue, announce: bool) -> list[Command]:
         """Hold a value that is known to have been chosen, push it on, and `announce` it to the other controllers."""
         if not is_control(name=name):
             return []
@@ -99,7 +100,7 @@
             commands += self._announce_chosen(name=name, ballot=ballot, value=value)
         return [*logs, *self.step_shard_leases(now=now, event=None), *commands]
 
-    def _load_config(self, *, name: str, value: dict) -> tuple[dict, Plan] | Unreadable | None:
+    def _load_config(self, *, name: str, value: RegisterValue) -> tuple[dict, Plan] | Unreadable | None:
         if name != "config" or not self._voter.learner.is_newer(name=name, value=value):
             return None
         return load_config(value=value, expand=self._expand)
@@ -120,7 +121,7 @@
                 commands += more + self.begin(now=now, begins=begins)
         return commands
 
-    def _announce_chosen(self, *, name: str, ballot: list, value: dict) -> list[Command]:
+    def _announce_chosen(self, *, name: str, ballot: Ballot, value: RegisterValue) -> list[Command]:
         body = {"kind": "chosen", "register": name, "ballot": ballot, "value": value}
         posts = {
             *self._voter.voters.members.values(),
--- a/sailward/control/shards/freshness.py
+++ b/sailward/control/shards/freshness.py
@@ -13,6 +13,7 @@
 from sailward.consensus.learner import Learner
 from sailward.consensus.proposer import blocking_of
 from sailward.events import SendMessage
+from sailward.wire_types import Message
 
 NEVER = -1e9
 
@@ -43,7 +44,7 @@
     next_at: float = NEVER
 
     def step(
-        self, *, now: float, body: dict | None, members: Mapping[str, str], number: int, own: str, registers: list
+        self, *, now: float, body: Message | None, members: Mapping[str, str], number: int, own: str, registers: list
     ) -> list:
         """`members` are the voters and `number` their register's, `own` this one's identity."""
         if body is not None:
--- a/sailward/control/shards/grant_targets.py
+++ b/sailward/control/shards/grant_targets.py
@@ -8,6 +8,7 @@
 from sailward.control.shards.grant_calls import NEVER, GrantCalls
 from sailward.control.shards.shard_plan import Span, place, strain, weigh
 from sailward.routing.shards import Shard
+from sailward.wire_types import RegisterValue
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -19,7 +20,7 @@
     keys, `paces` how long workers take for one: (s, from so many times).
     """
 
-    value: dict
+    value: RegisterValue
     workers: dict
     fresh_until: float
     is_acting: bool
--- a/sailward/control/shards/granting.py
+++ b/sailward/control/shards/granting.py
@@ -35,6 +35,7 @@
 from sailward.events import CallFinished
 from sailward.routing.shard_owners import PREFIX
 from sailward.routing.shards import KEYS, MOVING, OPEN, Shard, ShardTable, read_shards, write_shards
+from sailward.wire_types import RegisterValue
 
 
 class Granting:
@@ -89,7 +90,7 @@
     def _sole_at(self) -> float:
         return self._named_at + constants.GRANT_QUIET
 
-    def _take_table(self, *, now: float, value: dict) -> None:
+    def _take_table(self, *, now: float, value: RegisterValue) -> None:
         if value["number"] == self._number:
             return
         before, self._number = self._table, value["number"]
--- a/sailward/control/shards/quiescence.py
+++ b/sailward/control/shards/quiescence.py
@@ -9,6 +9,7 @@
 from sailward.consensus.proposer import majority_of
 from sailward.control.proxies.subscribers import Subscriber
 from sailward.routing.shard_owners import PREFIX
+from sailward.wire_types import PeerEntry
 
 
 @dataclass(kw_only=True)
@@ -56,7 +57,7 @@
     def _voters(self) -> list[dict]:
         return [controller for controller in self.controllers if controller["identity"] in self.members]
 
-    def _is_after(self, *, entry: dict, closing: Closing) -> bool:
+    def _is_after(self, *, entry: PeerEntry, closing: Closing) -> bool:
         start, heartbeat = closing.heartbeats.get(entry["identity"], (None, 0))
         return (
             entry["start"] == start
--- a/sailward/control/shards/shard_leases.py
+++ b/sailward/control/shards/shard_leases.py
@@ -5,12 +5,11 @@
 
 from __future__ import annotations
 
-import json
 from dataclasses import replace
 
 from sailward import constants
 from sailward.consensus.acceptor import newest_vote
-from sailward.consensus.proposer import StartOperation
+from sailward.consensus.proposer import EMPTY, StartOperation
 from sailward.control.endpoints.endpoint_list import EndpointList
 from sailward.control.grant_codec import GrantCodec
 from sailward.control.group.catch_up import CatchUp
@@ -27,6 +26,7 @@
 from sailward.events import CallFinished, Command, SendMessage
 from sailward.routing.routing_state import read_orders
 from sailward.routing.shard_owners import PREFIX
+from sailward.wire_types import Message, RegisterValue
 
 
 class ShardLeases:
@@ -54,7 +54,7 @@
         self._codec, self._lease_max, self._op_prefix = codec, lease_max, op_prefix
         self.freshness = Freshness()
         self.granting: dict[str, Granting] = {}
-        self._listed: dict | None = None
+        self._listed: RegisterValue | None = None
         self._workers: dict[str, Worker] = {}
         self._slow_start: dict[str, float] = {}
         self._emptied: frozenset = frozenset()
@@ -62,7 +62,7 @@
         self._loads: dict[str, tuple[float, dict]] = {}
         self._ops = 0
 
-    def receive(self, *, now: float, sender: str, body: dict) -> list:
+    def receive(self, *, now: float, sender: str, body: Message) -> list:
         """Answer another controller's asking, or fold an answer."""
         voter = self._voter
         if body["kind"] == "confirm":
@@ -159,7 +159,7 @@
             slots=voter.acceptor.slots,
         )
         return GrantContext(
-            value=learned.value if learned else {"number": 0, "text": ""},
+            value=learned.value if learned else EMPTY,
             workers=self._workers,
             fresh_until=fresh_until,
             is_acting=is_acting,
@@ -198,7 +198,7 @@
         if self._endpoint_list.value is not self._listed:
             self._listed = self._endpoint_list.value
             self._workers = {}
-            for row in json.loads(self._listed["text"]):
+            for row in self._endpoint_list.rows():
                 self._workers[row["id"]] = Worker(
                     name=row["id"],
                     generation=0,
--- a/sailward/control/shards/shard_moves.py
+++ b/sailward/control/shards/shard_moves.py
@@ -16,6 +16,7 @@
 from sailward.routing.plan import Plan
 from sailward.routing.routing_state import read_orders
 from sailward.routing.shard_owners import PREFIX
+from sailward.wire_types import PeerEntry, RegisterValue
 
 
 @dataclass(kw_only=True)
@@ -32,10 +33,10 @@
         *,
         now: float,
         own: str,
-        controllers: list[dict],
+        controllers: list[PeerEntry],
         learner: Learner,
         aggregated_health: AggregatedHealth,
-        workers: dict | None,
+        workers: RegisterValue | None,
         epoch: int,
         proxies: list[Subscriber],
     ) -> list[tuple[str, int, str]]:
--- a/sailward/discovery/peer_table.py
+++ b/sailward/discovery/peer_table.py
@@ -7,6 +7,7 @@
 from sailward import constants
 from sailward.discovery.rendezvous import choose_names
 from sailward.events import LogEvent, SendMessage
+from sailward.wire_types import Message, PeerEntry
 
 ENTRY = {
     "id": str,
@@ -28,7 +29,7 @@
 KINDS = {wire_kind: kind for kind, wire_kind in KINDS_ON_WIRE.items()}
 
 
-def kind_of(*, entry: dict) -> str:
+def kind_of(*, entry: PeerEntry) -> str:
     """The kind of the daemon that an entry is of, whatever version wrote it; "" if it gives none."""
     wire_kind = str(entry.get("kind", ""))
     return KINDS.get(wire_kind, wire_kind)
@@ -56,7 +57,7 @@
     whether that one said that it has contact with a majority of the voters.
     """
 
-    entry: dict
+    entry: PeerEntry
     last_seen_at: float
     lost: bool = False
     echoed_heartbeat: int = 0
@@ -139,14 +140,14 @@
         """By what an answer to this heartbeat is known."""
         return echo_number(start=self.start, heartbeat=self.heartbeat)
 
-    def _with_echo(self, *, body: dict, known: PeerState) -> dict:
+    def _with_echo(self, *, body: Message, known: PeerState) -> dict:
         """A voter's heartbeat answers the last one that came from its receiver itself.
 
         And tells the numbers voted for.
         """
         return {**body, "echo": [known.echoed_heartbeat, *self.voted]} if self.fit and known.echoed_heartbeat else body
 
-    def _fold_heartbeat(self, *, now: float, sender: str, body: dict) -> list:
+    def _fold_heartbeat(self, *, now: float, sender: str, body: Message) -> list:
         known = self.known.get(body["id"])
         if known is None or known.entry["start"] != body["start"] or known.entry["post"] != sender:
             # another start, or one not heard of: its whole entry is wanted
@@ -232,7 +233,7 @@
     return (start + heartbeat) % constants.ECHO_NUMBERS + 1
 
 
-def _is_newer(*, entry: dict, known: PeerState) -> bool:
+def _is_newer(*, entry: PeerEntry, known: PeerState) -> bool:
     if known.lost and entry["start"] != known.entry["start"]:
         # a start is a wall time: after the clock was turned back, the new one is the lower
         return True
--- a/sailward/proxy/control_client.py
+++ b/sailward/proxy/control_client.py
@@ -12,6 +12,7 @@
 
 from sailward import constants
 from sailward.events import LogEvent, SendMessage
+from sailward.wire_types import Message
 
 NEVER = -1e9
 
@@ -47,7 +48,7 @@
     began: float = NEVER
     trusted_at: float = NEVER
 
-    def step(self, *, now: float, sender: str | None, body: dict) -> list:
+    def step(self, *, now: float, sender: str | None, body: Message) -> list:
         """Note who answered, or ask those whose turn it is with this body."""
         if sender is not None:
             known = self.known.setdefault(sender, ControllerState(post=sender))
--- a/sailward/proxy/proxy.py
+++ b/sailward/proxy/proxy.py
@@ -46,6 +46,7 @@
 from sailward.routing.zone_health import ZoneHealthTable
 from sailward.state_machines import Chart
 from sailward.wire_names import WireNames
+from sailward.wire_types import Ballot, Message, RegisterValue
 
 STOPPING = Chart(name="stopping")
 
@@ -138,7 +139,7 @@
             return [answer_json(token=event.token, code=200, body=self._show(now=now))]
         return [self.directory.step(event=event, is_ready=self.is_ready)]
 
-    def _on_message(self, *, now: float, sender: str, body: dict) -> list:
+    def _on_message(self, *, now: float, sender: str, body: Message) -> list:
         if body["kind"] == "grant":
             return self.control_client.step(now=now, sender=sender, body=body) + self._request_core(now=now)
         if body["kind"] == "want":
@@ -163,7 +164,7 @@
         commands = self._keep(now=now, name=name, ballot=body["ballot"], value=value)
         return [*commands, ack] if self.learner.number(name=name) >= value["number"] else commands
 
-    def _take_workers(self, *, now: float, value: dict) -> list[Command] | None:
+    def _take_workers(self, *, now: float, value: RegisterValue) -> list[Command] | None:
         rows = read_workers(text=value["text"], check=is_incarnation)
         if rows is None:
             return None
@@ -179,7 +180,7 @@
             )
         return commands + self._count_zones(now=now)
 
-    def _take_fleet(self, *, now: float, value: dict) -> list[Command] | None:
+    def _take_fleet(self, *, now: float, value: RegisterValue) -> list[Command] | None:
         told = read_fleet(text=value["text"])
         if told is None:
             return None
@@ -190,7 +191,7 @@
         self.passive_health.hint(now=now, down=told.down)
         return []
 
-    def _keep(self, *, now: float, name: str, ballot: list, value: dict) -> list:
+    def _keep(self, *, now: float, name: str, ballot: Ballot, value: RegisterValue) -> list:
         plan = self.context.plan
         if name == "config" and self.learner.is_newer(name=name, value=value):
             config = load_config(value=value, expand=self.options.expand)
--- a/sailward/proxy/tenant_proxy.py
+++ b/sailward/proxy/tenant_proxy.py
@@ -41,6 +41,7 @@
 from sailward.routing.routing_state import RoutingState, read_orders
 from sailward.routing.shard_owners import PREFIX as SLOTS
 from sailward.state_machines import Chart
+from sailward.wire_types import Ballot, Message, RegisterValue
 
 STOPPING = Chart(name="stopping")
 ANNOUNCED = ("promise", "voted", "nack", "told")
@@ -139,7 +140,7 @@
         commands, begins = self.exchanges.step(now=now, event=event, acting=self.acting(now=now))
         return commands + self._begin(now=now, begins=begins)
 
-    def _on_message(self, *, now: float, sender: str, body: dict) -> list:
+    def _on_message(self, *, now: float, sender: str, body: Message) -> list:
         kind = body["kind"]
         if kind in ANNOUNCED:
             commands, finished = self.proposer.step(now=now, voters=self.learner.voters(), event=(sender, body))
@@ -156,7 +157,7 @@
             return self.peer_table.step(now=now, event=(sender, body))
         return [LogEvent(event="message-unexpected", fields={"kind": kind, "from": sender})]
 
-    def _take_grant(self, *, now: float, sender: str, body: dict) -> list:
+    def _take_grant(self, *, now: float, sender: str, body: Message) -> list:
         self.routing_state.keep_view(now=now, identity=body["identity"], view=body["view"])
         self.controllers[sender] = (now, body["proxies"])
         return self._step_lease(now=now, event=(sender, body))
@@ -183,7 +184,7 @@
             have=have,
         )
 
-    def _take_push(self, *, now: float, sender: str, body: dict) -> list:
+    def _take_push(self, *, now: float, sender: str, body: Message) -> list:
         name, value = body["name"], body["value"]
         ack = SendMessage(to=sender, body={"kind": "ack", "seq": body["seq"], "name": name, "number": body["number"]})
         if name == "workers":
@@ -195,7 +196,7 @@
         commands = self._keep(now=now, name=name, ballot=body["ballot"], value=value)
         return [*commands, ack] if self.learner.number(name=name) >= value["number"] else commands
 
-    def _take_list(self, *, now: float, value: dict) -> list[Command] | None:
+    def _take_list(self, *, now: float, value: RegisterValue) -> list[Command] | None:
         rows = read_workers(text=value["text"], check=is_generation)
         epoch = value["mark"]
         if rows is None or not (epoch.isascii() and epoch.removeprefix("-").isdigit() and len(epoch) < 20):
@@ -208,7 +209,7 @@
             commands.append(LogEvent(event="workers", fields={"came": len(came), "went": len(went)}))
         return commands + self._count_zones(now=now)
 
-    def _keep(self, *, now: float, name: str, ballot: list, value: dict) -> list:
+    def _keep(self, *, now: float, name: str, ballot: Ballot, value: RegisterValue) -> list:
         plan = self.routing_state.plan
         if name == "config" and self.learner.is_newer(name=name, value=value):
             config = load_config(value=value)
--- a/sailward/routing/idempotency.py
+++ b/sailward/routing/idempotency.py
@@ -12,6 +12,7 @@
 from sailward.routing.idempotency_cache import ClaimMemory, Memory
 from sailward.routing.proxied_request import ProxiedRequest, Refusal
 from sailward.routing.result_replicas import Peer, ResultReplicas, may_keep, spread_copy
+from sailward.wire_types import RegisterValue
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -166,7 +167,7 @@
         return [], [], [Lost(exchange=exchange, refusal=refusal)]
 
     def _take_other(
-        self, *, now: float, exchange: ProxiedRequest, value: dict, memory: Memory | None
+        self, *, now: float, exchange: ProxiedRequest, value: RegisterValue, memory: Memory | None
     ) -> tuple[list, list[StartOperation], list]:
         claim = json.loads(value["text"])
         if claim["i"] == self.identity:
--- a/sailward/routing/plan.py
+++ b/sailward/routing/plan.py
@@ -9,6 +9,7 @@
 from toolz import groupby
 
 from sailward import constants
+from sailward.wire_types import RegisterValue
 
 REPEATABLE, ONCE = "repeatable", "once"
 
@@ -125,7 +126,9 @@
     reason: str
 
 
-def load_config(*, value: dict, expand: Callable[[dict], dict] | None = None) -> tuple[dict, Plan] | Unreadable:
+def load_config(
+    *, value: RegisterValue, expand: Callable[[dict], dict] | None = None
+) -> tuple[dict, Plan] | Unreadable:
     """(full form, plan) of the configuration in a register's value; whatever its text is, nothing is raised."""
     try:
         full = read_full(value=value, expand=expand)
@@ -134,12 +137,12 @@
         return Unreadable(reason=f"{type(fault).__name__}: {fault}"[:200])
 
 
-def read_plan(*, value: dict, expand: Callable[[dict], dict] | None = None) -> Plan:
+def read_plan(*, value: RegisterValue, expand: Callable[[dict], dict] | None = None) -> Plan:
     """The plan in a register's value; `expand` makes the full form of one that holds only what was written."""
     return plan_of(full=read_full(value=value, expand=expand), number=value["number"]) if value["text"] else Plan()
 
 
-def read_full(*, value: dict, expand: Callable[[dict], dict] | None = None) -> dict:
+def read_full(*, value: RegisterValue, expand: Callable[[dict], dict] | None = None) -> dict:
     """The full form of the configuration in a register's value, empty if there is none."""
     inner = json.loads(value["text"]) if value["text"] else {}
     return expand(inner["written"]) if expand and "written" in inner and "full" not in inner else inner.get("full", {})
--- a/sailward/routing/routing_state.py
+++ b/sailward/routing/routing_state.py
@@ -12,6 +12,7 @@
 from sailward.routing.shard_owners import ShardOwners
 from sailward.routing.weighted_draw import ZoneView
 from sailward.routing.zone_health import ZoneHealthTable
+from sailward.wire_types import RegisterValue
 
 
 @dataclass(kw_only=True)
@@ -106,6 +107,6 @@
         return {"halls": zones, "warm": warm, "suspect": suspect}
 
 
-def read_orders(*, value: dict) -> frozenset:
+def read_orders(*, value: RegisterValue) -> frozenset:
     """The emptied zones in the register's value."""
     return frozenset(json.loads(value["text"])["emptied"]) if value["text"] else frozenset()
--- a/sailward/routing/shard_owners.py
+++ b/sailward/routing/shard_owners.py
@@ -7,6 +7,7 @@
 from dataclasses import dataclass, field
 
 from sailward.routing.plan import Plan, Service
+from sailward.wire_types import RegisterValue
 
 PREFIX = "slots/"
 OPEN, CLOSED = 1, 0
@@ -27,7 +28,7 @@
 
     tables: dict = field(default_factory=dict)
 
-    def step(self, *, name: str, value: dict) -> None:
+    def step(self, *, name: str, value: RegisterValue) -> None:
         """Take the newest table of one service."""
         self.tables[name.removeprefix(PREFIX)] = read_table(text=value["text"])
 
--- a/sailward/routing/shards.py
+++ b/sailward/routing/shards.py
@@ -7,6 +7,7 @@
 from dataclasses import dataclass, field
 
 from sailward.routing.shard_owners import PREFIX
+from sailward.wire_types import RegisterValue
 
 KEYS = 1 << 16
 OPEN, MOVING = "open", "moving"
@@ -49,7 +50,7 @@
     tables: dict = field(default_factory=dict)
     _starts: dict = field(default_factory=dict)
 
-    def step(self, *, name: str, value: dict) -> None:
+    def step(self, *, name: str, value: RegisterValue) -> None:
         """Take the newest table of one service."""
         service = name.removeprefix(PREFIX)
         table = read_shards(text=value["text"])
