--- a/sailward/consensus/learner.py
+++ b/sailward/consensus/learner.py
@@ -6,7 +6,7 @@
 
 from sailward.consensus.proposer import EMPTY
 from sailward.consensus.voter_set import VoterSet, read_voters
-from sailward.events import SendMessage
+from sailward.events import Command, SendMessage
 from sailward.wire_types import Ballot, RegisterValue
 
 CONTROL = ("config", "orders", "voters")
@@ -51,7 +51,7 @@
         """The number held, 0 if none."""
         return self.values[name].value["number"] if name in self.values else 0
 
-    def send(self, *, to: str, name: str) -> list:
+    def send(self, *, to: str, name: str) -> list[Command]:
         """Give one who lost it what is held of a register."""
         values = self.values.get(name)
         return (
--- a/sailward/consensus/proposer.py
+++ b/sailward/consensus/proposer.py
@@ -5,11 +5,12 @@
 import random
 from collections.abc import Mapping
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from sailward import constants
 from sailward.consensus.acceptor import FIRST
 from sailward.consensus.voter_set import VoterSet
-from sailward.events import SendMessage
+from sailward.events import Command, SendMessage
 from sailward.wire_types import Ballot, Message, RegisterValue
 
 EMPTY: RegisterValue = {"number": 0, "mark": "", "trail": [], "text": ""}
@@ -84,6 +85,20 @@
     against: set = field(default_factory=set)
 
 
+class ProposerResult(NamedTuple):
+    """What a step of the proposer gives: commands to carry out, and the operations that ended with it."""
+
+    commands: list[Command]
+    finished: list[OperationFinished]
+
+
+class StepResult(NamedTuple):
+    """What a step of an owner gives that changes registers: commands to carry out, and operations to start."""
+
+    commands: list[Command]
+    operations: list[StartOperation]
+
+
 class Proposer:
     """Owner of the operations that this process has begun. `step` gives (commands, settled)."""
 
@@ -94,7 +109,7 @@
         self._live: dict[str, Operation] = {}
         self._round = 0
 
-    def step(self, *, now: float, voters: VoterSet, event: object) -> tuple[list, list[OperationFinished]]:
+    def step(self, *, now: float, voters: VoterSet, event: object) -> ProposerResult:
         """Take a Begin, a message from a voter (sender, body), or None for time going on."""
         if isinstance(event, StartOperation):
             return self._begin(now=now, voters=voters, begin=event)
@@ -104,13 +119,13 @@
         # the op on the wire carries the process's name, so that no other's is taken for it
         operation = self._live.get(body["op"])
         if operation is None or body["register"] != operation.begin.register or sender not in operation.voters.values():
-            return [], []
+            return ProposerResult([], [])
         return self._on_reply(now=now, operation=operation, sender=sender, body=body)
 
-    def _begin(self, *, now: float, voters: VoterSet, begin: StartOperation) -> tuple[list, list[OperationFinished]]:
+    def _begin(self, *, now: float, voters: VoterSet, begin: StartOperation) -> ProposerResult:
         if not voters.members:
             outcome = Refused(reason="no-voters", value=EMPTY, ballot=[0, ""])
-            return [], [OperationFinished(op=begin.op, register=begin.register, outcome=outcome)]
+            return ProposerResult([], [OperationFinished(op=begin.op, register=begin.register, outcome=outcome)])
         self._count += 1
         operation = Operation(
             begin=begin,
@@ -125,9 +140,9 @@
         if begin.first and begin.expected == 0 and begin.text is not None:
             operation.phase, operation.ballot, operation.offered = "first", FIRST, True
             operation.value = {"number": 1, "mark": operation.mark, "trail": [], "text": begin.text}
-        return self._open_round(now=now, operation=operation), []
+        return ProposerResult(self._open_round(now=now, operation=operation), [])
 
-    def _open_round(self, *, now: float, operation: Operation) -> list:
+    def _open_round(self, *, now: float, operation: Operation) -> list[Command]:
         size = len(operation.begin.text or "") + len(operation.value.get("text", ""))
         operation.answers, operation.retry_at = {}, now + constants.ROUND_WAIT + size * constants.ROUND_PER_BYTE
         body = {"op": operation.begin.op, "register": operation.begin.register, "voters": operation.number}
@@ -143,7 +158,7 @@
             body |= {"kind": "accept", "ballot": operation.ballot, "value": operation.value}
         return [SendMessage(to=address, body=body) for address in sorted(set(operation.voters.values()))]
 
-    def _on_timer(self, *, now: float, voters: VoterSet) -> tuple[list, list[OperationFinished]]:
+    def _on_timer(self, *, now: float, voters: VoterSet) -> ProposerResult:
         commands, finished = [], []
         for operation in list(self._live.values()):
             if now >= operation.expiry:
@@ -152,7 +167,7 @@
                 operation.voters, operation.number = voters.members, voters.number
                 operation.phase, operation.attempts = "prepare", operation.attempts + 1
                 commands += self._open_round(now=now, operation=operation)
-        return commands, finished
+        return ProposerResult(commands, finished)
 
     def _give_up(self, *, operation: Operation) -> OperationFinished:
         if operation.offered:
@@ -163,37 +178,35 @@
         del self._live[operation.begin.op]
         return OperationFinished(op=operation.begin.op, register=operation.begin.register, outcome=outcome)
 
-    def _on_reply(
-        self, *, now: float, operation: Operation, sender: str, body: Message
-    ) -> tuple[list, list[OperationFinished]]:
+    def _on_reply(self, *, now: float, operation: Operation, sender: str, body: Message) -> ProposerResult:
         kind = body["kind"]
         if kind == "nack" and operation.phase == "first":
-            return self._on_register_taken(now=now, operation=operation, sender=sender), []
+            return ProposerResult(self._on_register_taken(now=now, operation=operation, sender=sender), [])
         if kind == "nack":
-            return self._on_nack(now=now, operation=operation, body=body), []
+            return ProposerResult(self._on_nack(now=now, operation=operation, body=body), [])
         expected = {"first": "voted", "read": "told", "prepare": "promise", "accept": "voted"}[operation.phase]
         if kind != expected or (kind != "told" and body["ballot"] != operation.ballot):
-            return [], []
+            return ProposerResult([], [])
         operation.answers[sender] = body.get("vote", [])
         need = (
             fast_of(members=operation.voters) if operation.phase == "first" else majority_of(members=operation.voters)
         )
         if len(operation.answers) < need:
-            return [], []
+            return ProposerResult([], [])
         if operation.phase == "read":
             return self._judge_read(now=now, operation=operation)
         if operation.phase == "prepare":
             return self._judge_promises(now=now, operation=operation)
-        return [], [self._finish(operation=operation, outcome=self._judge_votes(operation=operation))]
+        return ProposerResult([], [self._finish(operation=operation, outcome=self._judge_votes(operation=operation))])
 
-    def _on_register_taken(self, *, now: float, operation: Operation, sender: str) -> list:
+    def _on_register_taken(self, *, now: float, operation: Operation, sender: str) -> list[Command]:
         operation.against.add(sender)
         if len(operation.against) <= len(operation.voters) - fast_of(members=operation.voters):
             return []
         operation.phase = "prepare"
         return self._open_round(now=now, operation=operation)
 
-    def _on_nack(self, *, now: float, operation: Operation, body: Message) -> list:
+    def _on_nack(self, *, now: float, operation: Operation, body: Message) -> list[Command]:
         if body["reason"] != "promised" or body["ballot"] != operation.ballot or operation.phase == "read":
             return []
         operation.highest_round = max(operation.highest_round, body["round"])
@@ -203,20 +216,22 @@
         operation.ballot, operation.answers = [0, ""], {}
         return []
 
-    def _judge_read(self, *, now: float, operation: Operation) -> tuple[list, list[OperationFinished]]:
+    def _judge_read(self, *, now: float, operation: Operation) -> ProposerResult:
         votes = list(operation.answers.values())
         for vote in votes:
             is_first = bool(vote) and vote[0] == FIRST
             need = fast_of(members=operation.voters) if is_first else majority_of(members=operation.voters)
             if votes.count(vote) >= need:
                 ballot, value = vote if vote else ([0, ""], EMPTY)
-                return [], [self._finish(operation=operation, outcome=_read(ballot=ballot, value=value))]
+                return ProposerResult(
+                    [], [self._finish(operation=operation, outcome=_read(ballot=ballot, value=value))]
+                )
         operation.retry_at = (
             now if len(votes) == len(operation.voters) else min(operation.retry_at, now + constants.BACKOFF)
         )
-        return [], []
+        return ProposerResult([], [])
 
-    def _judge_promises(self, *, now: float, operation: Operation) -> tuple[list, list[OperationFinished]]:
+    def _judge_promises(self, *, now: float, operation: Operation) -> ProposerResult:
         value = newest_of(votes=list(operation.answers.values()), members=operation.voters)
         begin = operation.begin
         if begin.text is None or operation.mark in (value["mark"], *value["trail"]):
@@ -233,13 +248,16 @@
         else:
             operation.value = value
         if operation.value["number"] == 0:
-            return [], [
-                self._finish(operation=operation, outcome=_read(ballot=[0, ""], value=EMPTY))
-                if begin.text is None
-                else self._refuse(operation=operation)
-            ]
+            return ProposerResult(
+                [],
+                [
+                    self._finish(operation=operation, outcome=_read(ballot=[0, ""], value=EMPTY))
+                    if begin.text is None
+                    else self._refuse(operation=operation)
+                ],
+            )
         operation.phase = "accept"
-        return self._open_round(now=now, operation=operation), []
+        return ProposerResult(self._open_round(now=now, operation=operation), [])
 
     def _refuse(self, *, operation: Operation) -> OperationFinished:
         return self._finish(
--- a/sailward/control/administration/admin_api.py
+++ b/sailward/control/administration/admin_api.py
@@ -15,11 +15,11 @@
 from sailward.config.check import Fault, Sound, Unsound
 from sailward.config.dialect import Dialect, Order, Outcome, OwnDialect, refused_unsound
 from sailward.config.history import Labelled, Verdict, read_labelled, write_labelled
-from sailward.consensus.proposer import Accepted, OperationFinished, Refused, StartOperation, Unknown
+from sailward.consensus.proposer import Accepted, OperationFinished, Refused, StartOperation, StepResult, Unknown
 from sailward.control.administration.residency import find_homeless
 from sailward.control.administration.zone_orders import read_zone_orders, write_zone_orders
 from sailward.control.group.repair import change_members, keeps_majority
-from sailward.events import ConfigValidated, LogEvent, RequestReceived, ValidateConfig
+from sailward.events import Command, ConfigValidated, LogEvent, RequestReceived, ValidateConfig
 
 
 @dataclass(kw_only=True)
@@ -61,21 +61,21 @@
     controllers: dict = field(default_factory=dict)
     outcomes: Counter = field(default_factory=Counter)
 
-    def step(self, *, event: RequestReceived | OperationFinished | ConfigValidated) -> tuple[list, list]:
+    def step(self, *, event: RequestReceived | OperationFinished | ConfigValidated) -> StepResult:
         """Take an operator's exchange, the end of an operation begun for one, or of a check."""
         match event:
             case RequestReceived():
                 return self._on_request(event=event)
             case ConfigValidated():
                 job = self.jobs.pop(event.token, None)
-                return self._after_check(job=job, verdict=event.verdict) if job else ([], [])
+                return self._after_check(job=job, verdict=event.verdict) if job else StepResult([], [])
             case OperationFinished():
                 return self._on_operation_finished(event=event)
 
-    def _on_operation_finished(self, *, event: OperationFinished) -> tuple[list, list]:
+    def _on_operation_finished(self, *, event: OperationFinished) -> StepResult:
         job = self.jobs.pop(event.op, None)
         if job is None:
-            return [], []
+            return StepResult([], [])
         if event.op.endswith("/read"):
             return self._after_read(job=job, outcome=event.outcome)
         return self._after_change(job=job, outcome=event.outcome)
@@ -88,7 +88,7 @@
         for job in self.jobs.values():
             job.is_left = job.is_left or job.token == token
 
-    def _on_request(self, *, event: RequestReceived) -> tuple[list, list]:
+    def _on_request(self, *, event: RequestReceived) -> StepResult:
         dialect, order = self.dialect, self.dialect.read(event=event)
         if order is None:
             dialect = OwnDialect()
@@ -99,8 +99,8 @@
             )
         if isinstance(order, Outcome):
             self.outcomes[order.kind] += 1
-            return [dialect.answer(token=event.token, order=None, outcome=order)], []
-        return [], [self._begin_read(job=Job(token=event.token, order=order, dialect=dialect))]
+            return StepResult([dialect.answer(token=event.token, order=None, outcome=order)], [])
+        return StepResult([], [self._begin_read(job=Job(token=event.token, order=order, dialect=dialect))])
 
     def _begin(self, *, job: Job, kind: str, **fields: object) -> StartOperation:
         self.count += 1
@@ -113,7 +113,7 @@
         timeout = min(self.timeout, constants.ORDER_READ_WAIT) if is_zone_order else self.timeout
         return self._begin(job=job, kind="read", timeout=timeout)
 
-    def give_up(self, *, now: float, is_lost: bool) -> list:
+    def give_up(self, *, now: float, is_lost: bool) -> list[Command]:
         """Answer those for which no majority answered in OPERATOR_PATIENCE, and all if contact is lost: 503, come back.
 
         An order on a zone whose change has not begun never begins. A configuration goes on, also after its answer: it
@@ -132,13 +132,13 @@
                 del self.jobs[op]
         return commands
 
-    def _end(self, *, job: Job, outcome: Outcome) -> tuple[list, list]:
+    def _end(self, *, job: Job, outcome: Outcome) -> StepResult:
         if job.is_answered:
-            return [], []
+            return StepResult([], [])
         self.outcomes[outcome.kind] += 1
-        return [job.dialect.answer(token=job.token, order=job.order, outcome=outcome)], []
+        return StepResult([job.dialect.answer(token=job.token, order=job.order, outcome=outcome)], [])
 
-    def _after_read(self, *, job: Job, outcome: Accepted | Refused | Unknown) -> tuple[list, list]:
+    def _after_read(self, *, job: Job, outcome: Accepted | Refused | Unknown) -> StepResult:
         if not isinstance(outcome, Accepted):
             return self._end(
                 job=job,
@@ -163,20 +163,20 @@
             made = (self._make_orders if job.order.register == "orders" else self._make_voters)(job=job)
             if isinstance(made, Outcome):
                 return self._end(job=job, outcome=made)
-            return [], [self._begin_change(job=job, text=made)]
+            return StepResult([], [self._begin_change(job=job, text=made)])
         written = json.loads(job.text)["written"] if job.text else {}
         return self._begin_check(job=job, written=written)
 
-    def _drop(self, *, job: Job) -> tuple[list, list]:
+    def _drop(self, *, job: Job) -> StepResult:
         log = LogEvent(event="order-dropped", fields={"register": job.order.register, "by": job.order.kind})
         # who closed only its side of the connection still reads
         outcome = Outcome(
             kind="unavailable", code=503, reason="caller-left", detail="the caller left: nothing was changed"
         )
         commands, begins = self._end(job=job, outcome=outcome)
-        return [log, *commands], begins
+        return StepResult([log, *commands], begins)
 
-    def _weigh_labelled(self, *, job: Job) -> tuple[list, list]:
+    def _weigh_labelled(self, *, job: Job) -> StepResult:
         """Judge a change of a labelled configuration by the one that is current."""
         order, current = job.order, read_labelled(text=job.text)
         verdict = current.judge(expected=order.expected or 0, digest=order.digest)
@@ -193,7 +193,7 @@
             return self._end(job=job, outcome=_stale(number=current.label, detail=detail))
         return self._end(job=job, outcome=_unjudged(verdict=verdict, order=order, current=current))
 
-    def _begin_check(self, *, job: Job, written: dict, current: Labelled | None = None) -> tuple[list, list]:
+    def _begin_check(self, *, job: Job, written: dict, current: Labelled | None = None) -> StepResult:
         given = job.order.given
         if job.order.kind == "patch":
             given = job.dialect.merge(written=written, patch=given)
@@ -206,7 +206,7 @@
         self.count += 1
         token = f"{self.identity}/desk{self.count}/check"
         self.jobs[token] = job
-        return [ValidateConfig(token=token, config=config)], []
+        return StepResult([ValidateConfig(token=token, config=config)], [])
 
     def _begin_change(self, *, job: Job, text: str) -> StartOperation:
         return self._begin(
@@ -217,7 +217,7 @@
             timeout=self.timeout + len(text) * constants.ROUND_PER_BYTE,
         )
 
-    def _after_check(self, *, job: Job, verdict: Sound | Unsound) -> tuple[list, list]:
+    def _after_check(self, *, job: Job, verdict: Sound | Unsound) -> StepResult:
         if isinstance(verdict, Unsound):
             return self._end(job=job, outcome=refused_unsound(unsound=verdict))
         job.notes = {"warnings": [{"path": warning.path, "reason": warning.reason} for warning in verdict.warnings]}
@@ -244,7 +244,7 @@
                     kind="refused", code=413, reason="too-large", detail="too large with its templates stamped out"
                 ),
             )
-        return [], [self._begin_change(job=job, text=text)]
+        return StepResult([], [self._begin_change(job=job, text=text)])
 
     def _make_orders(self, *, job: Job) -> str | Outcome:
         """The register's text with this order taken, or why it is not."""
@@ -299,7 +299,7 @@
         size = len(json.loads(text)["members"])
         return json.dumps({**json.loads(text), "size": size}, sort_keys=True)
 
-    def _after_change(self, *, job: Job, outcome: Accepted | Refused | Unknown) -> tuple[list, list]:
+    def _after_change(self, *, job: Job, outcome: Accepted | Refused | Unknown) -> StepResult:
         if isinstance(outcome, Accepted):
             fields = {"register": job.order.register, "number": outcome.number, "by": job.order.kind}
             if job.order.digest:
@@ -308,7 +308,7 @@
             commands, begins = self._end(
                 job=job, outcome=Outcome(kind="accepted", number=outcome.number, notes=job.notes)
             )
-            return [log, *commands], begins
+            return StepResult([log, *commands], begins)
         if isinstance(outcome, Unknown):
             return self._end(
                 job=job,
@@ -326,7 +326,7 @@
             )
         job.turns += 1
         if (job.order.register == "orders" or job.dialect.is_labelled) and job.turns < constants.ORDER_TURNS:
-            return [], [self._begin_read(job=job)]
+            return StepResult([], [self._begin_read(job=job)])
         if job.dialect.is_labelled:
             # who won may have been this very change, taken by another controller: nothing definite can be said
             return self._end(
--- a/sailward/control/group/copying.py
+++ b/sailward/control/group/copying.py
@@ -10,7 +10,7 @@
 from sailward.consensus.learner import LearnedValue
 from sailward.consensus.proposer import blocking_of, majority_of, newest_of
 from sailward.consensus.voter_set import VoterSet, read_voters
-from sailward.events import SendMessage
+from sailward.events import Command, SendMessage
 from sailward.wire_types import Message
 
 
@@ -32,7 +32,7 @@
     retry_at: float = -1e9
     backoff: float = field(default_factory=lambda: constants.COPY_AGAIN)
 
-    def step(self, *, now: float, voters: LearnedValue, event: tuple | None) -> list:
+    def step(self, *, now: float, voters: LearnedValue, event: tuple | None) -> list[Command]:
         """Take a (sender, copied) or None for time going on."""
         members = read_voters(value=voters.value)
         if members.number != self.number:
@@ -106,7 +106,7 @@
             body={"kind": "copy", "after": self.cursors.get(to, ""), "ballot": voters.ballot, "value": voters.value},
         )
 
-    def _fold(self, *, now: float, voters: LearnedValue, sender: str, body: Message) -> list:
+    def _fold(self, *, now: float, voters: LearnedValue, sender: str, body: Message) -> list[Command]:
         if (
             body["voters"] != self.number
             or sender not in self.others.values()
--- a/sailward/control/group/disaster_recovery.py
+++ b/sailward/control/group/disaster_recovery.py
@@ -11,7 +11,7 @@
 from sailward.consensus.learner import LearnedValue
 from sailward.consensus.proposer import blocking_of
 from sailward.control.group.copying import Copying
-from sailward.events import LogEvent
+from sailward.events import Command, LogEvent
 from sailward.wire_types import RegisterValue
 
 
@@ -140,7 +140,7 @@
     number: int = 0
     since: float = -1e9
 
-    def step(self, *, now: float, voters: LearnedValue, event: tuple | None) -> list:
+    def step(self, *, now: float, voters: LearnedValue, event: tuple | None) -> list[Command]:
         """Take a (sender, copied) or None for time going on."""
         self.note(now=now, voters=voters)
         return self.copying.step(now=now, voters=voters, event=event)
--- a/sailward/control/group/membership.py
+++ b/sailward/control/group/membership.py
@@ -10,7 +10,7 @@
 from sailward.config.check import Unsound, read_config
 from sailward.consensus.acceptor import Slot, fold_record
 from sailward.consensus.learner import is_control
-from sailward.consensus.proposer import StartOperation
+from sailward.consensus.proposer import StartOperation, StepResult
 from sailward.consensus.voter_set import read_voters
 from sailward.control.controller_options import ControllerOptions
 from sailward.control.group.copying import Copying, copy_page
@@ -61,7 +61,7 @@
         self._short_since, self._short_reported = now, False
         self._ops = 0
 
-    def step(self, *, now: float) -> tuple[list[Command], list[StartOperation]]:
+    def step(self, *, now: float) -> StepResult:
         """Say when the core is short; copy, found anew, repair, or ask for news."""
         others = self._peer_table.alive(kind="controller")
         self.controllers = {other["identity"]: other for other in [*others, self._peer_table.own_entry()]}
@@ -69,8 +69,8 @@
         # one that does not act yet watches the voters too: when it joins it knows for how long each was lost
         more, begins = self._repair(now=now, others=others)
         if self._voter.voting:
-            return commands + more, begins
-        return commands + self._catch_up(now=now) + self._request_updates(now=now, others=others), []
+            return StepResult(commands + more, begins)
+        return StepResult(commands + self._catch_up(now=now) + self._request_updates(now=now, others=others), [])
 
     def has_unknown_outcomes(self, *, now: float) -> bool:
         """May claims have been lost whose life is not over?"""
@@ -81,7 +81,7 @@
         """Others know newer voters: ask for them at the next look."""
         self._requested_at = -1e9
 
-    def found(self, *, now: float, event: RequestReceived) -> list:
+    def found(self, *, now: float, event: RequestReceived) -> list[Command]:
         """Join new controllers into a core: the same value at each of them."""
         voter = self._voter
         members = _read_field(event=event, name="members")
@@ -179,7 +179,7 @@
             del self._names[sender]
         return voter.write_ahead.step(records=[], replies=[SendMessage(to=sender, body=page)])
 
-    def take_page(self, *, now: float, event: tuple) -> list:
+    def take_page(self, *, now: float, event: tuple) -> list[Command]:
         """Fold a page; with the last one this controller may act."""
         voter = self._voter
         if "voters" not in voter.learner.values:
@@ -209,7 +209,7 @@
         ]
         return commands + (self._announce() if self._options.bootstrap else [])
 
-    def _announce(self) -> list:
+    def _announce(self) -> list[Command]:
         """Tell the other voters at once that this one acts: gossip would take its rounds."""
         peer_table = self._peer_table
         peer_table.fit, peer_table.heartbeat = True, peer_table.heartbeat + 1
@@ -219,11 +219,11 @@
             for post in sorted({*self._voter.voters.members.values()} - {peer_table.location.post})
         ]
 
-    def _opened(self) -> list:
+    def _opened(self) -> list[Record]:
         opened = self._voter.write_ahead.opened
         return [{"k": "opened", "n": opened}] if opened else []
 
-    def _step_recovery(self, *, now: float, event: tuple | None) -> list:
+    def _step_recovery(self, *, now: float, event: tuple | None) -> list[Command]:
         voter = self._voter
         commands = self.recovery.step(now=now, voters=voter.learned_voters(), event=event)
         if not self.recovery.is_over(now=now):
@@ -249,7 +249,7 @@
         )
         return [*commands, log, *voter.write_ahead.step(records=[*voter.put(slots=slots), *self._opened()], replies=[])]
 
-    def _repair(self, *, now: float, others: list[dict]) -> tuple[list[Command], list[StartOperation]]:
+    def _repair(self, *, now: float, others: list[dict]) -> StepResult:
         voter = self._voter
         text = self.repair.step(
             now=now,
@@ -259,7 +259,7 @@
             controllers=[*others, self._peer_table.own_entry()],
         )
         if not text:
-            return [], []
+            return StepResult([], [])
         self._ops += 1
         begin = StartOperation(
             op=f"{self._op_prefix}/repair{self._ops}",
@@ -267,7 +267,7 @@
             expected=voter.voters.number,
             text=text,
         )
-        return [LogEvent(event="voters-change", fields={"from": voter.voters.number, "to": text})], [begin]
+        return StepResult([LogEvent(event="voters-change", fields={"from": voter.voters.number, "to": text})], [begin])
 
     def _catch_up(self, *, now: float) -> list[Command]:
         """Copy what the voters hold, or open a founding anew."""
--- a/sailward/control/group/write_ahead.py
+++ b/sailward/control/group/write_ahead.py
@@ -7,7 +7,15 @@
 
 from sailward import constants
 from sailward.consensus.acceptor import KNOWN, slot_records
-from sailward.events import AppendRecords, DiskWriteFailed, ExitProcess, LogEvent, RecordsSynced, RewriteRecords
+from sailward.events import (
+    AppendRecords,
+    Command,
+    DiskWriteFailed,
+    ExitProcess,
+    LogEvent,
+    RecordsSynced,
+    RewriteRecords,
+)
 from sailward.wire_types import Ballot, RegisterValue
 
 
@@ -34,7 +42,7 @@
     rewriting: int = 0
     waiting: deque = field(default_factory=deque)
 
-    def step(self, *, records: list, replies: list) -> list:
+    def step(self, *, records: list, replies: list) -> list[Command]:
         """Store the records; let the replies go only when all before them is synced."""
         commands: list = []
         if records:
@@ -62,7 +70,7 @@
         most_bytes = max(constants.REWRITE_BYTES, constants.REWRITE_FACTOR * self.live_size)
         return self.count > most_records or self.size > most_bytes
 
-    def know(self, *, ballot: Ballot, value: RegisterValue) -> list:
+    def know(self, *, ballot: Ballot, value: RegisterValue) -> list[Command]:
         """Store the voters that are known to be chosen: after a start it is by them that the next set is found."""
         self.known = {"k": "promise", "r": KNOWN, "b": ballot, "v": value}
         return self.step(records=[self.known], replies=[]) if self.usable else []
@@ -90,7 +98,7 @@
             records += slot_records(name=name, slot=slot)
         return records
 
-    def receive(self, *, event: RecordsSynced | DiskWriteFailed) -> list:
+    def receive(self, *, event: RecordsSynced | DiskWriteFailed) -> list[Command]:
         """Fold the disk's word: what waited goes out, or is dropped for good."""
         if isinstance(event, DiskWriteFailed):
             self.usable, self.rewriting = False, 0
--- a/sailward/control/proxies/aggregated_health.py
+++ b/sailward/control/proxies/aggregated_health.py
@@ -6,6 +6,7 @@
 
 from sailward import constants
 from sailward.control.proxies.subscribers import Subscriber
+from sailward.events import Command
 from sailward.routing.zone_health import ZoneHealthTable
 
 PARTS = 1000
@@ -19,7 +20,7 @@
     table: ZoneHealthTable = field(default_factory=ZoneHealthTable)
     warm: dict = field(default_factory=dict)
 
-    def step(self, *, now: float, proxies: list[Subscriber]) -> list:
+    def step(self, *, now: float, proxies: list[Subscriber]) -> list[Command]:
         """Fold the digests; a proxy that suspects itself has no voice."""
         fresh = [
             proxy.report
--- a/sailward/control/proxies/proxy_registry.py
+++ b/sailward/control/proxies/proxy_registry.py
@@ -11,7 +11,7 @@
 from sailward import constants
 from sailward.control.proxies.key_loads import KeyLoads, WorkerPaces, has_shifted, read_rates, write_rates
 from sailward.control.proxies.subscribers import Subscriber
-from sailward.events import SendMessage
+from sailward.events import Command, SendMessage
 from sailward.wire_types import PeerEntry
 
 SAME = ["same"]
@@ -57,7 +57,9 @@
     rates_sent: dict = field(default_factory=dict)
     loads_at: float = -1e9
 
-    def step(self, *, now: float, event: tuple | None, proxies: list[Subscriber], controllers: list[PeerEntry]) -> list:
+    def step(
+        self, *, now: float, event: tuple | None, proxies: list[Subscriber], controllers: list[PeerEntry]
+    ) -> list[Command]:
         """A (sender, body) of kind fleet or want, or None for time going on.
 
         `controllers` are those of the peer table that are not lost.
@@ -116,7 +118,7 @@
             if self.rates is not self.rates_sent
         )
 
-    def _send_to_all(self, *, now: float, to: list[dict]) -> list:
+    def _send_to_all(self, *, now: float, to: list[dict]) -> list[Command]:
         loads = self._own_loads(now=now)
         self.loads_at, self.rates_sent = now, self.rates
         return [
--- a/sailward/control/proxies/serving.py
+++ b/sailward/control/proxies/serving.py
@@ -59,7 +59,7 @@
         """Answer one `ask`: push what it lacks, and grant."""
         if self._tells_fleet and kind_of(entry=body["daemon"]) != "controller":
             return self._answer_proxy(now=now, sender=sender, body=body)
-        commands = self._subscribers.step(now=now, event=(sender, body), updates=self.updates())
+        commands: list[Command] = [*self._subscribers.step(now=now, event=(sender, body), updates=self.updates())]
         # before the joiner is heard: what is granted from is what was known when it asked
         newest = self._voter.newest()
         if self._is_bootstrapped:
@@ -73,12 +73,12 @@
 
     def acknowledge(self, *, now: float, sender: str, body: Message) -> list[Command]:
         """Fold one `ack` of a push."""
-        return self._subscribers.step(now=now, event=(sender, body), updates={})
+        return [*self._subscribers.step(now=now, event=(sender, body), updates={})]
 
     def push(self, *, now: float) -> list[Command]:
         """Push to each daemon what it lacks, unless nothing may be served."""
         updates = self.updates() if self._contact_watch.may_serve(now=now) else {}
-        return self._subscribers.step(now=now, event=None, updates=updates)
+        return [*self._subscribers.step(now=now, event=None, updates=updates)]
 
     def updates(self) -> dict[str, tuple]:
         """{name: (number, ballot, value)} of all that is pushed."""
@@ -103,9 +103,10 @@
         may_serve = self._contact_watch.may_serve(now=now)
         is_last_resort = body["report"].get("last_resort") is True
         updates = self.updates() if may_serve or is_last_resort else {}
-        commands = self._subscribers.step(now=now, event=(sender, body), updates=updates)
+        pushes = self._subscribers.step(now=now, event=(sender, body), updates=updates)
         if not may_serve:
-            commands = [SendMessage(to=push.to, body={**push.body, "contact": False}) for push in commands]
+            pushes = [SendMessage(to=push.to, body={**push.body, "contact": False}) for push in pushes]
+        commands: list[Command] = [*pushes]
         commands += self._record_versions(now=now, sender=sender, have=body["have"])
         return [*commands, self._say_present(sender=sender, body=body, may_serve=may_serve)]
 
--- a/sailward/control/proxies/subscribers.py
+++ b/sailward/control/proxies/subscribers.py
@@ -43,7 +43,7 @@
     active_proxies: dict = field(default_factory=dict)
     post: str = ""
 
-    def step(self, *, now: float, event: tuple | None, updates: dict) -> list:
+    def step(self, *, now: float, event: tuple | None, updates: dict) -> list[SendMessage]:
         """`updates` is {name: (number, ballot, value)}; the event a (sender, ask or ack) or None."""
         if event is not None:
             self._fold(now=now, sender=event[0], body=event[1])
@@ -113,7 +113,7 @@
         ballot: Ballot,
         value: RegisterValue,
         is_requested: bool = False,
-    ) -> list:
+    ) -> list[SendMessage]:
         given = member.have.get(name)
         if self.post and kind_of(entry=member.entry) == "controller" and name in OWN_LISTS:
             # a controller follows nobody's lists
@@ -144,7 +144,7 @@
         given: list | None,
         number: int,
         value: RegisterValue,
-    ) -> list:
+    ) -> list[SendMessage]:
         teller = given[1] if given else ""
         if teller not in ("", self.post) or (teller == self.post and given[0] == number):
             return []
@@ -166,7 +166,7 @@
         at: tuple,
         ballot: Ballot,
         value: RegisterValue,
-    ) -> list:
+    ) -> list[SendMessage]:
         pushed = member.pushed.get(name)
         if pushed and pushed[0] == at and now - pushed[1] < constants.PUSH_AGAIN:
             return []
--- a/sailward/control/shards/freshness.py
+++ b/sailward/control/shards/freshness.py
@@ -12,7 +12,7 @@
 from sailward.consensus.acceptor import Slots, newest_vote
 from sailward.consensus.learner import Learner
 from sailward.consensus.proposer import blocking_of
-from sailward.events import SendMessage
+from sailward.events import Command, SendMessage
 from sailward.wire_types import Message
 
 NEVER = -1e9
@@ -45,7 +45,7 @@
 
     def step(
         self, *, now: float, body: Message | None, members: Mapping[str, str], number: int, own: str, registers: list
-    ) -> list:
+    ) -> list[Command]:
         """`members` are the voters and `number` their register's, `own` this one's identity."""
         if body is not None:
             requested_at = self.requested_at.get(body["seq"])
--- a/sailward/control/shards/grant_calls.py
+++ b/sailward/control/shards/grant_calls.py
@@ -7,7 +7,7 @@
 
 from sailward import constants
 from sailward.control.grant_codec import GrantCodec
-from sailward.events import CallFinished, LogEvent, StartCall
+from sailward.events import CallFinished, Command, LogEvent, StartCall
 from sailward.routing.shards import Shard
 
 NEVER = -1e9
@@ -94,7 +94,7 @@
             None,
         )
 
-    def take_result(self, *, now: float, event: CallFinished) -> list:
+    def take_result(self, *, now: float, event: CallFinished) -> list[Command]:
         """Fold the result of a call of ours; gives what is to be logged."""
         sent = self._sent.pop(event.token, None)
         if sent is None:
@@ -116,7 +116,7 @@
                     releasing.handover = self.codec.handover(headers=event.headers)
         return [] if event.code == 200 else [self._complain(shard=sent.shard, event=event, name="release-failed")]
 
-    def _take_grant(self, *, now: float, shard: Shard, event: CallFinished) -> list:
+    def _take_grant(self, *, now: float, shard: Shard, event: CallFinished) -> list[Command]:
         if event.code or event.sent:
             late = 0.0 if event.code else constants.GRANT_FLIGHT
             self._arrived[shard.owner] = max(self._arrived.get(shard.owner, NEVER), now + late)
@@ -146,7 +146,7 @@
             },
         )
 
-    def grant(self, *, now: float, hold: float, fresh_until: float) -> list:
+    def grant(self, *, now: float, hold: float, fresh_until: float) -> list[Command]:
         """Grant each open shard that is due, for `hold` s; none of a call's bytes leave after `fresh_until`."""
         commands: list = []
         for shard, renewing in self._renewing.items():
@@ -172,7 +172,7 @@
             )
         return commands
 
-    def release(self, *, now: float, sole_at: float, fresh_until: float) -> list:
+    def release(self, *, now: float, sole_at: float, fresh_until: float) -> list[Command]:
         """Ask the owners of moving shards to let go; not before `sole_at`, when no other granter's grants arrive."""
         commands: list = []
         for releasing in self._moving:
--- a/sailward/control/shards/granting.py
+++ b/sailward/control/shards/granting.py
@@ -32,7 +32,7 @@
 from sailward.control.shards.grant_calls import NEVER, GrantCalls
 from sailward.control.shards.grant_targets import GrantContext, GrantTargets
 from sailward.control.shards.shard_plan import Span, place
-from sailward.events import CallFinished
+from sailward.events import CallFinished, Command
 from sailward.routing.shard_owners import PREFIX
 from sailward.routing.shards import KEYS, MOVING, OPEN, Shard, ShardTable, read_shards, write_shards
 from sailward.wire_types import RegisterValue
@@ -74,11 +74,11 @@
         """Is this the token of a call of ours?"""
         return self._calls.is_own(token=token)
 
-    def _grant(self, *, now: float, context: GrantContext) -> list:
+    def _grant(self, *, now: float, context: GrantContext) -> list[Command]:
         hold = min(constants.GRANT_DURATION, context.lease_max)
         return self._calls.grant(now=now, hold=hold, fresh_until=context.fresh_until)
 
-    def _release(self, *, now: float, context: GrantContext) -> list:
+    def _release(self, *, now: float, context: GrantContext) -> list[Command]:
         return self._calls.release(now=now, sole_at=self._sole_at(), fresh_until=context.fresh_until)
 
     def _is_free(self, *, now: float, shard: Shard) -> bool:
--- a/sailward/control/shards/shard_leases.py
+++ b/sailward/control/shards/shard_leases.py
@@ -9,7 +9,7 @@
 
 from sailward import constants
 from sailward.consensus.acceptor import newest_vote
-from sailward.consensus.proposer import EMPTY, StartOperation
+from sailward.consensus.proposer import EMPTY, StartOperation, StepResult
 from sailward.control.endpoints.endpoint_list import EndpointList
 from sailward.control.grant_codec import GrantCodec
 from sailward.control.group.catch_up import CatchUp
@@ -62,7 +62,7 @@
         self._loads: dict[str, tuple[float, dict]] = {}
         self._ops = 0
 
-    def receive(self, *, now: float, sender: str, body: Message) -> list:
+    def receive(self, *, now: float, sender: str, body: Message) -> list[Command]:
         """Answer another controller's asking, or fold an answer."""
         voter = self._voter
         if body["kind"] == "confirm":
@@ -99,7 +99,7 @@
             registers=[],
         )
 
-    def step(self, *, now: float, event: CallFinished | None) -> tuple[list[Command], list[StartOperation]]:
+    def step(self, *, now: float, event: CallFinished | None) -> StepResult:
         """Step the grants of each divided service: (commands, operations to begin)."""
         services = sorted(name for name, service in self._shard_moves.plan.services.items() if service.ranged)
         if event is not None:
@@ -107,7 +107,7 @@
                 name for name in services if name in self.granting and self.granting[name].is_own(token=event.token)
             ]
         if not services or self._endpoint_list.value is None:
-            return [], []
+            return StepResult([], [])
         self._follow_endpoints(now=now)
         acting = self._choose_acting(services=services, may_set_readers=event is None)
         commands = self._step_freshness(now=now, acting=acting) if event is None else []
@@ -122,7 +122,7 @@
             begins += [
                 self._change(register=register, expected=number, text=text) for register, number, text in changes
             ]
-        return commands, begins
+        return StepResult(commands, begins)
 
     def _choose_acting(self, *, services: list[str], may_set_readers: bool) -> list[str]:
         """The services whose leases this controller grants: for each one voter is chosen by hashing."""
--- a/sailward/discovery/peer_table.py
+++ b/sailward/discovery/peer_table.py
@@ -6,7 +6,7 @@
 
 from sailward import constants
 from sailward.discovery.rendezvous import choose_names
-from sailward.events import LogEvent, SendMessage
+from sailward.events import Command, LogEvent, SendMessage
 from sailward.wire_types import Message, PeerEntry
 
 ENTRY = {
@@ -84,7 +84,7 @@
     every: float = field(default_factory=lambda: constants.GOSSIP)
     suspect: float = field(default_factory=lambda: constants.SUSPECT)
 
-    def step(self, *, now: float, event: tuple | None) -> list:
+    def step(self, *, now: float, event: tuple | None) -> list[Command]:
         """Fold a (sender, body) or tell the watched."""
         if event is not None and event[1].get("kind") == "beat":
             return self._fold_heartbeat(now=now, sender=event[0], body=event[1])
@@ -104,7 +104,7 @@
             commands += [SendMessage(to=address, body=body) for address in self._watched()]
         return commands
 
-    def _send_to_mesh(self, *, now: float) -> list:
+    def _send_to_mesh(self, *, now: float) -> list[Command]:
         """A heartbeat to every daemon known to live.
 
         The whole peer table to the seeds now and then, and to all lost ones in turn.
@@ -119,7 +119,7 @@
             "identity": self.identity,
             **({} if self.contact else {"contact": False}),
         }
-        commands = [
+        commands: list[Command] = [
             SendMessage(to=known.entry["post"], body=self._with_echo(body=body, known=known)) for known in alive
         ]
         lost = sorted(known.entry["post"] for known in self.known.values() if known.lost)
@@ -147,7 +147,7 @@
         """
         return {**body, "echo": [known.echoed_heartbeat, *self.voted]} if self.fit and known.echoed_heartbeat else body
 
-    def _fold_heartbeat(self, *, now: float, sender: str, body: Message) -> list:
+    def _fold_heartbeat(self, *, now: float, sender: str, body: Message) -> list[Command]:
         known = self.known.get(body["id"])
         if known is None or known.entry["start"] != body["start"] or known.entry["post"] != sender:
             # another start, or one not heard of: its whole entry is wanted
@@ -155,7 +155,9 @@
         if body["beat"] <= known.entry["beat"]:
             return []
         entry = {**known.entry, "beat": body["beat"], "fit": body["fit"], "identity": body["identity"]}
-        commands = [LogEvent(event="daemon-found", fields={"daemon": body["id"], "at": sender})] if known.lost else []
+        commands: list[Command] = (
+            [LogEvent(event="daemon-found", fields={"daemon": body["id"], "at": sender})] if known.lost else []
+        )
         self.known[body["id"]] = PeerState(
             entry=entry,
             last_seen_at=now,
@@ -201,8 +203,8 @@
         fresh = [known.entry for known in self.known.values() if not known.lost]
         return [self.own_entry(), *fresh]
 
-    def _fold(self, *, now: float, entries: list, sender: str) -> list:
-        commands = []
+    def _fold(self, *, now: float, entries: list, sender: str) -> list[Command]:
+        commands: list[Command] = []
         for entry in entries:
             if not is_entry(given=entry) or entry["id"] == self.location.name:
                 continue
@@ -217,8 +219,8 @@
             self.known[entry["id"]] = PeerState(entry=entry, last_seen_at=now, echoed_heartbeat=echoed_heartbeat)
         return commands
 
-    def _judge(self, *, now: float) -> list:
-        commands = []
+    def _judge(self, *, now: float) -> list[Command]:
+        commands: list[Command] = []
         for name, known in list(self.known.items()):
             if not known.lost and now - known.last_seen_at > self.suspect:
                 known.lost = True
--- a/sailward/proxy/control_client.py
+++ b/sailward/proxy/control_client.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 from sailward import constants
-from sailward.events import LogEvent, SendMessage
+from sailward.events import Command, LogEvent, SendMessage
 from sailward.wire_types import Message
 
 NEVER = -1e9
@@ -48,7 +48,7 @@
     began: float = NEVER
     trusted_at: float = NEVER
 
-    def step(self, *, now: float, sender: str | None, body: Message) -> list:
+    def step(self, *, now: float, sender: str | None, body: Message) -> list[Command]:
         """Note who answered, or ask those whose turn it is with this body."""
         if sender is not None:
             known = self.known.setdefault(sender, ControllerState(post=sender))
@@ -124,7 +124,7 @@
             return True
         return known.unanswered >= constants.POLLS_LOST and now - known.last_reply_at > constants.CONTROLLER_SILENT
 
-    def _choose_lead(self, *, now: float) -> list:
+    def _choose_lead(self, *, now: float) -> list[Command]:
         able = [known for known in self.known.values() if now - known.last_reply_at < constants.CONTROLLER_SILENT]
         trusted = [known for known in able if known.has_contact]
         able = trusted if trusted or not self.is_last_resort(now=now) else able
--- a/sailward/proxy/proxy.py
+++ b/sailward/proxy/proxy.py
@@ -128,7 +128,7 @@
             and self.stopping in STOPPING.marks["named"]
         )
 
-    def _on_request(self, *, now: float, event: RequestReceived) -> list:
+    def _on_request(self, *, now: float, event: RequestReceived) -> list[Command]:
         edge = event.token.split(" ", 1)[0]
         if edge == "front":
             return self.forwarder.step(now=now, event=event)
@@ -139,7 +139,7 @@
             return [answer_json(token=event.token, code=200, body=self._show(now=now))]
         return [self.directory.step(event=event, is_ready=self.is_ready)]
 
-    def _on_message(self, *, now: float, sender: str, body: Message) -> list:
+    def _on_message(self, *, now: float, sender: str, body: Message) -> list[Command]:
         if body["kind"] == "grant":
             return self.control_client.step(now=now, sender=sender, body=body) + self._request_core(now=now)
         if body["kind"] == "want":
@@ -191,7 +191,7 @@
         self.passive_health.hint(now=now, down=told.down)
         return []
 
-    def _keep(self, *, now: float, name: str, ballot: Ballot, value: RegisterValue) -> list:
+    def _keep(self, *, now: float, name: str, ballot: Ballot, value: RegisterValue) -> list[Command]:
         plan = self.context.plan
         if name == "config" and self.learner.is_newer(name=name, value=value):
             config = load_config(value=value, expand=self.options.expand)
@@ -212,7 +212,7 @@
         log = LogEvent(event="in-force", fields={"register": name, "number": value["number"]})
         return [log, *self.forwarder.step(now=now, event=None)]
 
-    def _on_timer(self, *, now: float) -> list:
+    def _on_timer(self, *, now: float) -> list[Command]:
         commands = self._request_core(now=now)
         commands += self.passive_health.step(now=now, event=None, plan=self.context.plan)
         commands += self.forwarder.step(now=now, event=None)
@@ -220,7 +220,7 @@
             commands += self._count_zones(now=now)
         return commands + self._check_shutdown(now=now)
 
-    def _request_core(self, *, now: float) -> list:
+    def _request_core(self, *, now: float) -> list[Command]:
         if now < self.control_client.next_at:
             return []
         self._heartbeat += 1
@@ -269,11 +269,11 @@
             and self.context.regions.get(workers[key].zone) == self.location.region
         }
 
-    def _count_zones(self, *, now: float) -> list:
+    def _count_zones(self, *, now: float) -> list[Command]:
         self._counted = now
         return self.context.zones.step(now=now, counts=self.context.counts())
 
-    def _begin_stop(self, *, now: float) -> list:
+    def _begin_stop(self, *, now: float) -> list[Command]:
         self.stopping, self.stop_at = STOPPING.step(state=self.stopping, event="stop_asked"), now
         self.control_client.next_at = -1e9
         return [
@@ -282,7 +282,7 @@
             *self._request_core(now=now),
         ]
 
-    def _check_shutdown(self, *, now: float) -> list:
+    def _check_shutdown(self, *, now: float) -> list[Command]:
         if self.stopping == STOPPING.initial:
             return []
         before, since = self.stopping, now - self.stop_at
@@ -291,7 +291,9 @@
         is_over = since >= self.options.stop_grace
         event = "grace_over" if is_over else "" if self.forwarder.live else "all_done"
         self.stopping = STOPPING.step(state=self.stopping, event=event)
-        commands = [DrainConnections(shut=True)] if before == "leaving" and self.stopping != "leaving" else []
+        commands: list[Command] = (
+            [DrainConnections(shut=True)] if before == "leaving" and self.stopping != "leaving" else []
+        )
         if self.stopping != "over":
             return commands
         # what no worker has answered by now gets its answer from here: a closed connection would say nothing
--- a/sailward/proxy/tenant_proxy.py
+++ b/sailward/proxy/tenant_proxy.py
@@ -118,7 +118,7 @@
             and self.routing_state.endpoint_table.revision[1] >= 0
         )
 
-    def _on_request(self, *, now: float, event: RequestReceived) -> list:
+    def _on_request(self, *, now: float, event: RequestReceived) -> list[Command]:
         if event.path == "/sailward/status" and event.method == "GET":
             return [answer_json(token=event.token, code=200, body=self._show(now=now))]
         if event.path == "/sailward/explain" and event.method == "GET":
@@ -130,17 +130,17 @@
         commands, begins = self.exchanges.step(now=now, event=event, acting=self.acting(now=now))
         return commands + self._begin(now=now, begins=begins)
 
-    def _called(self, *, now: float, event: CallFinished) -> list:
+    def _called(self, *, now: float, event: CallFinished) -> list[Command]:
         if event.token.startswith("probe "):
             commands = self.routing_state.prober.step(now=now, event=event)
             return commands + self._count_zones(now=now) if commands else []
         return self._dispatch(now=now, event=event)
 
-    def _dispatch(self, *, now: float, event: object) -> list:
+    def _dispatch(self, *, now: float, event: object) -> list[Command]:
         commands, begins = self.exchanges.step(now=now, event=event, acting=self.acting(now=now))
         return commands + self._begin(now=now, begins=begins)
 
-    def _on_message(self, *, now: float, sender: str, body: Message) -> list:
+    def _on_message(self, *, now: float, sender: str, body: Message) -> list[Command]:
         kind = body["kind"]
         if kind in ANNOUNCED:
             commands, finished = self.proposer.step(now=now, voters=self.learner.voters(), event=(sender, body))
@@ -157,12 +157,12 @@
             return self.peer_table.step(now=now, event=(sender, body))
         return [LogEvent(event="message-unexpected", fields={"kind": kind, "from": sender})]
 
-    def _take_grant(self, *, now: float, sender: str, body: Message) -> list:
+    def _take_grant(self, *, now: float, sender: str, body: Message) -> list[Command]:
         self.routing_state.keep_view(now=now, identity=body["identity"], view=body["view"])
         self.controllers[sender] = (now, body["proxies"])
         return self._step_lease(now=now, event=(sender, body))
 
-    def _step_lease(self, *, now: float, event: tuple | None) -> list:
+    def _step_lease(self, *, now: float, event: tuple | None) -> list[Command]:
         voters = self.learner.voters()
         addresses = {*voters.members.values(), *(peer["post"] for peer in self.peer_table.alive(kind="controller"))}
         epoch, revision = self.routing_state.endpoint_table.revision
@@ -184,7 +184,7 @@
             have=have,
         )
 
-    def _take_push(self, *, now: float, sender: str, body: Message) -> list:
+    def _take_push(self, *, now: float, sender: str, body: Message) -> list[Command]:
         name, value = body["name"], body["value"]
         ack = SendMessage(to=sender, body={"kind": "ack", "seq": body["seq"], "name": name, "number": body["number"]})
         if name == "workers":
@@ -209,7 +209,7 @@
             commands.append(LogEvent(event="workers", fields={"came": len(came), "went": len(went)}))
         return commands + self._count_zones(now=now)
 
-    def _keep(self, *, now: float, name: str, ballot: Ballot, value: RegisterValue) -> list:
+    def _keep(self, *, now: float, name: str, ballot: Ballot, value: RegisterValue) -> list[Command]:
         plan = self.routing_state.plan
         if name == "config" and self.learner.is_newer(name=name, value=value):
             config = load_config(value=value)
@@ -228,14 +228,14 @@
             self.routing_state.slots.step(name=name, value=value)
         return [LogEvent(event="in-force", fields={"register": name, "number": value["number"]})]
 
-    def _begin(self, *, now: float, begins: list[StartOperation]) -> list:
+    def _begin(self, *, now: float, begins: list[StartOperation]) -> list[Command]:
         commands = []
         for begin in begins:
             more, finished = self.proposer.step(now=now, voters=self.learner.voters(), event=begin)
             commands += more + self._on_operations_finished(now=now, finished=finished)
         return commands
 
-    def _on_operations_finished(self, *, now: float, finished: list) -> list:
+    def _on_operations_finished(self, *, now: float, finished: list) -> list[Command]:
         commands = []
         for operation in finished:
             name = self._reading.pop(operation.op, None)
@@ -247,7 +247,7 @@
                 )
         return commands
 
-    def _on_timer(self, *, now: float) -> list:
+    def _on_timer(self, *, now: float) -> list[Command]:
         commands, finished = self.proposer.step(now=now, voters=self.learner.voters(), event=None)
         commands += self._on_operations_finished(now=now, finished=finished)
         commands += self._step_lease(now=now, event=None)
@@ -268,7 +268,7 @@
         self.peer_table.fit = self.acting(now=now) and not self.suspect and self.stopping in STOPPING.marks["named"]
         return commands + self._check_shutdown(now=now)
 
-    def _read_what_is_behind(self, *, now: float) -> list:
+    def _read_what_is_behind(self, *, now: float) -> list[Command]:
         begins = []
         for name, since in self.lease.behind.items():
             if now - since >= constants.READ_WAIT and name not in self._reading.values() and is_control(name=name):
@@ -278,7 +278,7 @@
                 begins.append(StartOperation(op=op, register=name, timeout=constants.LEASE))
         return self._begin(now=now, begins=begins)
 
-    def _count_zones(self, *, now: float) -> list:
+    def _count_zones(self, *, now: float) -> list[Command]:
         self._counted = now
         commands = self.routing_state.zones.step(now=now, counts=self.routing_state.counts())
         zones = {zone for _, zone in self.routing_state.zones.zones}
@@ -304,7 +304,7 @@
             )
         return commands
 
-    def _check_shutdown(self, *, now: float) -> list:
+    def _check_shutdown(self, *, now: float) -> list[Command]:
         if self.stopping == STOPPING.initial:
             return []
         if now >= self.stop_by - constants.STOP_GRACE + constants.LEAVE_WAIT:
--- a/sailward/routing/active_health.py
+++ b/sailward/routing/active_health.py
@@ -7,7 +7,7 @@
 
 from sailward import constants
 from sailward.discovery.endpoint_table import Worker
-from sailward.events import CallFinished, CloseConnections, LogEvent, StartCall
+from sailward.events import CallFinished, CloseConnections, Command, LogEvent, StartCall
 from sailward.state_machines import Chart
 
 CHART = Chart(name="worker")
@@ -43,11 +43,11 @@
         self.probed: dict[str, Probed] = {}
         self._probes = 0
 
-    def step(self, *, now: float, event: CallFinished | None) -> list:
+    def step(self, *, now: float, event: CallFinished | None) -> list[Command]:
         """Judge one probe, or begin those that are due."""
         if event is not None:
             return self._judge(now=now, event=event)
-        commands = []
+        commands: list[Command] = []
         for key, probed in self.probed.items():
             if probed.token and now > probed.next_at + 2 * constants.PROBE_WAIT:
                 probed.token = ""  # its end was lost on the way
@@ -55,9 +55,9 @@
                 commands.append(self._probe(now=now, key=key, probed=probed))
         return commands
 
-    def follow(self, *, now: float, workers: dict[str, Worker], warm: dict) -> list:
+    def follow(self, *, now: float, workers: dict[str, Worker], warm: dict) -> list[Command]:
         """Take the newest list; `warm` tells how long others have seen a worker in good status."""
-        commands = [CloseConnections(owner=key) for key in self.probed if key not in workers]
+        commands: list[Command] = [CloseConnections(owner=key) for key in self.probed if key not in workers]
         self.probed = {key: probed for key, probed in self.probed.items() if key in workers}
         for key, worker in workers.items():
             probed = self.probed.get(key)
@@ -68,7 +68,7 @@
                 probed.worker = worker
         return commands
 
-    def mark(self, *, now: float, key: str, event: str) -> list:
+    def mark(self, *, now: float, key: str, event: str) -> list[Command]:
         """Fold what an exchange told of a worker: `refused` or `stranger`."""
         probed = self.probed.get(key)
         return self._move(now=now, probed=probed, event=event) if probed else []
@@ -88,7 +88,7 @@
             fresh=False,
         )
 
-    def _judge(self, *, now: float, event: CallFinished) -> list:
+    def _judge(self, *, now: float, event: CallFinished) -> list[Command]:
         key = event.token.removeprefix("probe ").rpartition(" ")[0]
         probed = self.probed.get(key)
         if probed is None or probed.token != event.token:
@@ -102,7 +102,7 @@
         probed.next_at = now + every * (0.9 + 0.2 * self._rng.random())
         return commands
 
-    def _move(self, *, now: float, probed: Probed, event: str) -> list:
+    def _move(self, *, now: float, probed: Probed, event: str) -> list[Command]:
         before = probed.state
         probed.state = CHART.step(state=before, event=event)
         if before == probed.state:
--- a/sailward/routing/forwarding.py
+++ b/sailward/routing/forwarding.py
@@ -66,7 +66,7 @@
             service: {str(bucket): count for bucket, count in buckets.items()} for service, buckets in loads.items()
         }
 
-    def end_all(self, *, now: float) -> list:
+    def end_all(self, *, now: float) -> list[Command]:
         """Give up everything under way, as the process ends."""
         return [
             command
@@ -76,7 +76,7 @@
             )
         ]
 
-    def _arrive(self, *, now: float, event: RequestReceived) -> list:
+    def _arrive(self, *, now: float, event: RequestReceived) -> list[Command]:
         taken = take_request(event=event, plan=self.endpoint_selector.context.plan, now=now, names=self.names)
         if isinstance(taken, Refusal):
             return [self._refusal(token=event.token, refusal=taken)]
@@ -87,7 +87,7 @@
             buckets[taken.key // constants.KEYS_IN_BUCKET] += 1
         return self._select_and_forward(now=now, request=taken)
 
-    def _select_and_forward(self, *, now: float, request: Request) -> list:
+    def _select_and_forward(self, *, now: float, request: Request) -> list[Command]:
         """Send it on now, let it wait for a moment, or refuse it."""
         choice = self.endpoint_selector.step(now=now, request=request)
         if not isinstance(choice, Refusal):
@@ -110,7 +110,7 @@
         share = constants.KEY_SHARE if reason in ("key-moving", "key-unowned", "owner-lost") else constants.LINE_SHARE
         return min(constants.LINE_WAIT, share * (request.match.target or constants.LINE_WAIT))
 
-    def _forward(self, *, now: float, request: Request, worker: Worker) -> list:
+    def _forward(self, *, now: float, request: Request, worker: Worker) -> list[Command]:
         """Send it on, if it has the time left and the retry budget bears it; give it up otherwise."""
         if request.expiry - now <= constants.LEAST_LEFT:
             code = 504 if request.sent else 503
@@ -129,7 +129,7 @@
             is_hedge=is_hedge,
         )
 
-    def _call(self, *, now: float, request: Request, worker: Worker) -> list:
+    def _call(self, *, now: float, request: Request, worker: Worker) -> list[Command]:
         """One attempt: the call to this worker, and all that is noted of it."""
         self.count += 1
         token = f"x {self.count}"
@@ -166,7 +166,7 @@
         share = constants.REPEATED_POLL_SHARE if request.service.ranged else constants.HEDGE_SHARE
         return max(constants.HEDGE_LEAST, share * (request.match.target or constants.HEDGE_LEAST))
 
-    def _return(self, *, now: float, event: CallFinished) -> list:  # noqa: C901 - one branch over the bound
+    def _return(self, *, now: float, event: CallFinished) -> list[Command]:  # noqa: C901 - one branch over the bound
         request = self.calls.pop(event.token, None)
         if request is None:
             return []
@@ -230,7 +230,7 @@
                         request.hedge_at, max(now, other.at + constants.OVERTAKEN_PACES * shown.calm)
                     )
 
-    def _record(self, *, now: float, attempt: Attempt, verdict: object) -> list:
+    def _record(self, *, now: float, attempt: Attempt, verdict: object) -> list[Command]:
         if isinstance(verdict, CompleteResponse):
             event = "pass"
         elif isinstance(verdict, WorkerRejected):
@@ -247,7 +247,7 @@
             else []
         )
 
-    def _answer(self, *, request: Request, verdict: CompleteResponse) -> list:
+    def _answer(self, *, request: Request, verdict: CompleteResponse) -> list[Command]:
         commands = self._end(request=request)
         self.tally["answered"] += 1
         return [
@@ -260,7 +260,7 @@
             *commands,
         ]
 
-    def _give_up(self, *, now: float, request: Request, refusal: Refusal) -> list:
+    def _give_up(self, *, now: float, request: Request, refusal: Refusal) -> list[Command]:
         commands = self._end(request=request)
         code = refusal.code
         if request.ran and code in (503, 429, 408, 421):
@@ -278,14 +278,14 @@
         )
         return [self._refusal(token=request.token, refusal=Refusal(code=code, reason=refusal.reason)), log, *commands]
 
-    def _end(self, *, request: Request) -> list:
+    def _end(self, *, request: Request) -> list[Command]:
         """It has its answer.
 
         What is still under way for it is given up, unless it may not run twice and so goes on unheard.
         """
         self.live.pop(request.token, None)
         self.waiting.pop(request.token, None)
-        commands = []
+        commands: list[Command] = []
         for token, attempt in list(request.attempts.items()):
             if request.match.is_repeatable:
                 del request.attempts[token]
@@ -294,7 +294,7 @@
                 commands.append(CancelCall(token=token))
         return commands
 
-    def _leave(self, *, token: str) -> list:
+    def _leave(self, *, token: str) -> list[Command]:
         request = self.live.get(token)
         if request is None:
             return []
@@ -311,14 +311,14 @@
             token=token, code=refusal.code, body={"error": refusal.reason, "detail": refusal.detail}, headers=headers
         )
 
-    def _dispatch_waiting(self, *, now: float) -> list:
+    def _dispatch_waiting(self, *, now: float) -> list[Command]:
         commands = []
         for request in sorted(self.waiting.values(), key=lambda waiting: (waiting.match.rank, waiting.arrived)):
             if request.token in self.waiting:
                 commands += self._select_and_forward(now=now, request=request)
         return commands
 
-    def _on_timer(self, *, now: float) -> list:
+    def _on_timer(self, *, now: float) -> list[Command]:
         commands = self._dispatch_waiting(now=now)
         for request in list(self.live.values()):
             if now >= request.expiry:
@@ -328,7 +328,7 @@
                 commands += self._hedge(now=now, request=request)
         return commands
 
-    def _hedge(self, *, now: float, request: Request) -> list:
+    def _hedge(self, *, now: float, request: Request) -> list[Command]:
         """Ask a second worker, as the first is silent for long; the first good answer counts.
 
         The first goes on either way.
--- a/sailward/routing/lease.py
+++ b/sailward/routing/lease.py
@@ -8,7 +8,7 @@
 from sailward.consensus.learner import Learner
 from sailward.consensus.proposer import blocking_of
 from sailward.consensus.voter_set import VoterSet
-from sailward.events import LogEvent, SendMessage
+from sailward.events import Command, LogEvent, SendMessage
 from sailward.state_machines import Chart
 
 CHART = Chart(name="lease")
@@ -45,7 +45,7 @@
         report: dict,
         daemon: dict,
         have: dict,
-    ) -> list:
+    ) -> list[Command]:
         """Fold what came, judge the lease, ask again when it is time."""
         if event is not None:
             self._take_grant(body=event[1], voters=voters)
@@ -70,7 +70,7 @@
         """May the proxy act now?"""
         return now < self.until(voters=voters) and all(self._learner.number(name=name) for name in ("config", "voters"))
 
-    def _request_lease(self, *, now: float, addresses: list, report: dict, daemon: dict, have: dict) -> list:
+    def _request_lease(self, *, now: float, addresses: list, report: dict, daemon: dict, have: dict) -> list[Command]:
         self._seq, self._next = self._seq + 1, now + constants.LEASE_REQUEST_INTERVAL
         self._requested_at[self._seq] = now
         self._requested_at.pop(self._seq - 50, None)
@@ -93,7 +93,7 @@
     def _end_of(self, *, grant: Grant) -> float:
         return -1e9 if self._behind_in(grant=grant) else grant.requested_at + constants.LEASE
 
-    def _judge(self, *, now: float, voters: VoterSet) -> list:
+    def _judge(self, *, now: float, voters: VoterSet) -> list[Command]:
         live = [grant for grant in self._grants.values() if now - grant.requested_at < constants.LEASE]
         names = {name for grant in live for name in self._behind_in(grant=grant)}
         self.behind = {name: self.behind.get(name, now) for name in names}
--- a/sailward/routing/passive_health.py
+++ b/sailward/routing/passive_health.py
@@ -7,7 +7,7 @@
 
 from sailward import constants
 from sailward.discovery.endpoint_table import Worker
-from sailward.events import CallFinished, CloseConnections, LogEvent, StartCall
+from sailward.events import CallFinished, CloseConnections, Command, LogEvent, StartCall
 from sailward.routing.plan import Plan
 from sailward.state_machines import Chart
 from sailward.wire_names import WireNames
@@ -56,19 +56,19 @@
         self._times: dict[str, list] = {}
         self._probes = 0
 
-    def step(self, *, now: float, event: CallFinished | None, plan: Plan) -> list:
+    def step(self, *, now: float, event: CallFinished | None, plan: Plan) -> list[Command]:
         """Judge one probe, or begin those that are due."""
         if event is not None:
             return self._judge(now=now, event=event)
-        commands = []
+        commands: list[Command] = []
         for key, shown in self.shown.items():
             if shown.state in CHART.marks["probed"] and not shown.probe and now >= shown.probe_at:
                 commands.append(self._probe(now=now, key=key, shown=shown, plan=plan))
         return commands
 
-    def follow(self, *, now: float, workers: dict[str, Worker]) -> list:
+    def follow(self, *, now: float, workers: dict[str, Worker]) -> list[Command]:
         """Take the newest list."""
-        commands = [CloseConnections(owner=key) for key in self.shown if key not in workers]
+        commands: list[Command] = [CloseConnections(owner=key) for key in self.shown if key not in workers]
         self.shown = {key: shown for key, shown in self.shown.items() if key in workers}
         for key, worker in workers.items():
             shown = self.shown.setdefault(key, Shown(worker=worker, since=now))
@@ -105,7 +105,7 @@
         times, self._times = self._times, {}
         return times
 
-    def record_event(self, *, now: float, key: str, event: str, took: float = 0.0) -> list:
+    def record_event(self, *, now: float, key: str, event: str, took: float = 0.0) -> list[Command]:
         """Fold what an exchange showed: pass (in `took` s), fail, late, lost, refused, dark, stranger or full."""
         shown = self.shown.get(key)
         if shown is None:
@@ -153,7 +153,7 @@
             fresh=False,
         )
 
-    def _judge(self, *, now: float, event: CallFinished) -> list:
+    def _judge(self, *, now: float, event: CallFinished) -> list[Command]:
         key = event.token.removeprefix("probe ").rpartition(" ")[0]
         shown = self.shown.get(key)
         if shown is None or shown.probe != event.token:
@@ -169,7 +169,7 @@
             shown.slow_start_until = max(shown.slow_start_until, now + float(slow_start))
         return self._move(now=now, key=key, shown=shown, event=verdict)
 
-    def _move(self, *, now: float, key: str, shown: Shown, event: str) -> list:
+    def _move(self, *, now: float, key: str, shown: Shown, event: str) -> list[Command]:
         before = shown.state
         shown.state = CHART.step(state=before, event=event)
         if before == shown.state:
--- a/sailward/routing/proxied_requests.py
+++ b/sailward/routing/proxied_requests.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from sailward import constants
-from sailward.events import CallFinished, LogEvent, RequestReceived, Respond, StartCall
+from sailward.events import CallFinished, Command, LogEvent, RequestReceived, Respond, StartCall
 from sailward.routing.attempt_budget import LOOKUP, AttemptBudget
 from sailward.routing.fair_queues import FairQueues
 from sailward.routing.idempotency import Claims, Lost, Replayed, Won
@@ -152,7 +152,7 @@
         exchange.chosen = choice
         return None
 
-    def _forward(self, *, now: float, exchange: ProxiedRequest) -> list:
+    def _forward(self, *, now: float, exchange: ProxiedRequest) -> list[Command]:
         plan_moved = exchange.plan != self.load_balancer.routing_state.plan.number
         if exchange.chosen is None or plan_moved or not self.load_balancer.stands(exchange=exchange):
             refusal = self._choose(now=now, exchange=exchange)
@@ -187,8 +187,8 @@
             )
         ]
 
-    def _on_verdicts(self, *, now: float, verdicts: list, acting: bool) -> list:
-        commands = []
+    def _on_verdicts(self, *, now: float, verdicts: list, acting: bool) -> list[Command]:
+        commands: list[Command] = []
         for verdict in verdicts:
             exchange = verdict.exchange
             if isinstance(verdict, Won):
@@ -277,7 +277,7 @@
             and exchange.attempts < constants.MAX_ATTEMPTS
         )
 
-    def _update_worker_health(self, *, now: float, exchange: ProxiedRequest, verdict: object) -> list:
+    def _update_worker_health(self, *, now: float, exchange: ProxiedRequest, verdict: object) -> list[Command]:
         event = {"Unsent": "refused"}.get(type(verdict).__name__, "")
         if isinstance(verdict, Bad):
             event = "stranger" if verdict.stranger else "fail"
@@ -287,7 +287,7 @@
         fields = {"exchange": exchange.name, "worker": exchange.worker, "reason": verdict.reason}
         return [*commands, LogEvent(event="sending-on-failed", fields=fields)]
 
-    def _finish(self, *, exchange: ProxiedRequest, verdict: Good) -> list:
+    def _finish(self, *, exchange: ProxiedRequest, verdict: Good) -> list[Command]:
         commands = (
             self.claims.finish(exchange=exchange, code=verdict.code, headers=verdict.headers, body=verdict.body)
             if exchange.unsafe
@@ -348,8 +348,8 @@
             commands, begins = commands + dispatched[0], begins + dispatched[1]
         return commands, begins
 
-    def _on_timer(self, *, now: float, acting: bool) -> list:
-        commands = []
+    def _on_timer(self, *, now: float, acting: bool) -> list[Command]:
+        commands: list[Command] = []
         for exchange in list(self.live.values()):
             if exchange.state == "waiting" and (not acting or now - exchange.arrived >= constants.LINE_WAIT):
                 reason = "no-room" if acting else "no-lease"
--- a/sailward/routing/result_replicas.py
+++ b/sailward/routing/result_replicas.py
@@ -7,7 +7,7 @@
 
 from sailward import constants
 from sailward.discovery.rendezvous import choose_names
-from sailward.events import SendMessage
+from sailward.events import Command, SendMessage
 from sailward.routing.proxied_request import ProxiedRequest
 
 
@@ -79,7 +79,7 @@
 
 def spread_copy(
     *, exchange: ProxiedRequest, number: int, code: int, headers: dict, body: bytes, zone: str, peers: list[Peer]
-) -> list:
+) -> list[Command]:
     """Give the result to the one proxy that hashing names, at home, in another zone if there is one."""
     homes = exchange.tenant.homes
     able = [peer for peer in peers if may_keep(region=peer.region, homes=homes)]
--- a/sailward/routing/zone_health.py
+++ b/sailward/routing/zone_health.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from sailward import constants
-from sailward.events import LogEvent
+from sailward.events import Command, LogEvent
 from sailward.state_machines import Chart
 
 CHART = Chart(name="hall")
@@ -34,7 +34,7 @@
         self.zones: dict[tuple[str, str], ZoneHealth] = {}
         self._hold_down = hold_down
 
-    def step(self, *, now: float, counts: dict[tuple[str, str], tuple[int, int, int]]) -> list:
+    def step(self, *, now: float, counts: dict[tuple[str, str], tuple[int, int, int]]) -> list[Command]:
         """Fold {(service, zone): (listed, healthy, known)}; zones with no worker listed are forgotten."""
         commands = []
         self.zones = {key: zone for key, zone in self.zones.items() if key in counts}
@@ -49,7 +49,7 @@
             commands += self._move(now=now, key=key, zone=zone)
         return commands
 
-    def _move(self, *, now: float, key: tuple[str, str], zone: ZoneHealth) -> list:
+    def _move(self, *, now: float, key: tuple[str, str], zone: ZoneHealth) -> list[Command]:
         before = zone.state
         for event in self._events(now=now, zone=zone):
             after = CHART.step(state=zone.state, event=event)
