--- a/sailward/config/dialect.py
+++ b/sailward/config/dialect.py
@@ -4,7 +4,7 @@
 
 import json
 from dataclasses import dataclass, field
-from typing import Protocol
+from typing import Any, Protocol
 
 from sailward import constants
 from sailward.config.check import Unsound, read_config
@@ -27,7 +27,7 @@
 
     kind: str
     register: str
-    given: object = None
+    given: Any = None
     expected: int | None = None
     is_confirmed: bool = False
     is_dry: bool = False
--- a/sailward/consensus/proposer.py
+++ b/sailward/consensus/proposer.py
@@ -109,8 +109,10 @@
         self._live: dict[str, Operation] = {}
         self._round = 0
 
-    def step(self, *, now: float, voters: VoterSet, event: object) -> ProposerResult:
-        """Take a Begin, a message from a voter (sender, body), or None for time going on."""
+    def step(
+        self, *, now: float, voters: VoterSet, event: StartOperation | tuple[str, Message] | None
+    ) -> ProposerResult:
+        """Take an operation to start, a message from a voter (sender, body), or None for time going on."""
         if isinstance(event, StartOperation):
             return self._begin(now=now, voters=voters, begin=event)
         if event is None:
@@ -174,7 +176,7 @@
             return self._finish(operation=operation, outcome=Unknown(reason="accept-round-unfinished"))
         return self._finish(operation=operation, outcome=Refused(reason="no-majority", value=EMPTY, ballot=[0, ""]))
 
-    def _finish(self, *, operation: Operation, outcome: object) -> OperationFinished:
+    def _finish(self, *, operation: Operation, outcome: Accepted | Refused | Unknown) -> OperationFinished:
         del self._live[operation.begin.op]
         return OperationFinished(op=operation.begin.op, register=operation.begin.register, outcome=outcome)
 
--- a/sailward/control/administration/admin_api.py
+++ b/sailward/control/administration/admin_api.py
@@ -102,11 +102,13 @@
             return StepResult([dialect.answer(token=event.token, order=None, outcome=order)], [])
         return StepResult([], [self._begin_read(job=Job(token=event.token, order=order, dialect=dialect))])
 
-    def _begin(self, *, job: Job, kind: str, **fields: object) -> StartOperation:
+    def _begin(
+        self, *, job: Job, kind: str, timeout: float, expected: int = 0, text: str | None = None
+    ) -> StartOperation:
         self.count += 1
         op = f"{self.identity}/desk{self.count}/{kind}"
-        self.jobs[op], job.waits_since, job.size = job, None, len(str(fields.get("text", "")))
-        return StartOperation(op=op, register=job.order.register, **fields)
+        self.jobs[op], job.waits_since, job.size = job, None, len(text or "")
+        return StartOperation(op=op, register=job.order.register, expected=expected, text=text, timeout=timeout)
 
     def _begin_read(self, *, job: Job) -> StartOperation:
         is_zone_order = job.order.register == "orders" and job.dialect.is_labelled
--- a/sailward/proxy/tenant_proxy.py
+++ b/sailward/proxy/tenant_proxy.py
@@ -6,6 +6,7 @@
 from dataclasses import replace
 
 from sailward import constants
+from sailward.consensus.acceptor import CLAIM
 from sailward.consensus.learner import CONTROL, Learner, is_control
 from sailward.consensus.proposer import Accepted, Proposer, StartOperation
 from sailward.discovery.endpoint_rows import UNREADABLE_LIST, is_generation, read_workers
@@ -31,7 +32,7 @@
 )
 from sailward.routing.active_health import Prober
 from sailward.routing.explain import explain
-from sailward.routing.idempotency import PREFIX, Claims
+from sailward.routing.idempotency import Claims
 from sailward.routing.lease import Lease
 from sailward.routing.load_balancer import LoadBalancer
 from sailward.routing.plan import Unreadable, load_config
@@ -239,7 +240,7 @@
         commands = []
         for operation in finished:
             name = self._reading.pop(operation.op, None)
-            if operation.register.startswith(PREFIX):
+            if operation.register.startswith(CLAIM):
                 commands += self._dispatch(now=now, event=operation)
             elif name is not None and isinstance(operation.outcome, Accepted) and operation.outcome.value["number"]:
                 commands += self._keep(
--- a/sailward/routing/idempotency.py
+++ b/sailward/routing/idempotency.py
@@ -6,13 +6,13 @@
 from dataclasses import dataclass, field
 
 from sailward import constants
-from sailward.consensus.acceptor import CLAIM as PREFIX
+from sailward.consensus.acceptor import CLAIM
 from sailward.consensus.proposer import Accepted, OperationFinished, Refused, StartOperation
 from sailward.events import SendMessage
 from sailward.routing.idempotency_cache import ClaimMemory, Memory
 from sailward.routing.proxied_request import ProxiedRequest, Refusal
 from sailward.routing.result_replicas import Peer, ResultReplicas, may_keep, spread_copy
-from sailward.wire_types import RegisterValue
+from sailward.wire_types import Message, RegisterValue
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -67,8 +67,10 @@
     peeking: dict = field(default_factory=dict)
     count: int = 0
 
-    def step(self, *, now: float, event: object) -> tuple[list, list[StartOperation], list]:
-        """Take an Exchange to claim, a Settled, a (sender, peek or peeked), or None."""
+    def step(
+        self, *, now: float, event: ProxiedRequest | OperationFinished | tuple[str, Message] | None
+    ) -> tuple[list, list[StartOperation], list]:
+        """Take a request to claim, the end of an operation, a (sender, peek or peeked), or None."""
         if isinstance(event, ProxiedRequest):
             return self._begin(now=now, exchange=event)
         if isinstance(event, OperationFinished):
@@ -144,7 +146,7 @@
         text = json.dumps({"o": self.post, "i": self.identity, "f": exchange.fingerprint, "n": self.count})
         timeout = min(constants.CLAIM_EXPIRY, max(0.05, exchange.expiry - now))
         return StartOperation(
-            op=op, register=PREFIX + exchange.digest, expected=expected, text=text, first=expected == 0, timeout=timeout
+            op=op, register=CLAIM + exchange.digest, expected=expected, text=text, first=expected == 0, timeout=timeout
         )
 
     def _on_operation_finished(
