--- a/sailward/control/endpoints/endpoint_list.py
+++ b/sailward/control/endpoints/endpoint_list.py
@@ -75,7 +75,9 @@
             "trail": [],
             "text": json.dumps(rows),
         }
-        commands.append(LogEvent(event="list-news", fields={"revision": complete_list.revision, "workers": len(rows)}))
+        commands.append(
+            LogEvent(event="endpoint-list-updated", fields={"revision": complete_list.revision, "workers": len(rows)})
+        )
         return commands, True
 
     def _adopt_incarnations(self) -> None:
--- a/sailward/control/endpoints/endpoint_poller.py
+++ b/sailward/control/endpoints/endpoint_poller.py
@@ -49,7 +49,7 @@
         if is_newer:
             commands.append(
                 LogEvent(
-                    event="list-news",
+                    event="endpoint-list-updated",
                     fields={"revision": self.incarnations.number, "workers": len(complete_list.workers)},
                 )
             )
@@ -69,7 +69,11 @@
             return self.refused.add(kind="list", reason=UNREADABLE_LIST), False
         is_newer = self.incarnations.step(now=now, rows=rows)
         return (
-            [LogEvent(event="list-news", fields={"revision": self.incarnations.number, "workers": len(rows)})]
+            [
+                LogEvent(
+                    event="endpoint-list-updated", fields={"revision": self.incarnations.number, "workers": len(rows)}
+                )
+            ]
             if is_newer
             else []
         ), is_newer
--- a/sailward/control/group/disaster_recovery.py
+++ b/sailward/control/group/disaster_recovery.py
@@ -190,7 +190,7 @@
     """What the operators read of a founding."""
     founding = read_founding(value=value)
     return LogEvent(
-        event="founded-anew",
+        event="recovery-ordered",
         fields={
             "number": founding.number,
             "survivors": ",".join(founding.survivors),
--- a/sailward/control/group/membership.py
+++ b/sailward/control/group/membership.py
@@ -240,7 +240,7 @@
                 slots[name] = Slot(promised=ballot, ballot=ballot, value=learned.value, since=now)
         voter.write_ahead.opened = read_founding(value=voter.learned_voters().value).number
         log = LogEvent(
-            event="opened-anew",
+            event="recovery-completed",
             fields={
                 "number": voter.write_ahead.opened,
                 "slots": len(slots),
@@ -309,7 +309,7 @@
             return []
         return [
             LogEvent(
-                event="core-short" if not was_reported else "core-whole",
+                event="quorum-lost" if not was_reported else "quorum-restored",
                 fields={
                     "voting": core["voting"],
                     "needed": core["needed"],
--- a/sailward/control/registers.py
+++ b/sailward/control/registers.py
@@ -91,7 +91,7 @@
             return []
         logs = [LogEvent(event="in-force", fields={"register": name, "number": value["number"]})]
         if name == "voters" and was_member and self._membership.is_out(value=value):
-            logs.append(LogEvent(event="taken-out", fields={"was": self._voter.identity}))
+            logs.append(LogEvent(event="removed-from-voters", fields={"was": self._voter.identity}))
         if config is not None:
             self._admin_api.full, self._shard_moves.plan = config
         commands = self._voter.write_ahead.know(ballot=ballot, value=value) if name == "voters" else []
--- a/sailward/discovery/endpoint_pages.py
+++ b/sailward/discovery/endpoint_pages.py
@@ -117,7 +117,7 @@
                 return self._break_off(fault=BrokenPass(reason="endless"))
             return [self._request_page(after=page.next)], None
         self.token, self.broken, self._page_count = "", 0, len(self.pages)
-        commands = [LogEvent(event="list-read-again")] if self.failing else []
+        commands = [LogEvent(event="endpoint-list-reread")] if self.failing else []
         self.failing = False
         return commands, CompleteList(epoch=0, revision=self.passes, workers=self._join())
 
@@ -162,13 +162,15 @@
         complete_list = join_pages(pages=self.pages)
         if isinstance(complete_list, BrokenPass):
             return self._break_off(fault=complete_list)
-        commands = [LogEvent(event="list-read-again")] if self.failing else []
+        commands = [LogEvent(event="endpoint-list-reread")] if self.failing else []
         self.failing = False
         return commands, complete_list
 
     def _break_off(self, *, fault: BrokenPass) -> tuple[list, None]:
         self.token = ""
-        commands = [] if self.failing else [LogEvent(event="list-pass-broken", fields={"reason": fault.reason})]
+        commands = (
+            [] if self.failing else [LogEvent(event="endpoint-list-pass-failed", fields={"reason": fault.reason})]
+        )
         self.failing = True
         return commands, None
 
--- a/sailward/proxy/tenant_proxy.py
+++ b/sailward/proxy/tenant_proxy.py
@@ -300,9 +300,7 @@
         suspect = len(stood) > constants.SUSPECT_SELF * len(zones) and len(self.controllers) > 0
         if suspect != self.suspect:
             self.suspect = suspect
-            commands.append(
-                LogEvent(event="suspects-itself" if suspect else "trusts-itself", fields={"down": len(down)})
-            )
+            commands.append(LogEvent(event="self-suspected" if suspect else "self-trusted", fields={"down": len(down)}))
         return commands
 
     def _check_shutdown(self, *, now: float) -> list[Command]:
--- a/sailward/routing/proxied_requests.py
+++ b/sailward/routing/proxied_requests.py
@@ -285,7 +285,7 @@
             self.load_balancer.routing_state.prober.mark(now=now, key=exchange.worker, event=event) if event else []
         )
         fields = {"exchange": exchange.name, "worker": exchange.worker, "reason": verdict.reason}
-        return [*commands, LogEvent(event="sending-on-failed", fields=fields)]
+        return [*commands, LogEvent(event="forwarding-failed", fields=fields)]
 
     def _finish(self, *, exchange: ProxiedRequest, verdict: Good) -> list[Command]:
         commands = (
--- a/sailward/routing/zone_health.py
+++ b/sailward/routing/zone_health.py
@@ -59,7 +59,7 @@
             return []
         return [
             LogEvent(
-                event="hall-state",
+                event="zone-health",
                 fields={
                     "service": key[0],
                     "hall": key[1],
