--- a/sailward/consensus/proposer.py
+++ b/sailward/consensus/proposer.py
@@ -5,6 +5,7 @@
 import random
 from collections.abc import Mapping
 from dataclasses import dataclass, field
+from enum import StrEnum
 from typing import NamedTuple
 
 from sailward import constants
@@ -65,16 +66,33 @@
     timeout: float = constants.OPERATION_EXPIRY
 
 
+class Phase(StrEnum):
+    """The round that an operation is in."""
+
+    READ = "read"
+    FIRST = "first"
+    PREPARE = "prepare"
+    ACCEPT = "accept"
+
+
+REPLIES = {Phase.READ: "told", Phase.FIRST: "voted", Phase.PREPARE: "promise", Phase.ACCEPT: "voted"}
+"""The kind of a voter's reply to each round."""
+
+
 @dataclass(kw_only=True)
 class Operation:
-    """One operation under way."""
+    """One operation under way.
+
+    `mark` is the id of its change; `voters` are the members of set `number`, by whose `answers` the round is judged.
+    `offered`: its change may have been accepted by some voter. `against`: voters that refused the first round.
+    """
 
     begin: StartOperation
     mark: str
     expiry: float
     voters: Mapping[str, str]
     number: int = 0
-    phase: str = "read"
+    phase: Phase = Phase.READ
     ballot: Ballot = field(default_factory=lambda: [0, ""])
     answers: dict = field(default_factory=dict)
     value: RegisterValue = field(default_factory=EMPTY.copy)
@@ -100,7 +118,7 @@
 
 
 class Proposer:
-    """Owner of the operations that this process has begun. `step` gives (commands, settled)."""
+    """Owner of the operations that this process has begun. `step` gives commands and the operations that ended."""
 
     def __init__(self, *, identity: str, rng: random.Random) -> None:
         self.identity = identity
@@ -138,9 +156,9 @@
             highest_round=self._round,
         )
         self._live[begin.op] = operation
-        operation.phase = "read" if begin.text is None else "prepare"
+        operation.phase = Phase.READ if begin.text is None else Phase.PREPARE
         if begin.first and begin.expected == 0 and begin.text is not None:
-            operation.phase, operation.ballot, operation.offered = "first", FIRST, True
+            operation.phase, operation.ballot, operation.offered = Phase.FIRST, FIRST, True
             operation.value = {"number": 1, "mark": operation.mark, "trail": [], "text": begin.text}
         return ProposerResult(self._open_round(now=now, operation=operation), [])
 
@@ -148,11 +166,11 @@
         size = len(operation.begin.text or "") + len(operation.value.get("text", ""))
         operation.answers, operation.retry_at = {}, now + constants.ROUND_WAIT + size * constants.ROUND_PER_BYTE
         body = {"op": operation.begin.op, "register": operation.begin.register, "voters": operation.number}
-        if operation.phase == "read":
+        if operation.phase == Phase.READ:
             body["kind"] = "read"
-        elif operation.phase == "first":
+        elif operation.phase == Phase.FIRST:
             body |= {"kind": "first", "value": operation.value}
-        elif operation.phase == "prepare":
+        elif operation.phase == Phase.PREPARE:
             self._round = max(self._round, operation.highest_round) + 1
             operation.ballot = [self._round, self.identity]
             body |= {"kind": "prepare", "ballot": operation.ballot}
@@ -167,7 +185,7 @@
                 finished.append(self._give_up(operation=operation))
             elif now >= operation.retry_at:
                 operation.voters, operation.number = voters.members, voters.number
-                operation.phase, operation.attempts = "prepare", operation.attempts + 1
+                operation.phase, operation.attempts = Phase.PREPARE, operation.attempts + 1
                 commands += self._open_round(now=now, operation=operation)
         return ProposerResult(commands, finished)
 
@@ -182,22 +200,21 @@
 
     def _on_reply(self, *, now: float, operation: Operation, sender: str, body: Message) -> ProposerResult:
         kind = body["kind"]
-        if kind == "nack" and operation.phase == "first":
+        if kind == "nack" and operation.phase == Phase.FIRST:
             return ProposerResult(self._on_register_taken(now=now, operation=operation, sender=sender), [])
         if kind == "nack":
             return ProposerResult(self._on_nack(now=now, operation=operation, body=body), [])
-        expected = {"first": "voted", "read": "told", "prepare": "promise", "accept": "voted"}[operation.phase]
+        expected = REPLIES[operation.phase]
         if kind != expected or (kind != "told" and body["ballot"] != operation.ballot):
             return ProposerResult([], [])
         operation.answers[sender] = body.get("vote", [])
-        need = (
-            fast_of(members=operation.voters) if operation.phase == "first" else majority_of(members=operation.voters)
-        )
+        quorum_of = fast_of if operation.phase == Phase.FIRST else majority_of
+        need = quorum_of(members=operation.voters)
         if len(operation.answers) < need:
             return ProposerResult([], [])
-        if operation.phase == "read":
+        if operation.phase == Phase.READ:
             return self._judge_read(now=now, operation=operation)
-        if operation.phase == "prepare":
+        if operation.phase == Phase.PREPARE:
             return self._judge_promises(now=now, operation=operation)
         return ProposerResult([], [self._finish(operation=operation, outcome=self._judge_votes(operation=operation))])
 
@@ -205,16 +222,16 @@
         operation.against.add(sender)
         if len(operation.against) <= len(operation.voters) - fast_of(members=operation.voters):
             return []
-        operation.phase = "prepare"
+        operation.phase = Phase.PREPARE
         return self._open_round(now=now, operation=operation)
 
     def _on_nack(self, *, now: float, operation: Operation, body: Message) -> list[Command]:
-        if body["reason"] != "promised" or body["ballot"] != operation.ballot or operation.phase == "read":
+        if body["reason"] != "promised" or body["ballot"] != operation.ballot or operation.phase == Phase.READ:
             return []
         operation.highest_round = max(operation.highest_round, body["round"])
         operation.attempts += 1
         backoff = constants.BACKOFF * self._rng.random() * min(operation.attempts, 8)
-        operation.retry_at, operation.phase = min(operation.retry_at, now + backoff), "prepare"
+        operation.retry_at, operation.phase = min(operation.retry_at, now + backoff), Phase.PREPARE
         operation.ballot, operation.answers = [0, ""], {}
         return []
 
@@ -258,7 +275,7 @@
                     else self._refuse(operation=operation)
                 ],
             )
-        operation.phase = "accept"
+        operation.phase = Phase.ACCEPT
         return ProposerResult(self._open_round(now=now, operation=operation), [])
 
     def _refuse(self, *, operation: Operation) -> OperationFinished:
--- a/sailward/proxy/tenant_proxy.py
+++ b/sailward/proxy/tenant_proxy.py
@@ -8,7 +8,7 @@
 from sailward import constants
 from sailward.consensus.acceptor import CLAIM
 from sailward.consensus.learner import CONTROL, Learner, is_control
-from sailward.consensus.proposer import Accepted, Proposer, StartOperation
+from sailward.consensus.proposer import Accepted, OperationFinished, Proposer, StartOperation
 from sailward.discovery.endpoint_rows import UNREADABLE_LIST, is_generation, read_workers
 from sailward.discovery.peer_table import Location, PeerTable
 from sailward.events import (
@@ -137,7 +137,9 @@
             return commands + self._count_zones(now=now) if commands else []
         return self._dispatch(now=now, event=event)
 
-    def _dispatch(self, *, now: float, event: object) -> list[Command]:
+    def _dispatch(
+        self, *, now: float, event: RequestReceived | CallFinished | OperationFinished | tuple[str, Message] | None
+    ) -> list[Command]:
         commands, begins = self.exchanges.step(now=now, event=event, acting=self.acting(now=now))
         return commands + self._begin(now=now, begins=begins)
 
--- a/sailward/routing/proxied_requests.py
+++ b/sailward/routing/proxied_requests.py
@@ -6,6 +6,7 @@
 from dataclasses import dataclass, field
 
 from sailward import constants
+from sailward.consensus.proposer import OperationFinished
 from sailward.events import CallFinished, Command, LogEvent, RequestReceived, Respond, StartCall
 from sailward.routing.attempt_budget import LOOKUP, AttemptBudget
 from sailward.routing.fair_queues import FairQueues
@@ -22,6 +23,7 @@
     take_exchange,
 )
 from sailward.routing.response_check import Bad, Good, Unsent, WorkerRefused, judge_result
+from sailward.wire_types import Message
 
 
 @dataclass(kw_only=True)
@@ -42,7 +44,13 @@
     lingering: dict = field(default_factory=dict)
     loads: deque = field(default_factory=deque)
 
-    def step(self, *, now: float, event: object, acting: bool) -> tuple[list, list]:
+    def step(
+        self,
+        *,
+        now: float,
+        event: RequestReceived | CallFinished | OperationFinished | tuple[str, Message] | None,
+        acting: bool,
+    ) -> tuple[list, list]:
         """Take an event, the end of an operation, a peek, or None; `acting` says whether the lease is held."""
         self.now = now
         if isinstance(event, RequestReceived):
