--- a/simulation/hollow_fleet/real.py
+++ b/simulation/hollow_fleet/real.py
@@ -23,7 +23,7 @@
 import yaml
 
 from sailward.programs import hosted as hosted_module
-from sailward.transport import message_transport as courier_module
+from sailward.transport import message_transport as transport_module
 
 from .deployment import FOLDER, HOSTING, Size, list_pages, make_document, settings_of, zones_of
 
@@ -31,7 +31,7 @@
 PATIENCE = 30.0
 
 
-class CountedCourier(courier_module.MessageTransport):
+class CountedTransport(transport_module.MessageTransport):
     """A courier that writes its counts into a file now and then."""
 
     file = ""
@@ -186,8 +186,8 @@
 
 def main() -> None:
     """Run one daemon with counted messages."""
-    role, CountedCourier.file = sys.argv[1:]
-    hosted_module.MessageTransport = CountedCourier
+    role, CountedTransport.file = sys.argv[1:]
+    hosted_module.MessageTransport = CountedTransport
     settings = yaml.safe_load(Path(os.environ["SAILWARD_NODE_FILE"]).read_text("utf-8"))
     hosted = HOSTING.host_of(settings=settings, role=role)
     getattr(importlib.import_module(f"sailward.programs.hosted_{role}"), f"run_{role}")(hosted=hosted)
--- a/simulation/hosted/calls.py
+++ b/simulation/hosted/calls.py
@@ -14,11 +14,11 @@
 from sailward import constants
 from sailward.events import CallFinished, StartCall
 from sailward.wire_names import names_another
+from simulation.hosted.environment import Environment
 
 if TYPE_CHECKING:
     from simulation.hosted.process import Process
     from simulation.hosted.workers import Worker
-    from simulation.hosted.world import World
 
 
 @dataclass(kw_only=True, eq=False)
@@ -113,7 +113,7 @@
 class Calls:
     """Owner of all calls under way and of the kept connections."""
 
-    def __init__(self, *, world: World) -> None:
+    def __init__(self, *, world: Environment) -> None:
         self.world = world
         self.lines: dict = {}
         self._kept: dict = {}
@@ -257,5 +257,5 @@
         )
 
 
-def _after(*, world: World, delay: float, act: Callable[[], None]) -> None:
+def _after(*, world: Environment, delay: float, act: Callable[[], None]) -> None:
     world.clock.after(delay, act)
--- a/simulation/hosted/clients.py
+++ b/simulation/hosted/clients.py
@@ -9,16 +9,13 @@
 import json
 import random
 from dataclasses import dataclass, field
-from typing import TYPE_CHECKING
 
 from sailward.events import Respond
 from simulation.hosted.deployment import Kind
+from simulation.hosted.environment import Environment
 from simulation.hosted.exchange import CONNECT
 from simulation.hosted.network import Spot
 
-if TYPE_CHECKING:
-    from simulation.hosted.world import World
-
 TRIES = 2
 """retries of a client."""
 FINAL = (400, 401, 404, 413, 431)
@@ -59,7 +56,7 @@
 class Client:
     """Owner of one client's addresses and requests. `begin` sends one."""
 
-    world: World
+    world: Environment
     spot: Spot
     rng: random.Random
     keeps: float
--- a/simulation/hosted/exchange.py
+++ b/simulation/hosted/exchange.py
@@ -8,11 +8,11 @@
 
 from sailward import constants
 from sailward.events import RequestReceived, Respond
+from simulation.hosted.environment import Environment
 from simulation.hosted.network import Spot
 
 if TYPE_CHECKING:
     from simulation.hosted.process import Process
-    from simulation.hosted.world import World
 
 CONNECT = 1.0
 """s for a new connection, and for an answer of the directory."""
@@ -29,7 +29,7 @@
     connection is tried that nobody answers.
     """
 
-    world: World
+    world: Environment
     spot: Spot
     process: Process | None
     edge: str
--- a/simulation/hosted/listing.py
+++ b/simulation/hosted/listing.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(kw_only=True)
-class EndpointPoller:
+class SimulatedEndpointList:
     """Owner of the list. `change` folds what a worker became, `page` gives what a caller is told."""
 
     lag: float
--- a/simulation/hosted/operator_call.py
+++ b/simulation/hosted/operator_call.py
@@ -7,9 +7,9 @@
 from typing import TYPE_CHECKING
 
 from sailward.events import Respond
+from simulation.hosted.environment import OperatorView
 
 if TYPE_CHECKING:
-    from simulation.hosted.operators import Operator
     from simulation.hosted.process import Process
 
 ENDS = (400, 409, 412, 413, 422)
@@ -36,7 +36,7 @@
     `arrived` for each sending that reaches a controller before the operator has left.
     """
 
-    operator: Operator
+    operator: OperatorView
     method: str
     path: str
     headers: dict
--- a/simulation/hosted/operators.py
+++ b/simulation/hosted/operators.py
@@ -11,12 +11,12 @@
 
 from sailward.events import Respond
 from simulation.hosted.deployment import make_written
+from simulation.hosted.environment import Environment
 from simulation.hosted.network import Spot
 from simulation.hosted.operator_call import ENDS, OperatorCall
 
 if TYPE_CHECKING:
     from simulation.hosted.process import Process
-    from simulation.hosted.world import World
 
 SILENCE = 1.0
 """s without an answer before the connection is closed and another daemon is asked."""
@@ -77,7 +77,7 @@
 class Operator:
     """Owner of the orders. Each method begins one; the history shows how it ended."""
 
-    world: World
+    world: Environment
     spot: Spot
     versions: dict = field(default_factory=dict)
     order: list = field(default_factory=list)
--- a/simulation/hosted/process.py
+++ b/simulation/hosted/process.py
@@ -9,7 +9,6 @@
 import random
 import traceback
 from collections.abc import Callable
-from typing import TYPE_CHECKING
 
 from sailward import constants
 from sailward.config.check import check_config
@@ -37,12 +36,10 @@
     ValidateConfig,
 )
 from sailward.proxy.proxy import Proxy
+from simulation.hosted.environment import Environment
 from simulation.hosted.network import Spot
 from simulation.sim.disk import Disk
 
-if TYPE_CHECKING:
-    from simulation.hosted.world import World
-
 RESTART = 0.4
 """s from a process's end until it is started again: its pause and its start."""
 CHECK_TIME = 0.02
@@ -52,7 +49,7 @@
 class Machine:
     """A machine with its processes. Its disk outlives them unless it is wiped."""
 
-    def __init__(self, *, world: World, spot: Spot, ip: str, roles: tuple) -> None:
+    def __init__(self, *, world: Environment, spot: Spot, ip: str, roles: tuple) -> None:
         self.world, self.spot, self.ip = world, spot, ip
         self.rng = random.Random(f"{world.seed}/{spot.name}")
         self.disk = Disk(rng=self.rng)
--- a/simulation/hosted/workers.py
+++ b/simulation/hosted/workers.py
@@ -9,16 +9,12 @@
 import random
 from collections import deque
 from dataclasses import dataclass, field
-from typing import TYPE_CHECKING
 from urllib.parse import urlsplit
 
 from simulation.hosted.ailments import EXTRA, GARBLE, LOSE, SLOW_TIMES, Ailments
+from simulation.hosted.environment import CallLine, Environment
 from simulation.hosted.network import Spot
 
-if TYPE_CHECKING:
-    from simulation.hosted.calls import Line
-    from simulation.hosted.world import World
-
 SLOW_CLOCK = 1.02
 """times a hold by a clock that runs 2% slow."""
 YOUNG, YOUNG_TIMES = 2.0, 1.6
@@ -42,7 +38,7 @@
 class Worker:
     """One life of a worker. `arrive` takes a call whose bytes are there."""
 
-    world: World
+    world: Environment
     id: str
     service: str
     address: str
@@ -72,7 +68,7 @@
     def __post_init__(self) -> None:
         self.ailments = Ailments(rng=self.rng)
 
-    def arrive(self, *, line: Line) -> None:
+    def arrive(self, *, line: CallLine) -> None:
         """The bytes of a call have come."""
         if self.is_silent:
             return
@@ -110,7 +106,7 @@
         now = self.world.clock.now
         return next((hold for hold in self.holds if hold.start <= key <= hold.end and now < hold.until), None)
 
-    def closed(self, *, line: Line) -> None:
+    def closed(self, *, line: CallLine) -> None:
         """The connection of a call was closed: what waits is dropped, what runs is stopped."""
         if line in self.line:
             self.line.remove(line)
@@ -118,7 +114,7 @@
             del self.running[line]
             self._go_on()
 
-    def _record(self, *, k: str, line: Line, **more: object) -> None:
+    def _record(self, *, k: str, line: CallLine, **more: object) -> None:
         self.world.history.add(
             t=self.world.clock.now,
             k=k,
@@ -132,7 +128,7 @@
             **more,
         )
 
-    def _tell_health(self, *, line: Line) -> None:
+    def _tell_health(self, *, line: CallLine) -> None:
         self.world.count["probes"] += 1
         if len(self.running) >= self.capacity and len(self.line) >= self.queue:
             if not self.hangs:
@@ -143,7 +139,7 @@
         is_unhealthy = self.is_draining or self.ailments.reports_unhealthy(now=self.world.clock.now)
         line.answer(code=503 if is_unhealthy else 200, headers=headers)
 
-    def _take_request(self, *, line: Line, headers: dict, is_meant: bool) -> None:
+    def _take_request(self, *, line: CallLine, headers: dict, is_meant: bool) -> None:
         now = self.world.clock.now
         key = int(headers["shard-key"]) if headers.get("shard-key", "").isdigit() else -1
         is_valid = not self.is_sharded or self.holds_key(key=key) is not None
@@ -182,7 +178,7 @@
         bounds = self.world.deployment.bounds
         return len(self.recent) > FALLS * (self.slow_start_rate * bounds["cold_excess"] + bounds["cold_slack"])
 
-    def _begin(self, *, line: Line) -> None:
+    def _begin(self, *, line: CallLine) -> None:
         now = self.world.clock.now
         if now >= line.due:
             self._answer(line=line, code=503, headers={"not-executed": "1"})
@@ -213,7 +209,7 @@
             self.world.clock.after(work, lambda: self._finish(line=line, code=500 if line.grey == "errors" else 200))
         self.world.clock.at(line.due, lambda: self._finish(line=line, code=504))
 
-    def _finish(self, *, line: Line, code: int) -> None:
+    def _finish(self, *, line: CallLine, code: int) -> None:
         if self.running.pop(line, None) is None:
             return
         now = self.world.clock.now
@@ -233,7 +229,7 @@
             self._answer(line=line, code=code, headers={})
         self._go_on()
 
-    def _garble(self, *, line: Line) -> None:
+    def _garble(self, *, line: CallLine) -> None:
         name = line.headers.get("attempt-id", "")
         way = self.rng.randrange(6)
         if way < 2:
@@ -245,7 +241,7 @@
         else:
             line.answer(code=503 if way == 4 else 429, headers={"attempt-id": name}, body=b"after it ran")
 
-    def _answer(self, *, line: Line, code: int, headers: dict) -> None:
+    def _answer(self, *, line: CallLine, code: int, headers: dict) -> None:
         name = line.headers.get("attempt-id", "")
         seal = f"{self.id}.{name}.{code}"
         self._record(k="done", line=line, code=code, seal=seal, not_run="not-executed" in headers)
@@ -255,7 +251,7 @@
         if self.ailments.strikes(now=self.world.clock.now, name=EXTRA):
             self._repeat(line=line, code=code, headers=headers, body=body)
 
-    def _repeat(self, *, line: Line, code: int, headers: dict, body: bytes) -> None:
+    def _repeat(self, *, line: CallLine, code: int, headers: dict, body: bytes) -> None:
         """Send a further answer: the same once more, or a refusal that names no request."""
         if self.rng.random() < 0.5:
             line.leave_surplus(code=code, headers=headers, body=body)
@@ -270,7 +266,7 @@
                 self.releasing.remove((line, start, end))
                 line.answer(code=200, headers={"handover": f"h.{self.id}.{start}"})
 
-    def _take_grant(self, *, line: Line, body: dict) -> None:
+    def _take_grant(self, *, line: CallLine, body: dict) -> None:
         now, start, end, fencing_token = (
             self.world.clock.now,
             body["from_rev"],
@@ -292,7 +288,7 @@
         )
         line.answer(code=200)
 
-    def _take_release(self, *, line: Line, body: dict) -> None:
+    def _take_release(self, *, line: CallLine, body: dict) -> None:
         start, end = body["from_rev"], body["target_version"]
         self._drop(start=start, end=end)
         self.releasing.append((line, start, end))
--- a/simulation/hosted/world.py
+++ b/simulation/hosted/world.py
@@ -17,7 +17,7 @@
 from simulation.hosted.clients import Client
 from simulation.hosted.deployment import Deployment, Kind
 from simulation.hosted.exchange import Exchange
-from simulation.hosted.listing import CRASHED_STAYS, EndpointPoller
+from simulation.hosted.listing import CRASHED_STAYS, SimulatedEndpointList
 from simulation.hosted.network import Network, Spot
 from simulation.hosted.operators import Operator
 from simulation.hosted.process import Machine, Process
@@ -47,7 +47,7 @@
         self.attempts: dict = {}
         self.calls = Calls(world=self)
         self.list_address, self.list_spot = "10.200.0.1:8642", _spot(name="list", zone="", region="", kind="list")
-        self.listing = EndpointPoller(lag=deployment.list_lag, rate=deployment.list_rate)
+        self.listing = SimulatedEndpointList(lag=deployment.list_lag, rate=deployment.list_rate)
         self.machines: dict[str, Machine] = {}
         self.by_post: dict[str, Process] = {}
         self.by_front: dict[str, Process] = {}
--- a/simulation/sim/node.py
+++ b/simulation/sim/node.py
@@ -5,7 +5,6 @@
 import marshal
 import random
 import traceback
-from typing import TYPE_CHECKING
 
 from sailward import constants
 from sailward.config import check as check_module
@@ -34,15 +33,15 @@
 from sailward.proxy.tenant_proxy import TenantProxy
 from sailward.storage.disk import Damaged
 from simulation.sim.disk import Disk
-
-if TYPE_CHECKING:
-    from simulation.sim.world import World
+from simulation.sim.environment import Environment
 
 
 class Node:
     """A daemon's machine: it can be up, down or frozen; its disk outlives its process."""
 
-    def __init__(self, *, world: World, name: str, kind: str, zone: str, region: str, index: int, seeds: tuple) -> None:
+    def __init__(
+        self, *, world: Environment, name: str, kind: str, zone: str, region: str, index: int, seeds: tuple
+    ) -> None:
         self.world = world
         self.location = Location(
             name=name,
--- a/simulation/sim/platform.py
+++ b/simulation/sim/platform.py
@@ -2,12 +2,8 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
-
 from simulation.mind import Mind
-
-if TYPE_CHECKING:
-    from simulation.sim.world import World
+from simulation.sim.environment import Environment
 
 
 class Platform:
@@ -15,7 +11,7 @@
 
     address = "10.2.0.1:80"
 
-    def __init__(self, *, world: World) -> None:
+    def __init__(self, *, world: Environment) -> None:
         self._world = world
         self._rows: dict[str, dict] = {}
         self._newest: dict[str, int] = {}
--- a/tests/test_platform_real.py
+++ b/tests/test_platform_real.py
@@ -62,7 +62,7 @@
         return None
 
 
-class EndpointPoller(http.server.BaseHTTPRequestHandler):
+class EndpointListHandler(http.server.BaseHTTPRequestHandler):
     """The platform's list."""
 
     protocol_version = "HTTP/1.1"
@@ -129,7 +129,7 @@
                     "cold_left_s": 0,
                 }
             )
-        self.listing = serve(EndpointPoller, rows=rows)
+        self.listing = serve(EndpointListHandler, rows=rows)
         self.settings = {}
         for at, zone in enumerate(ZONES):
             self.settings[f"controller-{at}"] = self.make("controller", at, zone)
