--- a/tests/http_client_peer.py
+++ b/tests/http_client_peer.py
@@ -19,6 +19,34 @@
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"
 
 
+def make_call(
+    *,
+    token: str,
+    address: str,
+    owner: str = "w",
+    method: str = "GET",
+    path: str = "/",
+    headers: dict | None = None,
+    body: bytes = b"",
+    timeout: float = 5.0,
+    fresh: bool = False,
+    begin_by: float = float("inf"),
+) -> StartCall:
+    """A call as an owner gives it, plain unless said."""
+    return StartCall(
+        token=token,
+        owner=owner,
+        address=address,
+        method=method,
+        path=path,
+        headers=headers or {},
+        body=body,
+        timeout=timeout,
+        fresh=fresh,
+        begin_by=begin_by,
+    )
+
+
 class Line:
     """One connection as the peer sees it."""
 
@@ -147,13 +175,13 @@
     ) -> str:
         self._count += 1
         token = token or f"t{self._count}"
-        call = StartCall(
+        call = make_call(
             token=token,
             owner=owner,
             address=address,
             method=method,
             path=path,
-            headers=headers or {},
+            headers=headers,
             body=body,
             timeout=wait,
             fresh=fresh,
--- /dev/null
+++ b/tests/planted_faults.py
@@ -0,0 +1,17 @@
+"""Faults planted into the product on purpose, which more than one property test must find."""
+
+from __future__ import annotations
+
+import pytest
+
+from sailward.control.group import write_ahead
+
+
+def answer_before_sync(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Replies leave at once, before the records that they depend on are on the disk."""
+    old = write_ahead.WriteAhead.step
+    monkeypatch.setattr(
+        write_ahead.WriteAhead,
+        "step",
+        lambda self, *, records, replies: [*old(self, records=records, replies=[]), *replies],
+    )
--- a/tests/test_group_machine.py
+++ b/tests/test_group_machine.py
@@ -10,8 +10,9 @@
 
 from sailward.consensus import learner, proposer
 from sailward.control import controller
-from sailward.control.group import copying, write_ahead
+from sailward.control.group import copying
 from tests.group_machine import GroupMachine
+from tests.planted_faults import answer_before_sync
 
 EXAMPLES = int(os.environ.get("SAILWARD_MODEL_EXAMPLES", "15"))
 """Histories of the sound product; wide runs give more by the environment."""
@@ -40,15 +41,6 @@
     run_machine(examples=EXAMPLES, phases=(Phase.generate,))
 
 
-def answer_before_sync(monkeypatch: pytest.MonkeyPatch) -> None:
-    old = write_ahead.WriteAhead.step
-    monkeypatch.setattr(
-        write_ahead.WriteAhead,
-        "step",
-        lambda self, *, records, replies: [*old(self, records=records, replies=[]), *replies],
-    )
-
-
 def hold_older(monkeypatch: pytest.MonkeyPatch) -> None:
     def step(self, *, name, ballot, value):
         is_newer = name not in self.values or value["mark"] != self.values[name].value["mark"]
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -10,8 +10,7 @@
 import pytest
 
 from sailward import constants
-from sailward.events import StartCall
-from tests.http_client_peer import OK, WAIT, Edge, Line
+from tests.http_client_peer import OK, WAIT, Edge, Line, make_call
 
 QUIET = 0.3
 
@@ -112,19 +111,7 @@
     def end_and_give() -> None:
         peer.lines[0].sock.shutdown(socket.SHUT_RDWR)
         time.sleep(0.05)
-        edge.http_client.give(
-            call=StartCall(
-                token="late",
-                owner="w",
-                address=peer.address,
-                method="POST",
-                path="/",
-                headers={},
-                body=b"x",
-                timeout=5.0,
-                fresh=False,
-            )
-        )
+        edge.http_client.give(call=make_call(token="late", address=peer.address, method="POST", body=b"x"))
 
     edge.do(end_and_give)
     assert edge.told.get(timeout=WAIT).code == 200
@@ -257,19 +244,7 @@
     peer = edge.speaker(OK)
 
     def give_and_cancel() -> None:
-        edge.http_client.give(
-            call=StartCall(
-                token="x",
-                owner="w",
-                address=peer.address,
-                method="GET",
-                path="/",
-                headers={},
-                body=b"",
-                timeout=5.0,
-                fresh=False,
-            )
-        )
+        edge.http_client.give(call=make_call(token="x", address=peer.address))
         edge.http_client.cancel(token="x")
 
     edge.do(give_and_cancel)
--- a/tests/test_http_client_responses.py
+++ b/tests/test_http_client_responses.py
@@ -9,8 +9,7 @@
 import pytest
 
 from sailward import constants
-from sailward.events import StartCall
-from tests.http_client_peer import OK, WAIT, Edge, Line
+from tests.http_client_peer import OK, WAIT, Edge, Line, make_call
 
 
 @pytest.fixture
@@ -147,19 +146,7 @@
     def speak_and_give() -> None:
         peer.lines[0].say(b"HTTP/1.1 500 Late\r\nContent-Length: 0\r\n\r\n")
         time.sleep(0.05)
-        edge.http_client.give(
-            call=StartCall(
-                token="next",
-                owner="w",
-                address=peer.address,
-                method="GET",
-                path="/",
-                headers={},
-                body=b"",
-                timeout=5.0,
-                fresh=False,
-            )
-        )
+        edge.http_client.give(call=make_call(token="next", address=peer.address))
 
     edge.do(speak_and_give)
     assert edge.told.get(timeout=WAIT).code == 200
--- a/tests/test_storage_machine.py
+++ b/tests/test_storage_machine.py
@@ -11,6 +11,7 @@
 from sailward.consensus import acceptor
 from sailward.control.group import write_ahead
 from sailward.events import DiskWriteFailed, RecordsSynced
+from tests.planted_faults import answer_before_sync
 from tests.storage_machine import StorageMachine, shrink_file_bounds
 from tests.test_data_file import NamesUnsynced, RenamesUnsynced, StoresUnsynced
 
@@ -39,15 +40,6 @@
     run_machine(machine=StorageMachine, examples=EXAMPLES)
 
 
-def answer_before_sync(monkeypatch: pytest.MonkeyPatch) -> None:
-    old = write_ahead.WriteAhead.step
-    monkeypatch.setattr(
-        write_ahead.WriteAhead,
-        "step",
-        lambda self, *, records, replies: [*old(self, records=records, replies=[]), *replies],
-    )
-
-
 def take_failures_for_syncs(monkeypatch: pytest.MonkeyPatch) -> None:
     old = write_ahead.WriteAhead.receive
     monkeypatch.setattr(
