--- a/sailward/client/client.py
+++ b/sailward/client/client.py
@@ -56,8 +56,8 @@
     handle.setopt(pycurl.URL, f"http://{address}{path}")
     handle.setopt(pycurl.PROXY, "")
     handle.setopt(pycurl.NOSIGNAL, 1)
-    handle.setopt(pycurl.CONNECTTIMEOUT_MS, int(constants.DIAL_WAIT * 2000))
-    handle.setopt(pycurl.TIMEOUT_MS, int(constants.SAILCTL_WAIT * 1000))
+    handle.setopt(pycurl.CONNECTTIMEOUT_MS, int(constants.CONNECT_TIMEOUT * 2000))
+    handle.setopt(pycurl.TIMEOUT_MS, int(constants.SAILCTL_TIMEOUT * 1000))
     rows = [f"{name}: {value}" for name, value in (headers or {}).items()]
     handle.setopt(pycurl.HTTPHEADER, ["Expect:", "Content-Type: application/json", *rows])
     if method != "GET":
--- a/sailward/config/check.py
+++ b/sailward/config/check.py
@@ -42,8 +42,8 @@
 
 def read_config(*, text: bytes | str) -> dict | Unsound:
     """The JSON object in this text; names given twice are a fault."""
-    if len(text) > constants.CONFIG_BYTES:
-        return Unsound(faults=(Fault(path="", reason=f"longer than {constants.CONFIG_BYTES} bytes"),))
+    if len(text) > constants.MAX_CONFIG_BYTES:
+        return Unsound(faults=(Fault(path="", reason=f"longer than {constants.MAX_CONFIG_BYTES} bytes"),))
     twice: list[str] = []
     try:
         config = load_json(text=text, twice=twice)
@@ -236,7 +236,7 @@
         if pool.get("tiers") == "near":
             continue
         zones = [*pool["preferred"], *pool["fallback"]]
-        allowed = int(constants.DRAIN_CAP * len(zones))
+        allowed = int(constants.MAX_DRAINED_ZONES_RATIO * len(zones))
         if len(pool["preferred"]) > allowed:
             yield Fault(
                 path=f"pools.{name}",
--- a/sailward/config/dialect.py
+++ b/sailward/config/dialect.py
@@ -85,7 +85,7 @@
     def read(self, *, event: RequestReceived) -> Order | Outcome | None:
         """What is asked; what is not known is refused."""
         if event.body is None:
-            return _refused(code=413, reason="too-large", detail=f"at most {constants.CONFIG_BYTES} bytes")
+            return _refused(code=413, reason="too-large", detail=f"at most {constants.MAX_CONFIG_BYTES} bytes")
         parts = event.path.strip("/").split("/")
         if parts == ["config"] and event.method in ("GET", "PUT", "PATCH"):
             return self._read_config(event=event)
--- a/sailward/config/schema.py
+++ b/sailward/config/schema.py
@@ -11,11 +11,16 @@
 AMOUNT = {"type": "number", "min": 0.1, "max": 1e6}
 
 SERVICE = {
-    "expiry_s": {"type": "number", "min": 0.05, "max": 5.0, "default": constants.SERVICE_EXPIRY},
-    "rate": {**AMOUNT, "default": constants.WORKER_RATE},
+    "expiry_s": {"type": "number", "min": 0.05, "max": 5.0, "default": constants.DEFAULT_SERVICE_TIMEOUT},
+    "rate": {**AMOUNT, "default": constants.DEFAULT_WORKER_RATE},
     "cold_rate": {**AMOUNT, "default": constants.SLOW_START_RATE},
     "cold_ramp_s": {"type": "number", "min": 0, "max": 3600, "default": constants.SLOW_START_RAMP},
-    "result_bytes": {"type": "integer", "min": 1, "max": constants.RESULT_BYTES, "default": constants.RESULT_BYTES},
+    "result_bytes": {
+        "type": "integer",
+        "min": 1,
+        "max": constants.MAX_RESULT_BYTES,
+        "default": constants.MAX_RESULT_BYTES,
+    },
     "digest_required": {"type": "boolean", "default": False},
     "timed_keys": {"type": "boolean", "default": False},
     "slots": {"type": "integer", "min": 0, "max": 1024, "default": 0},
--- a/sailward/consensus/proposer.py
+++ b/sailward/consensus/proposer.py
@@ -63,7 +63,7 @@
     expected: int = 0
     text: str | None = None
     first: bool = False
-    timeout: float = constants.OPERATION_EXPIRY
+    timeout: float = constants.OPERATION_TIMEOUT
 
 
 class Phase(StrEnum):
@@ -164,7 +164,10 @@
 
     def _open_round(self, *, now: float, operation: Operation) -> list[Command]:
         size = len(operation.begin.text or "") + len(operation.value.get("text", ""))
-        operation.answers, operation.retry_at = {}, now + constants.ROUND_WAIT + size * constants.ROUND_PER_BYTE
+        operation.answers, operation.retry_at = (
+            {},
+            now + constants.ROUND_TIMEOUT + size * constants.ROUND_TIMEOUT_PER_BYTE,
+        )
         body = {"op": operation.begin.op, "register": operation.begin.register, "voters": operation.number}
         if operation.phase == Phase.READ:
             body["kind"] = "read"
@@ -230,7 +233,7 @@
             return []
         operation.highest_round = max(operation.highest_round, body["round"])
         operation.attempts += 1
-        backoff = constants.BACKOFF * self._rng.random() * min(operation.attempts, 8)
+        backoff = constants.PROPOSER_BACKOFF * self._rng.random() * min(operation.attempts, 8)
         operation.retry_at, operation.phase = min(operation.retry_at, now + backoff), Phase.PREPARE
         operation.ballot, operation.answers = [0, ""], {}
         return []
@@ -246,7 +249,7 @@
                     [], [self._finish(operation=operation, outcome=_read(ballot=ballot, value=value))]
                 )
         operation.retry_at = (
-            now if len(votes) == len(operation.voters) else min(operation.retry_at, now + constants.BACKOFF)
+            now if len(votes) == len(operation.voters) else min(operation.retry_at, now + constants.PROPOSER_BACKOFF)
         )
         return ProposerResult([], [])
 
@@ -256,7 +259,7 @@
         if begin.text is None or operation.mark in (value["mark"], *value["trail"]):
             operation.value = value
         elif value["number"] == begin.expected:
-            trail = [value["mark"], *value["trail"]][: constants.TRAIL]
+            trail = [value["mark"], *value["trail"]][: constants.REGISTER_HISTORY_LENGTH]
             operation.value = {
                 "number": value["number"] + 1,
                 "mark": operation.mark,
@@ -289,7 +292,10 @@
             return _read(ballot=operation.ballot, value=operation.value)
         if ours:
             return Accepted(number=operation.begin.expected + 1, ballot=operation.ballot, value=operation.value)
-        if operation.offered and operation.value["number"] > operation.begin.expected + constants.TRAIL:
+        if (
+            operation.offered
+            and operation.value["number"] > operation.begin.expected + constants.REGISTER_HISTORY_LENGTH
+        ):
             return Unknown(reason="trail-too-short")
         return Refused(reason="number", value=operation.value, ballot=operation.ballot)
 
--- a/sailward/control/administration/admin_api.py
+++ b/sailward/control/administration/admin_api.py
@@ -54,7 +54,7 @@
     identity: str
     dialect: Dialect = field(default_factory=OwnDialect)
     zones: frozenset = frozenset()
-    timeout: float = field(default_factory=lambda: constants.OPERATION_EXPIRY)
+    timeout: float = field(default_factory=lambda: constants.OPERATION_TIMEOUT)
     jobs: dict = field(default_factory=dict)
     count: int = 0
     full: dict = field(default_factory=dict)
@@ -216,7 +216,7 @@
             kind="change",
             expected=job.number,
             text=text,
-            timeout=self.timeout + len(text) * constants.ROUND_PER_BYTE,
+            timeout=self.timeout + len(text) * constants.ROUND_TIMEOUT_PER_BYTE,
         )
 
     def _after_check(self, *, job: Job, verdict: Sound | Unsound) -> StepResult:
@@ -239,7 +239,7 @@
             return self._end(
                 job=job, outcome=Outcome(kind="sound", number=job.number, notes={"dry": True, **job.notes})
             )
-        if len(text) > 2 * constants.CONFIG_BYTES:
+        if len(text) > 2 * constants.MAX_CONFIG_BYTES:
             return self._end(
                 job=job,
                 outcome=Outcome(
@@ -342,7 +342,7 @@
 
 def _patience(*, job: Job) -> float:
     """The s that an operator waits for a round at a majority: callers wait longer for large orders."""
-    return constants.OPERATOR_PATIENCE + job.size * constants.ROUND_PER_BYTE
+    return constants.OPERATOR_PATIENCE + job.size * constants.ROUND_TIMEOUT_PER_BYTE
 
 
 def _stale(*, number: int, detail: str) -> Outcome:
--- a/sailward/control/controller.py
+++ b/sailward/control/controller.py
@@ -349,7 +349,7 @@
             self.peer_table.identity = self.identity if may_act else ""
 
     def _update_aggregated_health(self, *, now: float) -> list[Command]:
-        if now - self._health_updated_at < constants.JUDGE_EVERY:
+        if now - self._health_updated_at < constants.HEALTH_AGGREGATION_INTERVAL:
             return []
         self._health_updated_at = now
         return self.serving.push(now=now) + self.aggregated_health.step(now=now, proxies=self.subscribers.proxies())
@@ -359,7 +359,7 @@
         if (
             self.write_ahead.usable
             or self.write_ahead.rewriting
-            or now - self._rewrite_tried_at <= constants.REPAIR_EVERY
+            or now - self._rewrite_tried_at <= constants.REPAIR_INTERVAL
         ):
             return []
         self._rewrite_tried_at = now
@@ -383,6 +383,6 @@
             self._moves_begun += 1
             op = f"{self._operation_prefix}/move{self._moves_begun}"
             begins.append(
-                StartOperation(op=op, register=name, expected=number, text=text, timeout=constants.ROUND_WAIT * 3)
+                StartOperation(op=op, register=name, expected=number, text=text, timeout=constants.ROUND_TIMEOUT * 3)
             )
         return self.registers.begin(now=now, begins=begins)
--- a/sailward/control/controller_options.py
+++ b/sailward/control/controller_options.py
@@ -35,13 +35,13 @@
     bootstrap: Bootstrap | None = None
     zones: tuple[tuple[str, str], ...] = ()
     list_rate: float = 0.0
-    replace_after: float = field(default_factory=lambda: constants.REPLACE_AFTER)
-    repair_every: float = field(default_factory=lambda: constants.REPAIR_EVERY)
-    copy_again: float = field(default_factory=lambda: constants.COPY_AGAIN)
-    gossip_every: float = field(default_factory=lambda: constants.GOSSIP)
-    suspect_after: float = field(default_factory=lambda: constants.SUSPECT)
-    read_every: float = field(default_factory=lambda: constants.READ_EVERY)
-    operation_wait: float = field(default_factory=lambda: constants.OPERATION_EXPIRY)
+    replace_after: float = field(default_factory=lambda: constants.VOTER_REPLACEMENT_DELAY)
+    repair_every: float = field(default_factory=lambda: constants.REPAIR_INTERVAL)
+    copy_again: float = field(default_factory=lambda: constants.COPY_RETRY_INTERVAL)
+    gossip_every: float = field(default_factory=lambda: constants.GOSSIP_INTERVAL)
+    suspect_after: float = field(default_factory=lambda: constants.HEARTBEAT_TIMEOUT)
+    read_every: float = field(default_factory=lambda: constants.REGISTER_READ_INTERVAL)
+    operation_wait: float = field(default_factory=lambda: constants.OPERATION_TIMEOUT)
     grants: GrantCodec | None = None
     lease_max: float = field(default_factory=lambda: constants.GRANT_DURATION)
     tells_fleet: bool = False
--- a/sailward/control/group/catch_up.py
+++ b/sailward/control/group/catch_up.py
@@ -14,9 +14,9 @@
 class CatchUp:
     """Owner of a controller's own reads. `step` begins those that are due; `finish` takes the end of an operation.
 
-    Each register is read every `every` s, and sooner where a newer value is known to exist: after STALLED s, in
-    which the chosen value comes by itself as a rule. With `contact`, what must be read before it may be served is read
-    again each STALLED s until it is, also by a controller that is no voter.
+    Each register is read every `every` s, and sooner where a newer value is known to exist: after STALLED_VOTE_TIMEOUT
+    s, in which the chosen value comes by itself as a rule. With `contact`, what must be read before it may be served is
+    read again each STALLED_VOTE_TIMEOUT s until it is, also by a controller that is no voter.
     """
 
     def __init__(self, *, voter: Voter, op_prefix: str, every: float, contact: QuorumContact | None) -> None:
@@ -38,7 +38,7 @@
 
     def record_behind(self, *, now: float, name: str) -> None:
         """What is held of this register is known to be old: it is read with the next tick."""
-        self._behind.setdefault(name, now - constants.STALLED)
+        self._behind.setdefault(name, now - constants.STALLED_VOTE_TIMEOUT)
 
     def record_unannounced(self, *, now: float, name: str) -> None:
         """Something newer of this register was voted for: it is read if it is not told soon."""
@@ -77,9 +77,9 @@
             self._behind.setdefault(name, now)
         elif self._behind.get(name, now) >= now:
             self._behind.pop(name, None)
-        is_stalled = name in self._behind and now - self._behind[name] >= constants.STALLED
+        is_stalled = name in self._behind and now - self._behind[name] >= constants.STALLED_VOTE_TIMEOUT
         is_needed = self._contact is not None and self._contact.had_contact and name in self._contact.unread
-        pause = constants.STALLED if is_stalled or is_needed else self._every
+        pause = constants.STALLED_VOTE_TIMEOUT if is_stalled or is_needed else self._every
         return now - self._read_at.get(name, NEVER) >= pause and name not in self._reading.values()
 
     def _begin(self, *, now: float, name: str) -> StartOperation:
--- a/sailward/control/group/copying.py
+++ b/sailward/control/group/copying.py
@@ -30,7 +30,7 @@
     cursors: dict = field(default_factory=dict)
     done: set = field(default_factory=set)
     retry_at: float = -1e9
-    backoff: float = field(default_factory=lambda: constants.COPY_AGAIN)
+    backoff: float = field(default_factory=lambda: constants.COPY_RETRY_INTERVAL)
 
     def step(self, *, now: float, voters: LearnedValue, event: tuple | None) -> list[Command]:
         """Take a (sender, copied) or None for time going on."""
@@ -126,7 +126,7 @@
 def copy_page(*, slots: dict, names: list[str], after: str, number: int) -> dict:
     """One page of this voter's votes, by the sorted names."""
     at = bisect_right(names, after)
-    page = names[at : at + constants.COPY_PAGE]
+    page = names[at : at + constants.COPY_PAGE_SLOTS]
     rows = [
         [name, slots[name].ballot, slots[name].value]
         for name in page
--- a/sailward/control/group/disaster_recovery.py
+++ b/sailward/control/group/disaster_recovery.py
@@ -122,10 +122,10 @@
     one is the newer.
     """
     digest = hashlib.blake2b(" ".join(survivors).encode(), digest_size=4).digest()
-    location = int.from_bytes(digest, "big") % constants.RECOVERY_LOCATIONS
-    step = constants.RECOVERY_GAP // constants.RECOVERY_LOCATIONS // 2
-    gaps = int(value["number"]) // constants.RECOVERY_GAP + 1
-    return gaps * constants.RECOVERY_GAP + location * step
+    location = int.from_bytes(digest, "big") % constants.RECOVERY_NUMBER_LOCATIONS
+    step = constants.RECOVERY_NUMBER_GAP // constants.RECOVERY_NUMBER_LOCATIONS // 2
+    gaps = int(value["number"]) // constants.RECOVERY_NUMBER_GAP + 1
+    return gaps * constants.RECOVERY_NUMBER_GAP + location * step
 
 
 @dataclass(kw_only=True)
@@ -155,7 +155,7 @@
         """Has every survivor told everything, and have the old leases run out?"""
         return (
             len(self.copying.done) == len(self.copying.old)
-            and now - self.since >= constants.LEASE + constants.MOVE_MARGIN
+            and now - self.since >= constants.LEASE_DURATION + constants.SLOT_MOVE_MARGIN
         )
 
     def has_unknown_outcomes(self, *, now: float, voters: LearnedValue) -> bool:
--- a/sailward/control/group/membership.py
+++ b/sailward/control/group/membership.py
@@ -304,7 +304,10 @@
         short = bool(members) and core["voting"] < core["needed"]
         if not short:
             self._short_since = now
-        was_reported, self._short_reported = self._short_reported, short and now - self._short_since > constants.SUSPECT
+        was_reported, self._short_reported = (
+            self._short_reported,
+            short and now - self._short_since > constants.HEARTBEAT_TIMEOUT,
+        )
         if was_reported == self._short_reported:
             return []
         return [
--- a/sailward/control/group/repair.py
+++ b/sailward/control/group/repair.py
@@ -30,8 +30,8 @@
 
     seen: dict = field(default_factory=dict)
     last_check_at: float = -1e9
-    replace_after: float = field(default_factory=lambda: constants.REPLACE_AFTER)
-    every: float = field(default_factory=lambda: constants.REPAIR_EVERY)
+    replace_after: float = field(default_factory=lambda: constants.VOTER_REPLACEMENT_DELAY)
+    every: float = field(default_factory=lambda: constants.REPAIR_INTERVAL)
     is_brisk: bool = False
     well_at: dict = field(default_factory=dict)
     failed: dict = field(default_factory=dict)
@@ -153,7 +153,7 @@
         """
         zones = [alive[name]["hall"] for name in rest if name in alive]
         regions = [alive[name]["region"] for name in rest if name in alive]
-        self.failed = {name: at for name, at in self.failed.items() if now - at < constants.FORGET}
+        self.failed = {name: at for name, at in self.failed.items() if now - at < constants.PEER_TTL}
         return min(
             waiting,
             default="",
--- a/sailward/control/group/voter.py
+++ b/sailward/control/group/voter.py
@@ -175,7 +175,7 @@
 
     def sweep_claims(self, *, now: float) -> list[Command]:
         """Forget the claims whose life is over."""
-        if now - self._swept < constants.CLAIM_SWEEP:
+        if now - self._swept < constants.CLAIM_SWEEP_INTERVAL:
             return []
         self._swept = now
         old = [
--- a/sailward/control/group/write_ahead.py
+++ b/sailward/control/group/write_ahead.py
@@ -66,8 +66,8 @@
         self.live_size = estimate_bytes(records=self._live_records())
 
     def _is_long(self) -> bool:
-        most_records = max(constants.REWRITE_RECORDS, constants.REWRITE_FACTOR * (len(self.slots) + 1))
-        most_bytes = max(constants.REWRITE_BYTES, constants.REWRITE_FACTOR * self.live_size)
+        most_records = max(constants.REWRITE_MIN_RECORDS, constants.REWRITE_FACTOR * (len(self.slots) + 1))
+        most_bytes = max(constants.REWRITE_THRESHOLD_BYTES, constants.REWRITE_FACTOR * self.live_size)
         return self.count > most_records or self.size > most_bytes
 
     def know(self, *, ballot: Ballot, value: RegisterValue) -> list[Command]:
@@ -124,4 +124,4 @@
 def estimate_bytes(*, records: list) -> int:
     """Bytes that these records take in the file, but for how JSON escapes their texts."""
     texts = sum(len(record["v"]["text"]) for record in records if "v" in record)
-    return constants.RECORD_BYTES * len(records) + texts
+    return constants.RECORD_OVERHEAD_BYTES * len(records) + texts
--- a/sailward/control/proxies/aggregated_health.py
+++ b/sailward/control/proxies/aggregated_health.py
@@ -25,7 +25,7 @@
         fresh = [
             proxy.report
             for proxy in proxies
-            if now - proxy.last_seen_at < constants.REPORT_TTL and proxy.report.get("halls") is not None
+            if now - proxy.last_seen_at < constants.HEALTH_REPORT_TTL and proxy.report.get("halls") is not None
         ]
         voices = [report for report in fresh if not report.get("suspect")] or fresh
         reported: dict = {}
--- a/sailward/control/proxies/proxy_registry.py
+++ b/sailward/control/proxies/proxy_registry.py
@@ -101,7 +101,7 @@
 
         As machines are replaced, there are ever more of them.
         """
-        self.others = {post: told for post, told in self.others.items() if now - told.at < constants.FORGET}
+        self.others = {post: told for post, told in self.others.items() if now - told.at < constants.PEER_TTL}
         # one that comes back is told all rows again
         self.sent_to = {post: version for post, version in self.sent_to.items() if post in posts}
 
--- a/sailward/control/proxies/serving.py
+++ b/sailward/control/proxies/serving.py
@@ -132,7 +132,7 @@
         return SendMessage(to=sender, body=grant)
 
     def _grant(self, *, now: float, sender: str, body: Message, newest: dict) -> SendMessage:
-        is_slow_start_over = now - self._subscribers.members[sender].first < constants.SLOW_START_REPORT_INTERVAL
+        is_slow_start_over = now - self._subscribers.members[sender].first < constants.SLOW_START_REPORT_DURATION
         return SendMessage(
             to=sender,
             body={
--- a/sailward/control/proxies/subscribers.py
+++ b/sailward/control/proxies/subscribers.py
@@ -149,7 +149,7 @@
         if teller not in ("", self.post) or (teller == self.post and given[0] == number):
             return []
         pushed = member.pushed.get(name)
-        if pushed and pushed[0] == (0, number) and member.last_seen_at - pushed[1] < constants.PUSH_AGAIN:
+        if pushed and pushed[0] == (0, number) and member.last_seen_at - pushed[1] < constants.PUSH_RETRY_INTERVAL:
             # no asking since then has shown that it was lost
             return []
         return self._send(
@@ -168,7 +168,7 @@
         value: RegisterValue,
     ) -> list[SendMessage]:
         pushed = member.pushed.get(name)
-        if pushed and pushed[0] == at and now - pushed[1] < constants.PUSH_AGAIN:
+        if pushed and pushed[0] == at and now - pushed[1] < constants.PUSH_RETRY_INTERVAL:
             return []
         self.seq += 1
         member.pushed[name] = (at, now)
--- a/sailward/control/shards/quiescence.py
+++ b/sailward/control/shards/quiescence.py
@@ -62,7 +62,7 @@
         return (
             entry["start"] == start
             and entry["beat"] >= heartbeat + 2
-            and entry["beat"] >= constants.ACTIVITY_HEARTBEATS
+            and entry["beat"] >= constants.PROXY_ACTIVITY_HEARTBEATS
         )
 
     def _has_left(self, *, proxy: Subscriber, closing: Closing, slot: str) -> bool:
--- a/sailward/control/shards/shard_assignment.py
+++ b/sailward/control/shards/shard_assignment.py
@@ -28,7 +28,7 @@
     """Owner of one service's slot moves, on the controller that hashing names. `step` gives the next text or "".
 
     A closed slot opens when every proxy that could act is witnessed to know it closed and to have nothing
-    open in it; else after LEASE, by when no proxy can act without knowing it closed, and the service's
+    open in it; else after LEASE_DURATION, by when no proxy can act without knowing it closed, and the service's
     expiry, by when what was sent before has ended, counted from when this controller first held the closing.
     """
 
@@ -60,7 +60,7 @@
                     slot=slot,
                     old=old,
                     context=context,
-                    capacity=constants.MOVES_AT_ONCE - moving,
+                    capacity=constants.MAX_CONCURRENT_SLOT_MOVES - moving,
                 )
                 moving += old.is_open and not new.is_open
                 changed = changed or new != old
@@ -98,7 +98,7 @@
     ) -> Owned:
         best = self._best(service=service, space=space, slot=slot, context=context)
         if not old.is_open:
-            wait = constants.LEASE + service.expiry + constants.MOVE_MARGIN
+            wait = constants.LEASE_DURATION + service.expiry + constants.SLOT_MOVE_MARGIN
             closing = self.closed[(space, slot, old.term)]
             if best and (closing.is_clear or now - closing.since >= wait):
                 return Owned(owner=best, term=old.term + 1, is_open=True)
@@ -117,7 +117,7 @@
         since = self.missing.setdefault(location, now)
         worker = context.workers.get(old.owner)
         certain = worker is None or worker.leaving or worker.zone in context.emptied
-        if certain or now - since >= constants.OWNER_GRACE:
+        if certain or now - since >= constants.SLOT_OWNER_GRACE:
             self.missing.pop(location, None)
             return replace(old, is_open=False)
         return old
--- a/sailward/control/shards/shard_moves.py
+++ b/sailward/control/shards/shard_moves.py
@@ -41,7 +41,7 @@
         proxies: list[Subscriber],
     ) -> list[tuple[str, int, str]]:
         """Look at each divided service that this controller minds; `epoch` is that of the list of workers."""
-        if now - self.last_check_at < constants.ASSIGN_EVERY or workers is None:
+        if now - self.last_check_at < constants.SLOT_ASSIGNMENT_INTERVAL or workers is None:
             return []
         self.last_check_at = now
         divided = [service for service in self.plan.services.values() if service.slots]
--- a/sailward/discovery/endpoint_pages.py
+++ b/sailward/discovery/endpoint_pages.py
@@ -90,14 +90,14 @@
             return self._take_words(now=now, event=event) if self.reader else self._take_page(event=event)
         if not self.platform or self.token or now < self.next_at:
             return [], None
-        every = self._backoff() if self.reader else constants.LIST_EVERY
+        every = self._backoff() if self.reader else constants.ENDPOINT_LIST_INTERVAL
         self.passes, self.pages, self.next_at = self.passes + 1, [], now + every
         return [self._request_page(after="")], None
 
     def _backoff(self) -> float:
         """The time between passes: all pollers together stay under LIST_SHARE of the platform's rate."""
         calls = max(1, self._page_count) * max(1, self.pollers)
-        every = constants.LIST_EVERY + constants.LIST_PACE * (max(1, self._page_count) - 1)
+        every = constants.ENDPOINT_LIST_INTERVAL + constants.LIST_PACE * (max(1, self._page_count) - 1)
         return max(every, calls / (constants.LIST_SHARE * self.rate) if self.rate > 0 else 0.0)
 
     def _take_words(self, *, now: float, event: CallFinished) -> tuple[list, CompleteList | None]:
@@ -135,7 +135,7 @@
         path = (
             self.reader.path(token=after)
             if self.reader
-            else f"/workers?limit={constants.LIST_PAGE}&after={quote(after)}"
+            else f"/workers?limit={constants.ENDPOINT_LIST_PAGE_SIZE}&after={quote(after)}"
         )
         return StartCall(
             token=self.token,
@@ -145,7 +145,7 @@
             path=path,
             headers={},
             body=b"",
-            timeout=constants.LIST_WAIT,
+            timeout=constants.ENDPOINT_LIST_PAGE_TIMEOUT,
             fresh=False,
         )
 
--- a/sailward/discovery/peer_table.py
+++ b/sailward/discovery/peer_table.py
@@ -81,8 +81,8 @@
     is_mesh: bool = False
     has_disk: bool = True
     leaving: bool = False
-    every: float = field(default_factory=lambda: constants.GOSSIP)
-    suspect: float = field(default_factory=lambda: constants.SUSPECT)
+    every: float = field(default_factory=lambda: constants.GOSSIP_INTERVAL)
+    suspect: float = field(default_factory=lambda: constants.HEARTBEAT_TIMEOUT)
 
     def step(self, *, now: float, event: tuple | None) -> list[Command]:
         """Fold a (sender, body) or tell the watched."""
@@ -192,10 +192,10 @@
 
     def _watched(self) -> list[str]:
         others = {known.entry["id"]: known.entry["post"] for known in self.known.values()}
-        names = choose_names(key=self.location.name, names=others, count=constants.WATCHED)
+        names = choose_names(key=self.location.name, names=others, count=constants.GOSSIP_FANOUT)
         addresses = [others[name] for name in names]
         alive = sum(not known.lost for known in self.known.values())
-        if alive < constants.WATCHED or self.heartbeat % 10 == 0:
+        if alive < constants.GOSSIP_FANOUT or self.heartbeat % 10 == 0:
             addresses += [seed for seed in self.location.seeds if seed not in addresses]
         return [address for address in addresses if address != self.location.post]
 
@@ -225,7 +225,7 @@
             if not known.lost and now - known.last_seen_at > self.suspect:
                 known.lost = True
                 commands.append(LogEvent(event="daemon-lost", fields={"daemon": name}))
-            if now - known.last_seen_at > constants.FORGET:
+            if now - known.last_seen_at > constants.PEER_TTL:
                 del self.known[name]
         return commands
 
--- a/sailward/json_text.py
+++ b/sailward/json_text.py
@@ -19,8 +19,9 @@
 def load_json(*, text: bytes | str, twice: list[str] | None = None) -> Any:
     """The value in a text (UTF-8). Raises BadJson, and nothing else, whatever the text is.
 
-    Refused besides what is no JSON: nesting deeper than JSON_DEPTH, numbers of more than JSON_DIGITS digits or past
-    what a float holds, and halves of surrogate pairs. Names that are given twice in one object are added to `twice`.
+    Refused besides what is no JSON: nesting deeper than MAX_JSON_DEPTH, numbers of more than MAX_JSON_DIGITS digits or
+    past what a float holds, and halves of surrogate pairs. Names that are given twice in one object are added to
+    `twice`.
     """
     try:
         decoded = text.decode("utf-8-sig") if isinstance(text, bytes) else text
@@ -51,7 +52,7 @@
 
 
 def _read_integer(digits: str) -> int:
-    if len(digits) > constants.JSON_DIGITS:
+    if len(digits) > constants.MAX_JSON_DIGITS:
         raise ValueError(f"a number of {len(digits)} digits")
     return int(digits)
 
@@ -65,7 +66,7 @@
 
 def _check_depth(*, value: Any) -> None:
     level = [value]
-    for _ in range(constants.JSON_DEPTH + 1):
+    for _ in range(constants.MAX_JSON_DEPTH + 1):
         level = (
             [
                 child
@@ -78,7 +79,7 @@
         )
         if not level:
             return
-    raise BadJson(f"nested deeper than {constants.JSON_DEPTH}")
+    raise BadJson(f"nested deeper than {constants.MAX_JSON_DEPTH}")
 
 
 def _check_unicode(*, value: object) -> None:
--- a/sailward/programs/common.py
+++ b/sailward/programs/common.py
@@ -67,14 +67,14 @@
 
 def start_edges(*, settings: dict, loop: Loop, limit: int, calling: bool, disk: Disk | None = None) -> Edges:
     """Open the sockets and begin to serve; an address in use ends the process."""
-    threads = ThreadPoolExecutor(max_workers=2 * constants.HTTP_THREADS)
+    threads = ThreadPoolExecutor(max_workers=2 * constants.HTTP_SERVER_THREADS)
     try:
         post = Post(address=settings["post"], deliver=loop.deliver, threads=threads)
         web = WsgiServer(
             address=settings["http"],
             limit=limit,
             deliver=loop.deliver,
-            threads=ThreadPoolExecutor(max_workers=constants.HTTP_THREADS),
+            threads=ThreadPoolExecutor(max_workers=constants.HTTP_SERVER_THREADS),
         )
     except (OSError, SystemExit) as fault:
         write_log(
@@ -82,7 +82,7 @@
             fields={"post": settings["post"], "http": settings["http"], "reason": fault},
             level="error",
         )
-        os._exit(constants.EXIT_TAKEN)
+        os._exit(constants.EXIT_IN_USE)
     calls = CurlClient(deliver=loop.deliver) if calling else None
     edges = Edges(loop=loop, post=post, web=web, calls=calls, disk=disk, checks=ThreadPoolExecutor(max_workers=1))
     edges.connect()
--- a/sailward/programs/controller.py
+++ b/sailward/programs/controller.py
@@ -54,7 +54,7 @@
         records=records,
         now=time.monotonic(),
     )
-    edges = start_edges(settings=settings, loop=loop, limit=constants.CONFIG_BYTES, calling=True, disk=disk)
+    edges = start_edges(settings=settings, loop=loop, limit=constants.MAX_CONFIG_BYTES, calling=True, disk=disk)
     end_process(code=loop.run(step=owner.step), web=edges.web)
 
 
--- a/sailward/programs/data_folder.py
+++ b/sailward/programs/data_folder.py
@@ -28,7 +28,7 @@
         fields = {"folder": folder, "what": found.what, "todo": f"start the newer version again, or {BRING_IN}"}
         _end(event="disk-newer", fields=fields, code=constants.EXIT_DISK)
     if isinstance(found, Taken):
-        _end(event="folder-taken", fields={"folder": found.folder}, code=constants.EXIT_TAKEN)
+        _end(event="folder-taken", fields={"folder": found.folder}, code=constants.EXIT_IN_USE)
     return found.records
 
 
--- a/sailward/programs/directory.py
+++ b/sailward/programs/directory.py
@@ -38,7 +38,7 @@
     owner = DirectoryServer(
         location=make_location(settings=settings, kind="directory"), start=make_start(), rng=random.Random(nonce)
     )
-    edges = start_edges(settings=settings, loop=loop, limit=constants.BODY_BYTES, calling=False)
+    edges = start_edges(settings=settings, loop=loop, limit=constants.MAX_BODY_BYTES, calling=False)
     end_process(code=loop.run(step=owner.step), web=edges.web)
 
 
--- a/sailward/programs/hosted.py
+++ b/sailward/programs/hosted.py
@@ -74,7 +74,7 @@
 
 
 def open_front(*, hosted: Hosted, edge: str, reactor: Reactor, host: Host, limits: Callable[[], Limits]) -> HttpServer:
-    """Open one of the daemon's listeners; an address in use ends the process with EXIT_TAKEN."""
+    """Open one of the daemon's listeners; an address in use ends the process with EXIT_IN_USE."""
 
     def deliver(event: object) -> None:
         host.deliver(hosted.words.ask(event) if isinstance(event, RequestReceived) and edge != "front" else event)
@@ -91,7 +91,7 @@
         write_log(
             event="address-taken", fields={"edge": edge, "address": hosted.listen[edge], "reason": fault}, level="error"
         )
-        sys.exit(constants.EXIT_TAKEN)
+        sys.exit(constants.EXIT_IN_USE)
 
 
 def answer_handlers(*, hosted: Hosted, fronts: dict) -> dict:
@@ -111,7 +111,7 @@
         message_transport = MessageTransport(reactor=reactor, address=hosted.location.post, deliver=host.deliver)
     except OSError as fault:
         write_log(event="address-taken", fields={"address": hosted.location.post, "reason": fault}, level="error")
-        sys.exit(constants.EXIT_TAKEN)
+        sys.exit(constants.EXIT_IN_USE)
     host.handlers = {
         SendMessage: lambda command: message_transport.send(to=command.to, body=command.body),
         StartCall: lambda command: http_client.give(call=command),
--- a/sailward/programs/proxy.py
+++ b/sailward/programs/proxy.py
@@ -43,7 +43,7 @@
         rng=random.Random(nonce),
         now=time.monotonic(),
     )
-    edges = start_edges(settings=settings, loop=loop, limit=constants.BODY_BYTES, calling=True)
+    edges = start_edges(settings=settings, loop=loop, limit=constants.MAX_BODY_BYTES, calling=True)
     end_process(code=loop.run(step=owner.step), web=edges.web)
 
 
--- a/sailward/proxy/control_client.py
+++ b/sailward/proxy/control_client.py
@@ -112,7 +112,7 @@
         """Is it not known to be silent, and was it named or heard of within the time that a daemon is remembered?"""
         return (
             known.unanswered < constants.POLLS_LOST
-            and self.next_at - max(known.last_reply_at, known.named) < constants.FORGET
+            and self.next_at - max(known.last_reply_at, known.named) < constants.PEER_TTL
         )
 
     def _rank(self, known: ControllerState) -> tuple:
--- a/sailward/proxy/proxy.py
+++ b/sailward/proxy/proxy.py
@@ -59,12 +59,12 @@
     names: WireNames = WireNames()
     regions: tuple = ()
     expand: Callable | None = None
-    retry_ratio: float = constants.ATTEMPT_SHARE
-    retry_slack: float = constants.ATTEMPT_FLOOR
-    retry_window: float = constants.ATTEMPT_WINDOW
+    retry_ratio: float = constants.RETRY_BUDGET_RATIO
+    retry_slack: float = constants.RETRY_BUDGET_MINIMUM
+    retry_window: float = constants.RETRY_BUDGET_WINDOW
     hold_down: float = constants.ZONE_HOLD_DOWN
-    leave_after: float = constants.LEASE
-    leave_wait: float = constants.LEAVE_WAIT
+    leave_after: float = constants.LEASE_DURATION
+    leave_wait: float = constants.DEREGISTRATION_DELAY
     stop_grace: float = constants.STOP_GRACE
 
 
@@ -217,7 +217,7 @@
         commands = self._request_core(now=now)
         commands += self.passive_health.step(now=now, event=None, plan=self.context.plan)
         commands += self.forwarder.step(now=now, event=None)
-        if now - self._counted >= constants.COUNT_EVERY:
+        if now - self._counted >= constants.ZONE_HEALTH_INTERVAL:
             commands += self._count_zones(now=now)
         return commands + self._check_shutdown(now=now)
 
--- a/sailward/proxy/tenant_proxy.py
+++ b/sailward/proxy/tenant_proxy.py
@@ -257,13 +257,13 @@
         commands += self.peer_table.step(now=now, event=None)
         commands += self.routing_state.prober.step(now=now, event=None)
         commands += self._dispatch(now=now, event=None)
-        if now - self._counted >= constants.COUNT_EVERY:
+        if now - self._counted >= constants.ZONE_HEALTH_INTERVAL:
             commands += self._count_zones(now=now)
             self.load_balancer.bounds.forget(now=now, keep=set(self.routing_state.endpoint_table.workers))
         self.claims.peers = [
             Peer(name=peer["id"], post=peer["post"], region=peer["region"], zone=peer["hall"])
             for peer in self.peer_table.alive(kind="proxy")
-            if peer["version"] not in constants.WITHOUT_REPLICAS
+            if peer["version"] not in constants.VERSIONS_WITHOUT_REPLICAS
         ]
         recent_counts = [count for at, count in self.controllers.values() if now - at < constants.SUBSCRIBER_TTL]
         self.routing_state.proxies = max([1, *recent_counts])
@@ -273,11 +273,15 @@
     def _read_what_is_behind(self, *, now: float) -> list[Command]:
         begins = []
         for name, since in self.lease.behind.items():
-            if now - since >= constants.READ_WAIT and name not in self._reading.values() and is_control(name=name):
+            if (
+                now - since >= constants.REGISTER_READ_DELAY
+                and name not in self._reading.values()
+                and is_control(name=name)
+            ):
                 self._ops += 1
                 op = f"{self.identity}/read{self._ops}"
                 self._reading[op] = name
-                begins.append(StartOperation(op=op, register=name, timeout=constants.LEASE))
+                begins.append(StartOperation(op=op, register=name, timeout=constants.LEASE_DURATION))
         return self._begin(now=now, begins=begins)
 
     def _count_zones(self, *, now: float) -> list[Command]:
@@ -298,7 +302,7 @@
                 if name == zone
             )
         }
-        suspect = len(stood) > constants.SUSPECT_SELF * len(zones) and len(self.controllers) > 0
+        suspect = len(stood) > constants.SELF_SUSPICION_RATIO * len(zones) and len(self.controllers) > 0
         if suspect != self.suspect:
             self.suspect = suspect
             commands.append(LogEvent(event="self-suspected" if suspect else "self-trusted", fields={"down": len(down)}))
@@ -307,7 +311,7 @@
     def _check_shutdown(self, *, now: float) -> list[Command]:
         if self.stopping == STOPPING.initial:
             return []
-        if now >= self.stop_by - constants.STOP_GRACE + constants.LEAVE_WAIT:
+        if now >= self.stop_by - constants.STOP_GRACE + constants.DEREGISTRATION_DELAY:
             self.stopping = STOPPING.step(state=self.stopping, event="left")
         event = "grace_over" if now >= self.stop_by else "all_done" if not self.exchanges.live else ""
         self.stopping = STOPPING.step(state=self.stopping, event=event)
--- a/sailward/routing/active_health.py
+++ b/sailward/routing/active_health.py
@@ -49,7 +49,7 @@
             return self._judge(now=now, event=event)
         commands: list[Command] = []
         for key, probed in self.probed.items():
-            if probed.token and now > probed.next_at + 2 * constants.PROBE_WAIT:
+            if probed.token and now > probed.next_at + 2 * constants.PROBE_TIMEOUT:
                 probed.token = ""  # its end was lost on the way
             if not probed.token and now >= probed.next_at:
                 commands.append(self._probe(now=now, key=key, probed=probed))
@@ -75,7 +75,7 @@
 
     def _probe(self, *, now: float, key: str, probed: Probed) -> StartCall:
         self._probes += 1
-        probed.token, probed.next_at = f"probe {key} {self._probes}", now + constants.PROBE_WAIT
+        probed.token, probed.next_at = f"probe {key} {self._probes}", now + constants.PROBE_TIMEOUT
         return StartCall(
             token=probed.token,
             owner=key,
@@ -84,7 +84,7 @@
             path="/status",
             headers={"Sailward-Worker": key},
             body=b"",
-            timeout=constants.PROBE_WAIT,
+            timeout=constants.PROBE_TIMEOUT,
             fresh=False,
         )
 
@@ -98,7 +98,7 @@
         if verdict == "pass" and event.headers.get("sailward-worker") != key:
             verdict = "stranger"
         commands = self._move(now=now, probed=probed, event=verdict)
-        every = constants.PROBE_EVERY if probed.state in ("good", "down") else constants.PROBE_UNCERTAIN_AFTER
+        every = constants.PROBE_INTERVAL if probed.state in ("good", "down") else constants.PROBE_IN_DOUBT_INTERVAL
         probed.next_at = now + every * (0.9 + 0.2 * self._rng.random())
         return commands
 
--- a/sailward/routing/attempt_budget.py
+++ b/sailward/routing/attempt_budget.py
@@ -26,9 +26,9 @@
     def step(self, *, now: float, first: bool, caller: bool = False) -> str:
         """What this sending-on was paid with."""
         for line, life in (
-            (self._firsts, constants.ATTEMPT_WINDOW),
-            (self._mores, constants.ATTEMPT_WINDOW),
-            (self._credits, constants.CREDIT_TTL),
+            (self._firsts, constants.RETRY_BUDGET_WINDOW),
+            (self._mores, constants.RETRY_BUDGET_WINDOW),
+            (self._credits, constants.RETRY_CREDIT_TTL),
         ):
             while line and line[0] <= now - life:
                 line.popleft()
@@ -39,16 +39,16 @@
             self._credits.popleft()
             self._firsts.append(now)
             return CREDIT
-        if len(self._mores) + 1 > max(constants.ATTEMPT_FLOOR, constants.ATTEMPT_SHARE * len(self._firsts)):
+        if len(self._mores) + 1 > max(constants.RETRY_BUDGET_MINIMUM, constants.RETRY_BUDGET_RATIO * len(self._firsts)):
             return ""
         self._mores.append(now)
         return BUDGET
 
     def lookup(self, *, now: float) -> str:
         """May a repeat look up its claim? It pays like any other when it must be sent on."""
-        while self._looks and self._looks[0] <= now - constants.ATTEMPT_WINDOW:
+        while self._looks and self._looks[0] <= now - constants.RETRY_BUDGET_WINDOW:
             self._looks.popleft()
-        if len(self._looks) >= max(constants.ATTEMPT_FLOOR, constants.LOOKUP_SHARE * len(self._firsts)):
+        if len(self._looks) >= max(constants.RETRY_BUDGET_MINIMUM, constants.CLAIM_LOOKUP_RATIO * len(self._firsts)):
             return ""
         self._looks.append(now)
         return LOOKUP
--- a/sailward/routing/concurrency_limits.py
+++ b/sailward/routing/concurrency_limits.py
@@ -35,12 +35,12 @@
         self._buckets = {
             key: bucket
             for key, bucket in self._buckets.items()
-            if key in keep or (key.startswith("key ") and now - bucket.at < constants.ATTEMPT_WINDOW)
+            if key in keep or (key.startswith("key ") and now - bucket.at < constants.RETRY_BUDGET_WINDOW)
         }
 
     def _fill(self, *, now: float, key: str, service: Service, warm: float, proxies: int) -> Bucket:
-        rate = rate_of(service=service, warm=warm) * constants.RATE_MARGIN / max(1, proxies)
-        burst = max(1.0, rate * constants.RATE_BURST)
+        rate = rate_of(service=service, warm=warm) * constants.RATE_LIMIT_UTILIZATION / max(1, proxies)
+        burst = max(1.0, rate * constants.RATE_LIMIT_BURST)
         bucket = self._buckets.get(key)
         if bucket is None:
             bucket = self._buckets[key] = Bucket(level=1.0, at=now)
--- a/sailward/routing/endpoint_selection.py
+++ b/sailward/routing/endpoint_selection.py
@@ -36,7 +36,7 @@
     by_service: dict = field(default_factory=dict)
     peers: dict = field(default_factory=dict)
     proxies: int = 1
-    leave_after: float = constants.LEASE
+    leave_after: float = constants.LEASE_DURATION
 
     def follow(self, *, workers: dict[str, Worker]) -> None:
         """Take the newest list."""
--- a/sailward/routing/fair_queues.py
+++ b/sailward/routing/fair_queues.py
@@ -26,7 +26,7 @@
     def step(self, *, name: str, item: str, share: int = 1) -> bool:
         """May it wait?"""
         queue = self._queues.setdefault(name, Queue(share=share, left=share))
-        if len(queue.items) >= constants.QUEUE_LENGTH:
+        if len(queue.items) >= constants.TENANT_QUEUE_LENGTH:
             return False
         queue.share = share
         queue.items.append(item)
--- a/sailward/routing/forwarding.py
+++ b/sailward/routing/forwarding.py
@@ -100,7 +100,7 @@
             return self._forward(now=now, request=request, worker=choice)
         if request.waits_since < 0:
             request.waits_since = now
-        if choice.reason in SHORT and now + constants.TICK - request.waits_since <= self._patience(
+        if choice.reason in SHORT and now + constants.TICK_INTERVAL - request.waits_since <= self._patience(
             request=request, reason=choice.reason
         ):
             self.waiting[request.token] = request
@@ -113,7 +113,7 @@
         For room a small part of what its answer may take, for a key on its way somewhat more.
         """
         share = constants.KEY_SHARE if reason in ("key-moving", "key-unowned", "owner-lost") else constants.LINE_SHARE
-        return min(constants.LINE_WAIT, share * (request.match.target or constants.LINE_WAIT))
+        return min(constants.QUEUE_TIMEOUT, share * (request.match.target or constants.QUEUE_TIMEOUT))
 
     def _forward(self, *, now: float, request: Request, worker: Worker) -> list[Command]:
         """Send it on, if it has the time left and the retry budget bears it; give it up otherwise."""
--- a/sailward/routing/idempotency.py
+++ b/sailward/routing/idempotency.py
@@ -144,7 +144,7 @@
         op = f"{self.identity}/claim{self.count}"
         self.claiming[op] = exchange
         text = json.dumps({"o": self.post, "i": self.identity, "f": exchange.fingerprint, "n": self.count})
-        timeout = min(constants.CLAIM_EXPIRY, max(0.05, exchange.expiry - now))
+        timeout = min(constants.CLAIM_TIMEOUT, max(0.05, exchange.expiry - now))
         return StartOperation(
             op=op, register=CLAIM + exchange.digest, expected=expected, text=text, first=expected == 0, timeout=timeout
         )
@@ -194,7 +194,7 @@
             number=value["number"],
             owner=claim["o"],
             pending_peers=pending_peers,
-            expiry=now + constants.ROUND_WAIT * 2,
+            expiry=now + constants.ROUND_TIMEOUT * 2,
         )
         body = {
             "kind": "peek",
--- a/sailward/routing/idempotency_cache.py
+++ b/sailward/routing/idempotency_cache.py
@@ -40,7 +40,7 @@
             del self.by_digest[digest]
             self._bytes -= len(memory.body)
         for memory in self.by_digest.values():
-            if self._bytes <= constants.CACHED_BYTES:
+            if self._bytes <= constants.RESULT_CACHE_BYTES:
                 return
             self._bytes -= len(memory.body)
             memory.body, memory.headers = b"", None
--- a/sailward/routing/lease.py
+++ b/sailward/routing/lease.py
@@ -91,10 +91,10 @@
         return [name for name, newest in grant.newest.items() if not self._learner.covers(name=name, newest=newest)]
 
     def _end_of(self, *, grant: Grant) -> float:
-        return -1e9 if self._behind_in(grant=grant) else grant.requested_at + constants.LEASE
+        return -1e9 if self._behind_in(grant=grant) else grant.requested_at + constants.LEASE_DURATION
 
     def _judge(self, *, now: float, voters: VoterSet) -> list[Command]:
-        live = [grant for grant in self._grants.values() if now - grant.requested_at < constants.LEASE]
+        live = [grant for grant in self._grants.values() if now - grant.requested_at < constants.LEASE_DURATION]
         names = {name for grant in live for name in self._behind_in(grant=grant)}
         self.behind = {name: self.behind.get(name, now) for name in names}
         before = self.state
--- a/sailward/routing/passive_health.py
+++ b/sailward/routing/passive_health.py
@@ -149,7 +149,7 @@
             path=service.health_path if service else "/status",
             headers={self._names.expect: key},
             body=b"",
-            timeout=constants.PROBE_WAIT,
+            timeout=constants.PROBE_TIMEOUT,
             fresh=False,
         )
 
--- a/sailward/routing/plan.py
+++ b/sailward/routing/plan.py
@@ -85,10 +85,10 @@
 class Limits:
     """What a caller may send, in bytes, and how long it may take or stay idle, in s."""
 
-    head_bytes: int = constants.HEAD_BYTES
-    body_bytes: int = constants.BODY_BYTES
-    head_wait: float = constants.HEAD_WAIT
-    idle_wait: float = constants.HTTP_IDLE
+    head_bytes: int = constants.MAX_HEAD_BYTES
+    body_bytes: int = constants.MAX_BODY_BYTES
+    head_wait: float = constants.HEAD_TIMEOUT
+    idle_wait: float = constants.HTTP_SERVER_IDLE_TIMEOUT
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/sailward/routing/proxied_request.py
+++ b/sailward/routing/proxied_request.py
@@ -110,7 +110,7 @@
 ) -> ProxiedRequest | Refusal:
     """The exchange that a caller asked for, or why it can't be one."""
     if event.body is None:
-        return Refusal(code=413, reason="too-large", detail=f"at most {constants.BODY_BYTES} bytes")
+        return Refusal(code=413, reason="too-large", detail=f"at most {constants.MAX_BODY_BYTES} bytes")
     head = _read_head(event=event, plan=plan)
     if isinstance(head, Refusal):
         return head
@@ -139,7 +139,7 @@
         raw_path=event.path,
         plan=plan.number,
         arrived=now,
-        expiry=now + constants.LINE_WAIT + service.expiry,
+        expiry=now + constants.QUEUE_TIMEOUT + service.expiry,
     )
 
 
--- a/sailward/routing/proxied_requests.py
+++ b/sailward/routing/proxied_requests.py
@@ -69,11 +69,11 @@
         return commands + more, begins + others
 
     def rates(self, *, now: float) -> dict[str, float]:
-        """Exchanges a second sent on for each service, over the last ATTEMPT_WINDOW."""
-        while self.loads and self.loads[0][0] < now - constants.ATTEMPT_WINDOW:
+        """Exchanges a second sent on for each service, over the last RETRY_BUDGET_WINDOW."""
+        while self.loads and self.loads[0][0] < now - constants.RETRY_BUDGET_WINDOW:
             self.loads.popleft()
         counts = Counter(service for _, service in self.loads)
-        return {service: round(count / constants.ATTEMPT_WINDOW, 1) for service, count in counts.items()}
+        return {service: round(count / constants.RETRY_BUDGET_WINDOW, 1) for service, count in counts.items()}
 
     def busy(self, *, now: float) -> list[str]:
         """The slots in which something sent on from here may still run."""
@@ -121,7 +121,9 @@
         if refusal is not None:
             return [refusal], []
         self.live[taken.token] = taken
-        if is_replay or (len(self.sent) < constants.MAX_OPEN and not self.queues.waits(name=taken.queue_name)):
+        if is_replay or (
+            len(self.sent) < constants.MAX_OPEN_EXCHANGES and not self.queues.waits(name=taken.queue_name)
+        ):
             dispatched = self._dispatch(now=now, exchange=taken)
             if dispatched is not None:
                 return dispatched
@@ -193,7 +195,7 @@
         timeout = left if exchange.unsafe or exchange.attempts >= constants.MAX_ATTEMPTS else left / 2
         exchange.sent_at = now
         self.loads.append((now, exchange.service.name))
-        self.calls[token] = now + timeout + constants.LINE_WAIT
+        self.calls[token] = now + timeout + constants.QUEUE_TIMEOUT
         most = min(timeout, exchange.service.expiry)
         return [
             StartCall(
@@ -354,7 +356,7 @@
 
     def _dispatch_waiting(self, *, now: float, acting: bool) -> tuple[list, list]:
         commands, begins, blocked = [], [], set()
-        while acting and len(self.sent) < constants.MAX_OPEN:
+        while acting and len(self.sent) < constants.MAX_OPEN_EXCHANGES:
             turn = self.queues.take(blocked=blocked)
             if turn is None:
                 break
@@ -372,7 +374,7 @@
     def _on_timer(self, *, now: float, acting: bool) -> list[Command]:
         commands: list[Command] = []
         for exchange in list(self.live.values()):
-            if exchange.state == "waiting" and (not acting or now - exchange.arrived >= constants.LINE_WAIT):
+            if exchange.state == "waiting" and (not acting or now - exchange.arrived >= constants.QUEUE_TIMEOUT):
                 reason = "no-room" if acting else "no-lease"
                 commands.append(
                     self._refuse(
--- a/sailward/routing/result_replicas.py
+++ b/sailward/routing/result_replicas.py
@@ -58,7 +58,7 @@
             self.size += len(event["body"])
         while self.replicas:
             digest, oldest = next(iter(self.replicas.items()))
-            if now - oldest.at < constants.CLAIM_TTL and self.size <= constants.REPLICAS_BYTES:
+            if now - oldest.at < constants.CLAIM_TTL and self.size <= constants.RESULT_REPLICA_CACHE_BYTES:
                 break
             self._drop(digest=digest)
 
@@ -84,7 +84,7 @@
     homes = exchange.tenant.homes
     able = [peer for peer in peers if may_keep(region=peer.region, homes=homes)]
     able = [peer for peer in able if peer.zone != zone] or able
-    if not able or len(body) > constants.COPY_BYTES:
+    if not able or len(body) > constants.MAX_REPLICATED_RESULT_BYTES:
         return []
     posts = {peer.name: peer.post for peer in able}
     name = choose_names(key=exchange.digest, names=posts, count=1)[0]
--- a/sailward/routing/retry_budget.py
+++ b/sailward/routing/retry_budget.py
@@ -27,9 +27,9 @@
     slack divided by the number of proxies.
     """
 
-    ratio: float = constants.ATTEMPT_SHARE
-    slack: float = constants.ATTEMPT_FLOOR
-    window: float = constants.ATTEMPT_WINDOW
+    ratio: float = constants.RETRY_BUDGET_RATIO
+    slack: float = constants.RETRY_BUDGET_MINIMUM
+    window: float = constants.RETRY_BUDGET_WINDOW
     accounts: dict = field(default_factory=dict)
 
     def step(self, *, now: float, service: str, first: bool, proxies: int, is_hedge: bool = False) -> bool:
--- a/sailward/routing/routing_state.py
+++ b/sailward/routing/routing_state.py
@@ -49,7 +49,7 @@
 
     def drained_by_aggregated_health(self, *, now: float, service: str, zone: str) -> bool:
         """Do most controllers heard of late keep this zone drained?"""
-        fresh = [view for at, view in self.views.values() if now - at < constants.REPORT_TTL]
+        fresh = [view for at, view in self.views.values() if now - at < constants.HEALTH_REPORT_TTL]
         name = f"{service}|{zone}"
         return bool(fresh) and 2 * sum(name in view.get("drained", ()) for view in fresh) > len(fresh)
 
@@ -58,13 +58,15 @@
 
         No single jump can turn it back.
         """
-        self.walls = {name: (at, offset) for name, (at, offset) in self.walls.items() if now - at < constants.CLOCK_TTL}
+        self.walls = {
+            name: (at, offset) for name, (at, offset) in self.walls.items() if now - at < constants.CLOCK_SAMPLE_TTL
+        }
         offsets = sorted(offset for _, offset in self.walls.values())
         return now + offsets[len(offsets) // 2] if offsets else None
 
     def has_unknown_outcomes(self, *, now: float) -> bool:
         """Does every controller heard of late say that claims may have been lost?"""
-        fresh = [view for at, view in self.views.values() if now - at < constants.REPORT_TTL]
+        fresh = [view for at, view in self.views.values() if now - at < constants.HEALTH_REPORT_TTL]
         return bool(fresh) and all(view.get("doubt") for view in fresh)
 
     def warm(self) -> dict[str, float]:
--- a/sailward/routing/weighted_draw.py
+++ b/sailward/routing/weighted_draw.py
@@ -55,7 +55,7 @@
     preferred = [zone for zone in pool.preferred if zone in aggregated_health]
     fallback = [zone for zone in pool.fallback if zone in aggregated_health]
     keeps = {
-        zone: min(1.0, views[zone].fraction / constants.SPILL) if views[zone].healthy else 0.0
+        zone: min(1.0, views[zone].fraction / constants.ZONE_SPILL_THRESHOLD) if views[zone].healthy else 0.0
         for zone in aggregated_health
     }
     if not any(keeps[zone] for zone in preferred) or not any(keeps[zone] for zone in fallback):
@@ -78,7 +78,7 @@
 
 def _marked(*, pool: Pool, views: dict[str, ZoneView]) -> set[str]:
     zones = [zone for zone in (*pool.preferred, *pool.fallback) if zone in views and views[zone].listed]
-    capacity = int(constants.DRAIN_CAP * len(zones))
+    capacity = int(constants.MAX_DRAINED_ZONES_RATIO * len(zones))
     drained = sorted((zone for zone in zones if views[zone].drained), key=lambda zone: (views[zone].fraction, zone))
     return set(drained[:capacity])
 
--- a/sailward/routing/zone_health.py
+++ b/sailward/routing/zone_health.py
@@ -71,9 +71,9 @@
         ]
 
     def _events(self, *, now: float, zone: ZoneHealth) -> list[str]:
-        if zone.fraction < constants.DRAIN:
+        if zone.fraction < constants.ZONE_DRAIN_THRESHOLD:
             return ["under_drain"]
-        if zone.fraction < constants.RESTORE:
+        if zone.fraction < constants.ZONE_RESTORE_THRESHOLD:
             return ["under_restore"]
         if zone.state == "holding" and now - zone.since >= (
             constants.ZONE_HOLD_DOWN if self._hold_down is None else self._hold_down
--- a/sailward/runtime/host.py
+++ b/sailward/runtime/host.py
@@ -57,7 +57,7 @@
         return self.code
 
     def _tick(self) -> None:
-        self.reactor.later(delay=constants.TICK, call=self._tick)
+        self.reactor.later(delay=constants.TICK_INTERVAL, call=self._tick)
         self.deliver(TimerFired(wall=time.time()))
 
     def _take(self, *, event: object) -> None:
@@ -70,7 +70,7 @@
                     self.code = command.code
                     self.step = None
                     self._line.clear()
-                    self.reactor.later(delay=constants.FLUSH_WAIT, call=self.reactor.stop)
+                    self.reactor.later(delay=constants.FLUSH_TIMEOUT, call=self.reactor.stop)
                     return
                 carry_out(command=command, handlers=self.handlers)
         except Exception:  # noqa: BLE001 - any fault of the owner is logged, and ends the process
--- a/sailward/runtime/journal.py
+++ b/sailward/runtime/journal.py
@@ -17,9 +17,9 @@
 class Journal:
     """The last events of an owner; `shown` of them are written to the log if it ends by a fault."""
 
-    def __init__(self, *, shown: int = constants.JOURNAL) -> None:
+    def __init__(self, *, shown: int = constants.EVENT_JOURNAL_LENGTH) -> None:
         self._shown = shown
-        self._rows: deque[tuple[float, object]] = deque(maxlen=constants.JOURNAL)
+        self._rows: deque[tuple[float, object]] = deque(maxlen=constants.EVENT_JOURNAL_LENGTH)
 
     def add(self, *, now: float, event: object) -> None:
         """Note that the owner is given this event."""
--- a/sailward/runtime/loop.py
+++ b/sailward/runtime/loop.py
@@ -53,7 +53,7 @@
             now = time.monotonic()
             if now >= tick_at:
                 event: object = TimerFired(wall=time.time())
-                tick_at = now + constants.TICK
+                tick_at = now + constants.TICK_INTERVAL
             else:
                 try:
                     event = self.line.get(timeout=tick_at - now)
@@ -132,7 +132,7 @@
 
 def end_process(*, code: int, web: object) -> None:
     """Let the last answers be written, then end."""
-    end = time.monotonic() + constants.FLUSH_WAIT
+    end = time.monotonic() + constants.FLUSH_TIMEOUT
     web.close_after()
     while web.open_count() and time.monotonic() < end:
         time.sleep(0.01)
--- a/sailward/storage/disk.py
+++ b/sailward/storage/disk.py
@@ -241,8 +241,8 @@
 
     def _make_reserve(self) -> None:
         try:
-            if self._files.size(name=RESERVE) != constants.RESERVE_BYTES:
-                self._files.allocate(name=RESERVE, length=constants.RESERVE_BYTES)
+            if self._files.size(name=RESERVE) != constants.DISK_RESERVE_BYTES:
+                self._files.allocate(name=RESERVE, length=constants.DISK_RESERVE_BYTES)
         except OSError:
             with contextlib.suppress(OSError):
                 self._files.remove(name=RESERVE)
--- a/sailward/transport/address.py
+++ b/sailward/transport/address.py
@@ -41,7 +41,7 @@
             return
         line = self._lines.get(to)
         if line is None:
-            line = self._lines[to] = queue.Queue(maxsize=constants.OUT_LINE)
+            line = self._lines[to] = queue.Queue(maxsize=constants.SEND_QUEUE_LENGTH)
             self._threads.submit(self._send_queued, to, line)
         try:
             line.put_nowait(body)
@@ -68,7 +68,7 @@
                 if len(head) < LENGTH.size:
                     return
                 (length,) = LENGTH.unpack(head)
-                if length > constants.FRAME_BYTES:
+                if length > constants.MAX_FRAME_BYTES:
                     self._complain(sender=sender, reason="too-long")
                     return
                 payload = stream.read(length)
@@ -110,17 +110,17 @@
 
     def _dial(self, *, to: str, line: queue.Queue) -> socket.socket | None:
         try:
-            connection = socket.create_connection(split_address(address=to), timeout=constants.DIAL_WAIT)
-            connection.settimeout(constants.LEASE)
+            connection = socket.create_connection(split_address(address=to), timeout=constants.CONNECT_TIMEOUT)
+            connection.settimeout(constants.LEASE_DURATION)
             connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             # what a cut held back for longer than a lease is not told after it heals
-            connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(constants.LEASE * 1000))
+            connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(constants.LEASE_DURATION * 1000))
             greeting = GREETING + self._address.encode()
             connection.sendall(LENGTH.pack(len(greeting)) + greeting)
             return connection
         except (OSError, ValueError):
             # what waited through the pause is stale: the owners ask again by themselves
-            time.sleep(constants.DIAL_BACKOFF)
+            time.sleep(constants.CONNECT_BACKOFF)
             with contextlib.suppress(queue.Empty):
                 while True:
                     line.get_nowait()
@@ -154,4 +154,4 @@
         return True
     finally:
         with contextlib.suppress(OSError):
-            connection.settimeout(constants.LEASE)
+            connection.settimeout(constants.LEASE_DURATION)
--- a/sailward/transport/curl_client.py
+++ b/sailward/transport/curl_client.py
@@ -65,7 +65,7 @@
 
     def take_body(self, *, data: bytes) -> int | None:
         """Read a piece of the body; 0 ends a call whose body is too large."""
-        if self.body.tell() + len(data) > constants.RESULT_BYTES:
+        if self.body.tell() + len(data) > constants.MAX_RESULT_BYTES:
             self.fault = "too-large"
             return 0
         self.body.write(data)
@@ -160,7 +160,7 @@
         live: Live = self._live.pop(handle)
         self._multi.remove_handle(handle)
         handle.reset()
-        if len(self._spare) < constants.CALL_THREADS:
+        if len(self._spare) < constants.HTTP_CLIENT_THREADS:
             self._spare.append(handle)
         return live
 
@@ -189,7 +189,7 @@
 
     def _open_socket(self, *, fd: int, live: Live) -> int:
         with _borrow(fd=fd) as connection:
-            connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(constants.LEASE * 1000))
+            connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(constants.LEASE_DURATION * 1000))
         self._openers[fd] = live
         live.is_dialled = True
         return pycurl.SOCKOPT_OK
@@ -259,9 +259,9 @@
     handle.setopt(pycurl.PATH_AS_IS, 1)
     handle.setopt(pycurl.HTTP_VERSION, pycurl.CURL_HTTP_VERSION_1_1)
     handle.setopt(pycurl.NOSIGNAL, 1)
-    handle.setopt(pycurl.MAXAGE_CONN, constants.IDLE_CALL)
+    handle.setopt(pycurl.MAXAGE_CONN, constants.HTTP_CLIENT_IDLE_TIMEOUT)
     handle.setopt(pycurl.TIMEOUT_MS, max(1, int(call.timeout * 1000)))
-    handle.setopt(pycurl.CONNECTTIMEOUT_MS, max(1, int(min(call.timeout, constants.DIAL_WAIT) * 1000)))
+    handle.setopt(pycurl.CONNECTTIMEOUT_MS, max(1, int(min(call.timeout, constants.CONNECT_TIMEOUT) * 1000)))
     if call.fresh:
         # a kept connection that dies is retried by the library: never for an unsafe exchange
         handle.setopt(pycurl.FRESH_CONNECT, 1)
--- a/sailward/transport/http_client.py
+++ b/sailward/transport/http_client.py
@@ -173,7 +173,7 @@
             sock = socket.socket(family, socket.SOCK_STREAM)
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(constants.LEASE * 1000))
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(constants.LEASE_DURATION * 1000))
             code = sock.connect_ex(location)
         except (OSError, ValueError, OverflowError):
             code = errno.EADDRNOTAVAIL
@@ -184,7 +184,7 @@
             return
         connection = Connection(owner=call.owner, address=call.address, sock=sock, running=running)
         running.connection = connection
-        running.dial_by = self._reactor.clock() + (call.dial or constants.DIAL_WAIT)
+        running.dial_by = self._reactor.clock() + (call.dial or constants.CONNECT_TIMEOUT)
         self._reactor.watch(sock=sock, writable=functools.partial(self._on_dialled, connection=connection))
 
     def _on_dialled(self, *, connection: Connection) -> None:
@@ -202,7 +202,7 @@
             self._fail(running=running, fault="surplus" if state == SURPLUS else "connection-lost")
         elif now > running.call.begin_by or now >= running.deadline:
             running.connection = connection.running = None
-            self._keep(connection=connection, idle=constants.IDLE_CALL)
+            self._keep(connection=connection, idle=constants.HTTP_CLIENT_IDLE_TIMEOUT)
             self._fail(running=running, fault="too-late" if now > running.call.begin_by else "timed-out")
         else:
             self._send(running=running)
--- a/sailward/transport/http_exchange.py
+++ b/sailward/transport/http_exchange.py
@@ -119,12 +119,12 @@
             # framed by the connection's end alone: a cut would look like the whole
             return "cut-short"
         # one length: the library refuses several that differ
-        return "too-large" if length is not None and int(length.split(",")[0]) > constants.RESULT_BYTES else ""
+        return "too-large" if length is not None and int(length.split(",")[0]) > constants.MAX_RESULT_BYTES else ""
 
     def _take_body(self, *, data: bytes) -> str:
         self._size += len(data)
         self._parts.append(data)
-        return "too-large" if self._size > constants.RESULT_BYTES else ""
+        return "too-large" if self._size > constants.MAX_RESULT_BYTES else ""
 
     def _finish(self) -> CompleteResponse:
         is_kept_alive = (
@@ -144,8 +144,8 @@
 def _read_idle(*, keep_alive: str) -> float:
     told = KEEP_ALIVE.search(keep_alive)
     if told is None:
-        return constants.IDLE_CALL
+        return constants.HTTP_CLIENT_IDLE_TIMEOUT
     seconds = int(told.group(1))
     if seconds == 0:
         return 0.0
-    return min(constants.IDLE_CALL, max(constants.OUT_IDLE_LEAST, seconds - constants.OUT_IDLE_MARGIN))
+    return min(constants.HTTP_CLIENT_IDLE_TIMEOUT, max(constants.OUT_IDLE_LEAST, seconds - constants.OUT_IDLE_MARGIN))
--- a/sailward/transport/message_transport.py
+++ b/sailward/transport/message_transport.py
@@ -53,7 +53,7 @@
             self._reactor.soon(call=lambda: self._deliver(MessageReceived(sender=to, body=body)))
             return
         peer = self._peers.setdefault(to, Peer())
-        if len(peer.out) > constants.FRAME_BYTES or self._reactor.clock() < peer.not_before:
+        if len(peer.out) > constants.MAX_FRAME_BYTES or self._reactor.clock() < peer.not_before:
             self.counts["dropped"] += 1
             return
         if peer.sock is None and not self._dial(to=to, peer=peer):
@@ -79,7 +79,7 @@
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(constants.LEASE * 1000))
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(constants.LEASE_DURATION * 1000))
         try:
             host, port = split_address(address=to)
             # a name would be looked up, and the whole process would wait for that
@@ -104,7 +104,7 @@
         peer.sock, peer.is_up = None, False
         peer.out = bytearray()
         # what waited is stale: the owners ask again by themselves
-        peer.not_before = self._reactor.clock() + constants.DIAL_BACKOFF
+        peer.not_before = self._reactor.clock() + constants.CONNECT_BACKOFF
 
     def _drop(self, *, peer: Peer) -> None:
         if peer.sock is not None:
@@ -189,7 +189,7 @@
         for peer in self._peers.values():
             if peer.sock is None:
                 continue
-            wait = constants.LEASE if peer.is_up else constants.COURIER_DIAL
+            wait = constants.LEASE_DURATION if peer.is_up else constants.COURIER_DIAL
             if (peer.out or not peer.is_up) and now - peer.since > wait:
                 self._drop(peer=peer)
         self._reactor.later(delay=constants.COURIER_SWEEP, call=self._sweep)
@@ -217,7 +217,7 @@
         self.data += chunk
         while len(self.data) >= LENGTH.size:
             length, form = LENGTH.unpack_from(self.data)
-            if length > constants.FRAME_BYTES:
+            if length > constants.MAX_FRAME_BYTES:
                 return self.message_transport.forget(sock=self.sock)
             if len(self.data) < LENGTH.size + length:
                 return None
@@ -248,7 +248,7 @@
     try:
         if form == PACKED:
             unpack = zlib.decompressobj()
-            payload = unpack.decompress(payload, constants.FRAME_BYTES)
+            payload = unpack.decompress(payload, constants.MAX_FRAME_BYTES)
             if unpack.unconsumed_tail:
                 return BadMessage(reason="too-long")
         row = flexbuffers.Loads(payload)
--- a/sailward/transport/wsgi_server.py
+++ b/sailward/transport/wsgi_server.py
@@ -28,7 +28,7 @@
     """HTTP/1.1 with kept connections, quiet, and with its own faults in JSON."""
 
     protocol_version = "HTTP/1.1"
-    timeout = constants.HTTP_IDLE
+    timeout = constants.HTTP_SERVER_IDLE_TIMEOUT
     disable_nagle_algorithm = True
     wbufsize = -1
 
@@ -70,7 +70,7 @@
 
     def __init__(self, *, host: str, port: int, app: Callable, threads: ThreadPoolExecutor) -> None:
         self._threads = threads
-        self._capacity = threading.BoundedSemaphore(constants.HTTP_THREADS)
+        self._capacity = threading.BoundedSemaphore(constants.HTTP_SERVER_THREADS)
         super().__init__(host, port, app, handler=Handler)
 
     def process_request(self, request, client_address) -> None:
@@ -160,12 +160,12 @@
     def _wait_for_answer(self, *, future: Future[Respond], token: str, sock: socket.socket | None) -> Respond:
         """The owner's answer; it is told once if the caller closes its connection meanwhile.
 
-        Raises concurrent.futures.TimeoutError if there is none after ANSWER_WAIT.
+        Raises concurrent.futures.TimeoutError if there is none after WSGI_RESPONSE_TIMEOUT.
         """
-        end = time.monotonic() + constants.ANSWER_WAIT
+        end = time.monotonic() + constants.WSGI_RESPONSE_TIMEOUT
         while sock is not None and time.monotonic() < end:
             try:
-                return future.result(timeout=constants.CALLER_LOOK)
+                return future.result(timeout=constants.CLIENT_DISCONNECT_CHECK_INTERVAL)
             except WaitedOut:
                 if _is_closed(sock=sock):
                     self._deliver(ClientDisconnected(token=token))
--- a/simulation/core_group.py
+++ b/simulation/core_group.py
@@ -194,13 +194,13 @@
         if member.life != life or member.frozen is not None:
             return
         self._give(member=member, event=TimerFired(wall=1000.0 + self.now))
-        self._after(delay=constants.TICK, act=lambda: self._tick(member=member, life=life))
+        self._after(delay=constants.TICK_INTERVAL, act=lambda: self._tick(member=member, life=life))
 
     def _give(self, *, member: Member, event: object) -> None:
         if member.controller is None:
             return
         if member.frozen is not None:
-            if not isinstance(event, TimerFired) and len(member.frozen) < constants.OUT_LINE:
+            if not isinstance(event, TimerFired) and len(member.frozen) < constants.SEND_QUEUE_LENGTH:
                 member.frozen.append(event)
             return
         self._carry_out_all(member=member, commands=member.controller.step(now=self.now, event=event))
--- a/simulation/hollow_fleet/flags.py
+++ b/simulation/hollow_fleet/flags.py
@@ -76,11 +76,11 @@
     if size.core > 250 * 250:
         return BadInput(reason=f"{size.core} controllers: at most {250 * 250}")
     length = _document_bytes(size=size)
-    if length > constants.CONFIG_BYTES:
-        fits = int(size.routes * constants.CONFIG_BYTES / length * 0.98)
+    if length > constants.MAX_CONFIG_BYTES:
+        fits = int(size.routes * constants.MAX_CONFIG_BYTES / length * 0.98)
         return BadInput(
             reason=f"{size.routes} routes and {size.services} services make {length} bytes; the product takes "
-            f"{constants.CONFIG_BYTES}: about {fits} routes fit"
+            f"{constants.MAX_CONFIG_BYTES}: about {fits} routes fit"
         )
     if not is_fleet:
         return None
--- a/simulation/hollow_fleet/network.py
+++ b/simulation/hollow_fleet/network.py
@@ -102,7 +102,7 @@
             length, form = LENGTH.unpack_from(frame)
             read = read_body(payload=frame[LENGTH.size :], form=form)
             ended = time.process_time()
-            is_readable = not isinstance(read, BadMessage) and length <= constants.FRAME_BYTES
+            is_readable = not isinstance(read, BadMessage) and length <= constants.MAX_FRAME_BYTES
             uses, share = weight.uses, 1.0 if weight.uses == 0 else 0.3
             weight = self._kept[key] = Weight(
                 size=len(frame),
@@ -199,7 +199,7 @@
     def _tick(self, *, member: Member, life: int) -> None:
         if member.life == life:
             self._arrive(member=member, life=life, event=TimerFired(wall=1000.0 + self.now), cost=0.0)
-            member.tick_at = max(member.tick_at + constants.TICK, member.busy_until)
+            member.tick_at = max(member.tick_at + constants.TICK_INTERVAL, member.busy_until)
             self.after(delay=member.tick_at - self.now, act=lambda: self._tick(member=member, life=life))
 
     def _arrive(self, *, member: Member, life: int, event: object, cost: float) -> None:
@@ -318,7 +318,7 @@
     *, network: Network, member: Member, token: str, method: str, path: str, body: bytes, if_match: str
 ) -> None:
     """An operator's call; too large a body is not read, as at the front."""
-    given = body if len(body) <= constants.CONFIG_BYTES else None
+    given = body if len(body) <= constants.MAX_CONFIG_BYTES else None
     network.give(
         member=member,
         event=RequestReceived(
--- a/simulation/hollow_fleet/parts.py
+++ b/simulation/hollow_fleet/parts.py
@@ -132,10 +132,10 @@
         "pack_s": pack,
         "unpack_s": unpack,
         "take_s": take,
-        "readable": 0 if isinstance(reads[0], BadMessage) or length > constants.FRAME_BYTES else 1,
+        "readable": 0 if isinstance(reads[0], BadMessage) or length > constants.MAX_FRAME_BYTES else 1,
     }
     ticks = [
-        _seconds(lambda at=at: proxy.step(now=3.0 + at * constants.TICK, event=TimerFired(wall=1.0)))
+        _seconds(lambda at=at: proxy.step(now=3.0 + at * constants.TICK_INTERVAL, event=TimerFired(wall=1.0)))
         for at in range(40)
     ]
     return {**figures, "tick_s": statistics.fmean(ticks)}, proxy
@@ -369,7 +369,7 @@
         controller.step(now=1.0, event=ask)
     controller.step(now=1.05, event=TimerFired(wall=1.0))
     ticks = [
-        _seconds(lambda at=at: controller.step(now=1.1 + at * constants.TICK, event=TimerFired(wall=1.0)))
+        _seconds(lambda at=at: controller.step(now=1.1 + at * constants.TICK_INTERVAL, event=TimerFired(wall=1.0)))
         for at in range(10)
     ]
     ask = _seconds(lambda: [controller.step(now=1.7, event=one) for one in asks]) / len(asks)
@@ -388,7 +388,7 @@
     controller.step(now=1.05, event=TimerFired(wall=1.0))
     ask = _seconds(lambda: [controller.step(now=1.2, event=one) for one in asks]) / len(asks)
     ticks = [
-        _seconds(lambda at=at: controller.step(now=1.3 + at * constants.TICK, event=TimerFired(wall=1.0)))
+        _seconds(lambda at=at: controller.step(now=1.3 + at * constants.TICK_INTERVAL, event=TimerFired(wall=1.0)))
         for at in range(10)
     ]
     return {"ask_s": ask, "tick_s": statistics.fmean(ticks)}
--- a/simulation/hosted/calls.py
+++ b/simulation/hosted/calls.py
@@ -200,7 +200,7 @@
             # nobody answers: a machine without power, a cut, or an address that nobody has
             is_dead = worker is None or world.network.is_refused(a=here, b=worker.spot)
             world.clock.after(
-                0.002 if is_dead else constants.DIAL_WAIT,
+                0.002 if is_dead else constants.CONNECT_TIMEOUT,
                 lambda: line.fail(fault="refused" if is_dead else "connect-timeout"),
             )
             return
@@ -236,7 +236,7 @@
             return
         if network.is_severed(a=here, b=worker.spot) or worker.is_silent:
             # what is not acknowledged for so long ends the connection
-            self.world.clock.after(constants.LEASE, lambda: line.fail(fault="connection-lost"))
+            self.world.clock.after(constants.LEASE_DURATION, lambda: line.fail(fault="connection-lost"))
         # bytes that a cut holds are lost with a connection that is given up; those on their way arrive
         network.send(
             a=here,
--- a/simulation/hosted/exchange.py
+++ b/simulation/hosted/exchange.py
@@ -82,7 +82,7 @@
 
     def _send(self) -> None:
         # what an operator sent is still delivered long after it gave up: its connection's end comes behind it
-        wait = BACK_WAIT if self.edge == "desk" else constants.LEASE
+        wait = BACK_WAIT if self.edge == "desk" else constants.LEASE_DURATION
         self.world.network.send(a=self.spot, b=self.process.machine.spot, act=self._arrive, wait=wait)
 
     def _is_void(self) -> bool:
--- a/simulation/hosted/network.py
+++ b/simulation/hosted/network.py
@@ -49,7 +49,7 @@
 
         What is never acknowledged ends a connection, so both ways end after a while.
         """
-        if not self.is_one_way or now > self.begin + constants.LEASE:
+        if not self.is_one_way or now > self.begin + constants.LEASE_DURATION:
             return self.parts(a=a, b=b)
         return a.name != b.name and bool(a.names & self.left and b.names & self.right)
 
@@ -86,7 +86,7 @@
         return self.slow * (base + CLIENT * (a.is_client or b.is_client)) * self.rng.uniform(0.95, 1.15)
 
     def send(
-        self, *, a: Spot, b: Spot, act: Callable[[], None], line: object = None, wait: float = constants.LEASE
+        self, *, a: Spot, b: Spot, act: Callable[[], None], line: object = None, wait: float = constants.LEASE_DURATION
     ) -> None:
         """Bytes on a connection that is up. Behind a cut they are held for `wait` s, and lost if it stays longer.
 
--- a/simulation/hosted/process.py
+++ b/simulation/hosted/process.py
@@ -284,7 +284,9 @@
         if self.life != life:
             return
         self.give(event=TimerFired(wall=self.world.wall() + self.machine.skew))
-        self.world.clock.after(constants.TICK * self.machine.rng.uniform(0.98, 1.1), lambda: self._tick(life=life))
+        self.world.clock.after(
+            constants.TICK_INTERVAL * self.machine.rng.uniform(0.98, 1.1), lambda: self._tick(life=life)
+        )
 
     def _carry_out(self, *, command: object) -> None:
         if isinstance(command, SendMessage):
--- a/simulation/sim/network.py
+++ b/simulation/sim/network.py
@@ -45,7 +45,7 @@
 
     def keeps(self, *, since: float) -> bool:
         """Does a socket still send again after so long? Ours have a user timeout."""
-        return since <= constants.LEASE
+        return since <= constants.LEASE_DURATION
 
     def delivers(self, *, given_up: bool) -> bool:
         """Do the bytes of a call still arrive? Not those of one that was given up: its socket is reset."""
--- a/simulation/sim/node.py
+++ b/simulation/sim/node.py
@@ -179,7 +179,7 @@
             return
         if self.frozen is None:
             self.give(event=TimerFired(wall=self.world.wall() + self.skew))
-        self.world.clock.after(constants.TICK * self.rng.uniform(0.9, 1.1), lambda: self._tick(life=life))
+        self.world.clock.after(constants.TICK_INTERVAL * self.rng.uniform(0.9, 1.1), lambda: self._tick(life=life))
 
     def _carry_out(self, *, command: object) -> None:
         if isinstance(command, SendMessage):
--- a/simulation/sim/sabotage.py
+++ b/simulation/sim/sabotage.py
@@ -82,7 +82,8 @@
             for name, weight in exchange.match.shares
             if weight
             and any(
-                view.fraction >= constants.SPILL and zone in self.routing_state.plan.pools[name].preferred
+                view.fraction >= constants.ZONE_SPILL_THRESHOLD
+                and zone in self.routing_state.plan.pools[name].preferred
                 for zone, view in self.routing_state.views_of(
                     now=now, service=exchange.service.name, tenant=exchange.tenant
                 ).items()
@@ -174,9 +175,9 @@
 
 
 SABOTAGE: dict[str, Callable] = {
-    "lease": _constant("LEASE", 1e9),
-    "drain": _constant("DRAIN", -1.0),
-    "spill": _constant("SPILL", 1e-9),
+    "lease": _constant("LEASE_DURATION", 1e9),
+    "drain": _constant("ZONE_DRAIN_THRESHOLD", -1.0),
+    "spill": _constant("ZONE_SPILL_THRESHOLD", 1e-9),
     "hold": _constant("ZONE_HOLD_DOWN", 0.0),
     "grace": _constant("STOP_GRACE", 0.0),
     "sync": _method(write_ahead.WriteAhead, "step", _told_unsynced),
@@ -228,7 +229,7 @@
     "disk-votes": _method(write_ahead.WriteAhead, "receive", _failures_unheard),
     "last-resort": _method(load_balancer, "share_zones", _no_last_resort),
     "copy": _method(copying.Copying, "slots", lambda old: lambda self, *, now, own=None: {}),
-    "repair": _constant("REPLACE_AFTER", 1e9),
+    "repair": _constant("VOTER_REPLACEMENT_DELAY", 1e9),
     "closing": _method(shard_assignment.ShardAssignment, "_judge", _opens_at_once),
     "witness": _method(quiescence.Quiescence, "check", lambda old: lambda self, *, closing, slot: None),
     "refit": _method(proxied_requests, "refit_exchange", lambda old: lambda *, exchange, plan: None),
@@ -239,7 +240,7 @@
             lambda *, entry, known: (entry["start"], entry["beat"]) > (known.entry["start"], known.entry["beat"])
         ),
     ),
-    "self-doubt": _constant("SUSPECT_SELF", 2.0),
+    "self-doubt": _constant("SELF_SUSPICION_RATIO", 2.0),
     "fair-queues": _method(fair_queues.FairQueues, "step", _one_queue),
     "hot-bound": _constant("HOT_KEY_SHARE", 1e9),
     "first-quorum": _method(proposer, "fast_of", lambda old: lambda *, members: 2),
@@ -289,5 +290,5 @@
         ),
     ),
     "damage-seen": _method(disk, "read_frames", _cut_at_damage),
-    "cap": _constant("DRAIN_CAP", 1.0),
+    "cap": _constant("MAX_DRAINED_ZONES_RATIO", 1.0),
 }
--- a/tests/granting_fixture.py
+++ b/tests/granting_fixture.py
@@ -159,14 +159,14 @@
         """Go on with a tick each 0.05 s and what falls between the ticks."""
         until = self.now + seconds
         while self.now < until:
-            tick = self.now + constants.TICK
+            tick = self.now + constants.TICK_INTERVAL
             while self.events and self.events[0][0] <= tick:
                 self.now, _, act = heapq.heappop(self.events)
                 act()
             self.now = tick
             for granter in self.granters:
                 if granter.is_up:
-                    if round(self.now / constants.TICK) % 5 == 0:
+                    if round(self.now / constants.TICK_INTERVAL) % 5 == 0:
                         self.ask(granter=granter)
                     self.step(granter=granter, event=None)
 
@@ -331,7 +331,7 @@
         """Seconds until every key is held."""
         start = self.now
         while self.held_keys() < KEYS and self.now - start <= within:
-            self.run(seconds=constants.TICK)
+            self.run(seconds=constants.TICK_INTERVAL)
         return self.now - start
 
     def keys_of(self, *, worker: FakeWorker) -> int:
--- a/tests/proxy_path.py
+++ b/tests/proxy_path.py
@@ -115,7 +115,7 @@
     def settle(self) -> None:
         """Let the reactor pass through what has arrived, and through a few ticks."""
         for _ in range(4):
-            time.sleep(constants.TICK)
+            time.sleep(constants.TICK_INTERVAL)
             self.on_reactor(lambda: None)
 
     def end(self) -> None:
@@ -134,7 +134,7 @@
             self.calls.put(WorkerCall(sock=sock))
 
     def _tick(self) -> None:
-        self.reactor.later(delay=constants.TICK, call=self._tick)
+        self.reactor.later(delay=constants.TICK_INTERVAL, call=self._tick)
         self.host.deliver(TimerFired(wall=time.time()))
 
     def _step(self, *, now: float, event: object) -> list:
--- a/tests/storage_machine.py
+++ b/tests/storage_machine.py
@@ -170,6 +170,6 @@
 
 def shrink_file_bounds(monkeypatch: object) -> None:
     """Rewrites after a few records."""
-    monkeypatch.setattr(constants, "REWRITE_BYTES", 500)
+    monkeypatch.setattr(constants, "REWRITE_THRESHOLD_BYTES", 500)
     monkeypatch.setattr(constants, "REWRITE_FACTOR", 1)
-    monkeypatch.setattr(constants, "RECORD_BYTES", 60)
+    monkeypatch.setattr(constants, "RECORD_OVERHEAD_BYTES", 60)
--- a/tests/test_control_client.py
+++ b/tests/test_control_client.py
@@ -31,7 +31,7 @@
                         self.control_client.step(now=self.now + 0.02, sender=command.to, body={})
             if self.told and self.control_client.lead and self.control_client.lead not in self.silent:
                 self.control_client.learn(controllers=self.told)
-            self.now += constants.TICK
+            self.now += constants.TICK_INTERVAL
 
     def asked_since(self, since: float) -> set:
         return {to for at, to in self.asked if at >= since}
--- a/tests/test_data_file.py
+++ b/tests/test_data_file.py
@@ -76,7 +76,7 @@
         for number in range(1, 200 // starts + 1):
             assert voter.change(number=start * 1000 + number)
             largest = max(largest, files.size(name="registers"))
-    assert largest <= constants.REWRITE_BYTES * 1.2 + 2 * len(TEXT)
+    assert largest <= constants.REWRITE_THRESHOLD_BYTES * 1.2 + 2 * len(TEXT)
 
 
 def test_the_bound_leaves_a_value_alone_that_is_larger_than_it() -> None:
@@ -97,7 +97,7 @@
         records, _ = voter.acceptor.step(now=0.0, body={**body, "value": make_value(number=number)})
         commands += voter.write_ahead.step(records=records, replies=[])
     voter.work(commands=commands)
-    assert files.size(name="registers") <= constants.REWRITE_BYTES * 1.2
+    assert files.size(name="registers") <= constants.REWRITE_THRESHOLD_BYTES * 1.2
     assert Voter(files=files).acceptor.slots["config"].value["number"] == 200
 
 
--- a/tests/test_endpoint_pages.py
+++ b/tests/test_endpoint_pages.py
@@ -136,7 +136,7 @@
         waits.append(platform.pager.next_at - platform.now)
     assert waits == sorted(waits) and waits[0] < waits[3] and waits[-1] <= constants.LIST_BACKOFF
     assert platform.run_pass(page(entry("i-1"))) == ["i-1"]
-    assert platform.pager.next_at - platform.now <= constants.LIST_EVERY
+    assert platform.pager.next_at - platform.now <= constants.ENDPOINT_LIST_INTERVAL
 
 
 def test_a_later_row_wins_and_one_missing_in_one_pass_of_many_pages_is_kept_once() -> None:
@@ -159,7 +159,7 @@
     begun = platform.pager.next_at
     platform.run_pass(*body)
     pause = platform.pager.next_at - begun
-    assert pause >= constants.LIST_EVERY and (rate == 0 or pages * pollers / pause < rate / 2)
+    assert pause >= constants.ENDPOINT_LIST_INTERVAL and (rate == 0 or pages * pollers / pause < rate / 2)
 
 
 def test_an_endless_list_breaks_off() -> None:
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -185,8 +185,8 @@
     commands = bench.ask(method="POST")
     waited = 0.0
     while not answers(commands):
-        commands = bench.wait(constants.TICK)
-        waited += constants.TICK
+        commands = bench.wait(constants.TICK_INTERVAL)
+        waited += constants.TICK_INTERVAL
         assert waited < 0.25 * 2.0
     [answer] = answers(commands)
     assert answer.code == 503 and float(answer.headers["Retry-After"]) > 0
@@ -321,7 +321,7 @@
     bench = Bench(workers=[], plan=make_plan(target_s=0.4))
     commands, waited, step = bench.ask(), 0.0, phase
     while not answers(commands):
-        commands, waited, step = bench.wait(step), waited + step, constants.TICK
+        commands, waited, step = bench.wait(step), waited + step, constants.TICK_INTERVAL
     assert waited <= 0.25 * 0.4
 
 
--- a/tests/test_granting.py
+++ b/tests/test_granting.py
@@ -28,8 +28,8 @@
     worker.is_leaving = True
     gap, start = 0.0, world.now
     while world.keys_of(worker=worker) and world.now - start < 3.0:
-        world.run(seconds=constants.TICK)
-        gap += constants.TICK if world.held_keys() < KEYS else 0.0
+        world.run(seconds=constants.TICK_INTERVAL)
+        gap += constants.TICK_INTERVAL if world.held_keys() < KEYS else 0.0
     assert world.now - start < 1.5
     assert gap + world.run_until_whole(within=2.0) < 1.0
     assert f"from {worker.key}" in [handover for other in world.workers for handover in other.handovers]
--- a/tests/test_http_client_responses.py
+++ b/tests/test_http_client_responses.py
@@ -42,7 +42,7 @@
         (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nabc\r\n0\r\n\r\n", "malformed"),
         (b"HTTP/1.1 200 OK\r\nX: " + b"y" * constants.OUT_HEAD_BYTES + b"\r\nContent-Length: 0\r\n\r\n", "malformed"),
         (b"HTTP/1.1 200 OK\r\nSailward-Exchange: other\r\nContent-Length: 2\r\n\r\n{}", "another-exchange"),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (constants.RESULT_BYTES + 1), "too-large"),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (constants.MAX_RESULT_BYTES + 1), "too-large"),
     ],
 )
 def test_an_answer_that_is_not_whole_counts_for_nothing(edge: Edge, answer: bytes, fault: str) -> None:
@@ -71,7 +71,7 @@
 
 
 def test_large_bodies_go_both_ways_whole(edge: Edge) -> None:
-    answer = b"y" * constants.RESULT_BYTES
+    answer = b"y" * constants.MAX_RESULT_BYTES
     peer = edge.speaker(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(answer) + answer)
     body = b"z" * (3 << 20)
     called = edge.ask(address=peer.address, method="PUT", body=body)
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -89,7 +89,7 @@
     bench.ask()
     with mock.patch.object(Forwarder, "_end", lambda self, *, request: []):
         leave(bench, "front 1")
-    [log] = logs(bench.wait(constants.TICK), event="invariant-violated")
+    [log] = logs(bench.wait(constants.TICK_INTERVAL), event="invariant-violated")
     assert log.fields == {"invariant": "departed-not-running", "attempts": 1}
 
 
@@ -98,5 +98,5 @@
     bench = make(kind=kind)
     bench.ask()
     leave(bench, "front 1")
-    bench.wait(constants.TICK)
+    bench.wait(constants.TICK_INTERVAL)
     assert not violations
--- a/tests/test_key_loads.py
+++ b/tests/test_key_loads.py
@@ -87,13 +87,13 @@
     proxy = make_proxy(loads={}, turn=0)
     for _ in range(60):
         tick(fleet=fleet, now=now, proxy=proxy)
-        now += constants.TICK
+        now += constants.TICK_INTERVAL
     start = now
     for turn in range(1, 41):
         proxy.report = make_proxy(loads={"red": {"7": 10, "500": 4}}, turn=turn).report
         for _ in range(10):
             told += [(now - start, one.to, one.body["loads"]) for one in tick(fleet=fleet, now=now, proxy=proxy)]
-            now += constants.TICK
+            now += constants.TICK_INTERVAL
     with_loads = [(at, to) for at, to, loads in told if loads]
     assert {to for _, to in with_loads} == {READER} and {to for _, to, _ in told} == {READER, OTHER}
     assert with_loads[0][0] <= constants.LOADS_LEAST
--- a/tests/test_passive_health.py
+++ b/tests/test_passive_health.py
@@ -78,10 +78,10 @@
             assert not look(passive_health, now=now)
             deliver(passive_health, call=call, now=now, code=0)
             seen += 1
-        now += constants.TICK
+        now += constants.TICK_INTERVAL
     assert 10 / constants.PROBE_LONGEST / 1.3 < seen < 15
     while not (due := look(passive_health, now=now)):
-        now += constants.TICK
+        now += constants.TICK_INTERVAL
     deliver(passive_health, call=due[0], now=now, x_who="w0")
     assert passive_health.shown["w0"].state == "good" and not look(passive_health, now=now + 5.0)
 
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -102,7 +102,7 @@
     def run(self, seconds: float) -> list:
         commands, end = [], self.now + seconds
         while self.now < end:
-            self.now += constants.TICK
+            self.now += constants.TICK_INTERVAL
             commands += self.give(TimerFired(wall=self.now))
         return commands
 
--- a/tests/test_proxy_registry.py
+++ b/tests/test_proxy_registry.py
@@ -61,7 +61,7 @@
                     now=self.now, event=None, proxies=self.proxies[post], controllers=controllers
                 ):
                     self.deliver(sender=post, command=command)
-            self.now += constants.TICK
+            self.now += constants.TICK_INTERVAL
 
     def deliver(self, *, sender: str, command: SendMessage) -> None:
         assert isinstance(command, SendMessage) and isinstance(check_message(body=command.body), dict)
--- a/tests/test_quorum_contact.py
+++ b/tests/test_quorum_contact.py
@@ -278,7 +278,7 @@
     control_client = make_uplink()
     begun, led_at = 1.0, None
     for at in range(100):
-        now = begun + at * constants.TICK
+        now = begun + at * constants.TICK_INTERVAL
         for one in control_client.step(now=now, sender=None, body={"kind": "ask"}):
             if getattr(one, "to", "") == "near":
                 grant(control_client, now=now + 0.01, sender="near", zone="north-a", contact=False)
--- a/tests/test_stopping_proxy.py
+++ b/tests/test_stopping_proxy.py
@@ -123,7 +123,7 @@
 def run_on(*, proxy: Proxy, start: float, end: float) -> list:
     commands, now = [], start
     while now < end:
-        now += constants.TICK
+        now += constants.TICK_INTERVAL
         commands += [(now, one) for one in proxy.step(now=now, event=TimerFired())]
         if any(isinstance(one, ExitProcess) for _, one in commands):
             break
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -92,7 +92,7 @@
 
 
 def test_new_kinds_are_not_told_to_the_last_version() -> None:
-    assert "0.1.0" in constants.WITHOUT_REPLICAS
+    assert "0.1.0" in constants.VERSIONS_WITHOUT_REPLICAS
 
 
 def test_the_data_file_of_the_last_version_is_read() -> None:
