--- a/sailward/config/history.py
+++ b/sailward/config/history.py
@@ -47,7 +47,7 @@
 
     def is_full(self) -> bool:
         """Does the next change begin another segment?"""
-        return len(self.digests) >= constants.HISTORY_SEGMENT * DIGEST_LENGTH
+        return len(self.digests) >= constants.HISTORY_SEGMENT_CHANGES * DIGEST_LENGTH
 
     def with_change(self, *, digest: str) -> Segment:
         """The segment with one change more."""
--- a/sailward/consensus/messages.py
+++ b/sailward/consensus/messages.py
@@ -74,7 +74,7 @@
 
 def is_bucket(given: object) -> bool:
     """Is it the number of a bucket of keys?"""
-    return is_count(given) and given < constants.LOAD_BUCKETS  # type: ignore[operator]
+    return is_count(given) and given < constants.KEY_LOAD_BUCKETS  # type: ignore[operator]
 
 
 def is_bucket_name(given: object) -> bool:
--- a/sailward/control/administration/admin_api.py
+++ b/sailward/control/administration/admin_api.py
@@ -112,11 +112,11 @@
 
     def _begin_read(self, *, job: Job) -> StartOperation:
         is_zone_order = job.order.register == "orders" and job.dialect.is_labelled
-        timeout = min(self.timeout, constants.ORDER_READ_WAIT) if is_zone_order else self.timeout
+        timeout = min(self.timeout, constants.ORDER_READ_TIMEOUT) if is_zone_order else self.timeout
         return self._begin(job=job, kind="read", timeout=timeout)
 
     def give_up(self, *, now: float, is_lost: bool) -> list[Command]:
-        """Answer those for which no majority answered in OPERATOR_PATIENCE, and all if contact is lost: 503, come back.
+        """Answer 503: those for which no majority answered in OPERATOR_QUORUM_TIMEOUT; all if contact is lost.
 
         An order on a zone whose change has not begun never begins. A configuration goes on, also after its answer: it
         is safe late, and is known if it is sent again. A check asks no other controller: it has no bound here.
@@ -327,7 +327,7 @@
                 outcome=Outcome(kind="unavailable", code=503, reason=outcome.reason, detail="nothing was changed"),
             )
         job.turns += 1
-        if (job.order.register == "orders" or job.dialect.is_labelled) and job.turns < constants.ORDER_TURNS:
+        if (job.order.register == "orders" or job.dialect.is_labelled) and job.turns < constants.MAX_ORDER_ATTEMPTS:
             return StepResult([], [self._begin_read(job=job)])
         if job.dialect.is_labelled:
             # who won may have been this very change, taken by another controller: nothing definite can be said
@@ -342,7 +342,7 @@
 
 def _patience(*, job: Job) -> float:
     """The s that an operator waits for a round at a majority: callers wait longer for large orders."""
-    return constants.OPERATOR_PATIENCE + job.size * constants.ROUND_TIMEOUT_PER_BYTE
+    return constants.OPERATOR_QUORUM_TIMEOUT + job.size * constants.ROUND_TIMEOUT_PER_BYTE
 
 
 def _stale(*, number: int, detail: str) -> Outcome:
--- a/sailward/control/administration/status_report.py
+++ b/sailward/control/administration/status_report.py
@@ -92,7 +92,7 @@
     shown_at = watch.shown_at(now=now)
     age = round(now - shown_at, 2) if shown_at > NEVER else None
     return {
-        "majority": now - shown_at <= constants.CONTACT_TTL,
+        "majority": now - shown_at <= constants.QUORUM_CONTACT_TTL,
         "serves": watch.may_serve(now=now),
         "to_read": sorted(watch.contact.unread),
         "config": sources.voter.learner.number(name="config"),
--- a/sailward/control/endpoints/endpoint_poller.py
+++ b/sailward/control/endpoints/endpoint_poller.py
@@ -21,7 +21,8 @@
     `step` takes a page, or None for time going on; `receive` another's list.
 
     The one of the living controllers that hashing names reads the platform's list. It tells the others of each pass,
-    with rows only where they are new; who hears of none for LIST_SILENT, as after a cut, reads the list itself.
+    with rows only where they are new; who hears of none for ENDPOINT_LIST_READER_TIMEOUT, as after a cut, reads the
+    list itself.
     """
 
     pager: Pager
@@ -39,9 +40,11 @@
         """
         names = [own["id"], *(controller["id"] for controller in controllers)]
         is_reader = choose_names(key="list", names=names, count=1) == [own["id"]]
-        if event is None and (not is_needed or (not is_reader and now - self.last_update_at < constants.LIST_SILENT)):
+        if event is None and (
+            not is_needed or (not is_reader and now - self.last_update_at < constants.ENDPOINT_LIST_READER_TIMEOUT)
+        ):
             return [], False
-        self.pager.pollers = constants.LIST_READERS
+        self.pager.pollers = constants.ENDPOINT_LIST_READERS
         commands, complete_list = self.pager.step(now=now, event=event)
         if complete_list is None:
             return commands, False
--- a/sailward/control/endpoints/incarnations.py
+++ b/sailward/control/endpoints/incarnations.py
@@ -26,13 +26,16 @@
         """Take the rows of a pass; is something new?"""
         fresh = {row["id"]: {**row, "cold_s": 0.0} for row in rows}
         risen = any(
-            row["cold_s"] > max(0.0, self.slow_start_until.get(row["id"], now) - now) + constants.SLOW_START_RISE
+            row["cold_s"]
+            > max(0.0, self.slow_start_until.get(row["id"], now) - now) + constants.SLOW_START_REPORT_THRESHOLD
             for row in rows
         )
         is_new = self.value is None or fresh != self.rows or risen
         if is_new:
             self.number, self.rows = self.number + 1, fresh
-        was_in_slow_start = any(until > now - constants.LIST_BACKOFF for until in self.slow_start_until.values())
+        was_in_slow_start = any(
+            until > now - constants.ENDPOINT_LIST_MAX_BACKOFF for until in self.slow_start_until.values()
+        )
         if is_new or was_in_slow_start:
             self.slow_start_until = {row["id"]: now + row["cold_s"] for row in rows if row["cold_s"] > 0}
             listed_rows = [
--- a/sailward/control/group/graceful_shutdown.py
+++ b/sailward/control/group/graceful_shutdown.py
@@ -15,8 +15,8 @@
     """Owner of the end. `begin` takes the order to stop, `step` says when this process may go.
 
     It tells the other controllers that it leaves, votes on, and is copied from. It goes when another has taken its
-    place and has copied, when none can, or when HANDOVER_WAIT s are over. `is_enabled` is false where operators change
-    the voters.
+    place and has copied, when none can, or when VOTER_HANDOVER_TIMEOUT s are over. `is_enabled` is false where
+    operators change the voters.
     """
 
     def __init__(self, *, voter: Voter, peer_table: PeerTable, is_enabled: bool) -> None:
@@ -35,7 +35,7 @@
         if self._begun is None:
             return []
         commands = self._announce_departure(now=now) if now - self._announced_at >= self._peer_table.every else []
-        if now - self._begun < constants.HANDOVER_WAIT and self._is_of_use():
+        if now - self._begun < constants.VOTER_HANDOVER_TIMEOUT and self._is_of_use():
             return commands
         log = LogEvent(
             event="left", fields={"handed-over": not self._voter.is_member, "after": round(now - self._begun, 2)}
--- a/sailward/control/group/membership.py
+++ b/sailward/control/group/membership.py
@@ -295,7 +295,11 @@
 
     def _request_backoff(self) -> float:
         is_waiting = self._voter.voters.number and not self._voter.is_member
-        return constants.WAITING_POLL_INTERVAL if self._options.bootstrap and is_waiting else self._options.repair_every
+        return (
+            constants.WAITING_CONTROLLER_POLL_INTERVAL
+            if self._options.bootstrap and is_waiting
+            else self._options.repair_every
+        )
 
     def _report_core(self, *, now: float, others: list[dict]) -> list[Command]:
         """Say so when too much is lost for any change, and when it is back."""
--- a/sailward/control/group/quorum_contact.py
+++ b/sailward/control/group/quorum_contact.py
@@ -1,8 +1,8 @@
 """Contact with a majority of the voters, shown by answers to questions of a known age.
 
 A controller may be cut off without any sign of it: connections stay open and nothing arrives. So it counts as in
-contact only while a majority of the voters (itself among them, if it is one) answered something that it sent within
-the last `CONTACT_TTL` seconds. The age of an answer is that of its question: an answer that was under way for long,
+contact only while a majority of the voters (itself among them, if it is one) answered something that it sent within the
+last `QUORUM_CONTACT_TTL` seconds. The age of an answer is that of its question: an answer that was under way for long,
 or that waited while this process stood still, shows no more than that the question once arrived (the rule of read
 leases: Chandra et al., "Paxos Made Live", 2007; Ongaro, "Consensus: Bridging Theory and Practice", 2014, 6.4).
 
@@ -66,8 +66,8 @@
         return sorted(times, reverse=True)[majority_of(members=members) - 1]
 
     def has_contact(self, *, now: float, members: Mapping[str, str], own: str) -> bool:
-        """Was a majority reached within the last CONTACT_TTL seconds?"""
-        return now - self.shown_at(now=now, members=members, own=own) <= constants.CONTACT_TTL
+        """Was a majority reached within the last QUORUM_CONTACT_TTL seconds?"""
+        return now - self.shown_at(now=now, members=members, own=own) <= constants.QUORUM_CONTACT_TTL
 
     def may_serve(self, *, now: float, members: Mapping[str, str], own: str) -> bool:
         """Is there contact, and was every control register read since it was last missing?"""
@@ -78,7 +78,7 @@
 
     def step(self, *, now: float, members: Mapping[str, str], own: str) -> bool:
         """Judge the moment and forget old questions; was contact found just now?"""
-        self._questions = {name: at for name, at in self._questions.items() if now - at <= constants.CONTACT_TTL}
+        self._questions = {name: at for name, at in self._questions.items() if now - at <= constants.QUORUM_CONTACT_TTL}
         before = self.had_contact
         if self.has_contact(now=now, members=members, own=own):
             self.had_contact = True
@@ -91,14 +91,14 @@
 
         An operator's call is then tried at a majority.
         """
-        return not self.had_contact and self.lost_at == NEVER and now - self.started <= constants.CONTACT_TTL
+        return not self.had_contact and self.lost_at == NEVER and now - self.started <= constants.QUORUM_CONTACT_TTL
 
     def finish_read(self, *, now: float, register: str, begun: float) -> None:
         """A read of a register at a majority has ended well.
 
         One begun before contact was lost, or long ago, proves nothing.
         """
-        if begun >= self.lost_at and now - begun <= constants.CONTACT_TTL:
+        if begun >= self.lost_at and now - begun <= constants.QUORUM_CONTACT_TTL:
             self.unread.discard(register)
 
     def _lose(self, *, now: float) -> None:
--- a/sailward/control/group/redirect.py
+++ b/sailward/control/group/redirect.py
@@ -21,7 +21,7 @@
     for post in members.values():
         places.setdefault(post, [post, "", ""])
     places.pop(own, None)
-    return [places[post] for post in sorted(places)[: constants.CONTROLLERS_NAMED]]
+    return [places[post] for post in sorted(places)[: constants.MAX_REDIRECT_CONTROLLERS]]
 
 
 def redirect_or_reject(*, now: float, event: RequestReceived, dialect: Dialect, peer_table: PeerTable) -> Respond:
@@ -30,7 +30,7 @@
         known.entry
         for known in peer_table.known.values()
         if kind_of(entry=known.entry) == "controller"
-        and now - known.last_seen_at <= constants.CONTACT_ANNOUNCED
+        and now - known.last_seen_at <= constants.QUORUM_CONTACT_REPORT_TTL
         and known.entry["fit"]
         and known.contact
     ]
--- a/sailward/control/group/repair.py
+++ b/sailward/control/group/repair.py
@@ -95,8 +95,8 @@
         if self.due[0] != number:
             self.due = (number, now)
         turn = choose_names(key=f"repair{number}", names=well, count=len(well)).index(own)
-        is_tried = self.tried[0] == number and now - self.tried[1] < constants.REPAIR_AGAIN
-        if is_tried or now - self.due[1] < turn * constants.REPAIR_TURN:
+        is_tried = self.tried[0] == number and now - self.tried[1] < constants.REPAIR_RETRY_INTERVAL
+        if is_tried or now - self.due[1] < turn * constants.REPAIR_STAGGER_DELAY:
             return ""
         self.tried = (number, now)
         return change
@@ -141,7 +141,7 @@
         wiped = {name for name in members if name not in alive and posts.get(members[name], name) != name}
         lost = {name for name in members if name not in alive and now - self.seen[name] > self.replace_after}
         leaving = {name for name in members if name in alive and alive[name].get("leaving")}
-        stuck = {name for name in members if name in alive and now - self.well_at[name] > constants.JOIN_WAIT}
+        stuck = {name for name in members if name in alive and now - self.well_at[name] > constants.VOTER_JOIN_TIMEOUT}
         bare = {name for name in members if name in alive and alive[name].get("disk") is False}
         order = (wiped, lost | stuck, leaving, bare)
         return list(dict.fromkeys(name for kind in order for name in sorted(kind)))
--- a/sailward/control/proxies/key_loads.py
+++ b/sailward/control/proxies/key_loads.py
@@ -41,11 +41,11 @@
         counts = self._counts.get(service)
         if counts is None:
             counts = self._counts[service] = Counts(base=now, since=now)
-        if now - counts.base > constants.LOAD_SPAN:
+        if now - counts.base > constants.KEY_LOAD_WINDOW:
             self._age(now=now, counts=counts)
         if not counts.masses:
             counts.since = now
-        weight = math.exp((now - counts.base) / constants.LOAD_SPAN)
+        weight = math.exp((now - counts.base) / constants.KEY_LOAD_WINDOW)
         for bucket, count in buckets.items():
             counts.masses[int(bucket)] = counts.masses.get(int(bucket), 0.0) + count * weight
 
@@ -53,16 +53,18 @@
         """{service: {bucket: requests/s}}; a short time of counting is taken for what it is, not for a slight load."""
         rates = {}
         for service, counts in self._counts.items():
-            total = 1.0 - math.exp(-(now - counts.since + constants.POLL_INTERVAL) / constants.LOAD_SPAN)
-            scale = math.exp(-(now - counts.base) / constants.LOAD_SPAN) / constants.LOAD_SPAN / total
+            total = 1.0 - math.exp(-(now - counts.since + constants.POLL_INTERVAL) / constants.KEY_LOAD_WINDOW)
+            scale = math.exp(-(now - counts.base) / constants.KEY_LOAD_WINDOW) / constants.KEY_LOAD_WINDOW / total
             rates[service] = {bucket: mass * scale for bucket, mass in counts.masses.items()}
         return rates
 
     def _age(self, *, now: float, counts: Counts) -> None:
-        scale = math.exp(-(now - counts.base) / constants.LOAD_SPAN)
+        scale = math.exp(-(now - counts.base) / constants.KEY_LOAD_WINDOW)
         counts.base = now
         counts.masses = {
-            bucket: mass * scale for bucket, mass in counts.masses.items() if mass * scale >= constants.LOAD_LEAST
+            bucket: mass * scale
+            for bucket, mass in counts.masses.items()
+            if mass * scale >= constants.KEY_LOAD_MIN_COUNT
         }
 
 
@@ -79,12 +81,12 @@
     def step(self, *, now: float, times: dict) -> None:
         """Fold one proxy's {worker: [ms, ...]}."""
         for key, took in times.items():
-            self._times.setdefault(key, deque(maxlen=constants.PACES_CACHED)).extend(took)
+            self._times.setdefault(key, deque(maxlen=constants.LATENCY_SAMPLES_KEPT)).extend(took)
             self._at[key] = now
 
     def paces(self, *, now: float) -> dict:
         """{worker: [ms, number of times]}."""
-        for key in [key for key, at in self._at.items() if now - at > constants.PACE_TTL]:
+        for key in [key for key, at in self._at.items() if now - at > constants.LATENCY_TTL]:
             del self._times[key], self._at[key]
         paces = {}
         for key, times in self._times.items():
@@ -105,7 +107,7 @@
     ends, below, at = [buckets[0]], 0.0, 0
     for bucket in buckets:
         below += rates[bucket]
-        while at + 1 < constants.LOAD_PARTS and below >= total * (at + 1) / constants.LOAD_PARTS:
+        while at + 1 < constants.KEY_LOAD_QUANTILES and below >= total * (at + 1) / constants.KEY_LOAD_QUANTILES:
             at += 1
             ends.append(bucket)
     return [round(total * 10), *ends, buckets[-1]]
@@ -129,5 +131,5 @@
     parts = [0.0] * COARSE
     for rates, sign in ((before, -1), (after, 1)):
         for bucket, rate in rates.items():
-            parts[bucket * COARSE // constants.LOAD_BUCKETS] += sign * rate
-    return sum(map(abs, parts)) > constants.LOAD_SHIFT * max(sum(before.values()), sum(after.values()))
+            parts[bucket * COARSE // constants.KEY_LOAD_BUCKETS] += sign * rate
+    return sum(map(abs, parts)) > constants.KEY_LOAD_SHIFT_RATIO * max(sum(before.values()), sum(after.values()))
--- a/sailward/control/proxies/proxy_registry.py
+++ b/sailward/control/proxies/proxy_registry.py
@@ -80,7 +80,7 @@
                 [SendMessage(to=sender, body={"kind": "want", "register": "fleet"})] if is_same and not is_known else []
             )
         self._record_loads(now=now, proxies=proxies)
-        if now - self.last.get("looked", -1e9) < constants.FLEET_CHECK_INTERVAL:
+        if now - self.last.get("looked", -1e9) < constants.PROXY_CHECK_INTERVAL:
             return []
         self.last["looked"] = now
         self._forget_gone(now=now, posts={controller["post"] for controller in controllers})
@@ -89,7 +89,7 @@
         down = self._own_down(proxies=proxies)
         changed = own != self.own or down != self.own_down
         others = [controller for controller in controllers if controller["post"] != self.post]
-        if now - self.sent_at < (constants.FLEET_LEAST if changed else constants.FLEET_EVERY):
+        if now - self.sent_at < (constants.PROXY_REPORT_MIN_INTERVAL if changed else constants.PROXY_REPORT_INTERVAL):
             readers = [other for other in others if self._reads(to=other)]
             return self._send_to_all(now=now, to=readers) if readers and self._is_load_due(now=now) else []
         self.own_number += own != self.own
@@ -110,9 +110,9 @@
 
     def _is_load_due(self, *, now: float) -> bool:
         since = now - self.loads_at
-        if since < constants.LOADS_LEAST or not (self.rates or self.rates_sent):
+        if since < constants.KEY_LOAD_REPORT_MIN_INTERVAL or not (self.rates or self.rates_sent):
             return False
-        return since >= constants.LOADS_EVERY or any(
+        return since >= constants.KEY_LOAD_REPORT_INTERVAL or any(
             has_shifted(before=self.rates_sent.get(service, {}), after=rates)
             for service, rates in self.rates.items()
             if self.rates is not self.rates_sent
@@ -192,7 +192,7 @@
         return total
 
     def _fresh(self, *, now: float) -> list[PeerSnapshot]:
-        return [told for told in self.others.values() if now - told.at < constants.FLEET_TTL]
+        return [told for told in self.others.values() if now - told.at < constants.PROXY_REPORT_TTL]
 
     def _own_rows(self, *, now: float, proxies: list[Subscriber]) -> list:
         return sorted(
@@ -204,7 +204,7 @@
                 bool(proxy.entry["fit"]),
             ]
             for proxy in proxies
-            if now - proxy.last_seen_at < constants.PROXY_SILENT
+            if now - proxy.last_seen_at < constants.PROXY_TIMEOUT
         )
 
     def _own_down(self, *, proxies: list[Subscriber]) -> dict:
@@ -237,7 +237,7 @@
             for service, buckets in proxy.report.get("loads", {}).items():
                 self.key_loads.step(now=now, service=service, buckets=buckets)
             self.worker_paces.step(now=now, times=proxy.report.get("paces", {}))
-        if is_new or now - self.last.get("rates", now) >= constants.LOADS_EVERY:
+        if is_new or now - self.last.get("rates", now) >= constants.KEY_LOAD_REPORT_INTERVAL:
             self.rates = self.key_loads.rates(now=now)
             self.last["rates"] = now
         self.last.setdefault("rates", now)
@@ -247,12 +247,15 @@
         return sorted(
             key
             for key, (count, voices) in self.down(now=now, proxies=proxies).items()
-            if count >= max(constants.DOWN_LEAST, constants.DOWN_SHARE * voices)
+            if count >= max(constants.UNREACHABLE_MIN_REPORTS, constants.UNREACHABLE_MIN_RATIO * voices)
         )
 
     def _compose(self, *, now: float, own: list, controllers: list[PeerEntry], down: list) -> None:
         rows = {
-            row[0]: row for told in self.others.values() if now - told.at < constants.FLEET_TTL for row in told.rows
+            row[0]: row
+            for told in self.others.values()
+            if now - told.at < constants.PROXY_REPORT_TTL
+            for row in told.rows
         }
         rows |= {row[0]: row for row in own}
         posts = sorted([controller["post"], controller["hall"], controller["region"]] for controller in controllers)
@@ -260,7 +263,7 @@
             {"proxies": [rows[name] for name in sorted(rows)], "cellars": posts, "down": down}, separators=(",", ":")
         )
         # what is down is told again while it lasts, as it is believed for a moment only
-        is_due = bool(down) and now - self.last.get("composed", now) >= constants.HINT_TTL / 2
+        is_due = bool(down) and now - self.last.get("composed", now) >= constants.UNREACHABLE_HINT_TTL / 2
         if text != self.text or is_due:
             self.last["composed"] = now
             self.text, self.number = text, self.number + 1
--- a/sailward/control/shards/freshness.py
+++ b/sailward/control/shards/freshness.py
@@ -55,8 +55,10 @@
             return []
         if now < self.next_at or not registers:
             return []
-        self.seq, self.next_at = self.seq + 1, now + constants.CONFIRM_EVERY
-        self.requested_at = {seq: at for seq, at in self.requested_at.items() if now - at < constants.GRANT_LEASE}
+        self.seq, self.next_at = self.seq + 1, now + constants.GRANT_CONFIRMATION_INTERVAL
+        self.requested_at = {
+            seq: at for seq, at in self.requested_at.items() if now - at < constants.GRANT_CONFIRMATION_TTL
+        }
         self.requested_at[self.seq] = now
         return [
             SendMessage(to=post, body={"kind": "confirm", "seq": self.seq, "voters": number, "registers": registers})
@@ -79,7 +81,7 @@
                     or slot.value is None
                     or _covers(learner=learner, register=register, newest=newest_vote(slots=slots, name=register))
                 ):
-                    ends.append(now + constants.GRANT_LEASE)
+                    ends.append(now + constants.GRANT_CONFIRMATION_TTL)
                 continue
             confirmation = self.confirmations.get(name)
             if (
@@ -87,7 +89,7 @@
                 and register in confirmation.newest
                 and _covers(learner=learner, register=register, newest=confirmation.newest[register])
             ):
-                ends.append(confirmation.requested_at + constants.GRANT_LEASE)
+                ends.append(confirmation.requested_at + constants.GRANT_CONFIRMATION_TTL)
         need = blocking_of(members=members)
         return sorted(ends, reverse=True)[need - 1] if len(ends) >= need else NEVER
 
--- a/sailward/control/shards/grant_calls.py
+++ b/sailward/control/shards/grant_calls.py
@@ -110,7 +110,7 @@
             return self._take_grant(now=now, shard=sent.shard, event=event)
         for releasing in self._moving:
             if releasing.token == event.token:
-                releasing.due, releasing.token = now + constants.GRANT_AGAIN, ""
+                releasing.due, releasing.token = now + constants.GRANT_RETRY_INTERVAL, ""
                 if event.code == 200:
                     releasing.is_released = True
                     releasing.handover = self.codec.handover(headers=event.headers)
@@ -118,7 +118,7 @@
 
     def _take_grant(self, *, now: float, shard: Shard, event: CallFinished) -> list[Command]:
         if event.code or event.sent:
-            late = 0.0 if event.code else constants.GRANT_FLIGHT
+            late = 0.0 if event.code else constants.GRANT_IN_FLIGHT_LIMIT
             self._arrived[shard.owner] = max(self._arrived.get(shard.owner, NEVER), now + late)
         renewing = self._renewing.get(shard)
         if renewing is None or renewing.token != event.token:
@@ -128,7 +128,7 @@
             renewing.handover = ""
             self.handovers.pop(shard, None)
             return []
-        renewing.due = now + constants.GRANT_AGAIN
+        renewing.due = now + constants.GRANT_RETRY_INTERVAL
         if event.code == 409:
             self.outrun.add(shard)
         return [self._complain(shard=shard, event=event, name="grant-failed")]
@@ -160,13 +160,13 @@
                 handover=renewing.handover,
                 owner=shard.owner,
             )
-            renewing.due = now + constants.GRANT_RENEW
+            renewing.due = now + constants.GRANT_RENEWAL_INTERVAL
             renewing.token = self._call(
                 now=now,
                 kind=GRANT,
                 shard=shard,
                 made=made,
-                wait=constants.GRANT_WAIT,
+                wait=constants.GRANT_TIMEOUT,
                 begin_by=fresh_until,
                 commands=commands,
             )
@@ -194,7 +194,7 @@
                 kind=RELEASE,
                 shard=shard,
                 made=made,
-                wait=constants.GRANT_RELEASE_WAIT,
+                wait=constants.GRANT_RELEASE_TIMEOUT,
                 begin_by=fresh_until,
                 commands=commands,
             )
@@ -207,7 +207,7 @@
             and sent.shard.owner == shard.owner
             and sent.shard.start <= shard.end
             and shard.start <= sent.shard.end
-            and now < sent.until + constants.GRANT_FLIGHT
+            and now < sent.until + constants.GRANT_IN_FLIGHT_LIMIT
             for sent in self._sent.values()
         )
 
@@ -242,13 +242,15 @@
         if releasing.is_released or shard.owner in self.ended:
             return True
         ends = [
-            sent.until + constants.GRANT_FLIGHT
+            sent.until + constants.GRANT_IN_FLIGHT_LIMIT
             for sent in self._sent.values()
             if sent.is_grant and sent.shard.owner == shard.owner
         ]
         last = max([sole_at, self._arrived.get(shard.owner, NEVER), *ends])
-        last = min(last, releasing.since + constants.GRANT_QUIET)
-        return now >= last + constants.GRANT_DURATION * constants.GRANT_SLOW + constants.GRANT_MARGIN
+        last = min(last, releasing.since + constants.GRANT_FENCE_DELAY)
+        return (
+            now >= last + constants.GRANT_DURATION * constants.GRANT_CLOCK_DRIFT_FACTOR + constants.GRANT_EXPIRY_MARGIN
+        )
 
     def handover_of(self, *, shard: Shard) -> str:
         """What the owner of a moving shard handed over, or ""."""
@@ -258,7 +260,7 @@
     def is_failing(self, *, now: float, key: str) -> bool:
         """Have calls to this worker failed for a while, and lately?"""
         since, last = self._failing.get(key, (now, now))
-        return last - since >= constants.GRANT_SILENT and now - last < constants.GRANT_AVOID
+        return last - since >= constants.GRANT_FAILURE_TIMEOUT and now - last < constants.GRANT_FAILURE_BACKOFF
 
     def is_granted(self, *, shard: Shard) -> bool:
         """Was the shard granted, with nothing left to hand over?"""
--- a/sailward/control/shards/grant_targets.py
+++ b/sailward/control/shards/grant_targets.py
@@ -64,9 +64,9 @@
             self._uneven_since = None
             return targets
         self._uneven_since = now if self._uneven_since is None else self._uneven_since
-        is_urgent = strain(spans=targets, able=able, loads=context.loads) > constants.GRANT_BLAZING
+        is_urgent = strain(spans=targets, able=able, loads=context.loads) > constants.REBALANCE_URGENT_RATIO
         if now - max(self._uneven_since, self._balanced) < (
-            constants.GRANT_URGENT if is_urgent else constants.GRANT_SUSTAINED
+            constants.REBALANCE_URGENT_DELAY if is_urgent else constants.REBALANCE_DELAY
         ):
             return targets
         self._uneven_since, self._balanced = None, now
@@ -86,13 +86,13 @@
             key: worker
             for key, worker in self.listed(context=context).items()
             if self._may_stay(key=key, context=context)
-            and now - context.down.get(key, now) < constants.GRANT_SILENT
+            and now - context.down.get(key, now) < constants.GRANT_FAILURE_TIMEOUT
             and not self.calls.is_failing(now=now, key=key)
         }
         ready = {key: worker for key, worker in well.items() if getattr(worker, "slow_start", 0.0) <= 0}
         return weigh(
             capacities={
-                key: getattr(worker, "capacity", 0) or constants.WORKER_CAPACITY
+                key: getattr(worker, "capacity", 0) or constants.DEFAULT_WORKER_CAPACITY
                 for key, worker in (ready or well).items()
             },
             paces=context.paces,
--- a/sailward/control/shards/granting.py
+++ b/sailward/control/shards/granting.py
@@ -4,20 +4,21 @@
 life of one controller. The argument that no two workers that are up hold a key at one time:
 
 1. Only the granter that the newest table names sends grants, and only of open shards, with their owner and fence. It
-   acts until `fresh_until`: GRANT_LEASE after it asked a blocking set of voters, who all told that the newest table
-   they voted for is the one held here. A newer table is chosen by a majority, so one of that set voted for it after it
-   answered: whoever holds an older table begins its last grant before GRANT_LEASE is over, counted from the choice.
-   A call may take GRANT_WAIT, and bytes of a call given up may fly for GRANT_FLIGHT: GRANT_QUIET after a table was
-   first held here, nothing sent on an older one arrives any more.
-2. So GRANT_QUIET after it first held a table that names it, a granter is the only one whose grants can still arrive
-   (`_sole_at`). A later granter writes another name or another number of the takeover.
+   acts until `fresh_until`: GRANT_CONFIRMATION_TTL after it asked a blocking set of voters, who all told that the
+   newest table they voted for is the one held here. A newer table is chosen by a majority, so one of that set voted for
+   it after it answered: whoever holds an older table begins its last grant before GRANT_CONFIRMATION_TTL is over,
+   counted from the choice. A call may take GRANT_TIMEOUT, and bytes of a call given up may fly for
+   GRANT_IN_FLIGHT_LIMIT: GRANT_FENCE_DELAY after a table was first held here, nothing sent on an older one arrives any
+   more.
+2. So GRANT_FENCE_DELAY after it first held a table that names it, a granter is the only one whose grants can still
+   arrive (`_sole_at`). A later granter writes another name or another number of the takeover.
 3. A shard that has a living owner first becomes moving, and what is moving is never granted. It opens for another
    owner, under a new fence, when the old one has certainly let go: (a) it answered a release that was sent when the
    granter was the only one and none of its own grants of these keys was under way; or (b) its process has ended:
    another worker answered at its address (a connection that is refused proves nothing: a cut may refuse too, while the
    worker lives and holds); or (c) its hold has run out: GRANT_DURATION by the slowest clock after the last moment at
-   which a grant can have arrived. That moment is GRANT_QUIET after the shard was first seen moving here, or, for the
-   only granter, the later of `_sole_at` and the last of its own.
+   which a grant can have arrived. That moment is GRANT_FENCE_DELAY after the shard was first seen moving here, or, for
+   the only granter, the later of `_sole_at` and the last of its own.
 4. Each of these stays true as long as the table does not change, and the change is conditional on its number.
 
 Fences are in the table, grow with each opening, and are never used again.
@@ -88,7 +89,7 @@
         return self._table is not None and self._table.granter == self._own
 
     def _sole_at(self) -> float:
-        return self._named_at + constants.GRANT_QUIET
+        return self._named_at + constants.GRANT_FENCE_DELAY
 
     def _take_table(self, *, now: float, value: RegisterValue) -> None:
         if value["number"] == self._number:
@@ -106,7 +107,9 @@
 
     def _change(self, *, now: float, context: GrantContext) -> list:
         number, requested_at = self._requested
-        if now < self._next_check_at or (number == self._number and now - requested_at < constants.GRANT_CHANGE_WAIT):
+        if now < self._next_check_at or (
+            number == self._number and now - requested_at < constants.GRANT_TABLE_CHANGE_TIMEOUT
+        ):
             return []
         self._next_check_at = now + constants.GRANT_CHECK_INTERVAL
         table = self._next_table(now=now, context=context)
@@ -119,11 +122,11 @@
         if self._table is None:
             return self._first_table(now=now, context=context)
         if not self._is_named():
-            if now - self._granter_at < constants.GRANT_TAKEOVER:
+            if now - self._granter_at < constants.GRANT_TAKEOVER_MIN_INTERVAL:
                 return None
             return replace(self._table, granter=self._own, since=self._number + 1)
         shards, fencing_token = self._redraw_all(now=now, table=self._table, context=context)
-        most = constants.GRANT_ROWS * max(1, len(self._targets.able(now=now, context=context)))
+        most = constants.MAX_RANGES_PER_WORKER * max(1, len(self._targets.able(now=now, context=context)))
         if shards != list(self._table.shards) or len(shards) > most:
             shards, fencing_token = self._join(shards=shards, fencing_token=fencing_token)
         return replace(self._table, shards=tuple(shards), fencing_token=fencing_token)
--- a/sailward/control/shards/shard_leases.py
+++ b/sailward/control/shards/shard_leases.py
@@ -172,7 +172,9 @@
     def _change(self, *, register: str, expected: int, text: str) -> StartOperation:
         self._ops += 1
         op = f"{self._op_prefix}/grant{self._ops}"
-        return StartOperation(op=op, register=register, expected=expected, text=text, timeout=constants.GRANT_LEASE)
+        return StartOperation(
+            op=op, register=register, expected=expected, text=text, timeout=constants.GRANT_CONFIRMATION_TTL
+        )
 
     def _loads_of(self, *, now: float, service: str, is_acting: bool) -> dict:
         """Loads and paces for the one that acts, added up anew now and then."""
--- a/sailward/control/shards/shard_plan.py
+++ b/sailward/control/shards/shard_plan.py
@@ -8,7 +8,7 @@
 from sailward import constants
 from sailward.routing.shards import KEYS
 
-BUCKETS = constants.LOAD_BUCKETS
+BUCKETS = constants.KEY_LOAD_BUCKETS
 WIDTH = KEYS // BUCKETS
 FLOOR = 0.2
 
@@ -27,7 +27,7 @@
 
     def __init__(self, *, loads: dict) -> None:
         total = sum(loads.values())
-        self.total = total if total >= constants.GRANT_LOAD_LEAST else 0.0
+        self.total = total if total >= constants.REBALANCE_MIN_RATE else 0.0
         self._floor = FLOOR if self.total else 1.0
         self._buckets = sorted(loads) if self.total else []
         self._sums = [0.0]
@@ -76,7 +76,7 @@
             else _assign(span=span, spread=parts.spread, fair=parts.fair, assigned=parts.assigned)
         )
     if is_balancing:
-        for _ in range(constants.GRANT_MOVES):
+        for _ in range(constants.REBALANCE_MAX_MOVES):
             fresh = _balance(spans=placed, parts=parts)
             if fresh is None:
                 break
@@ -96,13 +96,13 @@
     A pace from few times counts less, and none is far from the middle one.
     """
     known = sorted(paces[key][0] for key in capacities if key in paces)
-    middle = known[len(known) // 2] if known else constants.PACE_START * constants.PACE_OF_MEAN
+    middle = known[len(known) // 2] if known else constants.DEFAULT_WORKER_LATENCY * constants.LATENCY_LOWER_HALF_RATIO
     able = {}
     for key, capacity in capacities.items():
         pace, count = paces.get(key, (middle, 0))
-        pace = (pace * count + middle * constants.PACE_SURE) / (count + constants.PACE_SURE)
-        pace = min(max(pace, middle / constants.PACE_APART), middle * constants.PACE_APART)
-        able[key] = capacity * constants.PACE_OF_MEAN / pace
+        pace = (pace * count + middle * constants.LATENCY_PRIOR_SAMPLES) / (count + constants.LATENCY_PRIOR_SAMPLES)
+        pace = min(max(pace, middle / constants.LATENCY_MAX_RATIO), middle * constants.LATENCY_MAX_RATIO)
+        able[key] = capacity * constants.LATENCY_LOWER_HALF_RATIO / pace
     return able
 
 
@@ -124,17 +124,19 @@
         """Should it give keys away?"""
         ratio, use = self.ratio(name=name), self.assigned[name] * self.spread.total / self.able[name]
         is_slow = (
-            self.assigned[name] - self.fair[name] > constants.GRANT_SLOW_PART * self.even[name]
+            self.assigned[name] - self.fair[name] > constants.REBALANCE_SLOW_WORKER_RATIO * self.even[name]
             and self.fair[name] < self.even[name]
         )
         return (
-            ratio > constants.GRANT_BLAZING or (ratio > constants.GRANT_HOT and use > constants.GRANT_CALM) or is_slow
+            ratio > constants.REBALANCE_URGENT_RATIO
+            or (ratio > constants.REBALANCE_HIGH_RATIO and use > constants.REBALANCE_MIN_UTILIZATION)
+            or is_slow
         )
 
     def is_under(self, *, name: str) -> bool:
         """Is it idle though it should not be?"""
         return (
-            self.assigned[name] < constants.GRANT_IDLE * min(self.fair[name], self.even[name])
+            self.assigned[name] < constants.REBALANCE_LOW_RATIO * min(self.fair[name], self.even[name])
             and self.fair[name] > 0.5 * self.even[name]
         )
 
@@ -154,7 +156,13 @@
     The less there is to do, the more of it goes to the quick ones.
     """
     total_capacity = sum(able.values())
-    lean = 1 + constants.GRANT_LEAN * max(0.0, 1 - total / total_capacity / constants.GRANT_FULL) if total else 1.0
+    lean = (
+        1
+        + constants.REBALANCE_SKEW_EXPONENT
+        * max(0.0, 1 - total / total_capacity / constants.REBALANCE_SATURATION_RATIO)
+        if total
+        else 1.0
+    )
     leaning = {name: weight**lean for name, weight in able.items()}
     return {name: weight / sum(leaning.values()) for name, weight in leaning.items()}
 
@@ -172,7 +180,7 @@
 
 
 def _assign(*, span: Span, spread: Spread, fair: dict, assigned: dict) -> list[Span]:
-    least = constants.GRANT_CHUNK / len(fair)
+    least = constants.REBALANCE_MIN_PIECE_RATIO / len(fair)
     given, start = [], span.start
     while start <= span.end:
         taker = max(sorted(fair), key=lambda name: fair[name] - assigned[name])
@@ -208,7 +216,9 @@
             continue
         part = min(assigned[giver] - fair[giver], fair[taker] - assigned[taker])
         if is_idle:
-            part = min(max(part, constants.GRANT_CHUNK * fair[taker]), assigned[giver] - 0.7 * fair[giver])
+            part = min(
+                max(part, constants.REBALANCE_MIN_PIECE_RATIO * fair[taker]), assigned[giver] - 0.7 * fair[giver]
+            )
         fresh = (
             _move(spans=spans, spread=parts.spread, giver=giver, taker=taker, part=part, assigned=assigned)
             if part >= 0.1 / len(fair)
--- a/sailward/discovery/endpoint_pages.py
+++ b/sailward/discovery/endpoint_pages.py
@@ -95,10 +95,10 @@
         return [self._request_page(after="")], None
 
     def _backoff(self) -> float:
-        """The time between passes: all pollers together stay under LIST_SHARE of the platform's rate."""
+        """The time between passes: all pollers together stay under ENDPOINT_LIST_RATE_RATIO of the platform's rate."""
         calls = max(1, self._page_count) * max(1, self.pollers)
-        every = constants.ENDPOINT_LIST_INTERVAL + constants.LIST_PACE * (max(1, self._page_count) - 1)
-        return max(every, calls / (constants.LIST_SHARE * self.rate) if self.rate > 0 else 0.0)
+        every = constants.ENDPOINT_LIST_INTERVAL + constants.ENDPOINT_LIST_PAGE_DELAY * (max(1, self._page_count) - 1)
+        return max(every, calls / (constants.ENDPOINT_LIST_RATE_RATIO * self.rate) if self.rate > 0 else 0.0)
 
     def _take_words(self, *, now: float, event: CallFinished) -> tuple[list, CompleteList | None]:
         page = (
@@ -109,11 +109,13 @@
         if isinstance(page, BrokenPass):
             self.broken += 1
             # each further broken pass doubles the pause, to a bound
-            self.next_at = now + min(self._backoff() * 2 ** min(self.broken - 1, 8), constants.LIST_BACKOFF)
+            self.next_at = now + min(
+                self._backoff() * 2 ** min(self.broken - 1, 8), constants.ENDPOINT_LIST_MAX_BACKOFF
+            )
             return self._break_off(fault=page)
         self.pages.append(page)
         if page.next:
-            if len(self.pages) >= constants.LIST_PAGES:
+            if len(self.pages) >= constants.ENDPOINT_LIST_MAX_PAGES:
                 return self._break_off(fault=BrokenPass(reason="endless"))
             return [self._request_page(after=page.next)], None
         self.token, self.broken, self._page_count = "", 0, len(self.pages)
@@ -155,7 +157,7 @@
             return self._break_off(fault=page)
         self.pages.append(page)
         if page["next"]:
-            if len(self.pages) >= constants.LIST_PAGES:
+            if len(self.pages) >= constants.ENDPOINT_LIST_MAX_PAGES:
                 return self._break_off(fault=BrokenPass(reason="endless"))
             return [self._request_page(after=page["next"])], None
         self.token = ""
--- a/sailward/discovery/endpoint_table.py
+++ b/sailward/discovery/endpoint_table.py
@@ -46,11 +46,11 @@
     def replace(self, *, now: float, workers: list) -> tuple[set, set]:
         """Take a list of lives whose number can't be compared with that of the one before: (came, went).
 
-        Another teller's list may be a little older or newer. So leaving stays; what is gone stays so for GONE_TTL,
-        unless it had come as lately; after that a list that has it is believed.
+        Another teller's list may be a little older or newer. So leaving stays; what is gone stays so for
+        ENDPOINT_REMOVAL_TTL, unless it had come as lately; after that a list that has it is believed.
         """
         before = set(self.workers)
-        self.gone = {name: at for name, at in self.gone.items() if now - at < constants.GONE_TTL}
+        self.gone = {name: at for name, at in self.gone.items() if now - at < constants.ENDPOINT_REMOVAL_TTL}
         table = {}
         for row in workers:
             name = row["id"]
@@ -71,12 +71,12 @@
             )
             self.came.setdefault(name, now)
         for name in before - set(table):
-            if now - self.came.pop(name, now) >= constants.GONE_TTL:
+            if now - self.came.pop(name, now) >= constants.ENDPOINT_REMOVAL_TTL:
                 self.gone[name] = now
         self.left = {
             name: now if name in table else at
             for name, at in self.left.items()
-            if name in table or now - at < constants.LEFT_TTL
+            if name in table or now - at < constants.ENDPOINT_DEPARTURE_TTL
         }
         self.workers = table
         return set(table) - before, before - set(table)
--- a/sailward/discovery/peer_table.py
+++ b/sailward/discovery/peer_table.py
@@ -126,7 +126,11 @@
         if lost:
             # each lost one in turn: after a cut both sides find each other with the next heartbeats
             commands.append(SendMessage(to=lost[self.heartbeat % len(lost)], body=body))
-        if not alive or self.heartbeat <= constants.MESH_FIRST or self.heartbeat % constants.MESH_SEEDS == 0:
+        if (
+            not alive
+            or self.heartbeat <= constants.GOSSIP_STARTUP_HEARTBEATS
+            or self.heartbeat % constants.GOSSIP_SEED_HEARTBEATS == 0
+        ):
             known = {peer.entry["post"] for peer in alive}
             announcement = {"kind": "gossip", "entries": self._entries(now=now), "reply": False}
             commands += [
@@ -231,8 +235,11 @@
 
 
 def echo_number(*, start: int, heartbeat: int) -> int:
-    """The number by which a heartbeat is answered, never 0: two starts share one by a chance of one in ECHO_NUMBERS."""
-    return (start + heartbeat) % constants.ECHO_NUMBERS + 1
+    """The number by which a heartbeat is answered, never 0.
+
+    Two starts share one by a chance of one in HEARTBEAT_ECHO_MODULUS.
+    """
+    return (start + heartbeat) % constants.HEARTBEAT_ECHO_MODULUS + 1
 
 
 def _is_newer(*, entry: PeerEntry, known: PeerState) -> bool:
--- a/sailward/programs/hosted_controller.py
+++ b/sailward/programs/hosted_controller.py
@@ -39,7 +39,7 @@
         now=reactor.clock(),
         options=hosted.options,
     )
-    limits = replace(Limits(), body_bytes=constants.MAX_CONFIG_BYTES, head_wait=constants.OPERATOR_WAIT)
+    limits = replace(Limits(), body_bytes=constants.MAX_CONFIG_BYTES, head_wait=constants.OPERATOR_HEAD_TIMEOUT)
     fronts = {
         edge: open_front(hosted=hosted, edge=edge, reactor=reactor, host=host, limits=lambda: limits)
         for edge in hosted.listen
--- a/sailward/proxy/control_client.py
+++ b/sailward/proxy/control_client.py
@@ -1,7 +1,7 @@
 """A proxy's way to the core: the two nearest controllers that answer and may serve, asked for news in turn.
 
 Each answer says whether its controller has contact with a majority of the voters (an answer of the last version, which
-does not say, counts as yes). One that has none is not followed while another can be reached. If for LAST_RESORT_AFTER
+does not say, counts as yes). One that has none is not followed while another can be reached. If for LAST_RESORT_DELAY
 none with contact answered, the nearest that answers at all is followed: what it holds was chosen once, and serving on
 with the last known state is better than not serving.
 """
@@ -65,7 +65,7 @@
             return commands
         if now < self.next_at:
             return []
-        self.next_at = now + (constants.POLL_INTERVAL if self.lead else constants.FIRST_POLL_DELAY)
+        self.next_at = now + (constants.POLL_INTERVAL if self.lead else constants.INITIAL_POLL_INTERVAL)
         self.began = self.began if self.began != NEVER else now
         for seed in self.seeds:
             self.known.setdefault(seed, ControllerState(post=seed))
@@ -102,16 +102,16 @@
 
     def is_last_resort(self, *, now: float) -> bool:
         """Has no controller with contact answered for so long that one without is followed?"""
-        return self.began != NEVER and now - max(self.began, self.trusted_at) > constants.LAST_RESORT_AFTER
+        return self.began != NEVER and now - max(self.began, self.trusted_at) > constants.LAST_RESORT_DELAY
 
     def answers(self, *, now: float) -> bool:
         """Has any controller answered of late?"""
-        return any(now - known.last_reply_at < constants.CONTROLLER_SILENT for known in self.known.values())
+        return any(now - known.last_reply_at < constants.CONTROLLER_TIMEOUT for known in self.known.values())
 
     def _may_answer(self, *, known: ControllerState) -> bool:
         """Is it not known to be silent, and was it named or heard of within the time that a daemon is remembered?"""
         return (
-            known.unanswered < constants.POLLS_LOST
+            known.unanswered < constants.MAX_LOST_POLLS
             and self.next_at - max(known.last_reply_at, known.named) < constants.PEER_TTL
         )
 
@@ -122,17 +122,17 @@
         """Is it one that is only tried now and then?"""
         if not known.has_contact and (known.post != self.lead or not self.is_last_resort(now=now)):
             return True
-        return known.unanswered >= constants.POLLS_LOST and now - known.last_reply_at > constants.CONTROLLER_SILENT
+        return known.unanswered >= constants.MAX_LOST_POLLS and now - known.last_reply_at > constants.CONTROLLER_TIMEOUT
 
     def _choose_lead(self, *, now: float) -> list[Command]:
-        able = [known for known in self.known.values() if now - known.last_reply_at < constants.CONTROLLER_SILENT]
+        able = [known for known in self.known.values() if now - known.last_reply_at < constants.CONTROLLER_TIMEOUT]
         trusted = [known for known in able if known.has_contact]
         able = trusted if trusted or not self.is_last_resort(now=now) else able
         lead = self.known.get(self.lead)
         best = min(able, key=self._rank, default=None)
         if best is None or best.post == self.lead:
             return []
-        if not self.lead and best.zone != self.zone and now - self.began < constants.LEAD_WAIT:
+        if not self.lead and best.zone != self.zone and now - self.began < constants.SAME_ZONE_CONTROLLER_WAIT:
             # a nearer one may answer in a moment: its lists need not cross regions
             return []
         if lead is not None and lead in able and self._rank(lead)[:2] <= self._rank(best)[:2]:
--- a/sailward/proxy/proxy.py
+++ b/sailward/proxy/proxy.py
@@ -263,7 +263,7 @@
         workers = {key: self.passive_health.shown[key].worker for key in self.passive_health.shown}
         divided = {name for name, service in self.context.plan.services.items() if service.ranged}
         return {
-            key: times[-constants.PACES_SENT :]
+            key: times[-constants.LATENCY_SAMPLES_SENT :]
             for key, times in self.passive_health.take_times().items()
             if key in workers
             and workers[key].service in divided
--- a/sailward/routing/endpoint_selection.py
+++ b/sailward/routing/endpoint_selection.py
@@ -198,16 +198,16 @@
         return None
 
     def _load(self, shown: Shown) -> float:
-        return (self.open.get(shown.worker.key, 0) + 1) * (shown.pace or constants.PACE_START)
+        return (self.open.get(shown.worker.key, 0) + 1) * (shown.pace or constants.DEFAULT_WORKER_LATENCY)
 
     def _has_capacity(self, *, shown: Shown) -> bool:
         """May this proxy have one more open at the worker?
 
         Its even part of what all may, or the window that the worker's pace allows.
         """
-        total_capacity = (shown.worker.capacity or constants.WORKER_CAPACITY) * constants.QUEUE_DEPTH
+        total_capacity = (shown.worker.capacity or constants.DEFAULT_WORKER_CAPACITY) * constants.WORKER_QUEUE_DEPTH
         part = -(-total_capacity // max(1, self.context.proxies))
-        most = min(max(constants.WINDOW_LEAST, constants.WINDOW_PARTS * part), shown.window)
+        most = min(max(constants.CONCURRENCY_WINDOW_MIN, constants.CONCURRENCY_SHARE_FACTOR * part), shown.window)
         return self.open.get(shown.worker.key, 0) < max(1.0, most)
 
     def _is_within_limits(self, *, now: float, shown: Shown, request: Request) -> bool:
@@ -216,9 +216,9 @@
         names = [
             name for name, region in context.peers.items() if region == context.regions.get(shown.worker.zone)
         ] or list(context.peers)
-        if names and context.name not in choose_names(key=key, names=names, count=constants.SLOW_START_SENDERS):
+        if names and context.name not in choose_names(key=key, names=names, count=constants.SLOW_START_PROXIES):
             return False
-        rate = request.service.slow_start_rate / constants.SLOW_START_SENDERS
+        rate = request.service.slow_start_rate / constants.SLOW_START_PROXIES
         bucket = self.slow_start.get(key)
         if bucket is None:
             bucket = self.slow_start[key] = Bucket(level=1.0, at=now)
@@ -248,7 +248,11 @@
         if now - shown.leaving_since > context.leave_after:
             # its keys should have moved by now: it must not be sent anything any more
             return Refusal(code=503, reason="owner-lost")
-        if request.rejected and worker.key in request.rejected and now - request.waits_since < constants.OWNER_BACKOFF:
+        if (
+            request.rejected
+            and worker.key in request.rejected
+            and now - request.waits_since < constants.KEY_OWNER_BACKOFF
+        ):
             return Refusal(code=503, reason="key-moving")
         if not self._has_capacity(shown=shown) or now < shown.busy_until:
             return Refusal(code=503, reason="no-room")
--- a/sailward/routing/forwarding.py
+++ b/sailward/routing/forwarding.py
@@ -89,7 +89,7 @@
         self.tally["taken"] += 1
         if taken.service.ranged and taken.key >= 0:
             buckets = self.loads.setdefault(taken.service.name, Counter())
-            buckets[taken.key // constants.KEYS_IN_BUCKET] += 1
+            buckets[taken.key // constants.KEYS_PER_BUCKET] += 1
         return self._select_and_forward(now=now, request=taken)
 
     def _select_and_forward(self, *, now: float, request: Request) -> list[Command]:
@@ -112,12 +112,16 @@
 
         For room a small part of what its answer may take, for a key on its way somewhat more.
         """
-        share = constants.KEY_SHARE if reason in ("key-moving", "key-unowned", "owner-lost") else constants.LINE_SHARE
+        share = (
+            constants.KEY_WAIT_RATIO
+            if reason in ("key-moving", "key-unowned", "owner-lost")
+            else constants.QUEUE_WAIT_RATIO
+        )
         return min(constants.QUEUE_TIMEOUT, share * (request.match.target or constants.QUEUE_TIMEOUT))
 
     def _forward(self, *, now: float, request: Request, worker: Worker) -> list[Command]:
         """Send it on, if it has the time left and the retry budget bears it; give it up otherwise."""
-        if request.expiry - now <= constants.LEAST_LEFT:
+        if request.expiry - now <= constants.MIN_REMAINING_TIME:
             code = 504 if request.sent else 503
             return self._give_up(now=now, request=request, refusal=Refusal(code=code, reason="expired"))
         is_first = not request.sent and not request.unsent
@@ -164,14 +168,14 @@
                 # a kept connection may hold a late answer, or end under the request: never for one that may not run
                 # twice
                 fresh=not request.match.is_repeatable,
-                dial=constants.DIAL_NEAR if context.regions.get(worker.zone) == context.region else 0.0,
+                dial=constants.REGIONAL_CONNECT_TIMEOUT if context.regions.get(worker.zone) == context.region else 0.0,
             ),
         ]
 
     def _hedge_after(self, *, request: Request) -> float:
         # a key has one owner: it is asked again only when its answer has most likely been lost
-        share = constants.REPEATED_POLL_SHARE if request.service.ranged else constants.HEDGE_SHARE
-        return max(constants.HEDGE_LEAST, share * (request.match.target or constants.HEDGE_LEAST))
+        share = constants.KEY_OWNER_RETRY_RATIO if request.service.ranged else constants.HEDGE_DELAY_RATIO
+        return max(constants.HEDGE_MIN_DELAY, share * (request.match.target or constants.HEDGE_MIN_DELAY))
 
     def _return(self, *, now: float, event: CallFinished) -> list[Command]:  # noqa: C901 - one branch over the bound
         request = self.calls.pop(event.token, None)
@@ -209,10 +213,10 @@
             self.by_worker.pop(worker, None)
 
     def _may_retry(self, *, now: float, request: Request, verdict: object) -> bool:
-        if request.is_left or now >= request.expiry - constants.LEAST_LEFT:
+        if request.is_left or now >= request.expiry - constants.MIN_REMAINING_TIME:
             return False
         if isinstance(verdict, NotSent):
-            return request.unsent <= constants.MAX_UNSENT
+            return request.unsent <= constants.MAX_UNREACHABLE_WORKERS
         if request.sent >= request.max_attempts or (request.ran and not request.match.is_repeatable):
             return False
         return not (isinstance(verdict, WorkerRejected) and verdict.why == "refused")
@@ -229,12 +233,12 @@
             if other is None or other.at >= attempt.at:
                 continue
             other.overtaken += 1
-            if other.overtaken == constants.OVERTAKEN and shown is not None:
+            if other.overtaken == constants.LOST_REQUEST_LATER_RESPONSES and shown is not None:
                 self.tally["overtaken"] += 1
                 self.endpoint_selector.context.passive_health.record_event(now=now, key=attempt.worker, event="lost")
                 if request.hedge_at < float("inf"):
                     request.hedge_at = min(
-                        request.hedge_at, max(now, other.at + constants.OVERTAKEN_PACES * shown.calm)
+                        request.hedge_at, max(now, other.at + constants.LOST_REQUEST_LATENCY_RATIO * shown.calm)
                     )
 
     def _record(self, *, now: float, attempt: Attempt, verdict: object) -> list[Command]:
@@ -320,7 +324,11 @@
 
     def _refusal(self, *, token: str, refusal: Refusal) -> Respond:
         headers = (
-            {"Retry-After": str(constants.COME_BACK.get(refusal.reason, constants.COME_BACK[""]))}
+            {
+                "Retry-After": str(
+                    constants.RETRY_AFTER_BY_REASON.get(refusal.reason, constants.RETRY_AFTER_BY_REASON[""])
+                )
+            }
             if refusal.code in (429, 503)
             else {}
         )
@@ -360,7 +368,7 @@
         The first goes on either way.
         """
         request.hedge_at = float("inf")
-        if request.expiry - now <= constants.LEAST_LEFT:
+        if request.expiry - now <= constants.MIN_REMAINING_TIME:
             return []
         choice = self.endpoint_selector.step(now=now, request=request)
         if isinstance(choice, Refusal) or not self._take_budget(
--- a/sailward/routing/passive_health.py
+++ b/sailward/routing/passive_health.py
@@ -26,7 +26,7 @@
     slow_start_until: float = 0.0
     pace: float = 0.0
     calm: float = 0.0
-    window: float = constants.WINDOW_FIRST
+    window: float = constants.CONCURRENCY_WINDOW_INITIAL
     busy_until: float = 0.0
     probe_at: float = 0.0
     shunned_until: float = 0.0
@@ -39,7 +39,7 @@
         """How fast it is beside its service's mean time when calm: 1.0 until it has shown it."""
         if not self.calm or not mean:
             return 1.0
-        return min(constants.SPEED_SPAN, max(1 / constants.SPEED_SPAN, mean / self.calm))
+        return min(constants.MAX_SPEED_RATIO, max(1 / constants.MAX_SPEED_RATIO, mean / self.calm))
 
     @property
     def is_healthy(self) -> bool:
@@ -97,8 +97,8 @@
         """
         for key in down:
             shown = self.shown.get(key)
-            if shown is not None and now - shown.answered > constants.HINT_UNCERTAIN_AFTER:
-                shown.shunned_until = now + constants.HINT_TTL
+            if shown is not None and now - shown.answered > constants.UNREACHABLE_HINT_GRACE:
+                shown.shunned_until = now + constants.UNREACHABLE_HINT_TTL
 
     def take_times(self) -> dict:
         """{worker: [ms, ...]}: the times of answers since it was asked last."""
@@ -111,7 +111,7 @@
         if shown is None:
             return []
         if event == "full":
-            shown.busy_until = now + constants.DISK_FULL_BACKOFF
+            shown.busy_until = now + constants.WORKER_FULL_BACKOFF
             return []
         if event == "pass":
             shown.answered, shown.shunned_until = now, 0.0
@@ -130,12 +130,12 @@
 
         Fewer while it queues.
         """
-        shown.pace = took if not shown.pace else shown.pace + constants.PACE_WEIGHT * (took - shown.pace)
-        shown.calm = min(shown.pace, shown.calm * constants.CALM_DRIFT) if shown.calm else shown.pace
-        if shown.pace > constants.PACE_QUEUED * shown.calm:
-            shown.window = max(1.0, shown.window * constants.WINDOW_LESS)
+        shown.pace = took if not shown.pace else shown.pace + constants.LATENCY_EWMA_WEIGHT * (took - shown.pace)
+        shown.calm = min(shown.pace, shown.calm * constants.LATENCY_BASELINE_DRIFT) if shown.calm else shown.pace
+        if shown.pace > constants.LATENCY_QUEUEING_RATIO * shown.calm:
+            shown.window = max(1.0, shown.window * constants.CONCURRENCY_WINDOW_DECREASE)
         else:
-            shown.window = min(constants.WINDOW_MOST, shown.window + constants.WINDOW_MORE)
+            shown.window = min(constants.CONCURRENCY_WINDOW_MAX, shown.window + constants.CONCURRENCY_WINDOW_INCREASE)
 
     def _probe(self, *, now: float, key: str, shown: Shown, plan: Plan) -> StartCall:
         self._probes += 1
@@ -162,7 +162,7 @@
         answered_by = event.headers.get(self._names.answered_by, key)
         verdict = "pass" if event.code == 200 and answered_by == key else "stranger" if answered_by != key else "fail"
         shown.missed = 0 if verdict == "pass" else shown.missed + 1
-        backoff = min(constants.PROBE_LONGEST, constants.PROBE_FIRST * 2 ** min(shown.missed, 4))
+        backoff = min(constants.PROBE_MAX_BACKOFF, constants.PROBE_INITIAL_BACKOFF * 2 ** min(shown.missed, 4))
         shown.probe_at = now + backoff * (0.8 + 0.4 * self._rng.random())
         slow_start = event.headers.get(self._names.slow_start, "")
         if verdict == "pass" and _is_seconds(text=slow_start):
@@ -176,7 +176,7 @@
             return []
         shown.since = now
         if shown.state == "wary" or (shown.state == "down" and before != "wary"):
-            shown.probe_at, shown.missed = now + constants.PROBE_FIRST * self._rng.random(), 0
+            shown.probe_at, shown.missed = now + constants.PROBE_INITIAL_BACKOFF * self._rng.random(), 0
         if {before, shown.state} <= {"good", "doubt", "wary"}:
             return []
         return [LogEvent(event="worker-status", fields={"worker": key, "from": before, "to": shown.state, "by": event})]
--- a/sailward/routing/request.py
+++ b/sailward/routing/request.py
@@ -79,9 +79,15 @@
         return Refusal(code=404, reason="unmatched")
     service = plan.services[plan.pools[match.shares[0][0]].service]
     given = event.headers.get(names.within, "")
-    within = int(given) / 1000 if given.isascii() and given.isdigit() and len(given) < 10 else constants.REQUEST_EXPIRY
+    within = (
+        int(given) / 1000
+        if given.isascii() and given.isdigit() and len(given) < 10
+        else constants.DEFAULT_REQUEST_TIMEOUT
+    )
     key = event.headers.get(names.part, "")
-    number = int(key) if key.isascii() and key.isdigit() and len(key) < 6 and int(key) <= constants.KEY_LAST else -1
+    number = (
+        int(key) if key.isascii() and key.isdigit() and len(key) < 6 and int(key) <= constants.MAX_SHARD_KEY else -1
+    )
     return Request(
         token=event.token,
         name=event.headers.get(names.exchange, ""),
@@ -93,7 +99,7 @@
         service=service,
         arrived=now,
         key=number,
-        expiry=now + max(0.0, min(within, match.expiry or constants.REQUEST_EXPIRY)),
+        expiry=now + max(0.0, min(within, match.expiry or constants.DEFAULT_REQUEST_TIMEOUT)),
     )
 
 
--- a/sailward/routing/retry_budget.py
+++ b/sailward/routing/retry_budget.py
@@ -39,10 +39,12 @@
         if first:
             account.firsts.append(now)
             return True
-        allowance = constants.RETRY_MARGIN * (self.ratio * len(account.firsts) + self.slack / max(1, proxies))
+        allowance = constants.RETRY_BUDGET_UTILIZATION * (
+            self.ratio * len(account.firsts) + self.slack / max(1, proxies)
+        )
         if len(account.mores) + 1 > allowance:
             return False
-        if is_hedge and len(account.mores) >= constants.HEDGE_OF_BUDGET * self.ratio * len(account.firsts):
+        if is_hedge and len(account.mores) >= constants.HEDGE_BUDGET_RATIO * self.ratio * len(account.firsts):
             return False
         account.mores.append(now)
         return True
--- a/sailward/runtime/host.py
+++ b/sailward/runtime/host.py
@@ -26,7 +26,7 @@
     changed: Callable | None = None
     _line: deque = field(default_factory=deque)
     _is_busy: bool = False
-    _journal: Journal = field(default_factory=lambda: Journal(shown=constants.JOURNAL_SHOWN))
+    _journal: Journal = field(default_factory=lambda: Journal(shown=constants.EVENT_JOURNAL_DUMP_LENGTH))
 
     def deliver(self, event: object) -> None:
         """Give the owner an event, after those already in line. Only from the reactor's thread."""
--- a/sailward/transport/http_client.py
+++ b/sailward/transport/http_client.py
@@ -79,7 +79,7 @@
         self.cancel(token=call.token)
         running = Running(call=call, deadline=self._reactor.clock() + call.timeout)
         self._running[call.token] = running
-        if call.timeout < constants.OUT_SHORT:
+        if call.timeout < constants.HTTP_CLIENT_SHORT_TIMEOUT:
             running.alarm = self._reactor.later(
                 delay=call.timeout, call=functools.partial(self._check, running=running)
             )
@@ -258,7 +258,7 @@
                 self._close(connection=connection, is_aborted=False)
             return
         try:
-            data = connection.sock.recv(constants.OUT_READ_BYTES)
+            data = connection.sock.recv(constants.HTTP_CLIENT_READ_BYTES)
         except BlockingIOError:
             return
         except OSError:
@@ -321,7 +321,7 @@
         connection.idle_until = self._reactor.clock() + idle
         pool = self._idle.setdefault(connection.owner, [])
         pool.append(connection)
-        if len(pool) > constants.OUT_IDLE:
+        if len(pool) > constants.HTTP_CLIENT_MAX_IDLE_CONNECTIONS:
             self._close(connection=pool.pop(0), is_aborted=False)
         self._arm()
 
@@ -340,7 +340,7 @@
 
     def _arm(self) -> None:
         if self._alarm is None and (self._running or self._idle):
-            self._alarm = self._reactor.later(delay=constants.OUT_SWEEP, call=self._sweep)
+            self._alarm = self._reactor.later(delay=constants.HTTP_CLIENT_SWEEP_INTERVAL, call=self._sweep)
 
     def _sweep(self) -> None:
         self._alarm = None
--- a/sailward/transport/http_exchange.py
+++ b/sailward/transport/http_exchange.py
@@ -43,7 +43,9 @@
     def __init__(self, *, call: StartCall, exchange_name: str) -> None:
         self._method = call.method
         self._exchange_name = exchange_name
-        self._parser = h11.Connection(our_role=h11.CLIENT, max_incomplete_event_size=constants.OUT_HEAD_BYTES)
+        self._parser = h11.Connection(
+            our_role=h11.CLIENT, max_incomplete_event_size=constants.HTTP_CLIENT_MAX_HEAD_BYTES
+        )
         self._code = 0
         self._headers: dict = {}
         self._parts: list[bytes] = []
@@ -111,7 +113,7 @@
         self._is_named = echoed == self._id
         length = self._headers.get("content-length")
         is_chunked = "transfer-encoding" in self._headers
-        if size > constants.OUT_HEAD_BYTES or (length is not None and is_chunked):
+        if size > constants.HTTP_CLIENT_MAX_HEAD_BYTES or (length is not None and is_chunked):
             return "malformed"
         if self._method == "HEAD" or self._code in (204, 304):
             return ""
@@ -148,4 +150,7 @@
     seconds = int(told.group(1))
     if seconds == 0:
         return 0.0
-    return min(constants.HTTP_CLIENT_IDLE_TIMEOUT, max(constants.OUT_IDLE_LEAST, seconds - constants.OUT_IDLE_MARGIN))
+    return min(
+        constants.HTTP_CLIENT_IDLE_TIMEOUT,
+        max(constants.HTTP_CLIENT_MIN_IDLE_TIMEOUT, seconds - constants.HTTP_CLIENT_IDLE_MARGIN),
+    )
--- a/sailward/transport/http_server.py
+++ b/sailward/transport/http_server.py
@@ -57,7 +57,7 @@
         self._departures_logged = DepartureCounts()
         self._listener = Listener(reactor=reactor, address=address, accepted=self._accept)
         self.port = self._listener.port
-        self._reactor.later(delay=constants.FRONT_SWEEP, call=self._sweep)
+        self._reactor.later(delay=constants.HTTP_SERVER_SWEEP_INTERVAL, call=self._sweep)
 
     def answer(self, *, command: Respond) -> bool:
         """Give a told request its answer; False if its connection is gone or it has one."""
@@ -101,7 +101,7 @@
         return len(self._connections)
 
     def _accept(self, sock: socket.socket) -> None:
-        if len(self._connections) >= constants.FRONT_CONNECTIONS:
+        if len(self._connections) >= constants.HTTP_SERVER_MAX_CONNECTIONS:
             sock.close()
             return
         sock.setblocking(False)
@@ -115,11 +115,11 @@
 
     def _read(self, *, connection: Connection) -> None:
         """Read what has come, so that a caller's close is seen before its requests have been sent on."""
-        for _ in range(constants.FRONT_READS):
+        for _ in range(constants.HTTP_SERVER_MAX_READS):
             if connection.is_gone or not connection.may_read():
                 return
             try:
-                data = connection.sock.recv(constants.FRONT_READ_BYTES)
+                data = connection.sock.recv(constants.HTTP_SERVER_READ_BYTES)
             except (BlockingIOError, InterruptedError):
                 return
             except OSError:
@@ -234,7 +234,7 @@
             self._open += 1
         headers = {"Content-Type": "application/json"}
         if refused.code == 408:
-            headers["Retry-After"] = str(constants.FRONT_RETRY_AFTER)
+            headers["Retry-After"] = str(constants.HTTP_SERVER_RETRY_AFTER)
         exchange.answer = Respond(
             token="", code=refused.code, headers=headers, body=json.dumps({"error": refused.reason}).encode()
         )
@@ -307,7 +307,7 @@
         except OSError:
             self._close(connection=connection)
             return
-        connection.linger = self._reactor.clock() + constants.FRONT_LINGER
+        connection.linger = self._reactor.clock() + constants.HTTP_SERVER_LINGER_TIMEOUT
 
     def _update(self, *, connection: Connection) -> None:
         if connection.is_gone:
@@ -366,7 +366,7 @@
             self._close(connection=connection)
 
     def _sweep(self) -> None:
-        self._reactor.later(delay=constants.FRONT_SWEEP, call=self._sweep)
+        self._reactor.later(delay=constants.HTTP_SERVER_SWEEP_INTERVAL, call=self._sweep)
         self._log_departures()
         now, limits = self._reactor.clock(), self._limits()
         for connection in list(self._connections):
--- a/sailward/transport/http_server_listener.py
+++ b/sailward/transport/http_server_listener.py
@@ -27,7 +27,7 @@
             self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             self._socket.setblocking(False)
             self._socket.bind((host, int(port)))
-            self._socket.listen(constants.FRONT_BACKLOG)
+            self._socket.listen(constants.HTTP_SERVER_BACKLOG)
         except OSError:
             self._socket.close()
             raise
@@ -50,7 +50,7 @@
             except OSError as error:
                 if error.errno in _FULL:
                     self._reactor.watch(sock=self._socket)
-                    self._reactor.later(delay=constants.FRONT_ACCEPT_BACKOFF, call=self._accept_again)
+                    self._reactor.later(delay=constants.HTTP_SERVER_ACCEPT_BACKOFF, call=self._accept_again)
                     return
                 continue
             self._accepted(connection)
--- a/sailward/transport/http_server_state.py
+++ b/sailward/transport/http_server_state.py
@@ -59,14 +59,14 @@
 
     def is_full(self) -> bool:
         """Whether no further request may be read."""
-        return len(self.exchanges) + len(self.out) >= constants.FRONT_DEPTH
+        return len(self.exchanges) + len(self.out) >= constants.HTTP_SERVER_PIPELINE_DEPTH
 
     def may_read(self) -> bool:
         """Whether bytes are read.
 
         A held connection is read on for a while, so that its caller's close is seen behind requests that wait.
         """
-        return not self.is_eof and (not self.is_held or self.reader.byte_count < constants.FRONT_AHEAD_BYTES)
+        return not self.is_eof and (not self.is_held or self.reader.byte_count < constants.HTTP_SERVER_READ_AHEAD_BYTES)
 
     def is_idle(self) -> bool:
         """Whether nothing is read, unanswered or unwritten."""
--- a/sailward/transport/http_server_timing.py
+++ b/sailward/transport/http_server_timing.py
@@ -24,20 +24,20 @@
     quiet = now - connection.moved
     if connection.linger is not None:
         return Verdict.ENDS if now >= connection.linger else Verdict.STAYS
-    if connection.out and now - connection.wrote > constants.FRONT_WRITE_IDLE:
+    if connection.out and now - connection.wrote > constants.HTTP_SERVER_WRITE_IDLE_TIMEOUT:
         return Verdict.ENDS
     if connection.is_idle():
         return _judge_idle(connection=connection, now=now, limits=limits, is_leaving=is_leaving)
     if connection.reading is not None:
-        is_slow = quiet > max(limits.head_wait, constants.FRONT_BODY_IDLE)
+        is_slow = quiet > max(limits.head_wait, constants.HTTP_SERVER_BODY_IDLE_TIMEOUT)
         return Verdict.BODY_TOO_SLOW if is_slow else Verdict.STAYS
     is_in_head = connection.reader.has_bytes and not connection.is_held
     return Verdict.HEAD_TOO_SLOW if is_in_head and quiet > limits.head_wait else Verdict.STAYS
 
 
 def _judge_idle(*, connection: Connection, now: float, limits: Limits, is_leaving: bool) -> Verdict:
-    if is_leaving and (connection.has_requested or now - connection.since > constants.FRONT_FRESH):
+    if is_leaving and (connection.has_requested or now - connection.since > constants.HTTP_SERVER_FIRST_REQUEST_GRACE):
         return Verdict.IDLE_ENDS
     # the caller counts from the time that it was told with its last answer, and from when that answer reached it
-    allowed = max(limits.idle_wait, connection.idle_promise) + constants.FRONT_IDLE_GRACE
+    allowed = max(limits.idle_wait, connection.idle_promise) + constants.HTTP_SERVER_IDLE_GRACE
     return Verdict.IDLE_ENDS if now - connection.moved > allowed else Verdict.STAYS
--- a/sailward/transport/message_transport.py
+++ b/sailward/transport/message_transport.py
@@ -45,7 +45,7 @@
         self._listener = socket.create_server((host, port), backlog=128)
         self._listener.setblocking(False)
         reactor.watch(sock=self._listener, readable=self._accept)
-        reactor.later(delay=constants.COURIER_SWEEP, call=self._sweep)
+        reactor.later(delay=constants.MESSAGE_TRANSPORT_SWEEP_INTERVAL, call=self._sweep)
 
     def send(self, *, to: str, body: dict) -> None:
         """Send, or lose, a message."""
@@ -136,7 +136,7 @@
                     return self._drop(peer=peer)
                 peer.is_up = True
             while peer.out:
-                sent = sock.send(memoryview(peer.out)[: constants.COURIER_CHUNK])
+                sent = sock.send(memoryview(peer.out)[: constants.MESSAGE_TRANSPORT_CHUNK_BYTES])
                 peer.since = self._reactor.clock()
                 del peer.out[:sent]
         except BlockingIOError:
@@ -158,8 +158,8 @@
                 return
             sock.setblocking(False)
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, constants.COURIER_ALIVE)
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, constants.COURIER_ALIVE)
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, constants.MESSAGE_TRANSPORT_KEEPALIVE_INTERVAL)
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, constants.MESSAGE_TRANSPORT_KEEPALIVE_INTERVAL)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 3)
             reader = Reader(sock=sock, message_transport=self)
             self._reactor.watch(sock=sock, readable=reader.read)
@@ -189,10 +189,10 @@
         for peer in self._peers.values():
             if peer.sock is None:
                 continue
-            wait = constants.LEASE_DURATION if peer.is_up else constants.COURIER_DIAL
+            wait = constants.LEASE_DURATION if peer.is_up else constants.MESSAGE_TRANSPORT_CONNECT_TIMEOUT
             if (peer.out or not peer.is_up) and now - peer.since > wait:
                 self._drop(peer=peer)
-        self._reactor.later(delay=constants.COURIER_SWEEP, call=self._sweep)
+        self._reactor.later(delay=constants.MESSAGE_TRANSPORT_SWEEP_INTERVAL, call=self._sweep)
 
 
 @dataclass(kw_only=True)
@@ -207,7 +207,7 @@
     def read(self) -> None:
         """Read what is there and tell whole messages."""
         try:
-            chunk = self.sock.recv(constants.COURIER_CHUNK)
+            chunk = self.sock.recv(constants.MESSAGE_TRANSPORT_CHUNK_BYTES)
         except BlockingIOError:
             return None
         except OSError:
@@ -236,7 +236,7 @@
     rest = {name: value for name, value in body.items() if name != "kind" and name not in FIELDS[kind]}
     row = [kind, *(body[name] for name in FIELDS[kind]), *([rest] if rest else [])]
     payload, form = bytes(flexbuffers.Dumps(row)), PLAIN
-    if len(payload) > constants.COURIER_PACK:
+    if len(payload) > constants.MESSAGE_TRANSPORT_COMPRESSION_MIN_BYTES:
         packed = zlib.compress(payload, 6)
         if len(packed) < len(payload):
             payload, form = packed, PACKED
--- a/simulation/hollow_fleet/flags.py
+++ b/simulation/hollow_fleet/flags.py
@@ -84,10 +84,10 @@
         )
     if not is_fleet:
         return None
-    if size.workers > PAGE * constants.LIST_PAGES:
+    if size.workers > PAGE * constants.ENDPOINT_LIST_MAX_PAGES:
         return BadInput(
-            reason=f"{size.workers} workers make more than the {constants.LIST_PAGES} pages of {PAGE} "
-            f"that the product reads: {PAGE * constants.LIST_PAGES} fit"
+            reason=f"{size.workers} workers make more than the {constants.ENDPOINT_LIST_MAX_PAGES} pages of {PAGE} "
+            f"that the product reads: {PAGE * constants.ENDPOINT_LIST_MAX_PAGES} fit"
         )
     each = HELD["base"] + HELD["worker"] * size.workers + HELD["route"] * size.routes
     needed = size.daemons * (each + HELD["daemon"] * size.daemons)
--- a/simulation/hollow_fleet/network.py
+++ b/simulation/hollow_fleet/network.py
@@ -94,7 +94,7 @@
             if len(self._kept) > CACHED:
                 self._kept.clear()
             weight = self._kept[key] = Weight()
-        is_large = weight.size > 20 * constants.COURIER_PACK
+        is_large = weight.size > 20 * constants.MESSAGE_TRANSPORT_COMPRESSION_MIN_BYTES
         if weight.uses == 0 or (weight.uses % SAMPLE == 0 and not is_large):
             begun = time.process_time()
             frame = pack_body(body=body)
--- a/simulation/hosted/sabotage.py
+++ b/simulation/hosted/sabotage.py
@@ -183,7 +183,8 @@
     "late-orders": _all(_patch(admin_api.AdminApi, "drop", lambda old: lambda self, *, token: None)),
     "zone-counts": _all(_patch(zone_orders.ZoneOrders, "count", lambda old: lambda self, *, kind, zone: 0)),
     "history": _all(
-        _constant("HISTORY_SEGMENT", 16), _patch(history.Labelled, "judge", _judged_by(change=_forgotten_is_lost))
+        _constant("HISTORY_SEGMENT_CHANGES", 16),
+        _patch(history.Labelled, "judge", _judged_by(change=_forgotten_is_lost)),
     ),
     "one-winner": _all(_patch(history.Labelled, "judge", _judged_by(change=_lost_is_taken))),
     "resent": _all(_patch(history.Labelled, "has", lambda old: lambda self, *, digest: False)),
--- a/tests/granting_fixture.py
+++ b/tests/granting_fixture.py
@@ -188,7 +188,7 @@
     def confirm(self, *, granter: Granter, asked: float, number: int, value: dict) -> None:
         if granter.is_cut:
             return
-        granter.fresh[number] = max(granter.fresh.get(number, -1e9), asked + constants.GRANT_LEASE)
+        granter.fresh[number] = max(granter.fresh.get(number, -1e9), asked + constants.GRANT_CONFIRMATION_TTL)
         if number > granter.value["number"] and self.rng.random() < 0.7:
             granter.value = value
 
@@ -239,7 +239,7 @@
         if not granter.is_cut and value["number"] > granter.value["number"]:
             granter.value = value
             granter.fresh[value["number"]] = max(
-                granter.fresh.get(value["number"], -1e9), asked + constants.GRANT_LEASE
+                granter.fresh.get(value["number"], -1e9), asked + constants.GRANT_CONFIRMATION_TTL
             )
 
     def call(self, *, granter: Granter, call: StartCall) -> None:
@@ -288,7 +288,7 @@
         """How long a call is under way; a late grant arrives as late as it may."""
         flight = self.delay()
         if flight > 0.4 and self.slowest >= 0.5 and call.path == "/hold":
-            return self.rng.uniform(0.0, call.timeout + constants.GRANT_FLIGHT - 0.01)
+            return self.rng.uniform(0.0, call.timeout + constants.GRANT_IN_FLIGHT_LIMIT - 0.01)
         return flight
 
     def worker_at(self, *, address: str) -> FakeWorker:
@@ -347,7 +347,7 @@
 
 def fine(*, loads: dict) -> dict:
     """Loads by bucket from those by 256th parts of all keys."""
-    width = constants.LOAD_BUCKETS // 256
+    width = constants.KEY_LOAD_BUCKETS // 256
     return {at * width + rest: rate / width for at, rate in loads.items() for rest in range(width)}
 
 
--- a/tests/http_client_script.py
+++ b/tests/http_client_script.py
@@ -371,5 +371,5 @@
             [b"\x00\xffnoise\r\n\r\n"],
             [head + b"Connection: close\r\nContent-Length: %d\r\n\r\n" % len(body) + body],
             [head + b"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"],
-            [head + b"X: " + b"y" * constants.OUT_HEAD_BYTES, b"\r\nContent-Length: 0\r\n\r\n"],
+            [head + b"X: " + b"y" * constants.HTTP_CLIENT_MAX_HEAD_BYTES, b"\r\nContent-Length: 0\r\n\r\n"],
         )[form % 14]
--- a/tests/test_admin_api.py
+++ b/tests/test_admin_api.py
@@ -25,7 +25,7 @@
 @pytest.mark.parametrize("segment", [SHORT, LONG])
 @pytest.mark.parametrize("seed", range(12))
 def test_a_random_history_is_linearizable(seed: int, segment: int, monkeypatch) -> None:
-    monkeypatch.setattr(constants, "HISTORY_SEGMENT", segment)
+    monkeypatch.setattr(constants, "HISTORY_SEGMENT_CHANGES", segment)
     operators = RandomOperators(seed=seed)
     assert operators.run(steps=STEPS) is None
     assert any(call.code == 200 for call in operators.net.calls if call.method == "PUT")
@@ -67,7 +67,7 @@
 
 
 def test_past_the_history_both_get_no_clear_answer(monkeypatch) -> None:
-    monkeypatch.setattr(constants, "HISTORY_SEGMENT", 8)
+    monkeypatch.setattr(constants, "HISTORY_SEGMENT_CHANGES", 8)
     net = OrdersNet()
     first = net.change(at=0, base=0, label=1, is_patch=False, variant=1)
     net.calm(rounds=1)
@@ -161,7 +161,7 @@
 @pytest.mark.parametrize("name", PLANTED)
 def test_a_planted_fault_is_found(name: str, monkeypatch) -> None:
     segment, focus, plant = PLANTED[name]
-    monkeypatch.setattr(constants, "HISTORY_SEGMENT", segment)
+    monkeypatch.setattr(constants, "HISTORY_SEGMENT_CHANGES", segment)
     with plant():
         assert any(
             RandomOperators(seed=seed, focus=focus, answers_lost=0.9 if focus == "chains" else 0.4).run(
--- a/tests/test_control_client.py
+++ b/tests/test_control_client.py
@@ -61,7 +61,7 @@
     core = Core(told=CONTROLLERS)
     core.run(6.0)
     core.silent = {"c-home"}
-    core.run(constants.CONTROLLER_SILENT + 2 * constants.POLL_INTERVAL)
+    core.run(constants.CONTROLLER_TIMEOUT + 2 * constants.POLL_INTERVAL)
     assert core.control_client.lead == "c-near" and core.control_client.answers(now=core.now)
     core.silent = set()
     core.run(3 * constants.POLL_TIMEOUT + 1.0)
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -34,9 +34,9 @@
 
 
 def test_a_close_behind_more_requests_than_are_read_ahead_ends_all_of_them(make_path) -> None:
-    path = make_path(workers=constants.FRONT_DEPTH)
-    caller = path.send(*(request(str(number)) for number in range(2 * constants.FRONT_DEPTH)))
-    calls = [path.next_call() for _ in range(constants.FRONT_DEPTH)]
+    path = make_path(workers=constants.HTTP_SERVER_PIPELINE_DEPTH)
+    caller = path.send(*(request(str(number)) for number in range(2 * constants.HTTP_SERVER_PIPELINE_DEPTH)))
+    calls = [path.next_call() for _ in range(constants.HTTP_SERVER_PIPELINE_DEPTH)]
     caller.close()
     for call in calls:
         assert call.has_ended.wait(PATIENCE), "the worker runs on for a caller that has left"
--- a/tests/test_dialect.py
+++ b/tests/test_dialect.py
@@ -285,7 +285,7 @@
 
 
 def test_the_history_is_bounded_and_what_is_older_gets_no_clear_answer(net: CoreNet, monkeypatch) -> None:
-    monkeypatch.setattr(constants, "HISTORY_SEGMENT", 16)
+    monkeypatch.setattr(constants, "HISTORY_SEGMENT_CHANGES", 16)
     for label in range(1, 40):
         assert put(net, make_written(label=label), f"r{label - 1}" if label > 1 else "0") == 200
     inner = json.loads(net.machines[0].controller.learner.values["config"].value["text"])
--- a/tests/test_endpoint_pages.py
+++ b/tests/test_endpoint_pages.py
@@ -134,7 +134,7 @@
     for _ in range(6):
         assert platform.run_pass(page(entry("i-1"), token="p"), 429) is None
         waits.append(platform.pager.next_at - platform.now)
-    assert waits == sorted(waits) and waits[0] < waits[3] and waits[-1] <= constants.LIST_BACKOFF
+    assert waits == sorted(waits) and waits[0] < waits[3] and waits[-1] <= constants.ENDPOINT_LIST_MAX_BACKOFF
     assert platform.run_pass(page(entry("i-1"))) == ["i-1"]
     assert platform.pager.next_at - platform.now <= constants.ENDPOINT_LIST_INTERVAL
 
@@ -163,7 +163,7 @@
 
 
 def test_an_endless_list_breaks_off() -> None:
-    assert Platform().run_pass(*[page(entry("i-1"), token="p")] * constants.LIST_PAGES) is None
+    assert Platform().run_pass(*[page(entry("i-1"), token="p")] * constants.ENDPOINT_LIST_MAX_PAGES) is None
 
 
 def test_a_cold_time_that_counts_down_is_no_news_and_a_rise_is() -> None:
--- a/tests/test_endpoint_selection.py
+++ b/tests/test_endpoint_selection.py
@@ -141,8 +141,13 @@
 
 def test_a_worker_is_given_no_more_than_this_proxys_part_of_its_queue() -> None:
     bench = make(workers=[make_worker("w0"), make_worker("w1")], proxies=8)
-    part = -(-4 * constants.QUEUE_DEPTH // 8)
-    bound = int(min(max(constants.WINDOW_LEAST, constants.WINDOW_PARTS * part), constants.WINDOW_FIRST))
+    part = -(-4 * constants.WORKER_QUEUE_DEPTH // 8)
+    bound = int(
+        min(
+            max(constants.CONCURRENCY_WINDOW_MIN, constants.CONCURRENCY_SHARE_FACTOR * part),
+            constants.CONCURRENCY_WINDOW_INITIAL,
+        )
+    )
     for _ in range(2 * bound):
         bench.endpoint_selector.took(key=place(bench).key)
     assert bench.endpoint_selector.open == {"w0": bound, "w1": bound} and place(bench).reason == "no-room"
@@ -164,7 +169,7 @@
     bench = make(workers=[make_worker("w0")])
     bench.passive_health.record_event(now=bench.now, key="w0", event="full")
     assert place(bench).reason == "no-room"
-    bench.now += constants.DISK_FULL_BACKOFF
+    bench.now += constants.WORKER_FULL_BACKOFF
     assert place(bench).key == "w0"
 
 
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -108,7 +108,7 @@
         [call] = calls(commands)
         tried.append(call.owner)
         commands = bench.fail(call=call, fault="refused", sent=False)
-    assert len(tried) == constants.MAX_UNSENT + 1 and len(set(tried)) == len(tried)
+    assert len(tried) == constants.MAX_UNREACHABLE_WORKERS + 1 and len(set(tried)) == len(tried)
     assert [answer.code for answer in answers(commands)] == [503]
 
 
@@ -298,7 +298,7 @@
         again = calls(bench.wait(0.05))
         assert bench.now < 101.0
     assert [one.owner for one in again] == ["w1"]
-    bucket = str(77 // constants.KEYS_IN_BUCKET)
+    bucket = str(77 // constants.KEYS_PER_BUCKET)
     assert bench.forwarder.take_loads() == {"red": {bucket: 1}} and bench.forwarder.take_loads() == {}
 
 
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -61,9 +61,9 @@
     fresh = Freshness()
     first = ask(fresh, now=10.0)
     assert sorted(one.to for one in first) == ["post1", "post2"] and not ask(
-        fresh, now=10.0 + constants.CONFIRM_EVERY / 2
+        fresh, now=10.0 + constants.GRANT_CONFIRMATION_INTERVAL / 2
     )
-    second = ask(fresh, now=10.0 + constants.CONFIRM_EVERY)
+    second = ask(fresh, now=10.0 + constants.GRANT_CONFIRMATION_INTERVAL)
     assert {one.body["seq"] for one in first} != {one.body["seq"] for one in second}
 
 
@@ -77,7 +77,7 @@
     fresh = Freshness()
     [seq] = {one.body["seq"] for one in ask(fresh, now=10.0)}
     deliver(fresh, now=10.6, voter="v1", seq=seq, number=3)
-    assert until(fresh, now=10.6) == pytest.approx(10.0 + constants.GRANT_LEASE)
+    assert until(fresh, now=10.6) == pytest.approx(10.0 + constants.GRANT_CONFIRMATION_TTL)
 
 
 def test_a_voter_that_voted_for_something_newer_confirms_nothing() -> None:
--- a/tests/test_granting.py
+++ b/tests/test_granting.py
@@ -122,7 +122,7 @@
 def test_granter_that_is_not_fresh_sends_nothing() -> None:
     world = make_settled()
     world.granters[0].is_cut = True
-    world.run(seconds=constants.GRANT_LEASE)
+    world.run(seconds=constants.GRANT_CONFIRMATION_TTL)
     sent = len(world.calls)
     world.run(seconds=3.0)
     assert len(world.calls) == sent
@@ -151,7 +151,7 @@
     world.run(seconds=10.0)
     assert world.changes == changes and not world.overlaps
     shards = read_shards(text=world.register["text"]).shards
-    assert len(shards) <= constants.GRANT_ROWS * len(world.workers)
+    assert len(shards) <= constants.MAX_RANGES_PER_WORKER * len(world.workers)
 
 
 def test_two_controllers_that_both_think_they_act_do_no_harm() -> None:
@@ -222,7 +222,7 @@
     assert not world.overlaps
 
 
-@pytest.mark.parametrize("name", ["GRANT_QUIET", "GRANT_SLOW"])
+@pytest.mark.parametrize("name", ["GRANT_FENCE_DELAY", "GRANT_CLOCK_DRIFT_FACTOR"])
 def test_each_wait_is_needed(monkeypatch: pytest.MonkeyPatch, name: str) -> None:
     monkeypatch.setattr(constants, name, 0.0)
     assert any(run_stirred(seed=seed, rounds=25).overlaps for seed in range(40))
@@ -246,7 +246,7 @@
             if worker.take(now=world.now, body=json.loads(call.body)) == 200:
                 world.check(worker=worker)
 
-        world.at(delay=call.timeout + constants.GRANT_FLIGHT - 0.01, act=arrive)
+        world.at(delay=call.timeout + constants.GRANT_IN_FLIGHT_LIMIT - 0.01, act=arrive)
         world.at(
             delay=call.timeout,
             act=lambda: world.step(
@@ -267,7 +267,7 @@
     for wait in waits:
         world = run_late_grant(wait=wait)
         assert not world.overlaps and world.keys_of(worker=world.workers[0]) == 0
-    monkeypatch.setattr(constants, "GRANT_QUIET", 0.0)
+    monkeypatch.setattr(constants, "GRANT_FENCE_DELAY", 0.0)
     assert any(run_late_grant(wait=wait).overlaps for wait in waits)
 
 
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -62,7 +62,7 @@
 
 
 def test_the_last_used_connection_goes_first_and_the_idle_are_bounded(edge: Edge) -> None:
-    gates = [threading.Event() for _ in range(constants.OUT_IDLE + 2)]
+    gates = [threading.Event() for _ in range(constants.HTTP_CLIENT_MAX_IDLE_CONNECTIONS + 2)]
 
     def serve(line: Line) -> None:
         while line.read() not in (b"", b"reset"):
@@ -77,7 +77,7 @@
     for gate in [*gates[1:], gates[0]]:
         gate.set()
         assert edge.told.get(timeout=WAIT).code == 200
-    assert edge.counts()["idle"] == constants.OUT_IDLE
+    assert edge.counts()["idle"] == constants.HTTP_CLIENT_MAX_IDLE_CONNECTIONS
     assert edge.ask(address=peer.address).code == 200
     assert peer.get() == 0
 
@@ -222,7 +222,7 @@
     edge.until(idle=0)
     assert edge.counts()["stale"] == 0
     edge.ask(address=peer.address)
-    time.sleep(2 * constants.OUT_IDLE_LEAST)
+    time.sleep(2 * constants.HTTP_CLIENT_MIN_IDLE_TIMEOUT)
     assert edge.counts()["idle"] == 1
 
 
@@ -355,4 +355,4 @@
     tokens = {edge.give(address=peer.address) for _ in range(50)}
     called = [edge.told.get(timeout=WAIT) for _ in range(50)]
     assert {each.token for each in called} == tokens and {each.code for each in called} == {200}
-    assert edge.counts()["idle"] == constants.OUT_IDLE
+    assert edge.counts()["idle"] == constants.HTTP_CLIENT_MAX_IDLE_CONNECTIONS
--- a/tests/test_http_client_responses.py
+++ b/tests/test_http_client_responses.py
@@ -40,7 +40,10 @@
             "malformed",
         ),
         (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nabc\r\n0\r\n\r\n", "malformed"),
-        (b"HTTP/1.1 200 OK\r\nX: " + b"y" * constants.OUT_HEAD_BYTES + b"\r\nContent-Length: 0\r\n\r\n", "malformed"),
+        (
+            b"HTTP/1.1 200 OK\r\nX: " + b"y" * constants.HTTP_CLIENT_MAX_HEAD_BYTES + b"\r\nContent-Length: 0\r\n\r\n",
+            "malformed",
+        ),
         (b"HTTP/1.1 200 OK\r\nSailward-Exchange: other\r\nContent-Length: 2\r\n\r\n{}", "another-exchange"),
         (b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (constants.MAX_RESULT_BYTES + 1), "too-large"),
     ],
--- a/tests/test_http_server_connections.py
+++ b/tests/test_http_server_connections.py
@@ -38,7 +38,7 @@
     sock = edge.connect()
     sock.sendall(get())
     (event,) = edge.wait(RequestReceived, 1)
-    time.sleep(2 * constants.FRONT_SWEEP)
+    time.sleep(2 * constants.HTTP_SERVER_SWEEP_INTERVAL)
     assert edge.answer(event, body=b"late") and Reader(sock).response()[2] == b"late"
 
 
@@ -113,7 +113,7 @@
 
 def test_leaving_ends_each_connection_behind_what_was_told(edge, monkeypatch):
     # a connection that is fresh stays so however slow the machine is
-    monkeypatch.setattr(constants, "FRONT_FRESH", 60.0)
+    monkeypatch.setattr(constants, "HTTP_SERVER_FIRST_REQUEST_GRACE", 60.0)
     idle, fresh, busy, new = edge.connect(), edge.connect(), edge.connect(), None
     idle.sendall(get("/idle"))
     edge.answer(edge.wait(RequestReceived, 1)[0])
@@ -145,7 +145,7 @@
 
 
 def test_leaving_ends_connections_that_ask_nothing(edge, monkeypatch):
-    monkeypatch.setattr(constants, "FRONT_FRESH", 0.05)
+    monkeypatch.setattr(constants, "HTTP_SERVER_FIRST_REQUEST_GRACE", 0.05)
     sock = edge.connect()
     edge.on_reactor(edge.front.leave)
     assert Reader(sock).is_ended()
@@ -162,7 +162,7 @@
 
 
 def test_caller_that_never_reads_is_dropped(edge, monkeypatch):
-    monkeypatch.setattr(constants, "FRONT_WRITE_IDLE", 0.1)
+    monkeypatch.setattr(constants, "HTTP_SERVER_WRITE_IDLE_TIMEOUT", 0.1)
     sock = edge.connect()
     sock.sendall(get())
     edge.answer(edge.wait(RequestReceived, 1)[0], body=b"a" * (16 << 20))
@@ -171,7 +171,7 @@
 
 
 def test_connections_are_bounded(edge, monkeypatch):
-    monkeypatch.setattr(constants, "FRONT_CONNECTIONS", 1)
+    monkeypatch.setattr(constants, "HTTP_SERVER_MAX_CONNECTIONS", 1)
     kept = edge.connect()
     edge.until(lambda: edge.front.connection_count() == 1)
     assert Reader(edge.connect()).is_ended()
--- a/tests/test_http_server_idle.py
+++ b/tests/test_http_server_idle.py
@@ -33,7 +33,7 @@
     edge.pass_time(seconds=0.8 * 1.0)
     sock.sendall(get())
     assert reader.response()[2] == b"whole"
-    edge.pass_time(seconds=1.0 + constants.FRONT_IDLE_GRACE + 0.1)
+    edge.pass_time(seconds=1.0 + constants.HTTP_SERVER_IDLE_GRACE + 0.1)
     assert reader.is_ended()
 
 
--- a/tests/test_http_server_requests.py
+++ b/tests/test_http_server_requests.py
@@ -149,7 +149,7 @@
 
 @pytest.mark.parametrize("raw", [b"G", get("/", method="POST", more="Content-Length: 2\r\n") + b"a"])
 def test_slow_request_is_408(edge, raw, monkeypatch):
-    monkeypatch.setattr(constants, "FRONT_BODY_IDLE", 0.1)
+    monkeypatch.setattr(constants, "HTTP_SERVER_BODY_IDLE_TIMEOUT", 0.1)
     edge.limits = Limits(head_wait=0.1)
     sock = edge.connect()
     sock.sendall(raw)
--- a/tests/test_http_server_responses.py
+++ b/tests/test_http_server_responses.py
@@ -30,11 +30,11 @@
 
 def test_depth_is_bounded_and_goes_on(edge):
     sock = edge.connect()
-    count = 3 * constants.FRONT_DEPTH
+    count = 3 * constants.HTTP_SERVER_PIPELINE_DEPTH
     sock.sendall(b"".join(get(f"/{number}") for number in range(count)))
-    edge.wait(RequestReceived, constants.FRONT_DEPTH)
+    edge.wait(RequestReceived, constants.HTTP_SERVER_PIPELINE_DEPTH)
     edge.settle()
-    assert len(edge.of(RequestReceived)) == constants.FRONT_DEPTH
+    assert len(edge.of(RequestReceived)) == constants.HTTP_SERVER_PIPELINE_DEPTH
     reader = Reader(sock)
     for number in range(count):
         event = edge.wait(RequestReceived, number + 1)[number]
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -53,7 +53,7 @@
     edge.wait(RequestReceived, 1)
     sock.shutdown(socket.SHUT_WR)
     edge.wait(ClientDisconnected, 1)
-    edge.pass_time(seconds=2 * constants.FRONT_SWEEP)
+    edge.pass_time(seconds=2 * constants.HTTP_SERVER_SWEEP_INTERVAL)
     assert not violations
 
 
--- a/tests/test_key_loads.py
+++ b/tests/test_key_loads.py
@@ -40,16 +40,16 @@
     loads = KeyLoads()
     for at in range(20):
         loads.step(now=at * 0.5, service="red", buckets={"5": 20})
-    assert sum(loads.rates(now=10.0 + 4 * constants.LOAD_SPAN)["red"].values()) < 2.0
-    loads.step(now=10.0 + 20 * constants.LOAD_SPAN, service="red", buckets={"7": 20})
-    assert set(loads.rates(now=10.0 + 20 * constants.LOAD_SPAN)["red"]) == {7}
+    assert sum(loads.rates(now=10.0 + 4 * constants.KEY_LOAD_WINDOW)["red"].values()) < 2.0
+    loads.step(now=10.0 + 20 * constants.KEY_LOAD_WINDOW, service="red", buckets={"7": 20})
+    assert set(loads.rates(now=10.0 + 20 * constants.KEY_LOAD_WINDOW)["red"]) == {7}
 
 
 def test_what_is_told_is_small_and_shows_where_the_load_lies() -> None:
     rng = random.Random(3)
     rates: dict = {}
     for _ in range(2000):
-        bucket = min(constants.LOAD_BUCKETS - 1, int(300 + rng.paretovariate(0.7)))
+        bucket = min(constants.KEY_LOAD_BUCKETS - 1, int(300 + rng.paretovariate(0.7)))
         rates[bucket] = rates.get(bucket, 0.0) + 0.1
     rates[3000] = 80.0
     told = write_rates(rates=rates)
@@ -64,7 +64,7 @@
     assert read[3000] == pytest.approx(80.0, rel=0.15)
     for end in (301, 305, 330, 400, 2999, 3000):
         parts = [sum(rate for bucket, rate in one.items() if bucket <= end) for one in (rates, read)]
-        assert parts[0] == pytest.approx(parts[1], abs=2.5 * sum(rates.values()) / constants.LOAD_PARTS)
+        assert parts[0] == pytest.approx(parts[1], abs=2.5 * sum(rates.values()) / constants.KEY_LOAD_QUANTILES)
 
 
 def test_nothing_is_told_of_nothing() -> None:
@@ -96,10 +96,10 @@
             now += constants.TICK_INTERVAL
     with_loads = [(at, to) for at, to, loads in told if loads]
     assert {to for _, to in with_loads} == {READER} and {to for _, to, _ in told} == {READER, OTHER}
-    assert with_loads[0][0] <= constants.LOADS_LEAST
+    assert with_loads[0][0] <= constants.KEY_LOAD_REPORT_MIN_INTERVAL
     assert (
         len([at for at, _ in with_loads if at > 5.0])
-        <= 15.0 / min(constants.LOADS_EVERY, constants.FLEET_EVERY) * 2 + 1
+        <= 15.0 / min(constants.KEY_LOAD_REPORT_INTERVAL, constants.PROXY_REPORT_INTERVAL) * 2 + 1
     )
 
 
@@ -118,7 +118,7 @@
     told = {key: pace for key, (pace, _) in paces.paces(now=2.0).items()}
     assert told["slow"] / told["quick"] == pytest.approx(2.5, rel=0.05)
     assert told["queueing"] < 1.7 * told["quick"]
-    assert paces.paces(now=3.0 + constants.PACE_TTL) == {}
+    assert paces.paces(now=3.0 + constants.LATENCY_TTL) == {}
 
 
 def test_paces_of_several_controllers_are_weighted_by_their_times() -> None:
--- a/tests/test_message_transport.py
+++ b/tests/test_message_transport.py
@@ -88,7 +88,7 @@
         time.sleep(0.01)
 
 
-@pytest.mark.parametrize("size", [0, 10, constants.COURIER_PACK * 3, 300_000])
+@pytest.mark.parametrize("size", [0, 10, constants.MESSAGE_TRANSPORT_COMPRESSION_MIN_BYTES * 3, 300_000])
 def test_a_frame_reads_back_as_it_was(size: int) -> None:
     body = make_push(number=3, size=size)
     frame = pack_body(body=body)
--- a/tests/test_passive_health.py
+++ b/tests/test_passive_health.py
@@ -79,7 +79,7 @@
             deliver(passive_health, call=call, now=now, code=0)
             seen += 1
         now += constants.TICK_INTERVAL
-    assert 10 / constants.PROBE_LONGEST / 1.3 < seen < 15
+    assert 10 / constants.PROBE_MAX_BACKOFF / 1.3 < seen < 15
     while not (due := look(passive_health, now=now)):
         now += constants.TICK_INTERVAL
     deliver(passive_health, call=due[0], now=now, x_who="w0")
@@ -135,7 +135,7 @@
     for _ in range(9):
         passive_health.record_event(now=101.0, key="w0", event="full")
     assert passive_health.shown["w0"].state == "good" and passive_health.shown["w0"].busy_until == pytest.approx(
-        101.0 + constants.DISK_FULL_BACKOFF
+        101.0 + constants.WORKER_FULL_BACKOFF
     )
 
 
--- a/tests/test_proxy_registry.py
+++ b/tests/test_proxy_registry.py
@@ -108,7 +108,7 @@
 def test_a_proxy_that_is_silent_or_gone_is_not_told_of() -> None:
     pair = make_pair()
     pair.proxies["c1"] = []
-    pair.run(constants.PROXY_SILENT + 3.0)
+    pair.run(constants.PROXY_TIMEOUT + 3.0)
     assert pair.names("c0") == ["p0", "p1"]
 
 
@@ -122,14 +122,14 @@
 def test_a_controller_that_is_lost_takes_its_word_along_after_a_while() -> None:
     pair = make_pair()
     pair.is_cut = True
-    pair.run(constants.FLEET_TTL + 1.0)
+    pair.run(constants.PROXY_REPORT_TTL + 1.0)
     assert pair.names("c0") == ["p0", "p1"]
 
 
 def test_after_a_cut_without_news_the_whole_fleet_is_told_again() -> None:
     pair = make_pair()
     pair.is_cut = True
-    pair.run(constants.FLEET_TTL + 1.0)
+    pair.run(constants.PROXY_REPORT_TTL + 1.0)
     pair.is_cut = False
     pair.run(3.0)
     assert pair.names("c0") == pair.names("c1") == ["p0", "p1", "p2"]
@@ -154,7 +154,7 @@
 
 def test_loads_of_keys_add_up_over_the_fleet_and_fade() -> None:
     pair = make_pair()
-    for turn in range(int(3 * constants.LOAD_SPAN)):
+    for turn in range(int(3 * constants.KEY_LOAD_WINDOW)):
         for post, proxies in pair.proxies.items():
             for one in proxies:
                 one.report = {"turn": turn, "lead": post, "loads": {"red": {"7": 30, "8": 1}}}
@@ -165,7 +165,7 @@
     for proxies in pair.proxies.values():
         for proxy in proxies:
             proxy.report = {}
-    pair.run(5 * constants.LOAD_SPAN)
+    pair.run(5 * constants.KEY_LOAD_WINDOW)
     assert sum(pair.fleets["c0"].loads(now=pair.now, service="red").values()) == pytest.approx(0.0, abs=3.0)
 
 
--- a/tests/test_quorum_contact.py
+++ b/tests/test_quorum_contact.py
@@ -15,7 +15,7 @@
 from tests.test_bootstrap import found, put
 
 MEMBERS = {f"v{at}": f"post{at}" for at in range(3)}
-TTL = constants.CONTACT_TTL
+TTL = constants.QUORUM_CONTACT_TTL
 
 
 def has(contact: QuorumContact, *, now: float, members: dict = MEMBERS, own: str = "v0") -> bool:
@@ -157,7 +157,7 @@
         net.run(delay)
         for method, body in (("GET", b""), ("PUT", make_written(label=2))):
             code, _, took = net.ask(net.machines[0], method=method, path="/config", body=body, if_match="r1")
-            assert code == 503 and took < constants.OPERATOR_PATIENCE + 0.1, (delay, method, code, took)
+            assert code == 503 and took < constants.OPERATOR_QUORUM_TIMEOUT + 0.1, (delay, method, code, took)
 
 
 def test_a_proxy_is_told_and_is_pushed_nothing_unless_it_has_no_other() -> None:
@@ -284,7 +284,7 @@
                 grant(control_client, now=now + 0.01, sender="near", zone="north-a", contact=False)
         led_at = led_at or (now if control_client.lead else None)
     assert led_at is not None
-    assert constants.LAST_RESORT_AFTER <= led_at - begun <= constants.LAST_RESORT_AFTER + 2 * constants.POLL_TIMEOUT
+    assert constants.LAST_RESORT_DELAY <= led_at - begun <= constants.LAST_RESORT_DELAY + 2 * constants.POLL_TIMEOUT
     grant(control_client, now=now, sender="far", zone="south-a")
     assert control_client.lead == "far" and not control_client.is_last_resort(now=now)
 
--- a/tests/test_shards.py
+++ b/tests/test_shards.py
@@ -24,7 +24,7 @@
 
 def fine(*, loads: dict) -> dict:
     """Loads by bucket from those by 256th parts of all keys."""
-    width = constants.LOAD_BUCKETS // 256
+    width = constants.KEY_LOAD_BUCKETS // 256
     return {at * width + rest: rate / width for at, rate in loads.items() for rest in range(width)}
 
 
@@ -126,7 +126,7 @@
 def test_slight_load_moves_nothing() -> None:
     able = dict.fromkeys("abcd", 1.0)
     before = place(spans=[Span(start=0, end=KEYS - 1, owner="")], able=able, loads={}, is_balancing=False)
-    assert place(spans=before, able=able, loads={3: constants.GRANT_LOAD_LEAST / 2}, is_balancing=True) == before
+    assert place(spans=before, able=able, loads={3: constants.REBALANCE_MIN_RATE / 2}, is_balancing=True) == before
 
 
 def test_random_plans_are_whole_settle_and_stay_small() -> None:
@@ -159,8 +159,8 @@
 def test_one_key_that_is_hot_stays_and_its_owner_gives_the_rest_away() -> None:
     able = dict.fromkeys("abcd", 10.0)
     spans = place(spans=[Span(start=0, end=KEYS - 1, owner="")], able=able, loads={}, is_balancing=False)
-    loads = dict.fromkeys(range(constants.LOAD_BUCKETS), 0.01) | {100: 30.0}
-    hot = 100 * constants.KEYS_IN_BUCKET
+    loads = dict.fromkeys(range(constants.KEY_LOAD_BUCKETS), 0.01) | {100: 30.0}
+    hot = 100 * constants.KEYS_PER_BUCKET
     owner = next(one.owner for one in spans if one.start <= hot <= one.end)
     for _ in range(10):
         spans = place(spans=spans, able=able, loads=loads, is_balancing=True)
@@ -172,8 +172,8 @@
 def test_uneven_load_that_nobody_queues_for_moves_nothing() -> None:
     able = dict.fromkeys("abcd", 100.0)
     spans = place(spans=[Span(start=0, end=KEYS - 1, owner="")], able=able, loads={}, is_balancing=False)
-    quarter = constants.LOAD_BUCKETS // 4
-    loads = {at: 0.015 if at < quarter else 0.01 for at in range(constants.LOAD_BUCKETS)}
+    quarter = constants.KEY_LOAD_BUCKETS // 4
+    loads = {at: 0.015 if at < quarter else 0.01 for at in range(constants.KEY_LOAD_BUCKETS)}
     assert strain(spans=spans, able=able, loads=loads) > 1.2
     assert place(spans=spans, able=able, loads=loads, is_balancing=True) == spans
     busy = {at: rate * 10 for at, rate in loads.items()}
@@ -197,7 +197,7 @@
     spans = [Span(start=0, end=KEYS - 1, owner="")]
     parts = {}
     for name, rate in (("calm", 0.2), ("busy", 0.9)):
-        loads = {at: sum(able.values()) * rate / constants.LOAD_BUCKETS for at in range(constants.LOAD_BUCKETS)}
+        loads = {at: sum(able.values()) * rate / constants.KEY_LOAD_BUCKETS for at in range(constants.KEY_LOAD_BUCKETS)}
         parts[name] = parts_of(spans=place(spans=spans, able=able, loads=loads, is_balancing=False))
     assert parts["calm"]["a"] < 0.6 * parts["busy"]["a"]
     assert parts["busy"]["a"] / KEYS > 0.9 * able["a"] / sum(able.values())
@@ -207,4 +207,7 @@
     paces = {"a": (0.01, 500), "b": (0.1, 500), "c": (0.1, 500), "d": (5.0, 500), "e": (1.0, 1)}
     able = weigh(capacities=dict.fromkeys("abcdef", 4), paces=paces)
     assert able["f"] == able["b"] and able["e"] > 0.6 * able["b"]
-    assert able["a"] <= constants.PACE_APART * able["b"] * 1.01 and able["d"] >= able["b"] / constants.PACE_APART * 0.99
+    assert (
+        able["a"] <= constants.LATENCY_MAX_RATIO * able["b"] * 1.01
+        and able["d"] >= able["b"] / constants.LATENCY_MAX_RATIO * 0.99
+    )
