--- a/sailward/constants/__init__.py
+++ b/sailward/constants/__init__.py
@@ -1,6 +1,6 @@
-"""All constants of sailward, each with its unit and the reason for its value.
+"""All constants of sailward, each with its unit, meaning and the reason for its value.
 
-They are read and set here, as `constants.NAME`.
+They are read and replaced through this module, as `constants.NAME`.
 """
 
 from sailward.constants.hosted import *
--- a/sailward/constants/base.py
+++ b/sailward/constants/base.py
@@ -1,240 +1,249 @@
-"""All constants of sailward, each with its unit and the reason for its value."""
+"""Constants of the controllers, proxies and directories, each with its unit, meaning and reason."""
 
 TICK_INTERVAL = 0.05
-"""s. How often an owner looks at its alarms: far under the shortest alarm (0.25 s), cheap when idle."""
+"""Seconds between checks of an owner's timers: far below the shortest timer (0.25 s), and cheap when idle."""
 
 LEASE_DURATION = 2.0
-"""s, from the moment of asking. A proxy that is cut off goes silent before the 2.5 s that the rules allow."""
+"""Seconds, counted from the request. A proxy that is cut off stops acting before the 2.5 s that the rules allow."""
 LEASE_REQUEST_INTERVAL = 0.4
-"""s. Four askings fit into a lease, so three may be lost in a row."""
+"""Seconds between lease requests. Four fit into a lease, so three may be lost in a row."""
 REGISTER_READ_DELAY = 0.15
-"""s. How long a proxy waits for the push of a newer value before it reads the register itself."""
+"""Seconds that a proxy waits for a newer value to be pushed before it reads the register itself."""
 
 ROUND_TIMEOUT = 0.3
-"""s. A round at a majority that is not finished by then is sent again under a higher ballot."""
+"""Seconds. A quorum round that has not finished by then is sent again under a higher ballot."""
 ROUND_TIMEOUT_PER_BYTE = 1e-6
-"""s more for a round for each byte of the value: 1 MB takes about half of it between two regions here."""
+"""Seconds added to the time-out of a round for each byte of the value: 1 MB takes about half of that between two
+regions."""
 PROPOSER_BACKOFF = 0.04
-"""s, times a random factor and the attempts so far. Lets one of two racing proposers through."""
+"""Seconds, times a random factor and the number of attempts. Lets one of two competing proposers finish."""
 OPERATION_TIMEOUT = 3.0
-"""s. An operators' change that is not settled by then is refused or unknown."""
+"""Seconds. An operator's change that is not settled by then is refused, or its outcome is unknown."""
 CLAIM_TIMEOUT = 1.0
-"""s. Longest wait for the claim on an unsafe exchange: a patient caller bears it, a held one would not."""
+"""Seconds that an exchange that isn't repeatable waits for its claim at most: a patient client bears this, a held one
+would not."""
 CLAIM_TTL = 1800.0
-"""s. A key is remembered this long after its claim: 100,000 of them at the larger of today's sizes, 1.06 kB of memory
-and 0.28 kB of disk each. A repeat that comes later may run, unless its key tells its time."""
+"""Seconds that an idempotency key is remembered after its claim: 100,000 keys at the larger of today's sizes, each 1.06
+kB of memory and 0.28 kB of disk. A later repeat may run again, unless its key carries its time."""
 KEY_MAX_CLOCK_SKEW = 10.0
-"""s that a caller's clock may be ahead of the core's: a key further on would outlive its claim."""
+"""Seconds that a client's clock may be ahead of the controllers' clocks: a key from further ahead would outlive its
+claim."""
 KEY_EXPIRY_MARGIN = 60.0
-"""s before the end of a claim's life from which a key that tells its time is too old: KEY_MAX_CLOCK_SKEW, and
-the clocks' spread."""
+"""Seconds before the end of a claim's life from which a key that carries its time is rejected as too old:
+KEY_MAX_CLOCK_SKEW and the spread of the clocks."""
 CLOCK_SAMPLE_TTL = 30.0
-"""s that a controller's clock counts after it was heard of last: clocks of one rate, so only jumps make it wrong."""
+"""Seconds for which a controller's clock counts after it was last reported. Clocks run at one rate, so only jumps make
+the offset wrong."""
 CLAIM_SWEEP_INTERVAL = 10.0
-"""s between sweeps of claims that have outlived CLAIM_TTL."""
+"""Seconds between sweeps of claims that are older than CLAIM_TTL."""
 REGISTER_HISTORY_LENGTH = 8
-"""marks. How many earlier changes a register names, so that a proposer finds its own among them."""
+"""Number of earlier changes that a register lists, so that a proposer finds its own among them."""
 
 PUSH_RETRY_INTERVAL = 0.3
-"""s. An unacknowledged push is sent again after this."""
+"""Seconds after which an unacknowledged push is sent again."""
 SUBSCRIBER_TTL = 2.0
-"""s. A proxy that has not asked for a lease for one lease's length no longer counts as subscribed."""
+"""Seconds. A proxy that has not asked for a lease for the length of one lease no longer counts as subscribed."""
 
 GOSSIP_INTERVAL = 0.5
-"""s between two tellings of the peer table to each watched daemon."""
+"""Seconds between heartbeats, in which the peer table is sent to each watched daemon."""
 GOSSIP_FANOUT = 3
-"""daemons that rendezvous hashing names for each: one may be lost and one cut off."""
+"""Number of daemons that rendezvous hashing selects for each daemon: one may be lost and one cut off."""
 HEARTBEAT_TIMEOUT = 2.5
-"""s without a newer heartbeat before a daemon counts as lost."""
+"""Seconds without a newer heartbeat after which a daemon counts as lost."""
 PEER_TTL = 60.0
-"""s without a newer heartbeat before a daemon is forgotten: longer than a restart."""
+"""Seconds without a newer heartbeat after which a daemon is forgotten: longer than a restart."""
 
 ENDPOINT_LIST_INTERVAL = 0.5
-"""s between passes over the platform's list: leaves 2 s of the 2.5 s for push and draining."""
+"""Seconds between passes over the platform's list: leaves 2 s of the 2.5 s for the push and for draining."""
 ENDPOINT_LIST_PAGE_SIZE = 20
-"""workers asked for in one page."""
+"""Number of workers requested in one page."""
 ENDPOINT_LIST_PAGE_TIMEOUT = 1.0
-"""s. A page that takes longer fails the pass."""
+"""Seconds. A page that takes longer fails the pass."""
 
 PROBE_INTERVAL = 1.0
-"""s between probes of a worker in good status."""
+"""Seconds between probes of a worker in good status."""
 PROBE_IN_DOUBT_INTERVAL = 0.25
-"""s between probes of a worker in doubt: settles a crash in about half a second."""
+"""Seconds between probes of a worker in doubt: a crash is confirmed in about half a second."""
 PROBE_TIMEOUT = 0.5
-"""s. A probe without a result by then has failed."""
+"""Seconds. A probe without a result by then has failed."""
 
 ZONE_SPILL_THRESHOLD = 0.70
-"""fraction healthy under which a zone spills (the source's failoverHealthThreshold)."""
+"""Healthy fraction below which a zone's load spills over to others (as failoverHealthThreshold of Google Cloud's load
+balancing policy)."""
 ZONE_DRAIN_THRESHOLD = 0.25
-"""fraction healthy under which a zone is drained (the source's autoCapacityDrain)."""
+"""Healthy fraction below which a zone is drained (as autoCapacityDrain of Google Cloud's load balancing policy)."""
 ZONE_RESTORE_THRESHOLD = 0.35
-"""fraction healthy at which a drained zone begins its hold."""
+"""Healthy fraction from which the hold-down of a drained zone runs."""
 ZONE_HOLD_DOWN = 60.0
-"""s that a drained zone stays at ZONE_RESTORE_THRESHOLD or over before it takes load again (the source's)."""
+"""Seconds that a drained zone stays at ZONE_RESTORE_THRESHOLD or above before it takes load again (as with
+autoCapacityDrain)."""
 MAX_DRAINED_ZONES_RATIO = 0.50
-"""of a pool's non-empty zones may be drained at once (the source's)."""
+"""Fraction of a pool's non-empty zones that may be drained at once (as with autoCapacityDrain)."""
 SELF_SUSPICION_RATIO = 0.5
-"""of all zones down in one proxy's view alone: it suspects itself."""
+"""Fraction of all zones that are down in one proxy's view alone from which that proxy suspects itself."""
 HEALTH_REPORT_TTL = 2.0
-"""s. A proxy's digest older than this has no voice in the standing view."""
+"""Seconds. A proxy's digest that is older does not count in the aggregated view, nor does a controller's view at a
+proxy."""
 
 ZONE_HEALTH_INTERVAL = 0.25
-"""s between two counts of the zones when nothing happens: a hold ends by time alone."""
+"""Seconds between evaluations of zone health when nothing happens: a hold-down ends by time alone."""
 HEALTH_AGGREGATION_INTERVAL = 0.2
-"""s between two folds of the proxies' digests: half of their askings."""
+"""Seconds between aggregations of the proxies' digests: half of the interval of their lease requests."""
 MAX_CONCURRENT_SLOT_MOVES = 8
-"""slots of one service closed at a time for a move that nothing forces."""
+"""Number of slots of one service closed at a time for moves that nothing forces."""
 SLOT_MOVE_MARGIN = 0.3
-"""s beyond a lease and an expiry before a closed slot opens: alarms and the owners' steps."""
+"""Seconds beyond a lease and an expiry before a closed slot opens, for timers and the owners' steps."""
 SLOT_OWNER_GRACE = 1.5
-"""s that a slot's owner may be unwell before its slots move: a move closes them for longer."""
+"""Seconds that a slot's owner may be unhealthy before its slots move: a move closes them for longer."""
 PROXY_ACTIVITY_TTL = 9.0
-"""s that a controller tells of a proxy after its last asking: the longest expiry (5 s), a lease, and the telling."""
+"""Seconds for which a controller reports a proxy after its last request: the longest expiry (5 s), a lease, and the
+time to report."""
 PROXY_ACTIVITY_HEARTBEATS = 19
-"""heartbeats (of GOSSIP_INTERVAL) after its start before what a controller tells of the proxies is whole:
-
-over PROXY_ACTIVITY_TTL.
-"""
+"""Number of heartbeats (each GOSSIP_INTERVAL) after a controller's start before its report on the proxies is complete:
+longer than PROXY_ACTIVITY_TTL."""
 SLOT_ASSIGNMENT_INTERVAL = 0.25
-"""s between looks at the slots."""
+"""Seconds between checks of the slot assignment."""
 MAX_OPEN_EXCHANGES = 128
-"""exchanges a proxy has open at workers; more wait in line."""
+"""Number of exchanges that a proxy has open at workers; more wait in a queue."""
 TENANT_QUEUE_LENGTH = 64
-"""exchanges that wait for one tenant; more are refused at once."""
+"""Number of exchanges that may wait for one tenant; more are refused at once."""
 QUEUE_TIMEOUT = 0.5
-"""s that an exchange may wait in line before it is refused: never held."""
+"""Seconds that an exchange may be queued before it is refused: it is never held."""
 DEFAULT_SERVICE_TIMEOUT = 3.0
-"""s, default for a service: the longest that an exchange may take at a worker."""
+"""Seconds that an exchange may take at a worker, where its service does not say."""
 RETRY_BUDGET_RATIO = 0.15
-"""of first attempts may be retried in RETRY_BUDGET_WINDOW: with callers' own under the rules' fifth."""
+"""Fraction of the first attempts in RETRY_BUDGET_WINDOW that may be retried: with the clients' own retries this stays
+under the fifth that the rules allow."""
 CLAIM_LOOKUP_RATIO = 1.0
-"""of first attempts in RETRY_BUDGET_WINDOW that repeats of unsafe exchanges may look up their claim: it reaches no
-worker, only the core."""
+"""Fraction of the first attempts in RETRY_BUDGET_WINDOW for which repeats of exchanges that aren't repeatable may look
+up their claim: this reaches the controllers only, no worker."""
 RETRY_BUDGET_WINDOW = 10.0
-"""s. The window that the rules name."""
+"""Seconds: the window that the rules name."""
 RETRY_BUDGET_MINIMUM = 2
-"""attempts always allowed in a window, so that a quiet proxy can still retry."""
+"""Number of retries that are always allowed in a window, so that a proxy with little traffic can still retry."""
 RETRY_CREDIT_TTL = 15.0
-"""s that a refused first try, sent to no worker, is made up for by a caller's repeat."""
+"""Seconds in which a client's repeat may replace a first attempt that was refused and reached no worker."""
 MAX_ATTEMPTS = 2
-"""times that one exchange is sent on at the most."""
+"""Number of times that one exchange is sent to workers at most."""
 RETRY_AFTER = 1
-"""s that a refusal asks the caller to stay away: half a lease, one probe."""
+"""Seconds that a refusal asks the client to wait: half a lease, one probe interval."""
 DEFAULT_WORKER_RATE = 200.0
-"""exchanges/s, default bound for one worker over all pools and proxies."""
+"""Exchanges per second: default limit of one worker over all pools and proxies."""
 SLOW_START_RATE = 5.0
-"""exchanges/s, default first bound of a cold worker over all proxies."""
+"""Exchanges per second: default initial limit of a worker in slow start over all proxies."""
 SLOW_START_RAMP = 20.0
-"""s in which a cold worker's bound grows to its full one."""
+"""Seconds in which the limit of a worker in slow start grows to its full value."""
 RATE_LIMIT_UTILIZATION = 0.9
-"""of its part of a bound that a proxy uses, as counts of proxies lag."""
+"""Fraction of its share of a rate limit that a proxy uses, as the count of proxies lags."""
 RATE_LIMIT_BURST = 0.25
-"""s of its rate that a worker's bound lets through at once."""
+"""Seconds of its rate that a worker's rate limit admits at once."""
 HOT_KEY_SHARE = 0.5
-"""of its worker's bound that one key of a divided service may take: the rest is for the worker's other keys."""
+"""Fraction of its worker's limit that one key of a sharded service may use: the rest is for the worker's other keys."""
 
 MAX_HEAD_BYTES = 16 << 10
-"""bytes of a caller's request line and headers, where the operators' configuration does not say."""
+"""Bytes of a client's request line and headers, where the operators' configuration does not say."""
 HEAD_TIMEOUT = 3.0
-"""s in which a caller's request line and headers must be whole, where the operators' configuration does not say."""
+"""Seconds in which a client's request line and headers must be complete, where the operators' configuration does not
+say."""
 MAX_BODY_BYTES = 1 << 20
-"""bytes of a caller's body; over it 413."""
+"""Bytes of a client's request body; a longer one is answered 413."""
 MAX_RESULT_BYTES = 4 << 20
-"""bytes of a worker's result; over it 502: results are read whole before a byte is sent."""
+"""Bytes of a worker's result; a longer one becomes 502, as results are read whole before a byte is forwarded."""
 MAX_CONFIG_BYTES = 1 << 20
-"""bytes of a configuration; over it 413."""
+"""Bytes of a configuration; a longer one is answered 413."""
 MAX_JSON_DEPTH = 64
-"""levels of nesting in JSON from outside: several times what a configuration has, far from the interpreter's bound."""
+"""Levels of nesting in JSON from outside: several times what a configuration has, and far from the interpreter's
+limit."""
 MAX_JSON_DIGITS = 18
-"""digits of a whole number in JSON from outside: what 64 bits hold."""
+"""Digits of an integer in JSON from outside: what fits into 64 bits."""
 RESULT_CACHE_BYTES = 64 << 20
-"""bytes of results that a proxy keeps for repeats."""
+"""Bytes of results that a proxy keeps for repeats."""
 RESULT_REPLICA_CACHE_BYTES = 64 << 20
-"""bytes of other proxies' results that a proxy keeps copies of: a brief's day of claims (900 s of 40/s of 1 kB) is 36
-MB."""
+"""Bytes of other proxies' results of which a proxy keeps replicas: the claims of the specified load (900 s of 40/s of 1
+kB) are 36 MB."""
 VERSIONS_WITHOUT_REPLICAS = ("0.1.0",)
-"""versions of proxies that do not know the message of a copy, and would close the connection over it."""
+"""Versions of proxies that do not know the replica message, and would close the connection when they receive one."""
 MAX_REPLICATED_RESULT_BYTES = 256 << 10
-"""bytes of a result of which a copy is given away; a larger one would hold up the messages behind it."""
+"""Bytes of a result that is replicated; a larger one would delay the messages behind it."""
 MAX_FRAME_BYTES = 8 << 20
-"""bytes of one message between processes; a longer one closes the connection."""
+"""Bytes of one message between processes; a longer one closes the connection."""
 SEND_QUEUE_LENGTH = 2000
-"""messages waiting for one peer; more are dropped, as a cut would."""
+"""Number of messages queued for one peer; more are dropped, as in a partition."""
 CONNECT_TIMEOUT = 0.5
-"""s for a connection between our processes to open."""
+"""Seconds for a connection between sailward's processes to open."""
 CONNECT_BACKOFF = 0.25
-"""s between two dials of a peer that can't be reached."""
+"""Seconds between attempts to connect to a peer that can't be reached."""
 
 STOP_GRACE = 5.0
-"""s in which a stopping proxy finishes what it took: within the platform's 6 s."""
+"""Seconds in which a stopping proxy finishes the exchanges that it accepted: within the platform's 6 s."""
 DEREGISTRATION_DELAY = 2.0
-"""s that a stopping proxy still serves, until the directories have stopped naming it."""
+"""Seconds that a stopping proxy still serves, until the directories have stopped listing it."""
 WSGI_RESPONSE_TIMEOUT = 30.0
-"""s that an HTTP thread waits for its owner: far beyond every expiry, so only a fault ends it."""
+"""Seconds that an HTTP thread waits for its owner: far beyond every expiry, so only a fault reaches it."""
 CLIENT_DISCONNECT_CHECK_INTERVAL = 0.2
-"""s between two looks at a caller whose answer is not there yet: most answers come before the first; half of the half
-second after which nothing may run on for one that has left."""
+"""Seconds between checks whether a client that waits for its response has disconnected. Most responses come before
+the first check. It is well under the half second after which no attempt may still run for a client that has
+disconnected."""
 FLUSH_TIMEOUT = 0.5
-"""s that an ending process leaves its last results to be written."""
+"""Seconds that an ending process allows for its last responses to be written."""
 HTTP_CLIENT_IDLE_TIMEOUT = 10
-"""s that an idle connection to a worker is kept."""
+"""Seconds that an idle connection to a worker is kept."""
 HTTP_SERVER_THREADS = 256
-"""connections that one process serves over HTTP at once."""
+"""Number of connections that one process serves over HTTP at once."""
 HTTP_CLIENT_THREADS = 160
-"""calls that one process makes over HTTP at once: MAX_OPEN_EXCHANGES and the probes."""
+"""Number of calls that one process makes over HTTP at once: MAX_OPEN_EXCHANGES and the probes."""
 HTTP_SERVER_IDLE_TIMEOUT = 15.0
-"""s that an idle caller's connection is kept open."""
+"""Seconds that an idle client connection is kept open."""
 
 REWRITE_MIN_RECORDS = 20000
-"""records. A data file with fewer is never rewritten."""
+"""Records. A data file with fewer is never rewritten."""
 REWRITE_FACTOR = 3
-"""times its live records, or the bytes of these, at which a data file is rewritten."""
+"""Ratio of a data file's records, or bytes, to its live ones from which it is rewritten."""
 REWRITE_THRESHOLD_BYTES = 4 << 20
-"""bytes. A data file that is longer is rewritten, unless most of it is live.
-
-Some 30 changes of a 350-route configuration.
-"""
+"""Bytes. A longer data file is rewritten, unless most of it is live: some 30 changes of a 350-route configuration."""
 RECORD_OVERHEAD_BYTES = 200
-"""bytes that a record takes beside its value's text: names, ballot, marks."""
+"""Bytes that a record takes besides its value's text: names, ballot, change ids."""
 DISK_RESERVE_BYTES = 8 << 20
-"""bytes kept aside on the disk, given up to make room for a rewrite when it is full."""
+"""Bytes reserved on the disk, released to make room for a rewrite when it is full."""
 EVENT_JOURNAL_LENGTH = 512
-"""events that a process keeps of those its owner was given; written out if the owner ends by a fault."""
+"""Number of events that a process keeps of those its owner received; logged if the owner ends by a fault."""
 
 RECOVERY_NUMBER_GAP = 1_000_000
-"""numbers of the voters register that a founding anew leaves free: more than the old set can have made unseen."""
+"""Numbers of the voters register that a disaster recovery skips: more changes than the old set can have made unseen."""
 RECOVERY_NUMBER_LOCATIONS = 500
-"""places in that gap: two foundings on two sides of a cut get different numbers, 1000 changes apart."""
+"""Number of locations in that gap: recoveries on both sides of a partition get different numbers, 1000 changes
+apart."""
 VOTER_REPLACEMENT_DELAY = 20.0
-"""s that a voter must be lost before a waiting empty controller takes its place: longer than a roll of its machine."""
+"""Seconds that a voter must be lost before a waiting empty controller replaces it: longer than a rolling restart of its
+machine."""
 COPY_RETRY_INTERVAL = 0.5
-"""s. A page of a copy that has not come by then is asked for again."""
+"""Seconds after which a page of a copy that has not arrived is requested again."""
 COPY_PAGE_SLOTS = 200
-"""slots in one page of a copy: about 60 kB."""
+"""Number of slots in one page of a copy: about 60 kB."""
 REPAIR_INTERVAL = 1.0
-"""s between looks at whether a voter must be replaced."""
+"""Seconds between checks whether a voter must be replaced."""
 REGISTER_READ_INTERVAL = 5.0
-"""s between a controller's own reads of the control registers: finds what it missed."""
+"""Seconds between a controller's own reads of the control registers, which find what it missed."""
 STALLED_VOTE_TIMEOUT = 0.5
-"""s that a vote may stand unchosen before a controller reads, and so finishes or disproves it."""
+"""Seconds that a vote may stay undecided before a controller reads the register, and so completes or refutes it."""
 SLOW_START_REPORT_DURATION = 3.0
-"""s after its first asking in which a proxy is told how long workers have been warm."""
+"""Seconds after a proxy's first request during which it is told how long workers have been warm."""
 NONCE_BYTES = 6
-"""bytes that set one start of a process apart from every other."""
+"""Number of bytes that distinguish one start of a process from every other."""
 
 EXIT_USAGE = 2
-"""exit code: flags or settings are wrong."""
+"""Exit code: flags or settings are wrong."""
 EXIT_UNREACHABLE = 3
-"""exit code of sailctl: no controller answered."""
+"""Exit code of sailctl: no controller answered."""
 EXIT_REFUSED = 4
-"""exit code of sailctl: the fleet refused."""
+"""Exit code of sailctl: the fleet refused."""
 EXIT_DISK = 5
-"""exit code: the disk failed to sync, or its file is damaged in the middle."""
+"""Exit code: the disk failed to sync, or its file is damaged in the middle."""
 EXIT_UNKNOWN = 6
-"""exit code of sailctl: the change may or may not be in force."""
+"""Exit code of sailctl: the change may or may not be in force."""
 EXIT_IN_USE = 7
-"""exit code: an address or the data folder is in use."""
+"""Exit code: an address or the data folder is in use."""
 EXIT_FAULT = 70
-"""exit code: an owner failed; the process ends rather than run on with broken state."""
+"""Exit code: an owner failed; the process ends rather than run on with broken state."""
 SAILCTL_TIMEOUT = 8.0
-"""s that sailctl waits for a controller: over OPERATION_TIMEOUT for a read and a change."""
+"""Seconds that sailctl waits for a controller: more than OPERATION_TIMEOUT for a read and a change."""
