--- a/sailward/config/check.py
+++ b/sailward/config/check.py
@@ -44,13 +44,13 @@
     """The JSON object in this text; names given twice are a fault."""
     if len(text) > constants.MAX_CONFIG_BYTES:
         return Unsound(faults=(Fault(path="", reason=f"longer than {constants.MAX_CONFIG_BYTES} bytes"),))
-    twice: list[str] = []
+    duplicates: list[str] = []
     try:
-        config = load_json(text=text, twice=twice)
+        config = load_json(text=text, duplicates=duplicates)
     except BadJson as fault:
         return Unsound(faults=(Fault(path="", reason=str(fault)),))
-    if twice:
-        return Unsound(faults=tuple(Fault(path=name, reason="given twice") for name in twice))
+    if duplicates:
+        return Unsound(faults=tuple(Fault(path=name, reason="given twice") for name in duplicates))
     if not isinstance(config, dict):
         return Unsound(faults=(Fault(path="", reason="not a JSON object"),))
     return config
--- a/sailward/consensus/messages.py
+++ b/sailward/consensus/messages.py
@@ -20,9 +20,9 @@
     is_amount,
     is_anything,
     is_bytes,
-    is_complete,
     is_count,
     is_flag,
+    is_integer,
     is_number,
     is_proxy_row,
     is_text,
@@ -41,7 +41,7 @@
 
 def is_ballot(given: object) -> bool:
     """Is it [round, proposer]?"""
-    return isinstance(given, list) and len(given) == 2 and is_complete(given[0]) and isinstance(given[1], str)
+    return isinstance(given, list) and len(given) == 2 and is_integer(given[0]) and isinstance(given[1], str)
 
 
 VALUE: dict[str, Check] = {"number": is_count, "mark": is_text, "trail": list_of(is_text), "text": is_text}
@@ -103,9 +103,9 @@
     return _is_pace(given) and given[1] > 0
 
 
-_is_digest = row_of(is_complete, is_text, is_ballot)
+_is_digest = row_of(is_integer, is_text, is_ballot)
 """Number, mark and ballot of a value."""
-_is_known_version = either_of(row_of(is_complete), row_of(is_complete, is_text), _is_digest)
+_is_known_version = either_of(row_of(is_integer), row_of(is_integer, is_text), _is_digest)
 """What an asker holds of a register: its number, and maybe more."""
 _is_health = row_of(is_count, is_count, is_text)
 """Listed workers, healthy ones, and the state of a zone."""
@@ -121,26 +121,26 @@
 
 
 is_report = record_of(
-    needed={},
+    required={},
     optional={
-        "halls": map_of(_is_health, names=is_location),
+        "halls": map_of(_is_health, keys=is_location),
         "warm": map_of(is_amount),
         "suspect": is_flag,
         "busy": list_of(is_text),
         "rates": map_of(is_amount),
         "down": list_of(is_text),
-        "turn": is_complete,
+        "turn": is_integer,
         "lead": is_text,
-        "loads": map_of(map_of(is_amount, names=is_bucket_name)),
+        "loads": map_of(map_of(is_amount, keys=is_bucket_name)),
         "paces": map_of(list_of(is_amount)),
     },
 )
 is_daemon = record_of(
-    needed={"id": is_text, "kind": is_text, "hall": is_text, "region": is_text, "http": is_text, "fit": is_flag},
+    required={"id": is_text, "kind": is_text, "hall": is_text, "region": is_text, "http": is_text, "fit": is_flag},
     optional={
-        "start": is_complete,
+        "start": is_integer,
         "post": is_text,
-        "beat": is_complete,
+        "beat": is_integer,
         "version": is_text,
         "identity": is_text,
         "asks": is_text,
@@ -148,7 +148,7 @@
     },
 )
 is_view = record_of(
-    needed={},
+    required={},
     optional={
         "place": row_of(is_text, is_text),
         "drained": list_of(is_text),
@@ -158,7 +158,7 @@
     },
 )
 is_loads = record_of(
-    needed={},
+    required={},
     optional={
         "rates": map_of(is_rates),
         "paces": map_of(is_pace),
@@ -166,52 +166,52 @@
 )
 
 MESSAGES: dict[str, dict[str, Check]] = {
-    "prepare": {"op": is_text, "register": is_register, "ballot": is_ballot, "voters": is_complete},
+    "prepare": {"op": is_text, "register": is_register, "ballot": is_ballot, "voters": is_integer},
     "promise": {"op": is_text, "register": is_register, "ballot": is_ballot, "vote": is_vote_or_none},
-    "accept": {"op": is_text, "register": is_register, "ballot": is_ballot, "voters": is_complete, "value": is_value},
-    "first": {"op": is_text, "register": is_register, "voters": is_complete, "value": is_value},
+    "accept": {"op": is_text, "register": is_register, "ballot": is_ballot, "voters": is_integer, "value": is_value},
+    "first": {"op": is_text, "register": is_register, "voters": is_integer, "value": is_value},
     "voted": {"op": is_text, "register": is_register, "ballot": is_ballot},
     "nack": {
         "op": is_text,
         "register": is_register,
         "ballot": is_ballot,
         "reason": is_text,
-        "round": is_complete,
+        "round": is_integer,
         "voters": is_vote_or_none,
     },
-    "read": {"op": is_text, "register": is_register, "voters": is_complete},
+    "read": {"op": is_text, "register": is_register, "voters": is_integer},
     "told": {"op": is_text, "register": is_register, "vote": is_vote_or_none},
     "chosen": {"register": is_register, "ballot": is_ballot, "value": is_value},
     "want": {"register": is_text},
-    "ask": {"seq": is_complete, "have": is_have, "report": is_report, "daemon": is_daemon},
+    "ask": {"seq": is_integer, "have": is_have, "report": is_report, "daemon": is_daemon},
     "grant": {
-        "seq": is_complete,
+        "seq": is_integer,
         "newest": map_of(_is_digest),
         "identity": is_text,
         "voting": is_flag,
         "proxies": is_count,
         "view": is_view,
     },
-    "push": {"seq": is_complete, "name": is_register, "number": is_complete, "ballot": is_ballot, "value": is_value},
-    "ack": {"seq": is_complete, "name": is_text, "number": is_complete},
+    "push": {"seq": is_integer, "name": is_register, "number": is_integer, "ballot": is_ballot, "value": is_value},
+    "ack": {"seq": is_integer, "name": is_text, "number": is_integer},
     "gossip": {"entries": list_of(is_anything), "reply": is_flag},
-    "peek": {"token": is_text, "key": is_text, "number": is_complete, "region": is_text},
+    "peek": {"token": is_text, "key": is_text, "number": is_integer, "region": is_text},
     "peeked": {"token": is_text, "state": is_text, "code": is_count, "headers": map_of(is_text), "body": is_bytes},
     "keep": {
         "key": is_text,
-        "number": is_complete,
+        "number": is_integer,
         "print": is_text,
         "homes": list_of(is_text),
         "code": is_count,
         "headers": map_of(is_text),
         "body": is_bytes,
     },
-    "list": {"number": is_complete, "rows": is_text},
-    "beat": {"id": is_text, "start": is_complete, "beat": is_complete, "fit": is_flag, "identity": is_text},
-    "confirm": {"seq": is_complete, "voters": is_complete, "registers": list_of(is_text)},
-    "confirmed": {"seq": is_complete, "identity": is_text, "newest": map_of(_is_digest)},
+    "list": {"number": is_integer, "rows": is_text},
+    "beat": {"id": is_text, "start": is_integer, "beat": is_integer, "fit": is_flag, "identity": is_text},
+    "confirm": {"seq": is_integer, "voters": is_integer, "registers": list_of(is_text)},
+    "confirmed": {"seq": is_integer, "identity": is_text, "newest": map_of(_is_digest)},
     "fleet": {
-        "number": is_complete,
+        "number": is_integer,
         "rows": either_of(lambda given: given == ["same"], list_of(is_proxy_row)),
         "loads": is_loads,
         "down": map_of(is_count),
@@ -219,7 +219,7 @@
     "copy": {"after": is_text, "ballot": is_ballot, "value": is_value},
     "copied": {
         "after": is_text,
-        "voters": is_complete,
+        "voters": is_integer,
         "slots": list_of(row_of(is_register, is_ballot, is_value)),
         "next": is_text,
     },
@@ -302,13 +302,13 @@
 
 _TEXTS: dict[str, Check] = {
     "voters": record_of(
-        needed={"members": map_of(is_text)},
+        required={"members": map_of(is_text)},
         optional={
             "size": is_count,
             "anew": either_of(
                 lambda given: given is None,
                 record_of(
-                    needed={
+                    required={
                         "number": is_count,
                         "survivors": list_of(is_text),
                         "doubt": is_flag,
@@ -318,21 +318,21 @@
             ),
         },
     ),
-    "orders": record_of(needed={"emptied": list_of(is_text)}),
+    "orders": record_of(required={"emptied": list_of(is_text)}),
     "slots": either_of(
         record_of(
-            needed={
+            required={
                 "granter": is_text,
-                "since": is_complete,
-                "fence": is_complete,
+                "since": is_integer,
+                "fence": is_integer,
                 "ranges": list_of(
                     either_of(
-                        row_of(is_count, is_count, is_text, is_complete, is_text),
-                        row_of(is_count, is_count, is_text, is_complete, is_text, is_text),
+                        row_of(is_count, is_count, is_text, is_integer, is_text),
+                        row_of(is_count, is_count, is_text, is_integer, is_text, is_text),
                     )
                 ),
             }
         ),
-        record_of(needed={"spaces": map_of(list_of(row_of(is_text, is_complete, is_complete)))}),
+        record_of(required={"spaces": map_of(list_of(row_of(is_text, is_integer, is_integer)))}),
     ),
 }
--- a/sailward/discovery/endpoint_pages.py
+++ b/sailward/discovery/endpoint_pages.py
@@ -10,7 +10,7 @@
 from sailward.discovery.endpoint_rows import is_generation, is_incarnation
 from sailward.events import CallFinished, LogEvent, StartCall
 from sailward.json_text import BadJson, load_json
-from sailward.shapes import is_anything, is_complete, is_text, list_of, record_of
+from sailward.shapes import is_anything, is_integer, is_text, list_of, record_of
 
 TTL = {
     "id": str,
@@ -178,10 +178,10 @@
 
 
 _is_page = record_of(
-    needed={
-        "epoch": is_complete,
-        "revision": is_complete,
-        "total": is_complete,
+    required={
+        "epoch": is_integer,
+        "revision": is_integer,
+        "total": is_integer,
         "next": is_text,
         "workers": list_of(is_anything),
     }
--- a/sailward/discovery/endpoint_rows.py
+++ b/sailward/discovery/endpoint_rows.py
@@ -9,9 +9,9 @@
 from sailward.shapes import (
     Check,
     is_amount,
-    is_complete,
     is_count,
     is_flag,
+    is_integer,
     is_proxy_row,
     is_text,
     list_of,
@@ -40,14 +40,14 @@
     "address": is_address,
     "hall": is_text,
     "leaving": is_flag,
-    "generation": is_complete,
+    "generation": is_integer,
 }
-is_generation = record_of(needed=_LOCATION)
+is_generation = record_of(required=_LOCATION)
 """A worker of a list that tells generations."""
-is_incarnation = record_of(needed={**_LOCATION, "capacity": is_count, "cold_s": is_amount})
+is_incarnation = record_of(required={**_LOCATION, "capacity": is_count, "cold_s": is_amount})
 """A worker of a list in which each start has an id of its own."""
 _is_fleet = record_of(
-    needed={"proxies": list_of(is_proxy_row), "cellars": list_of(row_of(is_text, is_text, is_text))},
+    required={"proxies": list_of(is_proxy_row), "cellars": list_of(row_of(is_text, is_text, is_text))},
     optional={"down": list_of(is_text)},
 )
 
--- a/sailward/json_text.py
+++ b/sailward/json_text.py
@@ -16,18 +16,20 @@
     """The text is no JSON that is taken here; its words say why."""
 
 
-def load_json(*, text: bytes | str, twice: list[str] | None = None) -> Any:
+def load_json(*, text: bytes | str, duplicates: list[str] | None = None) -> Any:
     """The value in a text (UTF-8). Raises BadJson, and nothing else, whatever the text is.
 
     Refused besides what is no JSON: nesting deeper than MAX_JSON_DEPTH, numbers of more than MAX_JSON_DIGITS digits or
     past what a float holds, and halves of surrogate pairs. Names that are given twice in one object are added to
-    `twice`.
+    `duplicates`.
     """
     try:
         decoded = text.decode("utf-8-sig") if isinstance(text, bytes) else text
         value = json.loads(
             decoded,
-            object_pairs_hook=None if twice is None else lambda pairs: _report_duplicates(pairs=pairs, twice=twice),
+            object_pairs_hook=None
+            if duplicates is None
+            else lambda pairs: _report_duplicates(pairs=pairs, duplicates=duplicates),
             parse_constant=_refuse_constant,
             parse_int=_read_integer,
             parse_float=_read_float,
@@ -40,10 +42,10 @@
     return value
 
 
-def _report_duplicates(*, pairs: list, twice: list[str]) -> dict:
+def _report_duplicates(*, pairs: list, duplicates: list[str]) -> dict:
     names = [name for name, _ in pairs]
     if len(set(names)) < len(names):
-        twice += sorted({name for name in names if names.count(name) > 1})
+        duplicates += sorted({name for name in names if names.count(name) > 1})
     return dict(pairs)
 
 
--- a/sailward/routing/passive_health.py
+++ b/sailward/routing/passive_health.py
@@ -147,7 +147,7 @@
             address=shown.worker.address,
             method="GET",
             path=service.health_path if service else "/status",
-            headers={self._names.expect: key},
+            headers={self._names.expected_worker: key},
             body=b"",
             timeout=constants.PROBE_TIMEOUT,
             fresh=False,
--- a/sailward/routing/request.py
+++ b/sailward/routing/request.py
@@ -78,19 +78,19 @@
     if match is None:
         return Refusal(code=404, reason="unmatched")
     service = plan.services[plan.pools[match.shares[0][0]].service]
-    given = event.headers.get(names.within, "")
+    given = event.headers.get(names.time_budget, "")
     within = (
         int(given) / 1000
         if given.isascii() and given.isdigit() and len(given) < 10
         else constants.DEFAULT_REQUEST_TIMEOUT
     )
-    key = event.headers.get(names.part, "")
+    key = event.headers.get(names.shard_key, "")
     number = (
         int(key) if key.isascii() and key.isdigit() and len(key) < 6 and int(key) <= constants.MAX_SHARD_KEY else -1
     )
     return Request(
         token=event.token,
-        name=event.headers.get(names.exchange, ""),
+        name=event.headers.get(names.exchange_id, ""),
         method=event.method,
         target=event.target,
         headers=event.headers,
@@ -106,7 +106,7 @@
 def headers_to_worker(*, request: Request, worker: str, within: float, names: WireNames) -> dict:
     """The caller's headers but those of one connection, with the time left and the worker that is meant."""
     headers = {name: value for name, value in request.headers.items() if name not in HOP}
-    return {**headers, names.within: str(max(1, int(within * 1000))), names.expect: worker}
+    return {**headers, names.time_budget: str(max(1, int(within * 1000))), names.expected_worker: worker}
 
 
 def headers_to_caller(*, headers: dict) -> dict:
--- a/sailward/routing/worker_response.py
+++ b/sailward/routing/worker_response.py
@@ -6,7 +6,7 @@
 
 from sailward.events import CallFinished
 from sailward.routing.request import Request
-from sailward.wire_names import WireNames, names_another
+from sailward.wire_names import WireNames, has_other_exchange_id
 
 PROMISES = frozenset({408, 421, 429, 503})
 """Codes that tell a caller: it did not run and never will."""
@@ -54,7 +54,7 @@
     if event.code == 0:
         return Broken(reason=event.fault) if event.sent else NotSent(reason=event.fault)
     headers = event.headers
-    if names_another(asked=request.name, echoed=headers.get(names.exchange, "")):
+    if has_other_exchange_id(request_id=request.name, response_id=headers.get(names.exchange_id, "")):
         return Broken(reason="another-exchange")
     if names.not_run in headers and names.not_run_value in ("", headers[names.not_run]):
         if event.code == 421:
@@ -63,10 +63,10 @@
         return WorkerRejected(code=event.code, why="full" if event.code in (429, 503) else "refused")
     if event.code == 421 and headers.get(names.answered_by, worker) != worker:
         return WorkerRejected(code=421, why="stranger")
-    if headers.get(names.exchange, "") != request.name:
+    if headers.get(names.exchange_id, "") != request.name:
         # it names no request: only what says that nothing ran is believed without that
         return Broken(reason="another-exchange")
-    if 200 <= event.code < 300 and names.seal and names.seal not in headers:
+    if 200 <= event.code < 300 and names.response_marker and names.response_marker not in headers:
         return Broken(reason="unsealed")
     if event.code in PROMISES:
         # without its mark the worker promises nothing, so neither may we
--- a/sailward/shapes.py
+++ b/sailward/shapes.py
@@ -14,74 +14,74 @@
 """The largest whole number that is taken: two of them can be added in the 64 bits of a message."""
 
 
-def is_text(given: object) -> bool:
+def is_text(value: object) -> bool:
     """Is it a string?"""
-    return isinstance(given, str)
+    return isinstance(value, str)
 
 
-def is_flag(given: object) -> bool:
+def is_flag(value: object) -> bool:
     """Is it true or false?"""
-    return isinstance(given, bool)
+    return isinstance(value, bool)
 
 
-def is_bytes(given: object) -> bool:
+def is_bytes(value: object) -> bool:
     """Is it a string of bytes?"""
-    return isinstance(given, (bytes, bytearray))
+    return isinstance(value, (bytes, bytearray))
 
 
-def is_complete(given: object) -> bool:
+def is_integer(value: object) -> bool:
     """Is it a whole number of a size that can be reckoned with?"""
-    return isinstance(given, int) and not isinstance(given, bool) and -INTEGER_MAX <= given <= INTEGER_MAX
+    return isinstance(value, int) and not isinstance(value, bool) and -INTEGER_MAX <= value <= INTEGER_MAX
 
 
-def is_count(given: object) -> bool:
+def is_count(value: object) -> bool:
     """Is it a whole number, at least 0?"""
-    return is_complete(given) and given >= 0  # type: ignore[operator]
+    return is_integer(value) and value >= 0  # type: ignore[operator]
 
 
-def is_number(given: object) -> bool:
+def is_number(value: object) -> bool:
     """Is it a finite number?"""
-    return is_complete(given) or (isinstance(given, float) and math.isfinite(given))
+    return is_integer(value) or (isinstance(value, float) and math.isfinite(value))
 
 
-def is_amount(given: object) -> bool:
+def is_amount(value: object) -> bool:
     """Is it a finite number, at least 0?"""
-    return is_number(given) and given >= 0  # type: ignore[operator]
+    return is_number(value) and value >= 0  # type: ignore[operator]
 
 
-def is_anything(given: object) -> bool:
+def is_anything(value: object) -> bool:
     """Nothing is asked of it: it is carried along, or ignored."""
     return True
 
 
-def list_of(check: Check, *, least: int = 0) -> Check:
+def list_of(check: Check, *, min_length: int = 0) -> Check:
     """A list of at least so many, each of which fits."""
-    return lambda given: isinstance(given, list) and len(given) >= least and all(map(check, given))
+    return lambda value: isinstance(value, list) and len(value) >= min_length and all(map(check, value))
 
 
 def row_of(*checks: Check) -> Check:
     """A list of just these."""
-    return lambda given: (
-        isinstance(given, list)
-        and len(given) == len(checks)
-        and all(check(item) for check, item in zip(checks, given, strict=True))
+    return lambda value: (
+        isinstance(value, list)
+        and len(value) == len(checks)
+        and all(check(item) for check, item in zip(checks, value, strict=True))
     )
 
 
-def map_of(check: Check, *, names: Check = is_text) -> Check:
+def map_of(check: Check, *, keys: Check = is_text) -> Check:
     """A map whose names and values all fit."""
-    return lambda given: isinstance(given, dict) and all(map(names, given)) and all(map(check, given.values()))
+    return lambda value: isinstance(value, dict) and all(map(keys, value)) and all(map(check, value.values()))
 
 
-def record_of(*, needed: Mapping[str, Check], optional: Mapping[str, Check] | None = None) -> Check:
-    """A map with all the needed fields, and optional ones that fit where they are there; others are ignored."""
+def record_of(*, required: Mapping[str, Check], optional: Mapping[str, Check] | None = None) -> Check:
+    """A map with all the required fields, and optional ones that fit where they are there; others are ignored."""
     allowed = optional or {}
 
-    def check(given: object) -> bool:
+    def check(value: object) -> bool:
         return (
-            isinstance(given, dict)
-            and all(name in given and fits(given[name]) for name, fits in needed.items())
-            and all(fits(given[name]) for name, fits in allowed.items() if name in given)
+            isinstance(value, dict)
+            and all(name in value and fits(value[name]) for name, fits in required.items())
+            and all(fits(value[name]) for name, fits in allowed.items() if name in value)
         )
 
     return check
@@ -89,7 +89,7 @@
 
 def either_of(*checks: Check) -> Check:
     """What fits one of them."""
-    return lambda given: any(check(given) for check in checks)
+    return lambda value: any(check(value) for check in checks)
 
 
 is_proxy_row = row_of(is_text, is_text, is_text, is_text, is_flag)
--- a/sailward/storage/records.py
+++ b/sailward/storage/records.py
@@ -7,13 +7,13 @@
 from sailward.shapes import Check, is_count, is_text, record_of
 
 RECORDS: dict[str, Check] = {
-    "identity": record_of(needed={"id": is_text}),
-    "copied": record_of(needed={}),
-    "opened": record_of(needed={"n": is_count}),
-    "left": record_of(needed={"id": is_text}),
-    "promise": record_of(needed={"r": is_text, "b": is_ballot}, optional={"v": is_value}),
-    "vote": record_of(needed={"r": is_text, "b": is_ballot, "v": is_value}),
-    "drop": record_of(needed={"r": is_text}),
+    "identity": record_of(required={"id": is_text}),
+    "copied": record_of(required={}),
+    "opened": record_of(required={"n": is_count}),
+    "left": record_of(required={"id": is_text}),
+    "promise": record_of(required={"r": is_text, "b": is_ballot}, optional={"v": is_value}),
+    "vote": record_of(required={"r": is_text, "b": is_ballot, "v": is_value}),
+    "drop": record_of(required={"r": is_text}),
 }
 """Each kind of record with the check of its fields."""
 
--- a/sailward/transport/curl_client.py
+++ b/sailward/transport/curl_client.py
@@ -18,7 +18,7 @@
 
 from sailward import constants
 from sailward.events import CallFinished, CancelCall, StartCall
-from sailward.wire_names import WireNames, names_another
+from sailward.wire_names import WireNames, has_other_exchange_id
 
 NAMES = WireNames()
 ABORT = struct.pack("ii", 1, 0)
@@ -93,9 +93,9 @@
         return errno != pycurl.E_COULDNT_CONNECT and not (errno == pycurl.E_OPERATION_TIMEDOUT and is_unconnected)
 
     def _check_name(self) -> int | None:
-        exchange = NAMES.exchange
+        exchange = NAMES.exchange_id
         asked = {name.lower(): value for name, value in self.call.headers.items()}.get(exchange, "")
-        if names_another(asked=asked, echoed=self.headers.get(exchange, "")):
+        if has_other_exchange_id(request_id=asked, response_id=self.headers.get(exchange, "")):
             self.fault = "another-exchange"
             return 0
         return None
--- a/sailward/transport/http_client.py
+++ b/sailward/transport/http_client.py
@@ -135,7 +135,7 @@
             self._fail(running=running, fault="timed-out")
             return
         try:
-            running.exchange = Exchange(call=call, exchange_name=self._names.exchange)
+            running.exchange = Exchange(call=call, exchange_name=self._names.exchange_id)
         except ValueError:
             self._fail(running=running, fault="malformed")
             return
--- a/sailward/transport/http_exchange.py
+++ b/sailward/transport/http_exchange.py
@@ -9,7 +9,7 @@
 
 from sailward import constants
 from sailward.events import StartCall
-from sailward.wire_names import names_another
+from sailward.wire_names import has_other_exchange_id
 
 BODY_METHODS = frozenset(("POST", "PUT", "PATCH"))
 OWN_HEADERS = frozenset(("host", "content-length", "transfer-encoding", "upgrade", "expect"))
@@ -108,7 +108,7 @@
             size += len(name) + len(value) + 4
             self._headers[name] = f"{self._headers[name]}, {value}" if name in self._headers else value
         echoed = self._headers.get(self._exchange_name, "") if self._exchange_name else ""
-        if names_another(asked=self._id, echoed=echoed):
+        if has_other_exchange_id(request_id=self._id, response_id=echoed):
             return "another-exchange"
         self._is_named = echoed == self._id
         length = self._headers.get("content-length")
--- a/simulation/hosted/calls.py
+++ b/simulation/hosted/calls.py
@@ -13,7 +13,7 @@
 
 from sailward import constants
 from sailward.events import CallFinished, StartCall
-from sailward.wire_names import names_another
+from sailward.wire_names import has_other_exchange_id
 from simulation.hosted.environment import Environment
 
 if TYPE_CHECKING:
@@ -66,7 +66,7 @@
         if self.is_over:
             return
         asked, echoed = self.headers.get("attempt-id", ""), headers.get("attempt-id", "")
-        if code and names_another(asked=asked, echoed=echoed):
+        if code and has_other_exchange_id(request_id=asked, response_id=echoed):
             self.calls.world.count["misnamed"] += 1
             code, headers, body, fault = 0, {}, b"", "another-exchange"
         if self.calls.may_keep(code=code, is_named=asked == echoed):
--- a/simulation/hosted/sabotage.py
+++ b/simulation/hosted/sabotage.py
@@ -54,7 +54,7 @@
 def _without_expect(old):
     def headers(*, request, worker, within, names):
         found = old(request=request, worker=worker, within=within, names=names)
-        del found[names.expect]
+        del found[names.expected_worker]
         return found
 
     return headers
@@ -89,7 +89,7 @@
 
 def _by_order_alone(old):
     def judge_reply(*, request, worker, event, names):
-        named = replace(event, headers={**event.headers, names.exchange: request.name})
+        named = replace(event, headers={**event.headers, names.exchange_id: request.name})
         return old(request=request, worker=worker, event=named, names=names)
 
     return judge_reply
@@ -199,7 +199,7 @@
     "patience": _all(_patch(admin_api.AdminApi, "give_up", lambda old: lambda self, *, now, is_lost: [])),
     "seal": _all(_patch(forwarding, "judge_reply", _believes_all)),
     "answer-name": _all(
-        lambda: mock.patch.object(hosted_calls, "names_another", lambda *, asked, echoed: False),
+        lambda: mock.patch.object(hosted_calls, "has_other_exchange_id", lambda *, request_id, response_id: False),
         _patch(forwarding, "judge_reply", _by_order_alone),
     ),
     "fresh": _all(_patch(forwarding.Forwarder, "_call", _on_kept_connections)),
--- a/tests/http_client_script.py
+++ b/tests/http_client_script.py
@@ -19,7 +19,9 @@
 from sailward.transport import http_client
 from sailward.wire_names import WireNames
 
-NAMES = WireNames(exchange="x-id", answered_by="x-who", not_run="x-not-run", not_run_value="", seal="x-seal")
+NAMES = WireNames(
+    exchange_id="x-id", answered_by="x-who", not_run="x-not-run", not_run_value="", response_marker="x-seal"
+)
 FIN, RESET = "fin", "reset"
 NAMELESS_REFUSAL, NAMED_REFUSAL = 8, 9
 """The forms of an answer that says that its request did not run."""
--- a/tests/proxy_kit.py
+++ b/tests/proxy_kit.py
@@ -16,16 +16,16 @@
 from sailward.wire_names import WireNames
 
 NAMES = WireNames(
-    exchange="x-id",
-    within="x-left",
-    expect="x-expect",
+    exchange_id="x-id",
+    time_budget="x-left",
+    expected_worker="x-expect",
     answered_by="x-who",
     not_run="x-not-run",
     not_run_value="",
     slow_start="x-cold",
-    part="x-key",
+    shard_key="x-key",
     handover="x-hand",
-    seal="x-seal",
+    response_marker="x-seal",
 )
 ZONES = {"north-a": "north", "north-b": "north", "south-a": "south", "south-b": "south"}
 
