--- a/sailward/events.py
+++ b/sailward/events.py
@@ -1,4 +1,4 @@
-"""Events that owners are given and commands that they answer with."""
+"""Events that owners receive, and commands that they return."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class TimerFired:
-    """Time went on; `wall` is the machine's clock, which may jump."""
+    """A timer tick; `wall` is the machine's wall clock, which may jump."""
 
     wall: float = 0.0
 
 
 @dataclass(frozen=True, kw_only=True)
 class MessageReceived:
-    """A message came from the daemon that listens at `sender`."""
+    """A message arrived from the daemon that listens at `sender`."""
 
     sender: str
     body: dict
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class DiskWriteFailed:
-    """Records could not be stored; `full` if for want of room."""
+    """Records could not be stored; `full` if the disk has no room."""
 
     seq: int
     full: bool
@@ -40,9 +40,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RequestReceived:
-    """An HTTP exchange arrived; `body` is None if it is over the bound.
+    """An HTTP request arrived; `body` is None if it is over the limit.
 
-    `target` is the request target as the caller wrote it, where the edge keeps it.
+    `target` is the request target as the client wrote it, where the edge keeps it.
     """
 
     token: str
@@ -56,16 +56,16 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ClientDisconnected:
-    """The caller's connection ended before this exchange's answer was given."""
+    """The client's connection ended before this request was answered."""
 
     token: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class CallFinished:
-    """An HTTP call ended: `code` 0 with a `fault`, or the result whole.
+    """An HTTP call ended: `code` 0 with a `fault`, or the complete response.
 
-    `sent` says whether a byte of the exchange may have left.
+    `sent` says whether a byte of the request may have been sent.
     """
 
     token: str
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ShutdownRequested:
-    """The platform wants this process to stop within its grace."""
+    """The platform asks this process to stop within its grace period."""
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -99,7 +99,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class AppendRecords:
-    """Append records, sync, then report `seq`."""
+    """Append records and sync them, then report `seq`."""
 
     seq: int
     records: tuple
@@ -107,7 +107,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RewriteRecords:
-    """Replace the whole file by these records, synced, then report `seq`."""
+    """Replace the whole file by these records and sync it, then report `seq`."""
 
     seq: int
     records: tuple
@@ -115,7 +115,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Respond:
-    """Give an HTTP exchange its result; `close` ends its connection behind it."""
+    """Answer an HTTP request; `close` ends its connection after the answer."""
 
     token: str
     code: int
@@ -126,10 +126,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class StartCall:
-    """Make an HTTP call. `owner` names whose connection it is; `fresh` asks for one of its own.
+    """Make an HTTP call. `owner` names whose connection it uses; `fresh` asks for a new connection.
 
-    It is not begun after `begin_by`. `dial` is how long its connection may take to come up, in s; 0 for the usual
-    bound.
+    The call does not start after `begin_by`. `dial` is the time-out for opening its connection, in s; 0 for the
+    default.
     """
 
     token: str
@@ -147,21 +147,21 @@
 
 @dataclass(frozen=True, kw_only=True)
 class CancelCall:
-    """Give up a call: its connection is closed, and no CallFinished follows."""
+    """Cancel a call: its connection is closed, and no CallFinished follows."""
 
     token: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class WithdrawCall:
-    """Give up a call of which no byte has left: its CallFinished says `withdrawn`. Any other call goes on."""
+    """Cancel a call if no byte of it has been sent: its CallFinished says `withdrawn`. Any other call goes on."""
 
     token: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class ValidateConfig:
-    """Check a configuration, beside the owner: a large one takes seconds."""
+    """Check a configuration outside the owner's thread: a large one takes seconds."""
 
     token: str
     config: dict
@@ -176,7 +176,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class DrainConnections:
-    """End each caller's connection behind its next answer; with `shut`, take no new connections either."""
+    """End each client connection after its next answer; with `shut`, accept no new connections either."""
 
     shut: bool = False
 
@@ -207,8 +207,8 @@
     | ConfigValidated
     | ShutdownRequested
 )
-"""All that an edge can tell an owner. An owner's `step` matches each of them; the type checker finds one that is left
-out."""
+"""All events that an edge can give an owner. An owner's `step` matches each of them; the type checker finds one that is
+left out."""
 
 Command = (
     SendMessage
@@ -224,17 +224,17 @@
     | LogEvent
     | ExitProcess
 )
-"""All that an owner can answer with."""
+"""All commands that an owner can return."""
 
 
 @dataclass(kw_only=True)
 class RefusedInput:
-    """Counts what came from outside and could not be read, by its kind. It is dropped whole."""
+    """Counts input from outside that could not be read, by its kind. Such input is dropped as a whole."""
 
     counts: Counter = field(default_factory=Counter)
 
     def add(self, *, kind: str, reason: str, **fields: object) -> list[Command]:
-        """Count one and write it to the log with the reason."""
+        """Count an input and log it with the reason."""
         self.counts[kind] += 1
         return [
             LogEvent(
@@ -245,15 +245,15 @@
 
 @dataclass(kw_only=True)
 class UnexpectedEvents:
-    """Counts the events that reached an owner which has no use for them.
+    """Counts events that an owner received but does not handle.
 
-    A mistake in the program, but none to die of.
+    This is a mistake in the program, but not one that ends the process.
     """
 
     counts: Counter = field(default_factory=Counter)
 
     def add(self, *, event: object) -> list[Command]:
-        """Count an event and write it to the log; the owner's state stays as it is."""
+        """Count an event and log it; the owner's state does not change."""
         name = type(event).__name__
         self.counts[name] += 1
         return [LogEvent(event="event-unexpected", fields={"type": name, "count": self.counts[name]})]
--- a/sailward/invariants.py
+++ b/sailward/invariants.py
@@ -1,6 +1,6 @@
-"""What must hold while the code runs, checked there: a violation is counted and logged, and ends nothing.
+"""Invariants that are checked at run time: a violation is counted and logged, and does not stop the process.
 
-The counts are the process's. Tests fail on any that they did not expect (tests/conftest.py).
+The counts are per process. Tests fail on any that they did not expect (tests/conftest.py).
 """
 
 from __future__ import annotations
@@ -12,19 +12,19 @@
 
 
 class Invariant(enum.Enum):
-    """The statements that are checked, by the name that the log gives."""
+    """The invariants that are checked, by their name in the log."""
 
     DEPARTURES_REPORTED = "departures-reported"
-    """A request without an answer whose caller's connection has ended has been reported to the owner."""
+    """If a client's connection has ended, its unanswered requests have been reported to the owner as disconnected."""
 
     CALLERS_WATCHED = "callers-watched"
-    """A connection with unanswered requests is read from, so that its end is seen, unless its buffer is full."""
+    """A connection with unanswered requests is read from, so that its end is noticed, unless its buffer is full."""
 
     DEPARTED_NOT_SERVED = "departed-not-served"
-    """No attempt is begun for a request whose caller has left."""
+    """No attempt starts for a request whose client has disconnected."""
 
     DEPARTED_NOT_RUNNING = "departed-not-running"
-    """No attempt is under way for a repeatable request that is over, or whose caller has left."""
+    """No attempt is in flight for a repeatable request that has ended, or whose client has disconnected."""
 
 
 violations: Counter[str] = Counter()
@@ -32,7 +32,7 @@
 
 
 def check(*, invariant: Invariant, holds: bool, **fields: object) -> list[LogEvent]:
-    """Count a violation if it doesn't hold; the line for the log, if any."""
+    """Count a violation if the invariant doesn't hold. Returns the log event for it, if any."""
     if holds:
         return []
     violations[invariant.value] += 1
--- a/sailward/json_text.py
+++ b/sailward/json_text.py
@@ -1,4 +1,4 @@
-"""JSON from outside, read strictly: what passes can be walked, compared and written again without surprises."""
+"""Strict reading of JSON from outside: what is accepted can be traversed, compared and written again without errors."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class BadJson(ValueError):
-    """The text is no JSON that is taken here; its words say why."""
+    """The text is not JSON that is accepted here; the message says why."""
 
 
 def load_json(*, text: bytes | str, duplicates: list[str] | None = None) -> Any:
     """The value in a text (UTF-8). Raises BadJson, and nothing else, whatever the text is.
 
-    Refused besides what is no JSON: nesting deeper than MAX_JSON_DEPTH, numbers of more than MAX_JSON_DIGITS digits or
-    past what a float holds, and halves of surrogate pairs. Names that are given twice in one object are added to
+    Besides text that is not JSON, it refuses nesting deeper than MAX_JSON_DEPTH, numbers of more than MAX_JSON_DIGITS
+    digits or outside the range of a float, and unpaired surrogates. Names that occur twice in one object are added to
     `duplicates`.
     """
     try:
--- a/sailward/shapes.py
+++ b/sailward/shapes.py
@@ -1,6 +1,6 @@
-"""Shapes of decoded data from outside: small checks that are put together into the check of a whole message or record.
+"""Validation of decoded data from outside: small checks that are combined into the check of a message or record.
 
-Each check takes any value and says whether it fits. None raises, whatever it is given.
+Each check takes any value and says whether it is valid. None raises, whatever it is given.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 Check = Callable[[object], bool]
 
 INTEGER_MAX = 1 << 62
-"""The largest whole number that is taken: two of them can be added in the 64 bits of a message."""
+"""The largest integer that is accepted: the sum of two fits into the 64 bits of a message."""
 
 
 def is_text(value: object) -> bool:
@@ -30,12 +30,12 @@
 
 
 def is_integer(value: object) -> bool:
-    """Is it a whole number of a size that can be reckoned with?"""
+    """Is it an integer from -INTEGER_MAX to INTEGER_MAX?"""
     return isinstance(value, int) and not isinstance(value, bool) and -INTEGER_MAX <= value <= INTEGER_MAX
 
 
 def is_count(value: object) -> bool:
-    """Is it a whole number, at least 0?"""
+    """Is it such an integer, at least 0?"""
     return is_integer(value) and value >= 0  # type: ignore[operator]
 
 
@@ -50,17 +50,17 @@
 
 
 def is_anything(value: object) -> bool:
-    """Nothing is asked of it: it is carried along, or ignored."""
+    """Accept any value: it is passed on unchecked, or ignored."""
     return True
 
 
 def list_of(check: Check, *, min_length: int = 0) -> Check:
-    """A list of at least so many, each of which fits."""
+    """A list of at least `min_length` items, all of them valid."""
     return lambda value: isinstance(value, list) and len(value) >= min_length and all(map(check, value))
 
 
 def row_of(*checks: Check) -> Check:
-    """A list of just these."""
+    """A list with exactly one item for each check, in their order."""
     return lambda value: (
         isinstance(value, list)
         and len(value) == len(checks)
@@ -69,12 +69,12 @@
 
 
 def map_of(check: Check, *, keys: Check = is_text) -> Check:
-    """A map whose names and values all fit."""
+    """A map whose keys and values are all valid."""
     return lambda value: isinstance(value, dict) and all(map(keys, value)) and all(map(check, value.values()))
 
 
 def record_of(*, required: Mapping[str, Check], optional: Mapping[str, Check] | None = None) -> Check:
-    """A map with all the required fields, and optional ones that fit where they are there; others are ignored."""
+    """A map with all the required fields, and valid optional ones where present; other fields are ignored."""
     allowed = optional or {}
 
     def check(value: object) -> bool:
@@ -88,9 +88,9 @@
 
 
 def either_of(*checks: Check) -> Check:
-    """What fits one of them."""
+    """A value that one of these checks accepts."""
     return lambda value: any(check(value) for check in checks)
 
 
 is_proxy_row = row_of(is_text, is_text, is_text, is_text, is_flag)
-"""A proxy as controllers tell it: [name, address, zone, region, is it fit]."""
+"""A proxy as controllers report it: [name, address, zone, region, is it ready]."""
--- a/sailward/state_machines/__init__.py
+++ b/sailward/state_machines/__init__.py
@@ -1,4 +1,4 @@
-"""State charts as data files, and their interpreter."""
+"""State machines as data files, and their interpreter."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Chart:
-    """A state chart read from a data file."""
+    """A state machine read from a data file."""
 
     def __init__(self, *, name: str) -> None:
         chart = json.loads((FOLDER / f"{name}.json").read_text("utf-8"))
@@ -18,5 +18,5 @@
         self._moves: dict = chart["moves"]
 
     def step(self, *, state: str, event: str) -> str:
-        """The state after this event: the same one if the chart names no move."""
+        """The state after this event: the same one if the file has no transition for it."""
         return self._moves[state].get(event, state)
--- a/sailward/wire_names.py
+++ b/sailward/wire_names.py
@@ -1,6 +1,6 @@
-"""Names of the headers that say things about an exchange.
+"""Names of the headers that carry information about an exchange.
 
-The product's own by default, a platform's if it hands in others.
+sailward's own names are the default; an adapter may hand in those of its platform.
 """
 
 from __future__ import annotations
@@ -12,11 +12,15 @@
 class WireNames:
     """Header names, all in lower case.
 
-    exchange_id: the exchange's id, echoed by a worker's answer. time_budget: ms left. expected_worker: the identity
-    that the worker must have. answered_by: the identity that a health answer tells. not_run: says with `not_run_value`
-    ("" for any value) that the worker did not run the exchange. slow_start: s that the worker is still cold. shard_key:
-    the key of a divided service. handover: a part's hand-over. response_marker: a header that every whole answer of a
-    worker has ("" for none).
+    - exchange_id: the id of the exchange, echoed by the worker's answer
+    - time_budget: the ms left for the exchange
+    - expected_worker: the identity that the worker must have
+    - answered_by: the identity of the worker that answered
+    - not_run: with `not_run_value` ("" for any value), it says that the worker did not run the exchange
+    - slow_start: the s for which the worker is still cold
+    - shard_key: the key of a sharded service
+    - handover: the hand-over of a shard
+    - response_marker: a header that every complete answer of a worker has ("" for none)
     """
 
     exchange_id: str = "sailward-exchange"
@@ -32,7 +36,7 @@
 
 
 def has_other_exchange_id(*, request_id: str, response_id: str) -> bool:
-    """Whether an answer bears the id of another request than the one it would be given to.
+    """Whether an answer carries the id of a request other than the one that it was received for.
 
     A request without an id (a health probe, a grant) takes only answers without one.
     """
--- a/sailward/wire_types.py
+++ b/sailward/wire_types.py
@@ -1,4 +1,4 @@
-"""What a register holds, and the order of the attempts to change it, as they stand in messages and records."""
+"""Types of register values, ballots, messages and records, in the form in which they are sent and stored."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class RegisterValue(TypedDict):
-    """A register's value: the number of its changes, the id of the last one, ids of those before it, and its text."""
+    """A register's value: the number of its changes, the id of the last one, the ids of earlier ones, and its text."""
 
     number: int
     mark: str
@@ -15,10 +15,10 @@
 
 
 Ballot: TypeAlias = list[Any]
-"""[round, proposer]: the order of attempts on one register. A list, as it stands so in messages and records."""
+"""[round, proposer]: the order of attempts on one register. A list, as in messages and records."""
 Message: TypeAlias = dict[str, Any]
-"""The fields of a message between daemons by name, as `check_message` lets them through; `kind` says which it is."""
+"""The fields of a message between daemons by name, as `check_message` accepts them; `kind` is the kind of message."""
 Record: TypeAlias = dict[str, Any]
-"""The fields of a record on the disk by name; `k` says which it is."""
+"""The fields of a record on the disk by name; `k` is the kind of record."""
 PeerEntry: TypeAlias = dict[str, Any]
-"""What a daemon says of itself in gossip, by the names of `ENTRY` in `discovery/peer_table.py`."""
+"""What a daemon reports of itself in gossip, under the names of `ENTRY` in `discovery/peer_table.py`."""
