--- a/sailward/__init__.py
+++ b/sailward/__init__.py
@@ -1,3 +1,3 @@
-"""sailward: a global load balancer that keeps each key of a sharded service at one worker."""
+"""sailward: a global load balancer with data residency (requests stay in the home regions of their tenants)."""
 
 __version__ = "0.2.0"
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -1,4 +1,4 @@
-"""Every owner is given every kind of event at any moment: none may end its process by an accident of dispatch."""
+"""Each owner handles each kind of event at any time: no event crashes its process because the owner lacks a handler."""
 
 from __future__ import annotations
 
@@ -38,8 +38,8 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class EventOfALaterVersion:
-    """An event that no owner knows."""
+class EventOfLaterVersion:
+    """An event type that no owner knows."""
 
 
 def make_location(*, kind: str) -> Location:
@@ -87,44 +87,46 @@
 }
 
 
-def test_the_union_of_events_names_every_event_that_an_edge_can_tell() -> None:
+def test_the_event_union_lists_every_event_that_an_edge_can_give() -> None:
     assert {type(event) for event in EVENTS} == set(events.Event.__args__)
 
 
 def test_each_public_class_of_the_module_is_an_event_or_a_command() -> None:
-    public = {one for _, one in inspect.getmembers(events, inspect.isclass) if one.__module__ == events.__name__}
+    public = {cls for _, cls in inspect.getmembers(events, inspect.isclass) if cls.__module__ == events.__name__}
     assert public - {events.UnexpectedEvents, events.RefusedInput} == {*events.Event.__args__, *events.Command.__args__}
 
 
 @pytest.mark.parametrize("owner", OWNERS)
 @pytest.mark.parametrize("event", EVENTS, ids=lambda event: f"{type(event).__name__}-{getattr(event, 'token', '')}")
 def test_every_owner_answers_every_event_with_commands(owner: str, event: object) -> None:
-    made = OWNERS[owner]()
-    commands = made.step(now=50.0, event=event)
+    instance = OWNERS[owner]()
+    commands = instance.step(now=50.0, event=event)
     assert all(isinstance(command, events.Command) for command in commands)
-    # and it goes on afterwards
-    made.step(now=50.1, event=TimerFired(wall=7.1))
+    # the owner goes on working afterwards
+    instance.step(now=50.1, event=TimerFired(wall=7.1))
 
 
 @pytest.mark.parametrize("owner", OWNERS)
-def test_an_event_that_an_owner_does_not_know_is_logged_and_counted_and_ends_nothing(owner: str) -> None:
-    made = OWNERS[owner]()
+def test_an_unknown_event_is_logged_and_counted_and_does_not_stop_the_owner(owner: str) -> None:
+    instance = OWNERS[owner]()
     for count in (1, 2):
-        commands = made.step(now=50.0, event=EventOfALaterVersion())
+        commands = instance.step(now=50.0, event=EventOfLaterVersion())
         logs = [
             command for command in commands if isinstance(command, LogEvent) and command.event == "event-unexpected"
         ]
-        assert [log.fields for log in logs] == [{"type": "EventOfALaterVersion", "count": count}]
-    made.step(now=50.1, event=TimerFired(wall=7.1))
+        assert [log.fields for log in logs] == [{"type": "EventOfLaterVersion", "count": count}]
+    instance.step(now=50.1, event=TimerFired(wall=7.1))
 
 
-def test_an_unknown_event_is_no_tick() -> None:
+def test_an_unknown_event_is_not_handled_as_a_tick() -> None:
     proxy = make_proxy()
-    assert not [one for one in proxy.step(now=50.0, event=EventOfALaterVersion()) if isinstance(one, SendMessage)]
-    assert [one for one in proxy.step(now=50.0, event=TimerFired(wall=7.0)) if isinstance(one, SendMessage)]
+    commands = proxy.step(now=50.0, event=EventOfLaterVersion())
+    assert not [command for command in commands if isinstance(command, SendMessage)]
+    commands = proxy.step(now=50.0, event=TimerFired(wall=7.0))
+    assert [command for command in commands if isinstance(command, SendMessage)]
 
 
-def test_an_order_whose_caller_leaves_before_it_has_begun_is_dropped() -> None:
+def test_an_order_whose_client_disconnects_before_it_has_begun_is_dropped() -> None:
     net = make_net()
     machine = net.voting()[0]
     controller = machine.controller
@@ -133,14 +135,14 @@
     net.give(machine, event=event)
     net.give(machine, event=ClientDisconnected(token=token))
     net.run(10.0)
-    # one that closed only its side of the connection still reads
+    # a client that has closed only its sending side can still read the answer
     assert net.answers[token].code == 503 and b"nothing was changed" in net.answers[token].body
     assert not controller.admin_api.jobs
     orders = controller.learner.values.get("orders")
     assert orders is None or "gdl-b" not in json.loads(orders.value["text"])["emptied"]
 
 
-def test_an_order_that_has_begun_goes_on_when_its_caller_leaves() -> None:
+def test_an_order_that_has_begun_goes_on_when_its_client_disconnects() -> None:
     net = make_net()
     machine = net.voting()[0]
     controller = machine.controller
@@ -150,12 +152,12 @@
     assert net.run(10.0, until=lambda: any(op.endswith("/change") for op in controller.admin_api.jobs))
     net.give(machine, event=ClientDisconnected(token=token))
     net.run(10.0)
-    # its answer has no reader any more, but is made as for any other order
+    # nobody reads the answer any more, but it is given as for any other order
     assert isinstance(net.answers[token], Respond) and net.answers[token].code == 200
     assert json.loads(controller.learner.values["orders"].value["text"])["emptied"] == ["gdl-b"]
 
 
-def test_another_caller_of_the_same_controller_is_not_touched() -> None:
+def test_an_order_of_another_client_of_the_same_controller_is_not_affected() -> None:
     net = make_net()
     machine = net.voting()[0]
     for zone in ("gdl-b", "ens-b"):
@@ -172,12 +174,12 @@
 
 
 @pytest.mark.parametrize("owner", [Controller, Proxy, TenantProxy, DirectoryServer])
-def test_each_owner_names_every_event_in_its_match(owner: type) -> None:
-    """The type checker proves the same by `Never` at the end of the match; this one needs no type checker."""
+def test_each_owner_lists_every_event_in_its_match(owner: type) -> None:
+    """The type checker proves the same by `Never` at the end of the match; this test needs no type checker."""
     tree = ast.parse(inspect.getsource(inspect.getmodule(owner)))
     matches = [
         {pattern.cls.id for pattern in ast.walk(node) if isinstance(pattern, ast.MatchClass)}
         for node in ast.walk(tree)
         if isinstance(node, ast.Match) and isinstance(node.subject, ast.Name) and node.subject.id == "event"
     ]
-    assert {one.__name__ for one in events.Event.__args__} in matches
+    assert {event_type.__name__ for event_type in events.Event.__args__} in matches
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -1,4 +1,4 @@
-"""Each invariant is violated by the fault that it is there for, and is counted, logged and shown."""
+"""Each invariant detects the fault that it guards against: the violation is counted and logged."""
 
 from __future__ import annotations
 
@@ -26,19 +26,19 @@
     harness.end()
 
 
-def make(**match: object) -> Bench:
+def make_bench(**match: object) -> Bench:
     return Bench(workers=[make_worker("w0")], plan=make_plan(**match))
 
 
-def leave(bench: Bench, token: str) -> list:
+def disconnect(bench: Bench, token: str) -> list:
     return bench.forwarder.step(now=bench.now, event=ClientDisconnected(token=token))
 
 
-def test_what_holds_is_neither_counted_nor_logged() -> None:
+def test_an_invariant_that_holds_is_neither_counted_nor_logged() -> None:
     assert not check(invariant=Invariant.CALLERS_WATCHED, holds=True) and not violations
 
 
-def test_a_close_that_is_not_reported_violates(edge) -> None:
+def test_a_disconnect_that_is_not_reported_is_a_violation(edge) -> None:
     with mock.patch.object(HttpServer, "_report_disconnect", lambda self, *, exchange, deliver: None):
         sock = edge.connect()
         sock.sendall(get())
@@ -47,7 +47,7 @@
         edge.until(lambda: violations[Invariant.DEPARTURES_REPORTED.value] > 0)
 
 
-def test_a_close_that_is_reported_violates_nothing(edge) -> None:
+def test_a_disconnect_that_is_reported_is_no_violation(edge) -> None:
     sock = edge.connect()
     sock.sendall(get())
     edge.wait(RequestReceived, 1)
@@ -57,7 +57,7 @@
     assert not violations
 
 
-def test_a_connection_that_is_not_watched_violates(edge) -> None:
+def test_a_connection_that_is_not_read_from_is_a_violation(edge) -> None:
     sock = edge.connect()
     sock.sendall(get())
     edge.wait(RequestReceived, 1)
@@ -72,31 +72,31 @@
     assert violations[Invariant.CALLERS_WATCHED.value] == 1
 
 
-def test_an_attempt_for_a_caller_that_has_left_violates() -> None:
-    bench = make()
+def test_an_attempt_for_a_client_that_has_disconnected_is_a_violation() -> None:
+    bench = make_bench()
     while calls(bench.ask()):
         pass
     [waiting] = bench.forwarder.waiting.values()
     waiting.is_left = True
-    first = next(iter(bench.forwarder.calls))
-    call = mock.Mock(token=first, headers={"x-id": bench.forwarder.calls[first].name})
+    token = next(iter(bench.forwarder.calls))
+    call = mock.Mock(token=token, headers={"x-id": bench.forwarder.calls[token].name})
     [log] = logs(bench.back(call=call), event="invariant-violated")
     assert log.fields["invariant"] == "departed-not-served" and violations == {"departed-not-served": 1}
 
 
-def test_a_run_that_is_not_ended_violates() -> None:
-    bench = make()
+def test_an_attempt_that_is_not_cancelled_after_the_disconnect_is_a_violation() -> None:
+    bench = make_bench()
     bench.ask()
     with mock.patch.object(Forwarder, "_end", lambda self, *, request: []):
-        leave(bench, "front 1")
+        disconnect(bench, "front 1")
     [log] = logs(bench.wait(constants.TICK_INTERVAL), event="invariant-violated")
     assert log.fields == {"invariant": "departed-not-running", "attempts": 1}
 
 
 @pytest.mark.parametrize("kind", ["repeatable", "once"])
-def test_a_departure_that_is_dealt_with_violates_nothing(kind: str) -> None:
-    bench = make(kind=kind)
+def test_a_disconnect_that_is_handled_is_no_violation(kind: str) -> None:
+    bench = make_bench(kind=kind)
     bench.ask()
-    leave(bench, "front 1")
+    disconnect(bench, "front 1")
     bench.wait(constants.TICK_INTERVAL)
     assert not violations
