--- a/sailward/constants/base.py
+++ b/sailward/constants/base.py
@@ -20,8 +20,8 @@
 OPERATION_TIMEOUT = 3.0
 """Seconds. An operator's change that is not settled by then is refused, or its outcome is unknown."""
 CLAIM_TIMEOUT = 1.0
-"""Seconds that an exchange that isn't repeatable waits for its claim at most: a patient client bears this, a held one
-would not."""
+"""Seconds that an exchange that isn't repeatable waits for its claim at most: clients tolerate this much, and a longer
+wait would count as holding the exchange."""
 CLAIM_TTL = 1800.0
 """Seconds that an idempotency key is remembered after its claim: 100,000 keys at the larger of today's sizes, each 1.06
 kB of memory and 0.28 kB of disk. A later repeat may run again, unless its key carries its time."""
@@ -108,7 +108,7 @@
 TENANT_QUEUE_LENGTH = 64
 """Number of exchanges that may wait for one tenant; more are refused at once."""
 QUEUE_TIMEOUT = 0.5
-"""Seconds that an exchange may be queued before it is refused: it is never held."""
+"""Seconds that an exchange may be queued before it is refused, so that it is never held."""
 DEFAULT_SERVICE_TIMEOUT = 3.0
 """Seconds that an exchange may take at a worker, where its service does not say."""
 RETRY_BUDGET_RATIO = 0.15
--- a/sailward/constants/hosted.py
+++ b/sailward/constants/hosted.py
@@ -149,7 +149,8 @@
 """Number of keys of a sharded service that are counted together: one that is far busier than its neighbours stands
 out."""
 QUEUE_WAIT_RATIO = 0.25
-"""Fraction of a route's target that a request may be queued: one that is refused later has been held."""
+"""Fraction of a route's target that a request may be queued before it is sent to a worker: refusing it later counts as
+holding it."""
 MIN_REMAINING_TIME = 0.02
 """Seconds to the deadline below which nothing is sent any more: no worker is as quick."""
 MAX_UNREACHABLE_WORKERS = 3
