--- a/sailward/proxy/__init__.py
+++ b/sailward/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The proxy and directory processes: owners without I/O."""
+"""The proxy and directory processes, as state machines without I/O."""
--- a/sailward/proxy/control_client.py
+++ b/sailward/proxy/control_client.py
@@ -1,9 +1,9 @@
-"""A proxy's way to the core: the two nearest controllers that answer and may serve, asked for news in turn.
+"""A proxy's client of the controllers: polls the two nearest that answer and have quorum contact.
 
-Each answer says whether its controller has contact with a majority of the voters (an answer of the last version, which
-does not say, counts as yes). One that has none is not followed while another can be reached. If for LAST_RESORT_DELAY
-none with contact answered, the nearest that answers at all is followed: what it holds was chosen once, and serving on
-with the last known state is better than not serving.
+Each answer says whether its controller has contact with a majority of the voters; an answer of the previous version,
+which lacks the field, counts as yes. A controller without contact is not followed while one with contact can be
+reached. If no controller with contact has answered for LAST_RESORT_DELAY, the nearest that answers at all is followed:
+the state it holds was chosen by a quorum once, and serving with the last known state is better than not serving.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 @dataclass(kw_only=True)
 class ControllerState:
-    """One controller as this proxy knows it."""
+    """A controller that this proxy knows."""
 
     post: str
     zone: str = ""
@@ -33,9 +33,9 @@
 
 @dataclass(kw_only=True)
 class ControlClient:
-    """Owner of the askings.
+    """Keeps the known controllers and polls them.
 
-    `step` takes an answer's sender, or None for time going on; `lead` is whose lists are believed.
+    `step` takes the sender of an answer, or None on a timer tick; `lead` is the controller whose lists are used.
     """
 
     zone: str
@@ -49,7 +49,7 @@
     trusted_at: float = NEVER
 
     def step(self, *, now: float, sender: str | None, body: Message) -> list[Command]:
-        """Note who answered, or ask those whose turn it is with this body."""
+        """Record the controller that answered, or send this body to the controllers that are due for a poll."""
         if sender is not None:
             known = self.known.setdefault(sender, ControllerState(post=sender))
             known.last_reply_at, known.unanswered = now, 0
@@ -77,9 +77,9 @@
         return commands
 
     def learn(self, *, controllers: list) -> None:
-        """Take the core as a controller tells it: [[post, zone, region], ...].
+        """Apply the list of controllers that a controller sent: [[post, zone, region], ...].
 
-        Those it does not name go, unless they answer or are seeds.
+        Controllers that are not in the list are dropped, unless they may still answer or are seeds.
         """
         told = {post: (zone, region) for post, zone, region in controllers}
         for post, (zone, region) in told.items():
@@ -92,7 +92,7 @@
         }
 
     def _record_named(self, *, named: object) -> None:
-        """Note the other controllers that one without contact names."""
+        """Record the other controllers that a controller without quorum contact names."""
         for row in named if isinstance(named, list) else ():
             if isinstance(row, list) and len(row) == 3 and all(isinstance(word, str) for word in row):
                 post, zone, region = row
@@ -101,15 +101,15 @@
                     self.next_at = NEVER
 
     def is_last_resort(self, *, now: float) -> bool:
-        """Has no controller with contact answered for so long that one without is followed?"""
+        """Has no controller with contact answered for so long that one without contact is followed?"""
         return self.began != NEVER and now - max(self.began, self.trusted_at) > constants.LAST_RESORT_DELAY
 
     def answers(self, *, now: float) -> bool:
-        """Has any controller answered of late?"""
+        """Has any controller answered within CONTROLLER_TIMEOUT?"""
         return any(now - known.last_reply_at < constants.CONTROLLER_TIMEOUT for known in self.known.values())
 
     def _may_answer(self, *, known: ControllerState) -> bool:
-        """Is it not known to be silent, and was it named or heard of within the time that a daemon is remembered?"""
+        """Has it not missed too many polls, and was it named or has it answered within PEER_TTL?"""
         return (
             known.unanswered < constants.MAX_LOST_POLLS
             and self.next_at - max(known.last_reply_at, known.named) < constants.PEER_TTL
@@ -119,7 +119,7 @@
         return (known.zone != self.zone, known.region != self.region, known.zone == "", known.post)
 
     def _is_silent(self, *, known: ControllerState, now: float) -> bool:
-        """Is it one that is only tried now and then?"""
+        """Is it polled only now and then, as it does not answer or has no quorum contact?"""
         if not known.has_contact and (known.post != self.lead or not self.is_last_resort(now=now)):
             return True
         return known.unanswered >= constants.MAX_LOST_POLLS and now - known.last_reply_at > constants.CONTROLLER_TIMEOUT
@@ -133,7 +133,7 @@
         if best is None or best.post == self.lead:
             return []
         if not self.lead and best.zone != self.zone and now - self.began < constants.SAME_ZONE_CONTROLLER_WAIT:
-            # a nearer one may answer in a moment: its lists need not cross regions
+            # a nearer controller may answer soon: its lists do not have to cross regions
             return []
         if lead is not None and lead in able and self._rank(lead)[:2] <= self._rank(best)[:2]:
             return []
@@ -145,7 +145,7 @@
             (known for known in self.known.values() if not self._is_silent(known=known, now=now)), key=self._rank
         )
         chosen = able[: constants.CONTROLLERS_POLLED]
-        # who is silent is tried now and then, the nearest and the longest unasked first
+        # silent controllers are polled now and then, the least recently polled first, then the nearest
         silent = sorted(
             (
                 known
--- a/sailward/proxy/directory.py
+++ b/sailward/proxy/directory.py
@@ -1,4 +1,4 @@
-"""The directory: the addresses of proxies fit to serve, nearest first, as the core told them."""
+"""The directory: the addresses of proxies that are fit to serve, nearest first, as received from controllers."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 @dataclass(kw_only=True)
 class Directory:
-    """Owner of the fleet as the directory tells it. `step` answers who asks for addresses."""
+    """Keeps the list of proxies. `step` answers a request for their addresses."""
 
     location: Location
     rows: list = field(default_factory=list)
     number: int = -1
 
     def learn(self, *, rows: list) -> None:
-        """Take the proxies: [[name, address, zone, region, is_fit], ...]."""
+        """Replace the list of proxies: [[name, address, zone, region, is_fit], ...]."""
         self.rows = rows
 
     def step(self, *, event: RequestReceived, is_ready: bool) -> Respond:
-        """The proxies of the caller's region, or all if it has none."""
+        """Answer with the fit proxies of the caller's region, or with all fit proxies if that region has none."""
         if event.method != "GET" or event.path != "/proxies":
             return answer_json(token=event.token, code=404, body={"error": "unknown", "detail": "GET /proxies"})
         zone, region = event.query.get("hall", self.location.zone), event.query.get("region", self.location.region)
--- a/sailward/proxy/directory_server.py
+++ b/sailward/proxy/directory_server.py
@@ -1,4 +1,4 @@
-"""The whole of a directory: the addresses of proxies fit to serve, nearest first."""
+"""A directory process: serves the addresses of proxies that are fit to serve, nearest first."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class DirectoryServer:
-    """Owner of a directory process. It decides no failover: it names who says of itself that it is fit."""
+    """The state machine of a directory. It decides no failover: it lists the proxies that report themselves as fit."""
 
     def __init__(self, *, location: Location, start: int, rng: random.Random) -> None:
         self.location = location
@@ -37,7 +37,7 @@
         self._rng = rng
 
     def step(self, *, now: float, event: Event) -> list[Command]:
-        """Answer one event with commands."""
+        """Handle one event; returns the commands to execute."""
         match event:
             case MessageReceived():
                 if event.body["kind"] == "gossip":
@@ -50,10 +50,10 @@
             case TimerFired():
                 return self.peer_table.step(now=now, event=None)
             case ClientDisconnected():
-                # each request is answered as it comes: nothing is under way for one who left
+                # requests are answered at once: nothing is in flight for a client that has disconnected
                 return []
             case CallFinished() | RecordsSynced() | DiskWriteFailed() | ConfigValidated():
-                # a directory calls nobody, has no disk, and checks no configuration
+                # a directory makes no calls, has no disk, and validates no configuration
                 return self.unexpected.add(event=event)
             case _:
                 return self.unexpected.add_unknown(event=event)
@@ -70,7 +70,7 @@
         zone = event.query.get("hall", self.location.zone)
         region = event.query.get("region", self.location.region)
         fit = [entry for entry in self.peer_table.alive(kind="proxy") if entry["fit"]]
-        # nearest first; among the equally near, one caller keeps its order and callers differ
+        # nearest first; the order of equally near proxies is fixed for a caller and differs between callers
         who = event.query.get("caller", event.token)
         fit.sort(
             key=lambda entry: (entry["hall"] != zone, entry["region"] != region, score_pair(key=who, name=entry["id"]))
--- a/sailward/proxy/proxy.py
+++ b/sailward/proxy/proxy.py
@@ -1,6 +1,6 @@
-"""The whole of a proxy for routes by host.
+"""A proxy process that routes by host.
 
-What the core tells, the evidence on workers, requests, the directory, stopping.
+Handles the data pushed by controllers, worker health, requests, the directory, and shutdown.
 """
 
 from __future__ import annotations
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ProxyOptions:
-    """What a deployment sets: the words of its wire, its bounds (s), its regions."""
+    """Settings of a deployment: the names used on the wire, the regions, and the limits (times in s)."""
 
     names: WireNames = WireNames()
     regions: tuple = ()
@@ -69,7 +69,7 @@
 
 
 class Proxy:
-    """Owner of a proxy process. `step` takes one event and gives commands."""
+    """The state machine of a proxy. `step` takes one event and returns commands."""
 
     def __init__(self, *, location: Location, start: int, rng: random.Random, options: ProxyOptions) -> None:
         self.location, self.start, self.options = location, start, options
@@ -98,7 +98,7 @@
         self._heartbeat = 0
 
     def step(self, *, now: float, event: Event) -> list[Command]:
-        """Answer one event with commands."""
+        """Handle one event; returns the commands to execute."""
         match event:
             case RequestReceived():
                 return self._on_request(now=now, event=event)
@@ -115,14 +115,14 @@
             case TimerFired():
                 return self._on_timer(now=now)
             case RecordsSynced() | DiskWriteFailed() | ConfigValidated():
-                # a proxy has no disk, and checks no configuration
+                # a proxy has no disk, and validates no configuration
                 return self.unexpected.add(event=event)
             case _:
                 return self.unexpected.add_unknown(event=event)
 
     @property
     def is_ready(self) -> bool:
-        """May callers be sent here?"""
+        """May clients be sent to this proxy?"""
         return (
             bool(self.context.plan.number)
             and self.lists["workers"][1] >= 0
@@ -156,7 +156,7 @@
                 return [ack]
             commands = (self._take_workers if name == "workers" else self._take_fleet)(now=now, value=value)
             if commands is None:
-                # what can't be read is not acknowledged: it is pushed again
+                # an unreadable list is not acknowledged, so that it is pushed again
                 return self.refused.add(kind=name, reason=UNREADABLE_LIST)
             self.lists[name] = (sender, value["number"])
             return [*commands, ack]
@@ -238,7 +238,7 @@
         }
         lead = self.control_client.lead
         have = {name: [learned.value["number"]] for name, learned in self.learner.values.items()}
-        # lists have numbers of each controller's own: only the leading one's are wanted, and none before there is one
+        # each controller numbers its own lists: only those of the followed one are sent, none before there is one
         have |= {
             name: [number if teller == lead else -1, lead or "none"] for name, (teller, number) in self.lists.items()
         }
@@ -256,9 +256,9 @@
         )
 
     def _take_paces(self) -> dict:
-        """Times in ms by worker, for divided services.
+        """Response times in ms by worker, for sharded services.
 
-        Only of this region's workers, as others' times hold the way there.
+        Only for workers of this region, as the times of others include the latency between regions.
         """
         workers = {key: self.passive_health.shown[key].worker for key in self.passive_health.shown}
         divided = {name for name, service in self.context.plan.services.items() if service.ranged}
@@ -297,7 +297,7 @@
         )
         if self.stopping != "over":
             return commands
-        # what no worker has answered by now gets its answer from here: a closed connection would say nothing
+        # requests that no worker has answered by now are answered here: a closed connection would give no reason
         return [*commands, *self.forwarder.end_all(now=now), ExitProcess(code=0)]
 
     def _show(self, *, now: float) -> dict:
--- a/sailward/proxy/tenant_proxy.py
+++ b/sailward/proxy/tenant_proxy.py
@@ -1,4 +1,4 @@
-"""The whole of a proxy: lease, worker status, draw, exchanges."""
+"""A proxy process that routes by tenant: lease, worker status, load balancing, exchanges."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 class TenantProxy:
-    """Owner of a proxy process. `step` takes one event and gives commands."""
+    """The state machine of a proxy. `step` takes one event and returns commands."""
 
     def __init__(self, *, location: Location, nonce: str, start: int, rng: random.Random, now: float) -> None:
         self.location = location
@@ -78,7 +78,7 @@
         self._ops = 0
 
     def step(self, *, now: float, event: Event) -> list[Command]:
-        """Answer one event with commands."""
+        """Handle one event; returns the commands to execute."""
         return [
             replace(command, begin_by=self.lease.until(voters=self.learner.voters()))
             if isinstance(command, StartCall) and command.token.startswith("x ")
@@ -101,7 +101,7 @@
             case ClientDisconnected():
                 return self.exchanges.leave(now=now, token=event.token)
             case RecordsSynced() | DiskWriteFailed() | ConfigValidated():
-                # a proxy has no disk, and checks no configuration
+                # a proxy has no disk, and validates no configuration
                 return self.unexpected.add(event=event)
             case _:
                 return self.unexpected.add_unknown(event=event)
@@ -112,7 +112,7 @@
         return [LogEvent(event="stopping", fields={"open": len(self.exchanges.live)})]
 
     def acting(self, *, now: float) -> bool:
-        """May this proxy act on what it holds?"""
+        """Does this proxy hold a valid lease and a worker list, so that it may route requests?"""
         return (
             self.lease.is_valid(now=now, voters=self.learner.voters())
             and self.routing_state.endpoint_table.revision[1] >= 0
@@ -191,7 +191,7 @@
         ack = SendMessage(to=sender, body={"kind": "ack", "seq": body["seq"], "name": name, "number": body["number"]})
         if name == "workers":
             commands = self._take_list(now=now, value=value)
-            # what can't be read is not acknowledged: it is pushed again
+            # an unreadable list is not acknowledged, so that it is pushed again
             return [*commands, ack] if commands is not None else self.refused.add(kind=name, reason=UNREADABLE_LIST)
         if not is_control(name=name):
             return [LogEvent(event="push-unexpected", fields={"name": name})]
--- a/sailward/routing/active_health.py
+++ b/sailward/routing/active_health.py
@@ -1,4 +1,4 @@
-"""Status of workers by this proxy's own probes."""
+"""Active health checks: worker status from this proxy's own probes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(kw_only=True)
 class Probed:
-    """What is known of one worker of one generation."""
+    """Probe status of one generation of a worker."""
 
     worker: Worker
     state: str = CHART.initial
@@ -26,17 +26,17 @@
 
     @property
     def healthy(self) -> bool:
-        """May it be sent exchanges, as far as probes tell?"""
+        """May exchanges be sent to it, according to the probes?"""
         return self.state in CHART.marks["healthy"]
 
     @property
     def known(self) -> bool:
-        """Has any probe ended?"""
+        """Has any probe finished?"""
         return self.state in CHART.marks["known"]
 
 
 class Prober:
-    """Owner of the workers' status. `step` takes a probe's end, or None for time going on."""
+    """Keeps the status of every worker. `step` takes a finished probe, or None on a timer tick."""
 
     def __init__(self, *, rng: random.Random) -> None:
         self._rng = rng
@@ -44,19 +44,19 @@
         self._probes = 0
 
     def step(self, *, now: float, event: CallFinished | None) -> list[Command]:
-        """Judge one probe, or begin those that are due."""
+        """Evaluate a finished probe, or start the probes that are due."""
         if event is not None:
             return self._judge(now=now, event=event)
         commands: list[Command] = []
         for key, probed in self.probed.items():
             if probed.token and now > probed.next_at + 2 * constants.PROBE_TIMEOUT:
-                probed.token = ""  # its end was lost on the way
+                probed.token = ""  # the result of this probe was lost
             if not probed.token and now >= probed.next_at:
                 commands.append(self._probe(now=now, key=key, probed=probed))
         return commands
 
     def follow(self, *, now: float, workers: dict[str, Worker], warm: dict) -> list[Command]:
-        """Take the newest list; `warm` tells how long others have seen a worker in good status."""
+        """Apply the newest worker list; `warm` holds how long (s) others have seen a worker in good status."""
         commands: list[Command] = [CloseConnections(owner=key) for key in self.probed if key not in workers]
         self.probed = {key: probed for key, probed in self.probed.items() if key in workers}
         for key, worker in workers.items():
@@ -69,7 +69,7 @@
         return commands
 
     def mark(self, *, now: float, key: str, event: str) -> list[Command]:
-        """Fold what an exchange told of a worker: `refused` or `stranger`."""
+        """Apply the result of an exchange to a worker: `refused` or `stranger`."""
         probed = self.probed.get(key)
         return self._move(now=now, probed=probed, event=event) if probed else []
 
--- a/sailward/routing/concurrency_limits.py
+++ b/sailward/routing/concurrency_limits.py
@@ -1,4 +1,4 @@
-"""Rate bounds of workers, counted over all pools; cold workers rise from a small bound."""
+"""Rate limits of workers, shared by all pools; the limit of a cold worker rises from a small rate (slow start)."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 @dataclass(kw_only=True)
 class Bucket:
-    """What a worker may still be sent."""
+    """Token bucket: the number of requests that may be sent to a worker now, as of time `at`."""
 
     level: float
     at: float
 
 
 class ConcurrencyLimits:
-    """Owner of this proxy's part of each worker's bound. `step` asks for one exchange's place."""
+    """Keeps this proxy's share of each worker's rate limit. `step` takes one token for an exchange."""
 
     def __init__(self) -> None:
         self._buckets: dict[str, Bucket] = {}
 
     def step(self, *, now: float, key: str, service: Service, warm: float, proxies: int) -> bool:
-        """Take a place at the worker if its bound has one."""
+        """Take one token from the worker's bucket; False if it has none."""
         bucket = self._fill(now=now, key=key, service=service, warm=warm, proxies=proxies)
         if bucket.level < 1.0:
             return False
@@ -31,7 +31,7 @@
         return True
 
     def forget(self, *, now: float, keep: set[str]) -> None:
-        """Drop the workers that are no longer listed, and the keys that have gone quiet."""
+        """Drop the buckets of workers that are no longer listed, and of keys without requests for RETRY_BUDGET_WINDOW."""
         self._buckets = {
             key: bucket
             for key, bucket in self._buckets.items()
@@ -50,7 +50,7 @@
 
 
 def rate_of(*, service: Service, warm: float) -> float:
-    """The bound of a worker that has been in good status for `warm` seconds."""
+    """The rate limit (requests per s) of a worker that has been in good status for `warm` seconds."""
     if service.slow_start_ramp <= 0 or warm >= service.slow_start_ramp:
         return service.rate
     slow_start = min(service.slow_start_rate, service.rate)
--- a/sailward/routing/endpoint_selection.py
+++ b/sailward/routing/endpoint_selection.py
@@ -1,4 +1,4 @@
-"""Which worker serves a request: pool by weight, zone by tier and health, worker by two random choices."""
+"""Selects the worker for a request: pool by weight, zone by tier and health, worker by two random choices."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @dataclass(kw_only=True)
 class SelectionContext:
-    """What a proxy knows, folded from what it heard; placing reads it."""
+    """The routing data that a proxy has received from controllers; endpoint selection reads it."""
 
     name: str
     zone: str
@@ -39,11 +39,11 @@
     leave_after: float = constants.LEASE_DURATION
 
     def follow(self, *, workers: dict[str, Worker]) -> None:
-        """Take the newest list."""
+        """Replace the worker list with the newest one."""
         self.by_service = groupby(lambda worker: worker.service, workers.values())
 
     def counts(self) -> dict:
-        """{(service, zone): (listed, healthy, known)}; a leaving worker is listed and unhealthy."""
+        """{(service, zone): (listed, healthy, known)}; a leaving worker counts as listed and unhealthy."""
         counts: dict = {}
         for shown in self.passive_health.shown.values():
             zone_key = (shown.worker.service, shown.worker.zone)
@@ -54,7 +54,10 @@
 
 @dataclass(kw_only=True)
 class EndpointSelector:
-    """Owner of the open counts and cold bounds. `step` gives a worker, or why there is none."""
+    """Keeps the counts of open requests and the rate limits of cold workers.
+
+    `step` returns a worker, or the reason why there is none.
+    """
 
     context: SelectionContext
     rng: random.Random
@@ -62,10 +65,10 @@
     slow_start: dict = field(default_factory=dict)
 
     def step(self, *, now: float, request: Request) -> Worker | Refusal:
-        """The worker that is to run this request now; a refusal with `line` may be asked again shortly."""
+        """Select the worker that runs this request now, or return the reason why none can."""
         context = self.context
         if not request.is_drawn:
-            # by weight, before any health is looked at; retries stay with it
+            # drawn by weight before health is considered; retries stay with the drawn service
             request.service, request.is_drawn = self._draw_service(request=request), True
         if request.service.ranged:
             return self._find_owner(now=now, request=request)
@@ -92,11 +95,11 @@
         return Refusal(code=503, reason="no-room" if any(able.values()) else "no-worker")
 
     def took(self, *, key: str) -> None:
-        """A request was sent on to this worker."""
+        """Count a request that was forwarded to this worker."""
         self.open[key] = self.open.get(key, 0) + 1
 
     def left(self, *, key: str) -> None:
-        """A request ended at this worker."""
+        """Stop counting a request that has ended at this worker."""
         count = self.open.get(key, 1) - 1
         if count > 0:
             self.open[key] = count
@@ -111,7 +114,7 @@
         return plan.services[pool.service] if pool is not None else request.service
 
     def _near(self, *, pool: Pool, homes: frozenset) -> Pool:
-        """The pool with its tiers as they stand from here, or from home where that is elsewhere."""
+        """The pool with its tiers relative to this region, or to a home region if this is not one."""
         if not pool.near:
             return pool
         region = self.context.region if not homes or self.context.region in homes else sorted(homes)[0]
@@ -150,7 +153,7 @@
         return sum(calms) / len(calms) if calms else 0.0
 
     def _slow_start_ages(self, *, now: float, service: str) -> dict[str, float]:
-        """What the warm workers of each zone bear beside each other: their number, by their speeds."""
+        """The relative capacity of each zone: the sum of the speeds of its warm workers."""
         past_slow_start: dict[str, float] = {}
         mean = self._mean(service=service)
         for worker in self.context.by_service.get(service, ()):
@@ -201,9 +204,10 @@
         return (self.open.get(shown.worker.key, 0) + 1) * (shown.pace or constants.DEFAULT_WORKER_LATENCY)
 
     def _has_capacity(self, *, shown: Shown) -> bool:
-        """May this proxy have one more open at the worker?
+        """May this proxy have one more request open at the worker?
 
-        Its even part of what all may, or the window that the worker's pace allows.
+        The limit is this proxy's even share of the worker's total, scaled, but at most the concurrency window
+        that the worker's response times allow.
         """
         total_capacity = (shown.worker.capacity or constants.DEFAULT_WORKER_CAPACITY) * constants.WORKER_QUEUE_DEPTH
         part = -(-total_capacity // max(1, self.context.proxies))
@@ -211,7 +215,10 @@
         return self.open.get(shown.worker.key, 0) < max(1.0, most)
 
     def _is_within_limits(self, *, now: float, shown: Shown, request: Request) -> bool:
-        """Has the cold worker's bound room for one from here? Only the few proxies that hashing names send to it."""
+        """Does the rate limit of a cold worker admit a request from this proxy?
+
+        Only the few proxies that rendezvous hashing chooses send to a cold worker.
+        """
         context, key = self.context, shown.worker.key
         names = [
             name for name, region in context.peers.items() if region == context.regions.get(shown.worker.zone)
@@ -246,7 +253,7 @@
             return Refusal(code=503, reason="owner-lost")
         worker = shown.worker
         if now - shown.leaving_since > context.leave_after:
-            # its keys should have moved by now: it must not be sent anything any more
+            # its keys should have moved by now: it must not be sent any more requests
             return Refusal(code=503, reason="owner-lost")
         if (
             request.rejected
--- a/sailward/routing/explain.py
+++ b/sailward/routing/explain.py
@@ -1,4 +1,4 @@
-"""Why a request would go where: the selection, told without making it."""
+"""Explains how a request would be routed, without routing it."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def explain(*, now: float, query: dict[str, str], load_balancer: LoadBalancer, acting: bool) -> dict:
-    """What this proxy would do with such a request now, by the operators' words."""
+    """The routing of a request with these query parameters at this proxy now, in the terms of the configuration."""
     routing_state = load_balancer.routing_state
     explanation: dict = {
         "acting": acting,
--- a/sailward/routing/load_balancer.py
+++ b/sailward/routing/load_balancer.py
@@ -1,4 +1,4 @@
-"""Choosing the worker: pool by weight, zone by share, worker by two random choices."""
+"""Selects the worker for a request: pool by weight, zone by share, worker by two random choices."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(kw_only=True)
 class LoadBalancer:
-    """Owner of the open counts and bounds by worker. `step` gives a worker or a refusal."""
+    """Keeps the counts of open requests and the rate limits by worker. `step` returns a worker or a refusal."""
 
     rng: random.Random
     routing_state: RoutingState
@@ -24,7 +24,7 @@
     open: dict = field(default_factory=dict)
 
     def step(self, *, now: float, exchange: ProxiedRequest) -> Worker | Refusal:
-        """The worker that is to run this exchange; takes its place in the bound."""
+        """Select the worker that runs this exchange, and count the exchange against its rate limit."""
         if exchange.service.slots:
             return self._find_owner(now=now, exchange=exchange)
         if not exchange.pool:
@@ -68,7 +68,7 @@
         return worker
 
     def _may_serve(self, *, worker: Worker, homes: frozenset[str]) -> bool:
-        """Is the owner of a key healthy, and where the request's tenant may be served?"""
+        """Is the owner of a key healthy, and in a zone that may serve the request's tenant?"""
         routing_state = self.routing_state
         probed = routing_state.prober.probed.get(worker.key)
         return (
@@ -80,7 +80,7 @@
         )
 
     def _refuse_over_limit(self, *, now: float, exchange: ProxiedRequest, owner: str) -> Refusal | None:
-        """Why a key's owner takes nothing more now, by the key's own bound and the worker's; None if it does."""
+        """The refusal if the rate limit of the key or of its owner is reached; None if the exchange may be sent."""
         routing_state, service = self.routing_state, exchange.service
         hot = replace(service, rate=service.rate * constants.HOT_KEY_SHARE)
         if not self.bounds.step(
@@ -102,7 +102,7 @@
         return None
 
     def stands(self, *, exchange: ProxiedRequest) -> bool:
-        """May the worker chosen a moment ago still be sent this exchange?"""
+        """May this exchange still be sent to the worker that was chosen for it earlier?"""
         routing_state, worker = self.routing_state, exchange.chosen
         probed = routing_state.prober.probed.get(worker.key)
         if (
@@ -119,11 +119,11 @@
         return owned is not None and owned.is_open and (owned.owner, owned.term) == (worker.key, exchange.term)
 
     def took(self, *, key: str) -> None:
-        """An exchange was sent on to this worker."""
+        """Count an exchange that was forwarded to this worker."""
         self.open[key] = self.open.get(key, 0) + 1
 
     def left(self, *, key: str) -> None:
-        """An exchange ended at this worker."""
+        """Stop counting an exchange that has ended at this worker."""
         count = self.open.get(key, 1) - 1
         if count > 0:
             self.open[key] = count
--- a/sailward/routing/passive_health.py
+++ b/sailward/routing/passive_health.py
@@ -1,4 +1,4 @@
-"""Condition of workers by what exchanges show; only those in doubt are probed."""
+"""Passive health checks: worker health from the results of exchanges; only workers in doubt are probed."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(kw_only=True)
 class Shown:
-    """What is known of one worker."""
+    """Health and load of one worker, as observed by this proxy."""
 
     worker: Worker
     state: str = CHART.initial
@@ -36,19 +36,19 @@
     missed: int = 0
 
     def speed(self, *, mean: float) -> float:
-        """How fast it is beside its service's mean time when calm: 1.0 until it has shown it."""
+        """Speed relative to the service: mean unloaded response time / its own, clamped; 1.0 until it is measured."""
         if not self.calm or not mean:
             return 1.0
         return min(constants.MAX_SPEED_RATIO, max(1 / constants.MAX_SPEED_RATIO, mean / self.calm))
 
     @property
     def is_healthy(self) -> bool:
-        """May it be sent exchanges?"""
+        """May exchanges be sent to it?"""
         return self.state in CHART.marks["healthy"]
 
 
 class PassiveHealth:
-    """Owner of the workers' conditions. `step` takes a probe's end, or None for time going on."""
+    """Keeps the health of every worker. `step` takes a finished probe, or None on a timer tick."""
 
     def __init__(self, *, names: WireNames, rng: random.Random) -> None:
         self._names, self._rng = names, rng
@@ -57,7 +57,7 @@
         self._probes = 0
 
     def step(self, *, now: float, event: CallFinished | None, plan: Plan) -> list[Command]:
-        """Judge one probe, or begin those that are due."""
+        """Evaluate a finished probe, or start the probes that are due."""
         if event is not None:
             return self._judge(now=now, event=event)
         commands: list[Command] = []
@@ -67,7 +67,7 @@
         return commands
 
     def follow(self, *, now: float, workers: dict[str, Worker]) -> list[Command]:
-        """Take the newest list."""
+        """Apply the newest worker list."""
         commands: list[Command] = [CloseConnections(owner=key) for key in self.shown if key not in workers]
         self.shown = {key: shown for key, shown in self.shown.items() if key in workers}
         for key, worker in workers.items():
@@ -82,7 +82,7 @@
         return commands
 
     def begin_slow_start(self, *, now: float, zone: str, plan: Plan) -> None:
-        """The workers of this zone may have gone cold: its emptying has ended."""
+        """Put the workers of this zone in slow start: its evacuation has ended, and they may have gone cold."""
         for shown in self.shown.values():
             service = plan.services.get(shown.worker.service)
             if shown.worker.zone == zone and service is not None:
@@ -91,9 +91,9 @@
                 )
 
     def hint(self, *, now: float, down: list) -> None:
-        """Others call these workers unreachable.
+        """Avoid workers that other proxies report as unreachable.
 
-        They are passed over for a while, unless one has just answered here.
+        They are avoided for UNREACHABLE_HINT_TTL, except those that have just answered this proxy.
         """
         for key in down:
             shown = self.shown.get(key)
@@ -101,12 +101,12 @@
                 shown.shunned_until = now + constants.UNREACHABLE_HINT_TTL
 
     def take_times(self) -> dict:
-        """{worker: [ms, ...]}: the times of answers since it was asked last."""
+        """{worker: [ms, ...]}: the response times since the last call."""
         times, self._times = self._times, {}
         return times
 
     def record_event(self, *, now: float, key: str, event: str, took: float = 0.0) -> list[Command]:
-        """Fold what an exchange showed: pass (in `took` s), fail, late, lost, refused, dark, stranger or full."""
+        """Apply the result of an exchange: pass (after `took` s), fail, late, lost, refused, dark, stranger or full."""
         shown = self.shown.get(key)
         if shown is None:
             return []
@@ -126,9 +126,9 @@
         return self._move(now=now, key=key, shown=shown, event=event)
 
     def _record_pace(self, *, shown: Shown, took: float) -> None:
-        """The mean of its times, its calm mean, and how many requests it may be given from here at once.
+        """Update the mean response time, the unloaded response time and the concurrency window.
 
-        Fewer while it queues.
+        The window, the number of requests that this proxy may have open at the worker, shrinks while the worker queues.
         """
         shown.pace = took if not shown.pace else shown.pace + constants.LATENCY_EWMA_WEIGHT * (took - shown.pace)
         shown.calm = min(shown.pace, shown.calm * constants.LATENCY_BASELINE_DRIFT) if shown.calm else shown.pace
--- a/sailward/routing/plan.py
+++ b/sailward/routing/plan.py
@@ -1,4 +1,4 @@
-"""The configuration in force, made ready for matching."""
+"""The configuration in force, parsed and indexed for matching requests."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 class Pool:
     """One weighted pool: a service, and its zones in two tiers.
 
-    The tiers of a pool that is `near` follow the proxy: the zones of its own region are preferred, all others are
-    its fallback.
+    The tiers of a pool that is `near` depend on the proxy: the zones of the proxy's own region are preferred, all
+    others are the fallback.
     """
 
     name: str
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Service:
-    """What a service bears."""
+    """Settings of a service: rates in requests per s and worker, times in s, sizes in bytes."""
 
     name: str
     expiry: float
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Tenant:
-    """A brand or customer; `homes` empty if it is bound to none."""
+    """A tenant: a brand or customer. `homes` is empty if it is not bound to home regions."""
 
     name: str
     homes: frozenset
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Match:
-    """One rule: a path's beginning, methods, tenants, and the pools by weight."""
+    """One routing rule: a path prefix, methods, tenants, and the weighted pools."""
 
     path: str
     methods: frozenset
@@ -77,13 +77,13 @@
 
     @property
     def is_repeatable(self) -> bool:
-        """May its exchanges run more than once, by the operators' word?"""
+        """May its exchanges run more than once, according to the configuration?"""
         return self.kind == REPEATABLE
 
 
 @dataclass(frozen=True, kw_only=True)
 class Limits:
-    """What a caller may send, in bytes, and how long it may take or stay idle, in s."""
+    """Limits of clients: request sizes in bytes, and time to send the head and idle time in s."""
 
     head_bytes: int = constants.MAX_HEAD_BYTES
     body_bytes: int = constants.MAX_BODY_BYTES
@@ -93,7 +93,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Plan:
-    """The whole configuration in force."""
+    """The configuration in force."""
 
     number: int = 0
     regions: dict = field(default_factory=dict)
@@ -106,7 +106,7 @@
     label: int = 0
 
     def match(self, *, path: str, method: str, tenant: str, host: str = "") -> Match | None:
-        """The rule for this exchange: longest path first, then the one that names most."""
+        """The rule for this exchange: longest path first, then rules that name tenants, then those with methods."""
         for match in (*self.index.get((host, _first_part(path=path)), ()), *self.index.get((host, ""), ())):
             if not (path == match.path or path.startswith(match.path.rstrip("/") + "/")):
                 continue
@@ -121,7 +121,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Unreadable:
-    """A register's value that this version can't make a configuration of."""
+    """Why this version can't read a register's value as a configuration."""
 
     reason: str
 
@@ -129,27 +129,27 @@
 def load_config(
     *, value: RegisterValue, expand: Callable[[dict], dict] | None = None
 ) -> tuple[dict, Plan] | Unreadable:
-    """(full form, plan) of the configuration in a register's value; whatever its text is, nothing is raised."""
+    """(full form, plan) of the configuration in a register's value; never raises, whatever the text is."""
     try:
         full = read_full(value=value, expand=expand)
         return full, plan_of(full=full, number=value["number"]) if value["text"] else Plan()
-    except Exception as fault:  # noqa: BLE001 - it comes from outside, and may be of any shape
+    except Exception as fault:  # noqa: BLE001 - external input of any shape
         return Unreadable(reason=f"{type(fault).__name__}: {fault}"[:200])
 
 
 def read_plan(*, value: RegisterValue, expand: Callable[[dict], dict] | None = None) -> Plan:
-    """The plan in a register's value; `expand` makes the full form of one that holds only what was written."""
+    """The plan in a register's value; `expand` makes the full form of a value that holds only the written form."""
     return plan_of(full=read_full(value=value, expand=expand), number=value["number"]) if value["text"] else Plan()
 
 
 def read_full(*, value: RegisterValue, expand: Callable[[dict], dict] | None = None) -> dict:
-    """The full form of the configuration in a register's value, empty if there is none."""
+    """The full form of the configuration in a register's value; empty if it holds none."""
     inner = json.loads(value["text"]) if value["text"] else {}
     return expand(inner["written"]) if expand and "written" in inner and "full" not in inner else inner.get("full", {})
 
 
 def plan_of(*, full: dict, number: int) -> Plan:
-    """The plan in a configuration's full form."""
+    """The plan of a configuration in its full form."""
     services = {name: _read_service(name=name, fields=fields) for name, fields in full["services"].items()}
     pools = {name: _read_pool(name=name, fields=fields) for name, fields in full["pools"].items()}
     tenants = {
--- a/sailward/routing/routing_state.py
+++ b/sailward/routing/routing_state.py
@@ -1,4 +1,4 @@
-"""What a proxy acts on: configuration, orders, workers, status, the standing view."""
+"""The data that a proxy routes by: configuration, orders, workers, their status, the views of controllers."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(kw_only=True)
 class RoutingState:
-    """The owner's views, folded from what it heard; the choosing reads them and changes nothing."""
+    """The routing data that this proxy has received; the load balancer reads it and never changes it."""
 
     prober: Prober
     endpoint_table: EndpointTable = field(default_factory=EndpointTable)
@@ -30,7 +30,7 @@
     slots: ShardOwners = field(default_factory=ShardOwners)
 
     def counts(self) -> dict[tuple[str, str], tuple[int, int, int]]:
-        """{(service, zone): (listed, healthy, known)}; a leaving worker is listed and unhealthy."""
+        """{(service, zone): (listed, healthy, known)}; a leaving worker counts as listed and unhealthy."""
         counts: dict = {}
         for key, worker in self.endpoint_table.workers.items():
             probed = self.prober.probed.get(key)
@@ -42,21 +42,21 @@
         return counts
 
     def keep_view(self, *, now: float, identity: str, view: dict) -> None:
-        """Keep one controller's standing view."""
+        """Store the newest view of one controller."""
         self.views[identity] = (now, view)
         if isinstance(view.get("wall"), float):
             self.walls[identity] = (now, view["wall"] - now)
 
     def drained_by_aggregated_health(self, *, now: float, service: str, zone: str) -> bool:
-        """Do most controllers heard of late keep this zone drained?"""
+        """Do most of the controllers with a recent view report this zone as drained?"""
         fresh = [view for at, view in self.views.values() if now - at < constants.HEALTH_REPORT_TTL]
         name = f"{service}|{zone}"
         return bool(fresh) and 2 * sum(name in view.get("drained", ()) for view in fresh) > len(fresh)
 
     def clock(self, *, now: float) -> float | None:
-        """The wall time by the middle one of the controllers' clocks, the later of two.
+        """The wall time by the median of the controllers' clocks (the later one of two).
 
-        No single jump can turn it back.
+        The median keeps a jump of a single clock from turning the time back.
         """
         self.walls = {
             name: (at, offset) for name, (at, offset) in self.walls.items() if now - at < constants.CLOCK_SAMPLE_TTL
@@ -65,12 +65,12 @@
         return now + offsets[len(offsets) // 2] if offsets else None
 
     def has_unknown_outcomes(self, *, now: float) -> bool:
-        """Does every controller heard of late say that claims may have been lost?"""
+        """Does every controller with a recent view report that claims may have been lost?"""
         fresh = [view for at, view in self.views.values() if now - at < constants.HEALTH_REPORT_TTL]
         return bool(fresh) and all(view.get("doubt") for view in fresh)
 
     def warm(self) -> dict[str, float]:
-        """How long others have seen each worker in good status."""
+        """For how long (s) other proxies have seen each worker in good status."""
         warm: dict[str, float] = {}
         for _, view in self.views.values():
             for key, age in view.get("warm", {}).items():
@@ -78,7 +78,7 @@
         return warm
 
     def views_of(self, *, now: float, service: str, tenant: Tenant | None) -> dict[str, ZoneView]:
-        """The zones of a service as this tenant's draw sees them."""
+        """The state of each zone of a service for the selection of a zone for this tenant."""
         views = {}
         for (name, zone), state in self.zones.zones.items():
             if name != service:
@@ -96,7 +96,7 @@
         return views
 
     def report(self, *, now: float, suspect: bool) -> dict:
-        """This proxy's digest for the standing view."""
+        """This proxy's health report, which the controllers aggregate into their views."""
         zones = {
             f"{service}|{zone}": [state.listed, state.healthy, state.state]
             for (service, zone), state in self.zones.zones.items()
@@ -110,5 +110,5 @@
 
 
 def read_orders(*, value: RegisterValue) -> frozenset:
-    """The emptied zones in the register's value."""
+    """The evacuated zones in the value of the orders register."""
     return frozenset(json.loads(value["text"])["emptied"]) if value["text"] else frozenset()
--- a/sailward/routing/shard_owners.py
+++ b/sailward/routing/shard_owners.py
@@ -1,4 +1,4 @@
-"""Divided services: which slot a key is in, and who owns it now."""
+"""Services sharded by slot: the slot of a key, and its owner."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Owned:
-    """One slot: its owner's key (empty if it has none), its term, and whether it is open."""
+    """One slot: the key of its owner (empty if none), its term, and whether it is open."""
 
     owner: str
     term: int
@@ -24,22 +24,22 @@
 
 @dataclass(kw_only=True)
 class ShardOwners:
-    """Fold of the slot registers; `step` takes a chosen value of one."""
+    """The slot tables of all services; `step` takes a chosen value of a slot register."""
 
     tables: dict = field(default_factory=dict)
 
     def step(self, *, name: str, value: RegisterValue) -> None:
-        """Take the newest table of one service."""
+        """Apply the newest table of one service."""
         self.tables[name.removeprefix(PREFIX)] = read_table(text=value["text"])
 
     def find(self, *, service: str, space: str, slot: int) -> Owned | None:
-        """The slot as it is now, if it was ever given out."""
+        """The current owner of a slot; None if it was never assigned."""
         rows = self.tables.get(service, {}).get(space, ())
         return rows[slot] if slot < len(rows) else None
 
 
 def read_table(*, text: str) -> dict[str, list[Owned]]:
-    """{space: slots in order} in a register's text."""
+    """Parse a register's text into {space: slots in order}."""
     spaces = json.loads(text)["spaces"] if text else {}
     return {
         space: [Owned(owner=owner, term=term, is_open=state == OPEN) for owner, term, state in rows]
@@ -48,7 +48,7 @@
 
 
 def write_table(*, spaces: dict[str, list[Owned]]) -> str:
-    """The register's text of a table."""
+    """Encode a table as a register's text."""
     return json.dumps(
         {
             "spaces": {
@@ -66,12 +66,15 @@
 
 
 def space_of(*, homes: frozenset, service: Service) -> str:
-    """Tenants bound to different homes have slots of their own, owned at home, unless the keys are shared."""
+    """The slot space of a tenant's keys.
+
+    Tenants bound to different home regions have separate slots, owned in those regions, unless the keys are shared.
+    """
     return "" if service.keys_shared else "+".join(sorted(homes))
 
 
 def common_residency(*, plan: Plan, service: str) -> set[str]:
-    """The regions that are home to every bound tenant of a service with shared keys; empty if none is bound."""
+    """The home regions that all bound tenants of a service with shared keys have in common; empty if none is bound."""
     bound = [
         plan.tenants[name].homes
         for match in plan.matches
@@ -83,7 +86,7 @@
 
 
 def pool_at(*, shares: tuple, slot: int, slots: int) -> str:
-    """The pool that a slot belongs to: the weighted draw, by the slot's place instead of by chance."""
+    """The pool that a slot belongs to: pools by weight as in the weighted draw, but by slot position, not at random."""
     total = sum(weight for _, weight in shares)
     at = (slot + 0.5) / slots * total
     for name, weight in shares:
--- a/sailward/routing/shards.py
+++ b/sailward/routing/shards.py
@@ -1,4 +1,4 @@
-"""Services divided into key ranges: who owns which range now, as the register's text and as proxies find it."""
+"""Services sharded by key range: the owner of each range, as stored in the register and as looked up by proxies."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Shard:
-    """The keys from `start` to `end`, both inside.
+    """The keys from `start` to `end`, both inclusive.
 
-    With their owner's key (empty if none), its fence, the state, the next owner.
+    With the key of their owner (empty if none), its fencing token, the state, and the next owner while they move.
     """
 
     start: int
@@ -29,13 +29,13 @@
 
     @property
     def is_open(self) -> bool:
-        """May its owner be granted it?"""
+        """May its owner be granted the shard?"""
         return self.state == OPEN
 
 
 @dataclass(frozen=True, kw_only=True)
 class ShardTable:
-    """One service's shards in order, the next fence, the granter and the register's number at which it took over."""
+    """One service's shards in order, the next fencing token, the granter and the register number of its takeover."""
 
     granter: str
     since: int
@@ -45,13 +45,13 @@
 
 @dataclass(kw_only=True)
 class ShardTables:
-    """Fold of the registers of ranged services; `step` takes a chosen value of one. Tables of slots are passed over."""
+    """The tables of services sharded by range; `step` takes a chosen register value. Tables of slots are ignored."""
 
     tables: dict = field(default_factory=dict)
     _starts: dict = field(default_factory=dict)
 
     def step(self, *, name: str, value: RegisterValue) -> None:
-        """Take the newest table of one service."""
+        """Apply the newest table of one service."""
         service = name.removeprefix(PREFIX)
         table = read_shards(text=value["text"])
         if table is None:
@@ -61,7 +61,7 @@
         self._starts[service] = [shard.start for shard in table.shards]
 
     def find(self, *, service: str, key: int) -> Shard | None:
-        """The shard of a key, if the service has a table of ranges."""
+        """The shard of a key; None if the service has no table of ranges."""
         table = self.tables.get(service)
         if table is None or not 0 <= key < KEYS:
             return None
@@ -69,7 +69,7 @@
 
 
 def read_shards(*, text: str) -> ShardTable | None:
-    """The table in a register's text; None if it is empty or a table of slots."""
+    """Parse a register's text; None if it is empty or a table of slots."""
     body = json.loads(text) if text else {}
     if "ranges" not in body:
         return None
@@ -88,7 +88,7 @@
 
 
 def write_shards(*, table: ShardTable) -> str:
-    """The register's text of a table."""
+    """Encode a table as a register's text."""
     rows = [
         [
             shard.start,
--- a/sailward/routing/shards_in_use.py
+++ b/sailward/routing/shards_in_use.py
@@ -1,4 +1,4 @@
-"""The shards in which something that was sent on from this proxy may still run."""
+"""The shards in which an exchange forwarded by this proxy may still be running."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 @dataclass(kw_only=True)
 class ShardsInUse:
-    """Owner of the moments until which unheard runs may last, by shard."""
+    """Keeps, by shard, the time until which exchanges without an answer may still be running."""
 
     until: dict[str, float] = field(default_factory=dict)
 
     def linger(self, *, exchange: ProxiedRequest) -> None:
-        """Its worker may run on, though nobody hears of it."""
+        """Keep the shard of an abandoned exchange in use: its worker may go on until the service's expiry."""
         if exchange.slot >= 0:
             self.until[_label(exchange=exchange)] = exchange.sent_at + exchange.service.expiry
 
     def labels(self, *, now: float, sent: Iterable[ProxiedRequest]) -> list[str]:
-        """The shards of what is sent and of what may still run unheard."""
+        """The shards of the exchanges in flight and of abandoned ones that may still be running."""
         self.until = {label: end for label, end in self.until.items() if now < end}
         return sorted({*(_label(exchange=exchange) for exchange in sent if exchange.slot >= 0), *self.until})
 
--- a/sailward/routing/weighted_draw.py
+++ b/sailward/routing/weighted_draw.py
@@ -1,4 +1,4 @@
-"""The source's design: the pool is drawn by weight, before any status; then zones by status."""
+"""Weighted selection: first a pool by weight, whatever its health; then a zone of the pool by health."""
 
 from __future__ import annotations
 
@@ -11,9 +11,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ZoneView:
-    """A zone of the pool's service as the draw sees it: overrides are already applied by `allowed`.
+    """The state of a zone of the pool's service that the selection uses.
 
-    `weight` is its part of the spray beside its tier's other zones: even by default.
+    `allowed` already accounts for overrides: evacuations and the tenant's home regions.
+    `weight` is the zone's share of requests relative to the other zones of its tier; equal by default.
     """
 
     fraction: float
@@ -25,7 +26,7 @@
 
 
 def draw_pool(*, match: Match, rng: random.Random) -> str:
-    """A pool with probability weight / total. Status is not looked at."""
+    """Draw a pool with probability weight / total, regardless of health."""
     total = sum(weight for _, weight in match.shares)
     at = rng.random() * total
     for name, weight in match.shares:
@@ -38,10 +39,10 @@
 def share_zones(*, pool: Pool, views: dict[str, ZoneView]) -> dict[str, float]:
     """The share of each zone of the pool; empty if nothing may serve.
 
-    Overrides go first and ignore the cap. Marked zones leave, up to the cap, and the others of the tier
-    take their part. A zone that the cap keeps in stays in the spread: what it can't keep, all of it if it
-    has no healthy worker, spills. Where only marked zones could serve, they do: the hold guards against
-    flapping, not against serving.
+    Overrides apply first and regardless of the cap. Drained zones are taken out, up to the cap on drained zones, and
+    the other zones of the tier get their share. A drained zone that the cap keeps in still counts in the distribution:
+    the part of its share that it can't serve (all of it if it has no healthy worker) spills over to the fallback tier.
+    Where only drained zones could serve, they do: the hold-down protects against flapping and must not refuse requests.
     """
     marked = _marked(pool=pool, views=views)
     usable = [
@@ -72,7 +73,7 @@
 
 
 def draw_zone(*, shares: dict[str, float], rng: random.Random) -> str:
-    """A zone by its share: the spray."""
+    """Draw a zone with probability equal to its share."""
     return rng.choices(list(shares), weights=list(shares.values()))[0]
 
 
--- a/sailward/routing/zone_health.py
+++ b/sailward/routing/zone_health.py
@@ -1,4 +1,4 @@
-"""Zones of one service: healthy fraction, drained or open, with a hold before the return."""
+"""Health of each zone of a service: healthy fraction, drained or open, with a hold-down before it is restored."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(kw_only=True)
 class ZoneHealth:
-    """One zone of one service."""
+    """Health of one zone of one service."""
 
     state: str = CHART.initial
     since: float = 0.0
@@ -23,19 +23,19 @@
 
     @property
     def drained(self) -> bool:
-        """Is its capacity marked zero?"""
+        """Is the zone taken out of the selection?"""
         return self.state in CHART.marks["drained"]
 
 
 class ZoneHealthTable:
-    """Owner of the zones' states. `step` folds the counts of one moment."""
+    """Keeps the state of every zone. `step` applies the current worker counts."""
 
     def __init__(self, *, hold_down: float | None = None) -> None:
         self.zones: dict[tuple[str, str], ZoneHealth] = {}
         self._hold_down = hold_down
 
     def step(self, *, now: float, counts: dict[tuple[str, str], tuple[int, int, int]]) -> list[Command]:
-        """Fold {(service, zone): (listed, healthy, known)}; zones with no worker listed are forgotten."""
+        """Apply {(service, zone): (listed, healthy, known)}; zones that are not among the counts are dropped."""
         commands = []
         self.zones = {key: zone for key, zone in self.zones.items() if key in counts}
         for key, (listed, healthy, known) in counts.items():
@@ -43,7 +43,7 @@
             zone.listed, zone.healthy = listed, healthy
             zone.fraction = healthy / listed if listed else 0.0
             if known < listed and zone.state == CHART.initial:
-                # not all probed yet: no ground for a mark, only for spreading
+                # not all workers have been probed: the fraction is used for weighting, but does not drain the zone yet
                 zone.fraction = healthy / known if known else 0.0
                 continue
             commands += self._move(now=now, key=key, zone=zone)
