--- a/sailward/proxy/tenant_proxy.py
+++ b/sailward/proxy/tenant_proxy.py
@@ -125,7 +125,7 @@
             seen = explain(now=now, query=event.query, load_balancer=self.load_balancer, acting=self.acting(now=now))
             return [answer_json(token=event.token, code=200, body=seen)]
         if self.stopping not in STOPPING.marks["taking"]:
-            refusal = Refusal(code=503, reason="stopping", detail="this proxy is stopping: ask a directory for another")
+            refusal = Refusal(code=503, reason="stopping", detail="this proxy is stopping; ask a directory for another")
             return [answer_refusal(token=event.token, refusal=refusal, not_run=is_promise_safe(event=event))]
         commands, begins = self.exchanges.step(now=now, event=event, acting=self.acting(now=now))
         return commands + self._begin(now=now, begins=begins)
