--- a/sailward/proxy/control_client.py
+++ b/sailward/proxy/control_client.py
@@ -55,12 +55,12 @@
             known.last_reply_at, known.unanswered = now, 0
             known.has_contact = body.get("contact") is not False
             self.trusted_at = now if known.has_contact else self.trusted_at
-            self._record_named(named=body.get("controllers", []))
+            self._add_named_controllers(named=body.get("controllers", []))
             location = body.get("view", {}).get("place")
             if isinstance(location, list) and len(location) == 2:
                 known.zone, known.region = location
-            before, commands = self.lead, self._choose_lead(now=now)
-            if self.lead != before:
+            previous_lead, commands = self.lead, self._choose_lead(now=now)
+            if self.lead != previous_lead:
                 self.next_at = NEVER
             return commands
         if now < self.next_at:
@@ -70,7 +70,7 @@
         for seed in self.seeds:
             self.known.setdefault(seed, ControllerState(post=seed))
         commands = self._choose_lead(now=now)
-        for known in self._controllers_to_query(now=now):
+        for known in self._controllers_to_poll(now=now):
             self.seq += 1
             known.asked, known.unanswered = now, known.unanswered + 1
             commands.append(SendMessage(to=known.post, body={**body, "seq": self.seq}))
@@ -81,20 +81,20 @@
 
         Controllers that are not in the list are dropped, unless they may still answer or are seeds.
         """
-        told = {post: (zone, region) for post, zone, region in controllers}
-        for post, (zone, region) in told.items():
+        listed = {post: (zone, region) for post, zone, region in controllers}
+        for post, (zone, region) in listed.items():
             known = self.known.setdefault(post, ControllerState(post=post))
             known.zone, known.region, known.named = zone, region, self.next_at
         self.known = {
             post: known
             for post, known in self.known.items()
-            if post in told or post in self.seeds or self._may_answer(known=known)
+            if post in listed or post in self.seeds or self._may_answer(known=known)
         }
 
-    def _record_named(self, *, named: object) -> None:
+    def _add_named_controllers(self, *, named: object) -> None:
         """Record the other controllers that a controller without quorum contact names."""
         for row in named if isinstance(named, list) else ():
-            if isinstance(row, list) and len(row) == 3 and all(isinstance(word, str) for word in row):
+            if isinstance(row, list) and len(row) == 3 and all(isinstance(item, str) for item in row):
                 post, zone, region = row
                 if post not in self.known:
                     self.known[post] = ControllerState(post=post, zone=zone, region=region)
@@ -115,7 +115,7 @@
             and self.next_at - max(known.last_reply_at, known.named) < constants.PEER_TTL
         )
 
-    def _rank(self, known: ControllerState) -> tuple:
+    def _distance(self, known: ControllerState) -> tuple:
         return (known.zone != self.zone, known.region != self.region, known.zone == "", known.post)
 
     def _is_silent(self, *, known: ControllerState, now: float) -> bool:
@@ -125,26 +125,26 @@
         return known.unanswered >= constants.MAX_LOST_POLLS and now - known.last_reply_at > constants.CONTROLLER_TIMEOUT
 
     def _choose_lead(self, *, now: float) -> list[Command]:
-        able = [known for known in self.known.values() if now - known.last_reply_at < constants.CONTROLLER_TIMEOUT]
-        trusted = [known for known in able if known.has_contact]
-        able = trusted if trusted or not self.is_last_resort(now=now) else able
+        reachable = [known for known in self.known.values() if now - known.last_reply_at < constants.CONTROLLER_TIMEOUT]
+        trusted = [known for known in reachable if known.has_contact]
+        reachable = trusted if trusted or not self.is_last_resort(now=now) else reachable
         lead = self.known.get(self.lead)
-        best = min(able, key=self._rank, default=None)
+        best = min(reachable, key=self._distance, default=None)
         if best is None or best.post == self.lead:
             return []
         if not self.lead and best.zone != self.zone and now - self.began < constants.SAME_ZONE_CONTROLLER_WAIT:
             # a nearer controller may answer soon: its lists do not have to cross regions
             return []
-        if lead is not None and lead in able and self._rank(lead)[:2] <= self._rank(best)[:2]:
+        if lead is not None and lead in reachable and self._distance(lead)[:2] <= self._distance(best)[:2]:
             return []
         self.lead = best.post
         return [LogEvent(event="leads", fields={"controller": best.post, "hall": best.zone or "unknown"})]
 
-    def _controllers_to_query(self, *, now: float) -> list[ControllerState]:
-        able = sorted(
-            (known for known in self.known.values() if not self._is_silent(known=known, now=now)), key=self._rank
+    def _controllers_to_poll(self, *, now: float) -> list[ControllerState]:
+        answering = sorted(
+            (known for known in self.known.values() if not self._is_silent(known=known, now=now)), key=self._distance
         )
-        chosen = able[: constants.CONTROLLERS_POLLED]
+        chosen = answering[: constants.CONTROLLERS_POLLED]
         # silent controllers are polled now and then, the least recently polled first, then the nearest
         silent = sorted(
             (
@@ -152,8 +152,8 @@
                 for known in self.known.values()
                 if self._is_silent(known=known, now=now) and now - known.asked >= constants.POLL_TIMEOUT
             ),
-            key=lambda known: (known.asked, self._rank(known)),
+            key=lambda known: (known.asked, self._distance(known)),
         )
-        if len(able) < constants.CONTROLLERS_POLLED:
+        if len(answering) < constants.CONTROLLERS_POLLED:
             return chosen + silent
         return chosen + silent[:1]
--- a/sailward/proxy/directory.py
+++ b/sailward/proxy/directory.py
@@ -30,9 +30,9 @@
         fit = [row for row in self.rows if row[4] and row[0] != self.location.name]
         if is_ready:
             fit.append([self.location.name, self.location.http, self.location.zone, self.location.region, True])
-        near = [row for row in fit if row[3] == region] or fit
-        near.sort(key=lambda row: (row[2] != zone, row[0]))
-        proxies = [{"id": row[0], "address": row[1], "hall": row[2], "region": row[3]} for row in near]
+        nearby = [row for row in fit if row[3] == region] or fit
+        nearby.sort(key=lambda row: (row[2] != zone, row[0]))
+        proxies = [{"id": row[0], "address": row[1], "hall": row[2], "region": row[3]} for row in nearby]
         if not proxies:
             return answer_json(
                 token=event.token,
--- a/sailward/proxy/directory_server.py
+++ b/sailward/proxy/directory_server.py
@@ -71,9 +71,13 @@
         region = event.query.get("region", self.location.region)
         fit = [entry for entry in self.peer_table.alive(kind="proxy") if entry["fit"]]
         # nearest first; the order of equally near proxies is fixed for a caller and differs between callers
-        who = event.query.get("caller", event.token)
+        caller = event.query.get("caller", event.token)
         fit.sort(
-            key=lambda entry: (entry["hall"] != zone, entry["region"] != region, score_pair(key=who, name=entry["id"]))
+            key=lambda entry: (
+                entry["hall"] != zone,
+                entry["region"] != region,
+                score_pair(key=caller, name=entry["id"]),
+            )
         )
         proxies = [
             {"id": entry["id"], "address": entry["http"], "hall": entry["hall"], "region": entry["region"]}
--- a/sailward/proxy/proxy.py
+++ b/sailward/proxy/proxy.py
@@ -94,8 +94,8 @@
         self.stopping, self.stop_at = STOPPING.initial, 0.0
         self.lists: dict = {"workers": ("", -1), "fleet": ("", -1)}
         self.unexpected, self.refused = UnexpectedEvents(), RefusedInput()
-        self._counted = -1e9
-        self._heartbeat = 0
+        self._zones_counted_at = -1e9
+        self._poll_count = 0
 
     def step(self, *, now: float, event: Event) -> list[Command]:
         """Handle one event; returns the commands to execute."""
@@ -137,12 +137,12 @@
             code = 200 if self.is_ready else 503
             return [answer_json(token=event.token, code=code, body={"ready": self.is_ready, "stopping": self.stopping})]
         if event.path == "/status":
-            return [answer_json(token=event.token, code=200, body=self._show(now=now))]
+            return [answer_json(token=event.token, code=200, body=self._build_status(now=now))]
         return [self.directory.step(event=event, is_ready=self.is_ready)]
 
     def _on_message(self, *, now: float, sender: str, body: Message) -> list[Command]:
         if body["kind"] == "grant":
-            return self.control_client.step(now=now, sender=sender, body=body) + self._request_core(now=now)
+            return self.control_client.step(now=now, sender=sender, body=body) + self._poll_controllers(now=now)
         if body["kind"] == "want":
             return self.learner.send(to=sender, name=body["register"])
         if body["kind"] != "push":
@@ -154,7 +154,7 @@
         if name in self.lists:
             if sender != self.control_client.lead or self.lists[name] == (sender, value["number"]):
                 return [ack]
-            commands = (self._take_workers if name == "workers" else self._take_fleet)(now=now, value=value)
+            commands = (self._apply_workers if name == "workers" else self._apply_fleet)(now=now, value=value)
             if commands is None:
                 # an unreadable list is not acknowledged, so that it is pushed again
                 return self.refused.add(kind=name, reason=UNREADABLE_LIST)
@@ -162,37 +162,37 @@
             return [*commands, ack]
         if not is_control(name=name):
             return [LogEvent(event="push-unexpected", fields={"name": name})]
-        commands = self._keep(now=now, name=name, ballot=body["ballot"], value=value)
+        commands = self._apply_register(now=now, name=name, ballot=body["ballot"], value=value)
         return [*commands, ack] if self.learner.number(name=name) >= value["number"] else commands
 
-    def _take_workers(self, *, now: float, value: RegisterValue) -> list[Command] | None:
+    def _apply_workers(self, *, now: float, value: RegisterValue) -> list[Command] | None:
         rows = read_workers(text=value["text"], check=is_incarnation)
         if rows is None:
             return None
-        came, went = self.endpoint_table.replace(now=now, workers=rows)
+        added, removed = self.endpoint_table.replace(now=now, workers=rows)
         commands = self.passive_health.follow(now=now, workers=self.endpoint_table.workers)
         self.context.follow(workers=self.endpoint_table.workers)
-        if came or went:
+        if added or removed:
             commands.append(
                 LogEvent(
                     event="workers",
-                    fields={"came": len(came), "went": len(went), "all": len(self.endpoint_table.workers)},
+                    fields={"came": len(added), "went": len(removed), "all": len(self.endpoint_table.workers)},
                 )
             )
         return commands + self._count_zones(now=now)
 
-    def _take_fleet(self, *, now: float, value: RegisterValue) -> list[Command] | None:
-        told = read_fleet(text=value["text"])
-        if told is None:
+    def _apply_fleet(self, *, now: float, value: RegisterValue) -> list[Command] | None:
+        fleet = read_fleet(text=value["text"])
+        if fleet is None:
             return None
-        self.control_client.learn(controllers=told.controllers)
-        self.directory.learn(rows=told.proxies)
-        self.context.peers = {name: region for name, _, _, region, is_fit in told.proxies if is_fit}
+        self.control_client.learn(controllers=fleet.controllers)
+        self.directory.learn(rows=fleet.proxies)
+        self.context.peers = {name: region for name, _, _, region, is_fit in fleet.proxies if is_fit}
         self.context.proxies = max(1, len(self.context.peers))
-        self.passive_health.hint(now=now, down=told.down)
+        self.passive_health.hint(now=now, down=fleet.down)
         return []
 
-    def _keep(self, *, now: float, name: str, ballot: Ballot, value: RegisterValue) -> list[Command]:
+    def _apply_register(self, *, now: float, name: str, ballot: Ballot, value: RegisterValue) -> list[Command]:
         plan = self.context.plan
         if name == "config" and self.learner.is_newer(name=name, value=value):
             config = load_config(value=value, expand=self.options.expand)
@@ -214,17 +214,17 @@
         return [log, *self.forwarder.step(now=now, event=None)]
 
     def _on_timer(self, *, now: float) -> list[Command]:
-        commands = self._request_core(now=now)
+        commands = self._poll_controllers(now=now)
         commands += self.passive_health.step(now=now, event=None, plan=self.context.plan)
         commands += self.forwarder.step(now=now, event=None)
-        if now - self._counted >= constants.ZONE_HEALTH_INTERVAL:
+        if now - self._zones_counted_at >= constants.ZONE_HEALTH_INTERVAL:
             commands += self._count_zones(now=now)
         return commands + self._check_shutdown(now=now)
 
-    def _request_core(self, *, now: float) -> list[Command]:
+    def _poll_controllers(self, *, now: float) -> list[Command]:
         if now < self.control_client.next_at:
             return []
-        self._heartbeat += 1
+        self._poll_count += 1
         location = self.location
         daemon = {
             "id": location.name,
@@ -240,38 +240,39 @@
         have = {name: [learned.value["number"]] for name, learned in self.learner.values.items()}
         # each controller numbers its own lists: only those of the followed one are sent, none before there is one
         have |= {
-            name: [number if teller == lead else -1, lead or "none"] for name, (teller, number) in self.lists.items()
+            name: [number if controller == lead else -1, lead or "none"]
+            for name, (controller, number) in self.lists.items()
         }
         down = [key for key, shown in self.passive_health.shown.items() if not shown.is_healthy]
         report = {
             "down": down,
             "loads": self.forwarder.take_loads(),
-            "turn": self._heartbeat,
+            "turn": self._poll_count,
             "lead": lead,
-            "paces": self._take_paces(),
+            "paces": self._take_response_times(),
             **({"last_resort": True} if self.control_client.is_last_resort(now=now) else {}),
         }
         return self.control_client.step(
             now=now, sender=None, body={"kind": "ask", "have": have, "report": report, "daemon": daemon}
         )
 
-    def _take_paces(self) -> dict:
+    def _take_response_times(self) -> dict:
         """Response times in ms by worker, for sharded services.
 
         Only for workers of this region, as the times of others include the latency between regions.
         """
         workers = {key: self.passive_health.shown[key].worker for key in self.passive_health.shown}
-        divided = {name for name, service in self.context.plan.services.items() if service.ranged}
+        sharded = {name for name, service in self.context.plan.services.items() if service.ranged}
         return {
             key: times[-constants.LATENCY_SAMPLES_SENT :]
             for key, times in self.passive_health.take_times().items()
             if key in workers
-            and workers[key].service in divided
+            and workers[key].service in sharded
             and self.context.regions.get(workers[key].zone) == self.location.region
         }
 
     def _count_zones(self, *, now: float) -> list[Command]:
-        self._counted = now
+        self._zones_counted_at = now
         return self.context.zones.step(now=now, counts=self.context.counts())
 
     def _begin_stop(self, *, now: float) -> list[Command]:
@@ -280,27 +281,27 @@
         return [
             LogEvent(event="stopping", fields={"open": len(self.forwarder.live)}),
             DrainConnections(),
-            *self._request_core(now=now),
+            *self._poll_controllers(now=now),
         ]
 
     def _check_shutdown(self, *, now: float) -> list[Command]:
         if self.stopping == STOPPING.initial:
             return []
-        before, since = self.stopping, now - self.stop_at
-        if since >= self.options.leave_wait:
+        previous, elapsed = self.stopping, now - self.stop_at
+        if elapsed >= self.options.leave_wait:
             self.stopping = STOPPING.step(state=self.stopping, event="left")
-        is_over = since >= self.options.stop_grace
-        event = "grace_over" if is_over else "" if self.forwarder.live else "all_done"
+        is_grace_over = elapsed >= self.options.stop_grace
+        event = "grace_over" if is_grace_over else "" if self.forwarder.live else "all_done"
         self.stopping = STOPPING.step(state=self.stopping, event=event)
         commands: list[Command] = (
-            [DrainConnections(shut=True)] if before == "leaving" and self.stopping != "leaving" else []
+            [DrainConnections(shut=True)] if previous == "leaving" and self.stopping != "leaving" else []
         )
         if self.stopping != "over":
             return commands
         # requests that no worker has answered by now are answered here: a closed connection would give no reason
         return [*commands, *self.forwarder.end_all(now=now), ExitProcess(code=0)]
 
-    def _show(self, *, now: float) -> dict:
+    def _build_status(self, *, now: float) -> dict:
         zones = {
             f"{service}|{zone}": [state.state, round(state.fraction, 3)]
             for (service, zone), state in self.context.zones.zones.items()
--- a/sailward/proxy/tenant_proxy.py
+++ b/sailward/proxy/tenant_proxy.py
@@ -45,7 +45,7 @@
 from sailward.wire_types import Ballot, Message, RegisterValue
 
 STOPPING = Chart(name="stopping")
-ANNOUNCED = ("promise", "voted", "nack", "told")
+PROPOSER_REPLIES = ("promise", "voted", "nack", "told")
 
 
 class TenantProxy:
@@ -72,10 +72,10 @@
         self.stop_by = 0.0
         self.suspect = False
         self.controllers: dict[str, tuple[float, int]] = {}
-        self._reading: dict[str, str] = {}
+        self._reads: dict[str, str] = {}
         self.unexpected, self.refused = UnexpectedEvents(), RefusedInput()
-        self._counted = -1e9
-        self._ops = 0
+        self._zones_counted_at = -1e9
+        self._read_count = 0
 
     def step(self, *, now: float, event: Event) -> list[Command]:
         """Handle one event; returns the commands to execute."""
@@ -83,17 +83,17 @@
             replace(command, begin_by=self.lease.until(voters=self.learner.voters()))
             if isinstance(command, StartCall) and command.token.startswith("x ")
             else command
-            for command in self._take(now=now, event=event)
+            for command in self._handle(now=now, event=event)
         ]
 
-    def _take(self, *, now: float, event: Event) -> list[Command]:
+    def _handle(self, *, now: float, event: Event) -> list[Command]:
         match event:
             case MessageReceived():
                 return self._on_message(now=now, sender=event.sender, body=event.body)
             case RequestReceived():
                 return self._on_request(now=now, event=event)
             case CallFinished():
-                return self._called(now=now, event=event)
+                return self._on_call_finished(now=now, event=event)
             case ShutdownRequested():
                 return self._begin_stop(now=now)
             case TimerFired():
@@ -120,46 +120,48 @@
 
     def _on_request(self, *, now: float, event: RequestReceived) -> list[Command]:
         if event.path == "/sailward/status" and event.method == "GET":
-            return [answer_json(token=event.token, code=200, body=self._show(now=now))]
+            return [answer_json(token=event.token, code=200, body=self._build_status(now=now))]
         if event.path == "/sailward/explain" and event.method == "GET":
-            seen = explain(now=now, query=event.query, load_balancer=self.load_balancer, acting=self.acting(now=now))
-            return [answer_json(token=event.token, code=200, body=seen)]
+            explanation = explain(
+                now=now, query=event.query, load_balancer=self.load_balancer, acting=self.acting(now=now)
+            )
+            return [answer_json(token=event.token, code=200, body=explanation)]
         if self.stopping not in STOPPING.marks["taking"]:
             refusal = Refusal(code=503, reason="stopping", detail="this proxy is stopping; ask a directory for another")
             return [answer_refusal(token=event.token, refusal=refusal, not_run=is_promise_safe(event=event))]
-        commands, begins = self.exchanges.step(now=now, event=event, acting=self.acting(now=now))
-        return commands + self._begin(now=now, begins=begins)
+        commands, operations = self.exchanges.step(now=now, event=event, acting=self.acting(now=now))
+        return commands + self._start_operations(now=now, operations=operations)
 
-    def _called(self, *, now: float, event: CallFinished) -> list[Command]:
+    def _on_call_finished(self, *, now: float, event: CallFinished) -> list[Command]:
         if event.token.startswith("probe "):
             commands = self.routing_state.prober.step(now=now, event=event)
             return commands + self._count_zones(now=now) if commands else []
-        return self._dispatch(now=now, event=event)
+        return self._step_exchanges(now=now, event=event)
 
-    def _dispatch(
+    def _step_exchanges(
         self, *, now: float, event: RequestReceived | CallFinished | OperationFinished | tuple[str, Message] | None
     ) -> list[Command]:
-        commands, begins = self.exchanges.step(now=now, event=event, acting=self.acting(now=now))
-        return commands + self._begin(now=now, begins=begins)
+        commands, operations = self.exchanges.step(now=now, event=event, acting=self.acting(now=now))
+        return commands + self._start_operations(now=now, operations=operations)
 
     def _on_message(self, *, now: float, sender: str, body: Message) -> list[Command]:
         kind = body["kind"]
-        if kind in ANNOUNCED:
+        if kind in PROPOSER_REPLIES:
             commands, finished = self.proposer.step(now=now, voters=self.learner.voters(), event=(sender, body))
             return commands + self._on_operations_finished(now=now, finished=finished)
         if kind == "grant":
-            return self._take_grant(now=now, sender=sender, body=body)
+            return self._on_grant(now=now, sender=sender, body=body)
         if kind == "push":
-            return self._take_push(now=now, sender=sender, body=body)
+            return self._on_push(now=now, sender=sender, body=body)
         if kind == "want":
             return self.learner.send(to=sender, name=body["register"])
         if kind in ("peek", "peeked", "keep"):
-            return self._dispatch(now=now, event=(sender, body))
+            return self._step_exchanges(now=now, event=(sender, body))
         if kind == "gossip":
             return self.peer_table.step(now=now, event=(sender, body))
         return [LogEvent(event="message-unexpected", fields={"kind": kind, "from": sender})]
 
-    def _take_grant(self, *, now: float, sender: str, body: Message) -> list[Command]:
+    def _on_grant(self, *, now: float, sender: str, body: Message) -> list[Command]:
         self.routing_state.keep_view(now=now, identity=body["identity"], view=body["view"])
         self.controllers[sender] = (now, body["proxies"])
         return self._step_lease(now=now, event=(sender, body))
@@ -186,32 +188,34 @@
             have=have,
         )
 
-    def _take_push(self, *, now: float, sender: str, body: Message) -> list[Command]:
+    def _on_push(self, *, now: float, sender: str, body: Message) -> list[Command]:
         name, value = body["name"], body["value"]
         ack = SendMessage(to=sender, body={"kind": "ack", "seq": body["seq"], "name": name, "number": body["number"]})
         if name == "workers":
-            commands = self._take_list(now=now, value=value)
+            commands = self._apply_workers(now=now, value=value)
             # an unreadable list is not acknowledged, so that it is pushed again
             return [*commands, ack] if commands is not None else self.refused.add(kind=name, reason=UNREADABLE_LIST)
         if not is_control(name=name):
             return [LogEvent(event="push-unexpected", fields={"name": name})]
-        commands = self._keep(now=now, name=name, ballot=body["ballot"], value=value)
+        commands = self._apply_register(now=now, name=name, ballot=body["ballot"], value=value)
         return [*commands, ack] if self.learner.number(name=name) >= value["number"] else commands
 
-    def _take_list(self, *, now: float, value: RegisterValue) -> list[Command] | None:
+    def _apply_workers(self, *, now: float, value: RegisterValue) -> list[Command] | None:
         rows = read_workers(text=value["text"], check=is_generation)
         epoch = value["mark"]
         if rows is None or not (epoch.isascii() and epoch.removeprefix("-").isdigit() and len(epoch) < 20):
             return None
-        came, went = self.routing_state.endpoint_table.step(epoch=int(epoch), revision=value["number"], workers=rows)
+        added, removed = self.routing_state.endpoint_table.step(
+            epoch=int(epoch), revision=value["number"], workers=rows
+        )
         commands = self.routing_state.prober.follow(
             now=now, workers=self.routing_state.endpoint_table.workers, warm=self.routing_state.warm()
         )
-        if came or went:
-            commands.append(LogEvent(event="workers", fields={"came": len(came), "went": len(went)}))
+        if added or removed:
+            commands.append(LogEvent(event="workers", fields={"came": len(added), "went": len(removed)}))
         return commands + self._count_zones(now=now)
 
-    def _keep(self, *, now: float, name: str, ballot: Ballot, value: RegisterValue) -> list[Command]:
+    def _apply_register(self, *, now: float, name: str, ballot: Ballot, value: RegisterValue) -> list[Command]:
         plan = self.routing_state.plan
         if name == "config" and self.learner.is_newer(name=name, value=value):
             config = load_config(value=value)
@@ -230,21 +234,21 @@
             self.routing_state.slots.step(name=name, value=value)
         return [LogEvent(event="in-force", fields={"register": name, "number": value["number"]})]
 
-    def _begin(self, *, now: float, begins: list[StartOperation]) -> list[Command]:
+    def _start_operations(self, *, now: float, operations: list[StartOperation]) -> list[Command]:
         commands = []
-        for begin in begins:
-            more, finished = self.proposer.step(now=now, voters=self.learner.voters(), event=begin)
-            commands += more + self._on_operations_finished(now=now, finished=finished)
+        for operation in operations:
+            sent, finished = self.proposer.step(now=now, voters=self.learner.voters(), event=operation)
+            commands += sent + self._on_operations_finished(now=now, finished=finished)
         return commands
 
     def _on_operations_finished(self, *, now: float, finished: list) -> list[Command]:
         commands = []
         for operation in finished:
-            name = self._reading.pop(operation.op, None)
+            name = self._reads.pop(operation.op, None)
             if operation.register.startswith(CLAIM):
-                commands += self._dispatch(now=now, event=operation)
+                commands += self._step_exchanges(now=now, event=operation)
             elif name is not None and isinstance(operation.outcome, Accepted) and operation.outcome.value["number"]:
-                commands += self._keep(
+                commands += self._apply_register(
                     now=now, name=name, ballot=operation.outcome.ballot, value=operation.outcome.value
                 )
         return commands
@@ -253,11 +257,11 @@
         commands, finished = self.proposer.step(now=now, voters=self.learner.voters(), event=None)
         commands += self._on_operations_finished(now=now, finished=finished)
         commands += self._step_lease(now=now, event=None)
-        commands += self._read_what_is_behind(now=now)
+        commands += self._read_stale_registers(now=now)
         commands += self.peer_table.step(now=now, event=None)
         commands += self.routing_state.prober.step(now=now, event=None)
-        commands += self._dispatch(now=now, event=None)
-        if now - self._counted >= constants.ZONE_HEALTH_INTERVAL:
+        commands += self._step_exchanges(now=now, event=None)
+        if now - self._zones_counted_at >= constants.ZONE_HEALTH_INTERVAL:
             commands += self._count_zones(now=now)
             self.load_balancer.bounds.forget(now=now, keep=set(self.routing_state.endpoint_table.workers))
         self.claims.peers = [
@@ -270,22 +274,22 @@
         self.peer_table.fit = self.acting(now=now) and not self.suspect and self.stopping in STOPPING.marks["named"]
         return commands + self._check_shutdown(now=now)
 
-    def _read_what_is_behind(self, *, now: float) -> list[Command]:
-        begins = []
+    def _read_stale_registers(self, *, now: float) -> list[Command]:
+        operations = []
         for name, since in self.lease.behind.items():
             if (
                 now - since >= constants.REGISTER_READ_DELAY
-                and name not in self._reading.values()
+                and name not in self._reads.values()
                 and is_control(name=name)
             ):
-                self._ops += 1
-                op = f"{self.identity}/read{self._ops}"
-                self._reading[op] = name
-                begins.append(StartOperation(op=op, register=name, timeout=constants.LEASE_DURATION))
-        return self._begin(now=now, begins=begins)
+                self._read_count += 1
+                op = f"{self.identity}/read{self._read_count}"
+                self._reads[op] = name
+                operations.append(StartOperation(op=op, register=name, timeout=constants.LEASE_DURATION))
+        return self._start_operations(now=now, operations=operations)
 
     def _count_zones(self, *, now: float) -> list[Command]:
-        self._counted = now
+        self._zones_counted_at = now
         commands = self.routing_state.zones.step(now=now, counts=self.routing_state.counts())
         zones = {zone for _, zone in self.routing_state.zones.zones}
         down = {
@@ -293,7 +297,7 @@
             for zone in zones
             if all(state.healthy == 0 for (_, name), state in self.routing_state.zones.zones.items() if name == zone)
         }
-        stood = {
+        unreported = {
             zone
             for zone in down
             if not all(
@@ -302,7 +306,7 @@
                 if name == zone
             )
         }
-        suspect = len(stood) > constants.SELF_SUSPICION_RATIO * len(zones) and len(self.controllers) > 0
+        suspect = len(unreported) > constants.SELF_SUSPICION_RATIO * len(zones) and len(self.controllers) > 0
         if suspect != self.suspect:
             self.suspect = suspect
             commands.append(LogEvent(event="self-suspected" if suspect else "self-trusted", fields={"down": len(down)}))
@@ -317,7 +321,7 @@
         self.stopping = STOPPING.step(state=self.stopping, event=event)
         return [ExitProcess(code=0)] if self.stopping == "over" else []
 
-    def _show(self, *, now: float) -> dict:
+    def _build_status(self, *, now: float) -> dict:
         workers = {key: probed.state for key, probed in self.routing_state.prober.probed.items()}
         zones = {
             f"{service}|{zone}": [state.state, round(state.fraction, 3)]
--- a/sailward/routing/active_health.py
+++ b/sailward/routing/active_health.py
@@ -41,18 +41,18 @@
     def __init__(self, *, rng: random.Random) -> None:
         self._rng = rng
         self.probed: dict[str, Probed] = {}
-        self._probes = 0
+        self._probe_count = 0
 
     def step(self, *, now: float, event: CallFinished | None) -> list[Command]:
         """Evaluate a finished probe, or start the probes that are due."""
         if event is not None:
-            return self._judge(now=now, event=event)
+            return self._on_probe_finished(now=now, event=event)
         commands: list[Command] = []
         for key, probed in self.probed.items():
             if probed.token and now > probed.next_at + 2 * constants.PROBE_TIMEOUT:
                 probed.token = ""  # the result of this probe was lost
             if not probed.token and now >= probed.next_at:
-                commands.append(self._probe(now=now, key=key, probed=probed))
+                commands.append(self._start_probe(now=now, key=key, probed=probed))
         return commands
 
     def follow(self, *, now: float, workers: dict[str, Worker], warm: dict) -> list[Command]:
@@ -71,11 +71,11 @@
     def mark(self, *, now: float, key: str, event: str) -> list[Command]:
         """Apply the result of an exchange to a worker: `refused` or `stranger`."""
         probed = self.probed.get(key)
-        return self._move(now=now, probed=probed, event=event) if probed else []
+        return self._transition(now=now, probed=probed, event=event) if probed else []
 
-    def _probe(self, *, now: float, key: str, probed: Probed) -> StartCall:
-        self._probes += 1
-        probed.token, probed.next_at = f"probe {key} {self._probes}", now + constants.PROBE_TIMEOUT
+    def _start_probe(self, *, now: float, key: str, probed: Probed) -> StartCall:
+        self._probe_count += 1
+        probed.token, probed.next_at = f"probe {key} {self._probe_count}", now + constants.PROBE_TIMEOUT
         return StartCall(
             token=probed.token,
             owner=key,
@@ -88,7 +88,7 @@
             fresh=False,
         )
 
-    def _judge(self, *, now: float, event: CallFinished) -> list[Command]:
+    def _on_probe_finished(self, *, now: float, event: CallFinished) -> list[Command]:
         key = event.token.removeprefix("probe ").rpartition(" ")[0]
         probed = self.probed.get(key)
         if probed is None or probed.token != event.token:
@@ -97,23 +97,23 @@
         verdict = "pass" if event.code == 200 else "fail"
         if verdict == "pass" and event.headers.get("sailward-worker") != key:
             verdict = "stranger"
-        commands = self._move(now=now, probed=probed, event=verdict)
-        every = constants.PROBE_INTERVAL if probed.state in ("good", "down") else constants.PROBE_IN_DOUBT_INTERVAL
-        probed.next_at = now + every * (0.9 + 0.2 * self._rng.random())
+        commands = self._transition(now=now, probed=probed, event=verdict)
+        interval = constants.PROBE_INTERVAL if probed.state in ("good", "down") else constants.PROBE_IN_DOUBT_INTERVAL
+        probed.next_at = now + interval * (0.9 + 0.2 * self._rng.random())
         return commands
 
-    def _move(self, *, now: float, probed: Probed, event: str) -> list[Command]:
-        before = probed.state
-        probed.state = CHART.step(state=before, event=event)
-        if before == probed.state:
+    def _transition(self, *, now: float, probed: Probed, event: str) -> list[Command]:
+        previous = probed.state
+        probed.state = CHART.step(state=previous, event=event)
+        if previous == probed.state:
             return []
-        if before == "rising" and probed.state == "good":
+        if previous == "rising" and probed.state == "good":
             probed.slow_start_began_at = now
-        if {before, probed.state} <= {"good", "doubt"}:
+        if {previous, probed.state} <= {"good", "doubt"}:
             return []
         return [
             LogEvent(
                 event="worker-status",
-                fields={"worker": probed.worker.key, "from": before, "to": probed.state, "by": event},
+                fields={"worker": probed.worker.key, "from": previous, "to": probed.state, "by": event},
             )
         ]
--- a/sailward/routing/concurrency_limits.py
+++ b/sailward/routing/concurrency_limits.py
@@ -24,7 +24,7 @@
 
     def step(self, *, now: float, key: str, service: Service, warm: float, proxies: int) -> bool:
         """Take one token from the worker's bucket; False if it has none."""
-        bucket = self._fill(now=now, key=key, service=service, warm=warm, proxies=proxies)
+        bucket = self._refill(now=now, key=key, service=service, warm=warm, proxies=proxies)
         if bucket.level < 1.0:
             return False
         bucket.level -= 1.0
@@ -38,7 +38,7 @@
             if key in keep or (key.startswith("key ") and now - bucket.at < constants.RETRY_BUDGET_WINDOW)
         }
 
-    def _fill(self, *, now: float, key: str, service: Service, warm: float, proxies: int) -> Bucket:
+    def _refill(self, *, now: float, key: str, service: Service, warm: float, proxies: int) -> Bucket:
         rate = rate_of(service=service, warm=warm) * constants.RATE_LIMIT_UTILIZATION / max(1, proxies)
         burst = max(1.0, rate * constants.RATE_LIMIT_BURST)
         bucket = self._buckets.get(key)
--- a/sailward/routing/endpoint_selection.py
+++ b/sailward/routing/endpoint_selection.py
@@ -77,22 +77,22 @@
             for pool in (context.plan.pools.get(name) for name, _ in request.match.shares)
             if pool is not None and pool.service == request.service.name
         )
-        pool = self._near(pool=pool, homes=request.match.homes)
-        able = self._eligible(now=now, request=request)
+        pool = self._resolve_tiers(pool=pool, homes=request.match.homes)
+        eligible = self._eligible_by_zone(now=now, request=request)
         views = self._views(now=now, service=request.service.name, homes=request.match.homes)
         shares = share_zones(pool=pool, views=views)
         if not shares:
             return Refusal(code=503, reason="no-worker")
-        first = draw_zone(shares=shares, rng=self.rng)
-        others = sorted(
-            (zone for zone in views if zone != first and views[zone].allowed),
+        first_zone = draw_zone(shares=shares, rng=self.rng)
+        other_zones = sorted(
+            (zone for zone in views if zone != first_zone and views[zone].allowed),
             key=lambda zone: (zone not in shares, zone not in pool.preferred, zone),
         )
-        for zone in (first, *others):
-            worker = self._choose(now=now, request=request, able=able.get(zone, []))
+        for zone in (first_zone, *other_zones):
+            worker = self._choose_worker(now=now, request=request, eligible=eligible.get(zone, []))
             if worker is not None:
                 return worker
-        return Refusal(code=503, reason="no-room" if any(able.values()) else "no-worker")
+        return Refusal(code=503, reason="no-room" if any(eligible.values()) else "no-worker")
 
     def took(self, *, key: str) -> None:
         """Count a request that was forwarded to this worker."""
@@ -113,7 +113,7 @@
         pool = plan.pools.get(name)
         return plan.services[pool.service] if pool is not None else request.service
 
-    def _near(self, *, pool: Pool, homes: frozenset) -> Pool:
+    def _resolve_tiers(self, *, pool: Pool, homes: frozenset) -> Pool:
         """The pool with its tiers relative to this region, or to a home region if this is not one."""
         if not pool.near:
             return pool
@@ -132,7 +132,7 @@
 
     def _views(self, *, now: float, service: str, homes: frozenset) -> dict[str, ZoneView]:
         views = {}
-        past_slow_start = self._slow_start_ages(now=now, service=service)
+        capacity_by_zone = self._warm_capacity_by_zone(now=now, service=service)
         for (name, zone), state in self.context.zones.zones.items():
             if name == service:
                 views[zone] = ZoneView(
@@ -141,21 +141,21 @@
                     listed=state.listed,
                     drained=state.drained,
                     allowed=self._may_serve(zone=zone, homes=homes),
-                    weight=max(0.1, past_slow_start.get(zone, 0)),
+                    weight=max(0.1, capacity_by_zone.get(zone, 0)),
                 )
         return views
 
-    def _mean(self, *, service: str) -> float:
-        shown = [
+    def _mean_unloaded_time(self, *, service: str) -> float:
+        observed = [
             self.context.passive_health.shown.get(worker.key) for worker in self.context.by_service.get(service, ())
         ]
-        calms = [candidate.calm for candidate in shown if candidate is not None and candidate.calm]
-        return sum(calms) / len(calms) if calms else 0.0
+        unloaded_times = [candidate.calm for candidate in observed if candidate is not None and candidate.calm]
+        return sum(unloaded_times) / len(unloaded_times) if unloaded_times else 0.0
 
-    def _slow_start_ages(self, *, now: float, service: str) -> dict[str, float]:
+    def _warm_capacity_by_zone(self, *, now: float, service: str) -> dict[str, float]:
         """The relative capacity of each zone: the sum of the speeds of its warm workers."""
-        past_slow_start: dict[str, float] = {}
-        mean = self._mean(service=service)
+        capacity_by_zone: dict[str, float] = {}
+        mean = self._mean_unloaded_time(service=service)
         for worker in self.context.by_service.get(service, ()):
             shown = self.context.passive_health.shown.get(worker.key)
             if (
@@ -164,11 +164,11 @@
                 and not worker.leaving
                 and now >= max(shown.slow_start_until, shown.shunned_until)
             ):
-                past_slow_start[worker.zone] = past_slow_start.get(worker.zone, 0.0) + shown.speed(mean=mean)
-        return past_slow_start
+                capacity_by_zone[worker.zone] = capacity_by_zone.get(worker.zone, 0.0) + shown.speed(mean=mean)
+        return capacity_by_zone
 
-    def _eligible(self, *, now: float, request: Request) -> dict[str, list[Shown]]:
-        able: dict[str, list[Shown]] = {}
+    def _eligible_by_zone(self, *, now: float, request: Request) -> dict[str, list[Shown]]:
+        eligible: dict[str, list[Shown]] = {}
         for worker in self.context.by_service.get(request.service.name, ()):
             shown = self.context.passive_health.shown.get(worker.key)
             if (
@@ -178,25 +178,25 @@
                 and worker.key not in request.tried
                 and self._may_serve(zone=worker.zone, homes=request.match.homes)
             ):
-                able.setdefault(worker.zone, []).append(shown)
-        return able
+                eligible.setdefault(worker.zone, []).append(shown)
+        return eligible
 
-    def _choose(self, *, now: float, request: Request, able: list[Shown]) -> Worker | None:
-        free = [shown for shown in able if now >= shown.busy_until and self._has_capacity(shown=shown)]
-        past_slow_start = [shown for shown in free if now >= shown.slow_start_until]
-        past_slow_start = [shown for shown in past_slow_start if now >= shown.shunned_until] or past_slow_start
-        if past_slow_start:
-            mean = self._mean(service=request.service.name)
-            first = self.rng.choices(past_slow_start, weights=[shown.speed(mean=mean) for shown in past_slow_start])[0]
-            others = [shown for shown in past_slow_start if shown is not first]
+    def _choose_worker(self, *, now: float, request: Request, eligible: list[Shown]) -> Worker | None:
+        available = [shown for shown in eligible if now >= shown.busy_until and self._has_capacity(shown=shown)]
+        warm = [shown for shown in available if now >= shown.slow_start_until]
+        warm = [shown for shown in warm if now >= shown.shunned_until] or warm
+        if warm:
+            mean = self._mean_unloaded_time(service=request.service.name)
+            first = self.rng.choices(warm, weights=[shown.speed(mean=mean) for shown in warm])[0]
+            others = [shown for shown in warm if shown is not first]
             second = (
                 self.rng.choices(others, weights=[shown.speed(mean=mean) for shown in others])[0] if others else first
             )
             return min((first, second), key=self._load).worker
-        slow_start = [shown for shown in free if now < shown.slow_start_until]
-        self.rng.shuffle(slow_start)
-        for shown in slow_start:
-            if self._is_within_limits(now=now, shown=shown, request=request):
+        cold = [shown for shown in available if now < shown.slow_start_until]
+        self.rng.shuffle(cold)
+        for shown in cold:
+            if self._take_slow_start_token(now=now, shown=shown, request=request):
                 return shown.worker
         return None
 
@@ -210,11 +210,11 @@
         that the worker's response times allow.
         """
         total_capacity = (shown.worker.capacity or constants.DEFAULT_WORKER_CAPACITY) * constants.WORKER_QUEUE_DEPTH
-        part = -(-total_capacity // max(1, self.context.proxies))
-        most = min(max(constants.CONCURRENCY_WINDOW_MIN, constants.CONCURRENCY_SHARE_FACTOR * part), shown.window)
-        return self.open.get(shown.worker.key, 0) < max(1.0, most)
+        share = -(-total_capacity // max(1, self.context.proxies))
+        limit = min(max(constants.CONCURRENCY_WINDOW_MIN, constants.CONCURRENCY_SHARE_FACTOR * share), shown.window)
+        return self.open.get(shown.worker.key, 0) < max(1.0, limit)
 
-    def _is_within_limits(self, *, now: float, shown: Shown, request: Request) -> bool:
+    def _take_slow_start_token(self, *, now: float, shown: Shown, request: Request) -> bool:
         """Does the rate limit of a cold worker admit a request from this proxy?
 
         Only the few proxies that rendezvous hashing chooses send to a cold worker.
@@ -263,6 +263,6 @@
             return Refusal(code=503, reason="key-moving")
         if not self._has_capacity(shown=shown) or now < shown.busy_until:
             return Refusal(code=503, reason="no-room")
-        if now < shown.slow_start_until and not self._is_within_limits(now=now, shown=shown, request=request):
+        if now < shown.slow_start_until and not self._take_slow_start_token(now=now, shown=shown, request=request):
             return Refusal(code=503, reason="owner-cold")
         return worker
--- a/sailward/routing/load_balancer.py
+++ b/sailward/routing/load_balancer.py
@@ -34,15 +34,15 @@
         shares = share_zones(pool=pool, views=views)
         if not shares:
             return Refusal(code=503, reason="no-hall", detail="no zone that may serve this tenant has a healthy worker")
-        first = draw_zone(shares=shares, rng=self.rng)
-        others = [
+        first_zone = draw_zone(shares=shares, rng=self.rng)
+        other_zones = [
             zone
             for zone in (*pool.preferred, *pool.fallback)
-            if zone != first and zone in views and views[zone].allowed and views[zone].healthy
+            if zone != first_zone and zone in views and views[zone].allowed and views[zone].healthy
         ]
-        others.sort(key=lambda zone: (zone not in shares, views[zone].drained))
-        for zone in (first, *others):
-            worker = self._choose(now=now, exchange=exchange, zone=zone)
+        other_zones.sort(key=lambda zone: (zone not in shares, views[zone].drained))
+        for zone in (first_zone, *other_zones):
+            worker = self._choose_worker(now=now, exchange=exchange, zone=zone)
             if worker is not None:
                 return worker
         return Refusal(code=503, reason="no-room", detail="every worker that may serve is at its rate limit")
@@ -82,11 +82,11 @@
     def _refuse_over_limit(self, *, now: float, exchange: ProxiedRequest, owner: str) -> Refusal | None:
         """The refusal if the rate limit of the key or of its owner is reached; None if the exchange may be sent."""
         routing_state, service = self.routing_state, exchange.service
-        hot = replace(service, rate=service.rate * constants.HOT_KEY_SHARE)
+        key_limit = replace(service, rate=service.rate * constants.HOT_KEY_SHARE)
         if not self.bounds.step(
             now=now,
             key=f"key {service.name} {exchange.part}",
-            service=hot,
+            service=key_limit,
             warm=service.slow_start_ramp,
             proxies=routing_state.proxies,
         ):
@@ -130,9 +130,9 @@
         else:
             self.open.pop(key, None)
 
-    def _choose(self, *, now: float, exchange: ProxiedRequest, zone: str) -> Worker | None:
+    def _choose_worker(self, *, now: float, exchange: ProxiedRequest, zone: str) -> Worker | None:
         routing_state, service = self.routing_state, exchange.service
-        able = []
+        eligible = []
         for key, worker in routing_state.endpoint_table.workers.items():
             if (
                 worker.service == service.name
@@ -142,11 +142,13 @@
             ):
                 probed = routing_state.prober.probed.get(key)
                 if probed is not None and probed.healthy:
-                    able.append((worker, now - probed.slow_start_began_at))
-        while able:
-            picks = self.rng.sample(able, min(2, len(able)))
-            pick = min(picks, key=lambda candidate: self.open.get(candidate[0].key, 0))
-            if self.bounds.step(now=now, key=pick[0].key, service=service, warm=pick[1], proxies=routing_state.proxies):
-                return pick[0]
-            able.remove(pick)
+                    eligible.append((worker, now - probed.slow_start_began_at))
+        while eligible:
+            candidates = self.rng.sample(eligible, min(2, len(eligible)))
+            choice = min(candidates, key=lambda candidate: self.open.get(candidate[0].key, 0))
+            if self.bounds.step(
+                now=now, key=choice[0].key, service=service, warm=choice[1], proxies=routing_state.proxies
+            ):
+                return choice[0]
+            eligible.remove(choice)
         return None
--- a/sailward/routing/passive_health.py
+++ b/sailward/routing/passive_health.py
@@ -53,17 +53,17 @@
     def __init__(self, *, names: WireNames, rng: random.Random) -> None:
         self._names, self._rng = names, rng
         self.shown: dict[str, Shown] = {}
-        self._times: dict[str, list] = {}
-        self._probes = 0
+        self._response_times: dict[str, list] = {}
+        self._probe_count = 0
 
     def step(self, *, now: float, event: CallFinished | None, plan: Plan) -> list[Command]:
         """Evaluate a finished probe, or start the probes that are due."""
         if event is not None:
-            return self._judge(now=now, event=event)
+            return self._on_probe_finished(now=now, event=event)
         commands: list[Command] = []
         for key, shown in self.shown.items():
             if shown.state in CHART.marks["probed"] and not shown.probe and now >= shown.probe_at:
-                commands.append(self._probe(now=now, key=key, shown=shown, plan=plan))
+                commands.append(self._start_probe(now=now, key=key, shown=shown, plan=plan))
         return commands
 
     def follow(self, *, now: float, workers: dict[str, Worker]) -> list[Command]:
@@ -102,7 +102,7 @@
 
     def take_times(self) -> dict:
         """{worker: [ms, ...]}: the response times since the last call."""
-        times, self._times = self._times, {}
+        times, self._response_times = self._response_times, {}
         return times
 
     def record_event(self, *, now: float, key: str, event: str, took: float = 0.0) -> list[Command]:
@@ -115,17 +115,17 @@
             return []
         if event == "pass":
             shown.answered, shown.shunned_until = now, 0.0
-            self._times.setdefault(key, []).append(round(took * 1000))
-            self._record_pace(shown=shown, took=took)
+            self._response_times.setdefault(key, []).append(round(took * 1000))
+            self._record_response_time(shown=shown, took=took)
         elif event == "lost":
             shown.window = max(1.0, shown.window / 2)
             return []
         elif event == "late":
             shown.window = max(1.0, shown.window / 2)
             event = "fail"
-        return self._move(now=now, key=key, shown=shown, event=event)
+        return self._transition(now=now, key=key, shown=shown, event=event)
 
-    def _record_pace(self, *, shown: Shown, took: float) -> None:
+    def _record_response_time(self, *, shown: Shown, took: float) -> None:
         """Update the mean response time, the unloaded response time and the concurrency window.
 
         The window, the number of requests that this proxy may have open at the worker, shrinks while the worker queues.
@@ -137,9 +137,9 @@
         else:
             shown.window = min(constants.CONCURRENCY_WINDOW_MAX, shown.window + constants.CONCURRENCY_WINDOW_INCREASE)
 
-    def _probe(self, *, now: float, key: str, shown: Shown, plan: Plan) -> StartCall:
-        self._probes += 1
-        shown.probe = f"probe {key} {self._probes}"
+    def _start_probe(self, *, now: float, key: str, shown: Shown, plan: Plan) -> StartCall:
+        self._probe_count += 1
+        shown.probe = f"probe {key} {self._probe_count}"
         service = plan.services.get(shown.worker.service)
         return StartCall(
             token=shown.probe,
@@ -153,7 +153,7 @@
             fresh=False,
         )
 
-    def _judge(self, *, now: float, event: CallFinished) -> list[Command]:
+    def _on_probe_finished(self, *, now: float, event: CallFinished) -> list[Command]:
         key = event.token.removeprefix("probe ").rpartition(" ")[0]
         shown = self.shown.get(key)
         if shown is None or shown.probe != event.token:
@@ -167,19 +167,21 @@
         slow_start = event.headers.get(self._names.slow_start, "")
         if verdict == "pass" and _is_seconds(text=slow_start):
             shown.slow_start_until = max(shown.slow_start_until, now + float(slow_start))
-        return self._move(now=now, key=key, shown=shown, event=verdict)
+        return self._transition(now=now, key=key, shown=shown, event=verdict)
 
-    def _move(self, *, now: float, key: str, shown: Shown, event: str) -> list[Command]:
-        before = shown.state
-        shown.state = CHART.step(state=before, event=event)
-        if before == shown.state:
+    def _transition(self, *, now: float, key: str, shown: Shown, event: str) -> list[Command]:
+        previous = shown.state
+        shown.state = CHART.step(state=previous, event=event)
+        if previous == shown.state:
             return []
         shown.since = now
-        if shown.state == "wary" or (shown.state == "down" and before != "wary"):
+        if shown.state == "wary" or (shown.state == "down" and previous != "wary"):
             shown.probe_at, shown.missed = now + constants.PROBE_INITIAL_BACKOFF * self._rng.random(), 0
-        if {before, shown.state} <= {"good", "doubt", "wary"}:
+        if {previous, shown.state} <= {"good", "doubt", "wary"}:
             return []
-        return [LogEvent(event="worker-status", fields={"worker": key, "from": before, "to": shown.state, "by": event})]
+        return [
+            LogEvent(event="worker-status", fields={"worker": key, "from": previous, "to": shown.state, "by": event})
+        ]
 
 
 def _is_seconds(*, text: str) -> bool:
--- a/sailward/routing/plan.py
+++ b/sailward/routing/plan.py
@@ -107,7 +107,7 @@
 
     def match(self, *, path: str, method: str, tenant: str, host: str = "") -> Match | None:
         """The rule for this exchange: longest path first, then rules that name tenants, then those with methods."""
-        for match in (*self.index.get((host, _first_part(path=path)), ()), *self.index.get((host, ""), ())):
+        for match in (*self.index.get((host, _first_segment(path=path)), ()), *self.index.get((host, ""), ())):
             if not (path == match.path or path.startswith(match.path.rstrip("/") + "/")):
                 continue
             if (not match.methods or method in match.methods) and (not match.tenants or tenant in match.tenants):
@@ -115,7 +115,7 @@
         return None
 
 
-def _first_part(*, path: str) -> str:
+def _first_segment(*, path: str) -> str:
     return path.split("/", 2)[1] if path.startswith("/") else ""
 
 
@@ -144,8 +144,8 @@
 
 def read_full(*, value: RegisterValue, expand: Callable[[dict], dict] | None = None) -> dict:
     """The full form of the configuration in a register's value; empty if it holds none."""
-    inner = json.loads(value["text"]) if value["text"] else {}
-    return expand(inner["written"]) if expand and "written" in inner and "full" not in inner else inner.get("full", {})
+    body = json.loads(value["text"]) if value["text"] else {}
+    return expand(body["written"]) if expand and "written" in body and "full" not in body else body.get("full", {})
 
 
 def plan_of(*, full: dict, number: int) -> Plan:
@@ -164,7 +164,7 @@
         pools=pools,
         tenants=tenants,
         matches=tuple(matches),
-        index=groupby(lambda match: (match.host, _first_part(path=match.path)), matches),
+        index=groupby(lambda match: (match.host, _first_segment(path=match.path)), matches),
         limits=Limits(**full.get("limits", {})),
         label=full.get("label", 0),
         regions={name: zone["region"] for name, zone in full["halls"].items()},
--- a/sailward/routing/routing_state.py
+++ b/sailward/routing/routing_state.py
@@ -36,9 +36,9 @@
             probed = self.prober.probed.get(key)
             zone_key = (worker.service, worker.zone)
             listed, healthy, known = counts.get(zone_key, (0, 0, 0))
-            good = probed is not None and probed.healthy and not worker.leaving
+            is_healthy = probed is not None and probed.healthy and not worker.leaving
             is_known = worker.leaving or (probed is not None and probed.known)
-            counts[zone_key] = (listed + 1, healthy + good, known + is_known)
+            counts[zone_key] = (listed + 1, healthy + is_healthy, known + is_known)
         return counts
 
     def keep_view(self, *, now: float, identity: str, view: dict) -> None:
@@ -49,9 +49,11 @@
 
     def drained_by_aggregated_health(self, *, now: float, service: str, zone: str) -> bool:
         """Do most of the controllers with a recent view report this zone as drained?"""
-        fresh = [view for at, view in self.views.values() if now - at < constants.HEALTH_REPORT_TTL]
+        recent_views = [view for at, view in self.views.values() if now - at < constants.HEALTH_REPORT_TTL]
         name = f"{service}|{zone}"
-        return bool(fresh) and 2 * sum(name in view.get("drained", ()) for view in fresh) > len(fresh)
+        return bool(recent_views) and 2 * sum(name in view.get("drained", ()) for view in recent_views) > len(
+            recent_views
+        )
 
     def clock(self, *, now: float) -> float | None:
         """The wall time by the median of the controllers' clocks (the later one of two).
@@ -66,8 +68,8 @@
 
     def has_unknown_outcomes(self, *, now: float) -> bool:
         """Does every controller with a recent view report that claims may have been lost?"""
-        fresh = [view for at, view in self.views.values() if now - at < constants.HEALTH_REPORT_TTL]
-        return bool(fresh) and all(view.get("doubt") for view in fresh)
+        recent_views = [view for at, view in self.views.values() if now - at < constants.HEALTH_REPORT_TTL]
+        return bool(recent_views) and all(view.get("doubt") for view in recent_views)
 
     def warm(self) -> dict[str, float]:
         """For how long (s) other proxies have seen each worker in good status."""
@@ -84,14 +86,14 @@
             if name != service:
                 continue
             region = self.plan.regions.get(zone)
-            home = tenant is None or not tenant.homes or region in tenant.homes
+            is_home = tenant is None or not tenant.homes or region in tenant.homes
             drained = state.drained or self.drained_by_aggregated_health(now=now, service=service, zone=zone)
             views[zone] = ZoneView(
                 fraction=state.fraction,
                 healthy=state.healthy,
                 listed=state.listed,
                 drained=drained,
-                allowed=home and zone not in self.emptied and region is not None,
+                allowed=is_home and zone not in self.emptied and region is not None,
             )
         return views
 
--- a/sailward/routing/shard_owners.py
+++ b/sailward/routing/shard_owners.py
@@ -88,9 +88,9 @@
 def pool_at(*, shares: tuple, slot: int, slots: int) -> str:
     """The pool that a slot belongs to: pools by weight as in the weighted draw, but by slot position, not at random."""
     total = sum(weight for _, weight in shares)
-    at = (slot + 0.5) / slots * total
+    position = (slot + 0.5) / slots * total
     for name, weight in shares:
-        at -= weight
-        if at < 0:
+        position -= weight
+        if position < 0:
             return name
     return shares[-1][0]
--- a/sailward/routing/weighted_draw.py
+++ b/sailward/routing/weighted_draw.py
@@ -28,10 +28,10 @@
 def draw_pool(*, match: Match, rng: random.Random) -> str:
     """Draw a pool with probability weight / total, regardless of health."""
     total = sum(weight for _, weight in match.shares)
-    at = rng.random() * total
+    point = rng.random() * total
     for name, weight in match.shares:
-        at -= weight
-        if at < 0:
+        point -= weight
+        if point < 0:
             return name
     return [name for name, weight in match.shares if weight][-1]
 
@@ -44,31 +44,31 @@
     the part of its share that it can't serve (all of it if it has no healthy worker) spills over to the fallback tier.
     Where only drained zones could serve, they do: the hold-down protects against flapping and must not refuse requests.
     """
-    marked = _marked(pool=pool, views=views)
+    excluded = _drained_within_cap(pool=pool, views=views)
     usable = [
         zone
         for zone in (*pool.preferred, *pool.fallback)
         if zone in views and views[zone].allowed and views[zone].listed
     ]
-    aggregated_health = [zone for zone in usable if zone not in marked]
-    if not any(views[zone].healthy for zone in aggregated_health):
-        aggregated_health = [zone for zone in usable if views[zone].healthy]
-    preferred = [zone for zone in pool.preferred if zone in aggregated_health]
-    fallback = [zone for zone in pool.fallback if zone in aggregated_health]
-    keeps = {
+    available = [zone for zone in usable if zone not in excluded]
+    if not any(views[zone].healthy for zone in available):
+        available = [zone for zone in usable if views[zone].healthy]
+    preferred = [zone for zone in pool.preferred if zone in available]
+    fallback = [zone for zone in pool.fallback if zone in available]
+    kept = {
         zone: min(1.0, views[zone].fraction / constants.ZONE_SPILL_THRESHOLD) if views[zone].healthy else 0.0
-        for zone in aggregated_health
+        for zone in available
     }
-    if not any(keeps[zone] for zone in preferred) or not any(keeps[zone] for zone in fallback):
-        preferred, fallback = [zone for zone in aggregated_health if keeps[zone]], []
+    if not any(kept[zone] for zone in preferred) or not any(kept[zone] for zone in fallback):
+        preferred, fallback = [zone for zone in available if kept[zone]], []
     if not fallback:
-        return _normalize(shares={zone: keeps[zone] * views[zone].weight for zone in preferred})
+        return _normalize(shares={zone: kept[zone] * views[zone].weight for zone in preferred})
     total = sum(views[zone].weight for zone in preferred)
-    shares = {zone: keeps[zone] * views[zone].weight / total for zone in preferred}
+    shares = {zone: kept[zone] * views[zone].weight / total for zone in preferred}
     spill = 1.0 - sum(shares.values())
     if spill > 1e-9:
-        taken = _normalize(shares={zone: keeps[zone] * views[zone].weight for zone in fallback})
-        shares.update({zone: spill * part for zone, part in taken.items()})
+        spilled = _normalize(shares={zone: kept[zone] * views[zone].weight for zone in fallback})
+        shares.update({zone: spill * part for zone, part in spilled.items()})
     return shares
 
 
@@ -77,11 +77,11 @@
     return rng.choices(list(shares), weights=list(shares.values()))[0]
 
 
-def _marked(*, pool: Pool, views: dict[str, ZoneView]) -> set[str]:
+def _drained_within_cap(*, pool: Pool, views: dict[str, ZoneView]) -> set[str]:
     zones = [zone for zone in (*pool.preferred, *pool.fallback) if zone in views and views[zone].listed]
-    capacity = int(constants.MAX_DRAINED_ZONES_RATIO * len(zones))
+    cap = int(constants.MAX_DRAINED_ZONES_RATIO * len(zones))
     drained = sorted((zone for zone in zones if views[zone].drained), key=lambda zone: (views[zone].fraction, zone))
-    return set(drained[:capacity])
+    return set(drained[:cap])
 
 
 def _normalize(*, shares: dict[str, float]) -> dict[str, float]:
--- a/sailward/routing/zone_health.py
+++ b/sailward/routing/zone_health.py
@@ -46,16 +46,16 @@
                 # not all workers have been probed: the fraction is used for weighting, but does not drain the zone yet
                 zone.fraction = healthy / known if known else 0.0
                 continue
-            commands += self._move(now=now, key=key, zone=zone)
+            commands += self._transition(now=now, key=key, zone=zone)
         return commands
 
-    def _move(self, *, now: float, key: tuple[str, str], zone: ZoneHealth) -> list[Command]:
-        before = zone.state
+    def _transition(self, *, now: float, key: tuple[str, str], zone: ZoneHealth) -> list[Command]:
+        previous = zone.state
         for event in self._events(now=now, zone=zone):
-            after = CHART.step(state=zone.state, event=event)
-            if after != zone.state:
-                zone.state, zone.since = after, now
-        if before == zone.state:
+            state = CHART.step(state=zone.state, event=event)
+            if state != zone.state:
+                zone.state, zone.since = state, now
+        if previous == zone.state:
             return []
         return [
             LogEvent(
@@ -63,7 +63,7 @@
                 fields={
                     "service": key[0],
                     "hall": key[1],
-                    "from": before,
+                    "from": previous,
                     "to": zone.state,
                     "fraction": round(zone.fraction, 2),
                 },
--- a/simulation/hosted/sabotage.py
+++ b/simulation/hosted/sabotage.py
@@ -169,12 +169,12 @@
         ),
         _patch(
             endpoint_selection.EndpointSelector,
-            "_near",
+            "_resolve_tiers",
             lambda old: lambda self, *, pool, homes: old(self, pool=pool, homes=frozenset()),
         ),
     ),
     "cold-bound": _all(
-        _patch(endpoint_selection.EndpointSelector, "_is_within_limits", lambda old: lambda self, **fields: True)
+        _patch(endpoint_selection.EndpointSelector, "_take_slow_start_token", lambda old: lambda self, **fields: True)
     ),
     "cold-news": _all(
         _patch(passive_health.PassiveHealth, "begin_slow_start", lambda old: lambda self, **fields: None)
--- a/simulation/sim/sabotage.py
+++ b/simulation/sim/sabotage.py
@@ -137,8 +137,8 @@
 
 def _no_last_resort(old):
     def share(*, pool, views):
-        marked = weighted_draw._marked(pool=pool, views=views)
-        return old(pool=pool, views={zone: view for zone, view in views.items() if zone not in marked})
+        excluded = weighted_draw._drained_within_cap(pool=pool, views=views)
+        return old(pool=pool, views={zone: view for zone, view in views.items() if zone not in excluded})
 
     return share
 
@@ -208,7 +208,7 @@
     ),
     "probes": _method(
         active_health.Prober,
-        "_move",
+        "_transition",
         lambda old: lambda self, *, now, probed, event: old(self, now=now, probed=probed, event="pass"),
     ),
     "whole-pass": _method(
