--- a/tests/proxy_kit.py
+++ b/tests/proxy_kit.py
@@ -1,4 +1,4 @@
-"""Makers for tests of a proxy's parts: a plan, a scene with workers, a forwarder, and events as the edges give them."""
+"""Helpers for tests of the components of a proxy: a plan, workers, a forwarder, and events."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def make_plan(*, ranged: bool = False, **match: object) -> Plan:
-    """Two services, and one rule of host `shop` at /a with the given fields."""
+    """A plan with two services, and one rule for host `shop` and path /a with the given fields."""
     rule = {
         "path": "/a",
         "methods": [],
@@ -81,7 +81,7 @@
     slow_start: float = 0.0,
     capacity: int = 4,
 ) -> Worker:
-    """A worker of a list without generations."""
+    """A worker from a list without generations."""
     return Worker(
         name=name,
         generation=0,
@@ -96,7 +96,7 @@
 
 
 class Bench:
-    """A forwarder over a scene, and the clock by which it is asked."""
+    """A forwarder with its workers and plan, and the clock that its steps are given."""
 
     def __init__(
         self,
@@ -131,7 +131,7 @@
         self.count = 0
 
     def list(self, *, workers: list[Worker]) -> list:
-        """Take a list of workers, and count the halls."""
+        """Apply a list of workers, and update the zone health."""
         listed = {worker.key: worker for worker in workers}
         commands = self.passive_health.follow(now=self.now, workers=listed)
         self.context.follow(workers=listed)
@@ -139,7 +139,7 @@
         return commands
 
     def own(self, *, owner: str, state: str = OPEN, start: int = 0, end: int = 65535) -> None:
-        """Name the owner of a range of `red`; all other keys have none."""
+        """Set the owner of a key range of `red`; all other keys have no owner."""
         parts = [Shard(start=0, end=start - 1, owner="", fencing_token=1, state=OPEN)] if start else []
         parts.append(Shard(start=start, end=end, owner=owner, fencing_token=2, state=state, next_owner=""))
         if end < 65535:
@@ -157,7 +157,7 @@
         body: bytes = b"",
         **headers: str,
     ) -> list:
-        """A caller's request arrives."""
+        """Step the forwarder with a client's request."""
         self.count += 1
         given = {
             "host": host,
@@ -180,7 +180,7 @@
         )
 
     def back(self, *, call: StartCall, code: int = 200, body: bytes = b"whole", **headers: str) -> list:
-        """The worker answers a call as itself."""
+        """Step the forwarder with the worker's answer to a call."""
         given = {
             "x-id": call.headers.get("x-id", ""),
             "x-seal": "s",
@@ -192,13 +192,13 @@
         )
 
     def fail(self, *, call: StartCall, fault: str, sent: bool) -> list:
-        """A call ends without an answer."""
+        """Step the forwarder with a call that ended without an answer."""
         return self.forwarder.step(
             now=self.now, event=CallFinished(token=call.token, code=0, headers={}, body=b"", fault=fault, sent=sent)
         )
 
     def wait(self, seconds: float) -> list:
-        """Time goes on."""
+        """Advance the clock, and step the forwarder."""
         self.now += seconds
         return self.forwarder.step(now=self.now, event=None)
 
@@ -209,15 +209,15 @@
 
 
 def answers(commands: list) -> list[Respond]:
-    """The answers among the commands."""
+    """The responses among the commands."""
     return [command for command in commands if isinstance(command, Respond)]
 
 
 def cancels(commands: list) -> list[CancelCall]:
-    """The calls that are given up."""
+    """The cancelled calls among the commands."""
     return [command for command in commands if isinstance(command, CancelCall)]
 
 
 def logs(commands: list, *, event: str) -> list[LogEvent]:
-    """The log lines of one event."""
+    """The log lines of one event among the commands."""
     return [command for command in commands if isinstance(command, LogEvent) and command.event == event]
--- a/tests/test_control_client.py
+++ b/tests/test_control_client.py
@@ -1,4 +1,4 @@
-"""A proxy's way to the core: whom it asks, whom it follows, and what it forgets."""
+"""A proxy's client of the controllers: which it polls, which it follows, and which it drops."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Core:
-    """Controllers that answer after a moment, unless they are silent; the uplink is stepped by the clock."""
+    """Controllers that answer after 20 ms unless they are silent, and a control client stepped on each tick."""
 
     def __init__(self, *, seeds: tuple = ("c-far", "c-near", "c-far2"), told: list | None = None) -> None:
         self.control_client = ControlClient(zone="north-a", region="north", seeds=seeds)
--- a/tests/test_endpoint_selection.py
+++ b/tests/test_endpoint_selection.py
@@ -1,6 +1,6 @@
-"""Placing.
+"""Endpoint selection.
 
-Pool by weight, hall by tier, health, homes and orders, worker by open requests, and the bounds of cold ones.
+Pool by weight; zone by tier, health, home regions and evacuations; worker by open requests; limits of cold workers.
 """
 
 from __future__ import annotations
--- a/tests/test_passive_health.py
+++ b/tests/test_passive_health.py
@@ -1,4 +1,4 @@
-"""What is known of workers: by exchanges first, by probes where these are in doubt, by lists what is cold or gone."""
+"""Worker health from the results of exchanges, from probes of workers in doubt, and from worker lists."""
 
 from __future__ import annotations
 
@@ -140,7 +140,7 @@
 
 
 def test_a_worker_that_comes_back_is_probed_under_a_token_of_its_own() -> None:
-    """The end of a probe begun before it left the list says nothing of the one begun after it came back."""
+    """The result of a probe from before the worker left the list must not count for the worker listed again later."""
     passive_health = make()
     for _ in range(3):
         passive_health.record_event(now=100.0, key="w0", event="fail")
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -1,4 +1,4 @@
-"""A whole proxy: from nothing told to ready, what is pushed, its edges, and its stop."""
+"""A complete proxy: start-up until it is ready, pushed data, its listeners, and shutdown."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
 
 
 class Bench:
-    """A proxy, the controller `c0` that answers it, and what it commanded."""
+    """A proxy, the controller `c0` that answers it, and the commands that the proxy returned."""
 
     def __init__(self) -> None:
         options = ProxyOptions(
