--- a/tests/test_control_client.py
+++ b/tests/test_control_client.py
@@ -37,27 +37,27 @@
         return {to for at, to in self.asked if at >= since}
 
 
-def test_only_seeds_are_asked_at_first_and_one_that_answers_leads() -> None:
+def test_only_seeds_are_polled_at_first_and_one_that_answers_is_followed() -> None:
     core = Core()
     core.run(3.0)
     assert core.asked_since(0) <= {"c-far", "c-near", "c-far2"} and core.control_client.lead in core.asked_since(0)
 
 
-def test_what_it_learns_brings_it_to_the_nearest() -> None:
+def test_it_moves_to_the_nearest_controller_it_learns_of() -> None:
     core = Core(told=CONTROLLERS)
     core.run(6.0)
     assert core.control_client.lead == "c-home"
     assert core.asked_since(core.now - 2.0) == {"c-home", "c-near"}
 
 
-def test_no_more_are_asked_than_it_takes() -> None:
+def test_no_more_controllers_are_polled_than_needed() -> None:
     core = Core(told=CONTROLLERS)
     core.run(20.0)
     rounds = 10.0 / constants.POLL_INTERVAL
     assert len([at for at, _ in core.asked if at >= 110.0]) <= rounds * constants.CONTROLLERS_POLLED
 
 
-def test_a_silent_lead_is_left_within_moments_and_taken_again() -> None:
+def test_a_silent_controller_is_replaced_quickly_and_followed_again_when_it_answers() -> None:
     core = Core(told=CONTROLLERS)
     core.run(6.0)
     core.silent = {"c-home"}
@@ -68,7 +68,7 @@
     assert core.control_client.lead == "c-home"
 
 
-def test_with_its_region_dark_it_finds_the_other() -> None:
+def test_it_follows_another_region_if_its_own_is_silent() -> None:
     core = Core(told=CONTROLLERS)
     core.run(6.0)
     core.silent = {"c-home", "c-near"}
@@ -76,7 +76,7 @@
     assert core.control_client.lead in ("c-far", "c-far2")
 
 
-def test_with_nobody_it_goes_on_asking_all_and_comes_back() -> None:
+def test_with_no_controller_it_keeps_polling_all_and_recovers() -> None:
     core = Core(told=CONTROLLERS)
     core.run(6.0)
     core.silent = {post for post, _, _ in CONTROLLERS}
@@ -92,7 +92,7 @@
     assert core.control_client.answers(now=core.now)
 
 
-def test_a_replaced_controller_is_forgotten_and_its_successor_asked() -> None:
+def test_a_replaced_controller_is_dropped_and_its_successor_polled() -> None:
     core = Core(told=CONTROLLERS)
     core.run(6.0)
     core.silent = {"c-home"}
@@ -101,7 +101,7 @@
     assert core.control_client.lead == "c-new" and "c-home" not in core.control_client.known
 
 
-def test_a_seed_that_leads_nowhere_stays_known() -> None:
+def test_a_seed_that_does_not_answer_stays_known() -> None:
     core = Core(told=CONTROLLERS[:2], seeds=("c-seed",))
     core.control_client.learn(controllers=CONTROLLERS[:2])
     core.silent = {"c-seed"}
@@ -109,12 +109,12 @@
     assert "c-seed" in core.control_client.known and core.control_client.lead == "c-home"
 
 
-def test_each_asking_has_a_number_of_its_own() -> None:
+def test_each_poll_has_its_own_sequence_number() -> None:
     control_client = ControlClient(zone="north-a", region="north", seeds=("a", "b", "c"))
-    told = [
-        one
+    polls = [
+        command
         for at in range(9)
-        for one in control_client.step(now=100.0 + at, sender=None, body={"kind": "ask"})
-        if isinstance(one, SendMessage)
+        for command in control_client.step(now=100.0 + at, sender=None, body={"kind": "ask"})
+        if isinstance(command, SendMessage)
     ]
-    assert len({one.body["seq"] for one in told}) == len(told) > 9
+    assert len({command.body["seq"] for command in polls}) == len(polls) > 9
--- a/tests/test_endpoint_selection.py
+++ b/tests/test_endpoint_selection.py
@@ -24,7 +24,7 @@
     return Bench(workers=listed, plan=make_plan(**match), proxies=proxies)
 
 
-def place(bench: Bench, **fields: object):
+def select(bench: Bench, **fields: object):
     plan = bench.context.plan
     match = plan.matches[0]
     request = Request(
@@ -43,78 +43,78 @@
     return bench.endpoint_selector.step(now=bench.now, request=request)
 
 
-def halls_of(bench: Bench, *, count: int = 60) -> dict:
-    seen: dict = {}
+def count_zones(bench: Bench, *, count: int = 60) -> dict:
+    counts: dict = {}
     for _ in range(count):
-        choice = place(bench)
+        choice = select(bench)
         name = choice.reason if isinstance(choice, Refusal) else choice.zone
-        seen[name] = seen.get(name, 0) + 1
-    return seen
+        counts[name] = counts.get(name, 0) + 1
+    return counts
 
 
-def down(bench: Bench, *names: str) -> None:
+def fail_workers(bench: Bench, *names: str) -> None:
     for name in names:
         bench.passive_health.record_event(now=bench.now, key=name, event="dark")
     bench.context.zones.step(now=bench.now, counts=bench.context.counts())
 
 
-def test_all_goes_to_the_own_region_while_it_is_well() -> None:
-    seen = halls_of(make(), count=200)
-    assert set(seen) == {"north-a", "north-b"} and min(seen.values()) > 60
+def test_all_requests_stay_in_the_own_region_while_it_is_healthy() -> None:
+    counts = count_zones(make(), count=200)
+    assert set(counts) == {"north-a", "north-b"} and min(counts.values()) > 60
 
 
-def test_under_the_spill_threshold_a_part_goes_to_the_other_region() -> None:
+def test_below_the_spill_threshold_a_share_goes_to_the_other_region() -> None:
     bench = make()
-    down(bench, "north-a0", "north-b0")
-    seen = halls_of(bench, count=400)
-    away = seen.get("south-a", 0) + seen.get("south-b", 0)
-    assert 0.15 * 400 < away < 0.45 * 400
+    fail_workers(bench, "north-a0", "north-b0")
+    counts = count_zones(bench, count=400)
+    spilled = counts.get("south-a", 0) + counts.get("south-b", 0)
+    assert 0.15 * 400 < spilled < 0.45 * 400
 
 
-def test_a_dark_region_sends_all_away() -> None:
+def test_a_region_without_healthy_workers_sends_all_requests_elsewhere() -> None:
     bench = make()
-    down(bench, "north-a0", "north-a1", "north-b0", "north-b1")
-    assert set(halls_of(bench)) == {"south-a", "south-b"}
+    fail_workers(bench, "north-a0", "north-a1", "north-b0", "north-b1")
+    assert set(count_zones(bench)) == {"south-a", "south-b"}
 
 
 @pytest.mark.parametrize("homes", [["south"], ["north"]])
-def test_homes_bind_though_only_others_are_well(homes: list) -> None:
+def test_home_regions_bind_even_if_only_other_regions_are_healthy(homes: list) -> None:
     bench = make(homes=homes)
-    assert set(halls_of(bench)) <= {zone for zone in ZONES if zone.split("-")[0] in homes}
-    down(bench, *[f"{zone}{at}" for zone in ZONES if zone.split("-")[0] in homes for at in range(2)])
-    assert set(halls_of(bench)) == {"no-worker"}
+    assert set(count_zones(bench)) <= {zone for zone in ZONES if zone.split("-")[0] in homes}
+    fail_workers(bench, *[f"{zone}{at}" for zone in ZONES if zone.split("-")[0] in homes for at in range(2)])
+    assert set(count_zones(bench)) == {"no-worker"}
 
 
-def test_an_emptied_hall_gets_nothing_and_a_home_that_is_emptied_is_no_reason_to_leave_it() -> None:
+def test_an_evacuated_zone_gets_no_requests_and_an_evacuated_home_region_still_binds() -> None:
     bench = make()
     bench.context.emptied = frozenset({"north-a"})
-    assert set(halls_of(bench)) == {"north-b"}
+    assert set(count_zones(bench)) == {"north-b"}
     bench = make(homes=["north"])
     bench.context.emptied = frozenset({"north-a", "north-b"})
-    assert set(halls_of(bench)) == {"no-worker"}
+    assert set(count_zones(bench)) == {"no-worker"}
 
 
-def test_leaving_workers_get_nothing() -> None:
+def test_leaving_workers_get_no_requests() -> None:
     bench = make(workers=[make_worker("w0"), make_worker("w1", leaving=True)])
-    assert {place(bench).key for _ in range(30)} == {"w0"}
+    assert {select(bench).key for _ in range(30)} == {"w0"}
     bench.list(workers=[make_worker("w0", leaving=True), make_worker("w1", leaving=True)])
-    assert isinstance(place(bench), Refusal)
+    assert isinstance(select(bench), Refusal)
 
 
-def test_a_request_does_not_go_back_to_who_was_tried() -> None:
+def test_a_request_is_not_sent_again_to_a_worker_that_was_tried() -> None:
     bench = make(workers=[make_worker("w0"), make_worker("w1")])
-    assert {place(bench, tried={"w0"}).key for _ in range(20)} == {"w1"}
-    assert isinstance(place(bench, tried={"w0", "w1"}), Refusal)
+    assert {select(bench, tried={"w0"}).key for _ in range(20)} == {"w1"}
+    assert isinstance(select(bench, tried={"w0", "w1"}), Refusal)
 
 
-def test_pools_are_drawn_by_weight_though_one_has_no_worker() -> None:
+def test_pools_are_drawn_by_weight_even_if_one_has_no_worker() -> None:
     workers = [make_worker("r0"), make_worker("r1")]
     bench = make(workers=workers, pools=[{"pool": "red", "weight": 70}, {"pool": "blue", "weight": 30}])
-    refused = sum(isinstance(place(bench), Refusal) for _ in range(1000))
+    refused = sum(isinstance(select(bench), Refusal) for _ in range(1000))
     assert 230 < refused < 370
 
 
-def test_further_tries_stay_with_the_pool_that_was_drawn() -> None:
+def test_retries_stay_with_the_pool_that_was_drawn() -> None:
     workers = [make_worker(f"{service}{at}", service=service) for service in ("red", "blue") for at in range(4)]
     bench = make(workers=workers, pools=[{"pool": "red", "weight": 1}, {"pool": "blue", "weight": 1}])
     plan = bench.context.plan
@@ -139,7 +139,7 @@
         assert len(services) == 1
 
 
-def test_a_worker_is_given_no_more_than_this_proxys_part_of_its_queue() -> None:
+def test_a_worker_gets_no_more_than_this_proxys_share_of_its_queue() -> None:
     bench = make(workers=[make_worker("w0"), make_worker("w1")], proxies=8)
     part = -(-4 * constants.WORKER_QUEUE_DEPTH // 8)
     bound = int(
@@ -149,94 +149,94 @@
         )
     )
     for _ in range(2 * bound):
-        bench.endpoint_selector.took(key=place(bench).key)
-    assert bench.endpoint_selector.open == {"w0": bound, "w1": bound} and place(bench).reason == "no-room"
+        bench.endpoint_selector.took(key=select(bench).key)
+    assert bench.endpoint_selector.open == {"w0": bound, "w1": bound} and select(bench).reason == "no-room"
     bench.endpoint_selector.left(key="w0")
-    assert place(bench).key == "w0"
+    assert select(bench).key == "w0"
 
 
-def test_the_slower_of_two_gets_less() -> None:
+def test_the_slower_of_two_workers_gets_fewer_requests() -> None:
     bench = make(workers=[make_worker("w0"), make_worker("w1")])
     bench.passive_health.record_event(now=bench.now, key="w0", event="pass", took=0.5)
     bench.passive_health.record_event(now=bench.now, key="w1", event="pass", took=0.1)
-    assert place(bench).key == "w1"
+    assert select(bench).key == "w1"
     for _ in range(5):
         bench.endpoint_selector.took(key="w1")
-    assert place(bench).key == "w0"
+    assert select(bench).key == "w0"
 
 
-def test_a_full_worker_is_passed_over_for_a_moment() -> None:
+def test_a_full_worker_is_skipped_until_its_backoff_ends() -> None:
     bench = make(workers=[make_worker("w0")])
     bench.passive_health.record_event(now=bench.now, key="w0", event="full")
-    assert place(bench).reason == "no-room"
+    assert select(bench).reason == "no-room"
     bench.now += constants.WORKER_FULL_BACKOFF
-    assert place(bench).key == "w0"
+    assert select(bench).key == "w0"
 
 
-def test_cold_workers_over_the_fleet_stay_within_their_bound() -> None:
+def test_cold_workers_stay_within_their_rate_limit_over_all_proxies() -> None:
     names = [f"p{at}" for at in range(6)]
     sent = 0
     for name in names:
         bench = make(workers=[make_worker("w0", slow_start=9.0)])
         bench.context.name, bench.context.peers, bench.context.proxies = name, dict.fromkeys(names, "north"), len(names)
         for _ in range(200):
-            sent += not isinstance(place(bench), Refusal)
+            sent += not isinstance(select(bench), Refusal)
             bench.now += 0.02
     assert 6.0 <= sent <= 6.0 * 4 + 5.0
 
 
-def test_warm_ones_go_before_cold_ones() -> None:
+def test_warm_workers_are_preferred_to_cold_ones() -> None:
     bench = make(workers=[make_worker("w0", slow_start=9.0), make_worker("w1")])
-    assert {place(bench).key for _ in range(30)} == {"w1"}
+    assert {select(bench).key for _ in range(30)} == {"w1"}
 
 
-def test_after_an_emptying_the_halls_workers_count_as_cold() -> None:
+def test_after_an_evacuation_the_workers_of_the_zone_count_as_cold() -> None:
     bench = make(workers=[make_worker("w0")])
     bench.passive_health.begin_slow_start(now=bench.now, zone="north-a", plan=bench.context.plan)
-    taken = sum(not isinstance(place(bench), Refusal) for _ in range(50))
+    taken = sum(not isinstance(select(bench), Refusal) for _ in range(50))
     assert taken <= 1
     bench.now += 3.0 + constants.SLOW_START_MARGIN + 0.1
-    assert not isinstance(place(bench), Refusal)
+    assert not isinstance(select(bench), Refusal)
 
 
 def make_ranged(**worker: object) -> Bench:
     return Bench(workers=[make_worker("w0", **worker), make_worker("w1", zone="south-a")], plan=make_plan(ranged=True))
 
 
-def test_keys_go_to_their_owner_alone() -> None:
+def test_keys_go_only_to_their_owner() -> None:
     bench = make_ranged()
-    assert place(bench, key=5).reason == "key-unowned"
+    assert select(bench, key=5).reason == "key-unowned"
     bench.own(owner="w1", start=100, end=200)
-    assert place(bench, key=150).key == "w1"
-    assert place(bench, key=99).reason == "key-unowned" and place(bench, key=201).reason == "key-unowned"
+    assert select(bench, key=150).key == "w1"
+    assert select(bench, key=99).reason == "key-unowned" and select(bench, key=201).reason == "key-unowned"
     bench.own(owner="w1", state="moving")
-    assert place(bench, key=150).reason == "key-moving"
+    assert select(bench, key=150).reason == "key-moving"
 
 
-def test_an_owner_that_is_lost_emptied_or_not_at_home_gets_nothing() -> None:
+def test_an_owner_that_is_lost_evacuated_or_outside_the_home_regions_gets_no_requests() -> None:
     bench = make_ranged()
     bench.own(owner="w0")
-    down(bench, "w0")
-    assert place(bench, key=5).reason == "owner-lost"
+    fail_workers(bench, "w0")
+    assert select(bench, key=5).reason == "owner-lost"
     bench = make_ranged()
     bench.own(owner="w0")
     bench.context.emptied = frozenset({"north-a"})
-    assert place(bench, key=5).reason == "owner-lost"
+    assert select(bench, key=5).reason == "owner-lost"
     bench = make_ranged()
     bench.own(owner="w1")
     bench.context.plan = dataclasses.replace(
         bench.context.plan, matches=(dataclasses.replace(bench.context.plan.matches[0], homes=frozenset({"north"})),)
     )
-    assert isinstance(place(bench, key=5), Refusal)
+    assert isinstance(select(bench, key=5), Refusal)
     bench.own(owner="unlisted")
-    assert place(bench, key=5).reason == "owner-lost"
+    assert select(bench, key=5).reason == "owner-lost"
 
 
-def test_a_cold_owner_is_bounded() -> None:
+def test_a_cold_owner_is_rate_limited() -> None:
     bench = make_ranged(slow_start=5.0)
     bench.own(owner="w0")
     taken = 0
     for _ in range(100):
-        taken += not isinstance(place(bench, key=5), Refusal)
+        taken += not isinstance(select(bench, key=5), Refusal)
         bench.now += 0.01
     assert 1 <= taken <= 6
--- a/tests/test_passive_health.py
+++ b/tests/test_passive_health.py
@@ -20,26 +20,30 @@
     return passive_health
 
 
-def look(passive_health: PassiveHealth, *, now: float) -> list[StartCall]:
-    return [one for one in passive_health.step(now=now, event=None, plan=PLAN) if isinstance(one, StartCall)]
+def due_probes(passive_health: PassiveHealth, *, now: float) -> list[StartCall]:
+    return [
+        command for command in passive_health.step(now=now, event=None, plan=PLAN) if isinstance(command, StartCall)
+    ]
 
 
-def deliver(passive_health: PassiveHealth, *, call: StartCall, now: float, code: int = 200, **headers: str) -> list:
-    given = {name.replace("_", "-"): value for name, value in headers.items()}
+def finish_probe(
+    passive_health: PassiveHealth, *, call: StartCall, now: float, code: int = 200, **headers: str
+) -> list:
+    reply_headers = {name.replace("_", "-"): value for name, value in headers.items()}
     return passive_health.step(
         now=now,
         plan=PLAN,
         event=CallFinished(
-            token=call.token, code=code, headers=given, body=b"", fault="" if code else "timed-out", sent=True
+            token=call.token, code=code, headers=reply_headers, body=b"", fault="" if code else "timed-out", sent=True
         ),
     )
 
 
-def test_nobody_is_probed_while_exchanges_go_well() -> None:
+def test_no_worker_is_probed_while_exchanges_succeed() -> None:
     passive_health = make()
     for at in range(200):
         passive_health.record_event(now=100 + at * 0.05, key="w0", event="pass", took=0.1)
-        assert not look(passive_health, now=100 + at * 0.05)
+        assert not due_probes(passive_health, now=100 + at * 0.05)
     assert passive_health.shown["w0"].pace == pytest.approx(0.1)
 
 
@@ -57,7 +61,7 @@
         (["fail", "stranger"], "gone"),
     ],
 )
-def test_how_exchanges_move_a_worker(events: list, state: str) -> None:
+def test_state_after_results_of_exchanges(events: list, state: str) -> None:
     passive_health = make()
     for event in events:
         passive_health.record_event(now=101.0, key="w0", event=event)
@@ -65,57 +69,59 @@
     assert passive_health.shown["w0"].is_healthy == (state in ("good", "doubt", "wary"))
 
 
-def test_a_lost_worker_is_probed_until_it_is_back() -> None:
+def test_a_lost_worker_is_probed_until_it_recovers() -> None:
     passive_health = make()
     [log] = logs(passive_health.record_event(now=101.0, key="w0", event="refused"), event="worker-status")
     assert log.fields == {"worker": "w0", "from": "good", "to": "down", "by": "refused"}
-    now, seen = 101.0, 0
+    now, probes = 101.0, 0
     while now < 111.0:
-        for call in look(passive_health, now=now):
+        for call in due_probes(passive_health, now=now):
             assert (call.method, call.path, call.address) == ("GET", "/well", "w0:80") and call.headers[
                 "x-expect"
             ] == "w0"
-            assert not look(passive_health, now=now)
-            deliver(passive_health, call=call, now=now, code=0)
-            seen += 1
+            assert not due_probes(passive_health, now=now)
+            finish_probe(passive_health, call=call, now=now, code=0)
+            probes += 1
         now += constants.TICK_INTERVAL
-    assert 10 / constants.PROBE_MAX_BACKOFF / 1.3 < seen < 15
-    while not (due := look(passive_health, now=now)):
+    assert 10 / constants.PROBE_MAX_BACKOFF / 1.3 < probes < 15
+    while not (due := due_probes(passive_health, now=now)):
         now += constants.TICK_INTERVAL
-    deliver(passive_health, call=due[0], now=now, x_who="w0")
-    assert passive_health.shown["w0"].state == "good" and not look(passive_health, now=now + 5.0)
+    finish_probe(passive_health, call=due[0], now=now, x_who="w0")
+    assert passive_health.shown["w0"].state == "good" and not due_probes(passive_health, now=now + 5.0)
 
 
 def test_another_worker_at_the_address_is_a_stranger_for_good() -> None:
     passive_health = make()
     passive_health.record_event(now=101.0, key="w0", event="refused")
-    [call] = look(passive_health, now=102.0)
-    deliver(passive_health, call=call, now=102.1, x_who="w7")
-    assert passive_health.shown["w0"].state == "gone" and not look(passive_health, now=120.0)
+    [call] = due_probes(passive_health, now=102.0)
+    finish_probe(passive_health, call=call, now=102.1, x_who="w7")
+    assert passive_health.shown["w0"].state == "gone" and not due_probes(passive_health, now=120.0)
 
 
 @pytest.mark.parametrize(
     ("told", "slow_start"), [("2.5", 2.5), ("0", 0.0), ("", 0.0), ("x", 0.0), ("nan", 0.0), ("-3", 0.0), ("1e9", 0.0)]
 )
-def test_a_probe_tells_how_long_it_stays_cold(told: str, slow_start: float) -> None:
+def test_a_probe_reports_how_long_the_worker_stays_cold(told: str, slow_start: float) -> None:
     passive_health = make()
     passive_health.record_event(now=101.0, key="w0", event="refused")
-    [call] = look(passive_health, now=102.0)
-    deliver(passive_health, call=call, now=102.0, x_who="w0", x_cold=told)
+    [call] = due_probes(passive_health, now=102.0)
+    finish_probe(passive_health, call=call, now=102.0, x_who="w0", x_cold=told)
     assert max(0.0, passive_health.shown["w0"].slow_start_until - 102.0) == pytest.approx(slow_start)
 
 
-def test_a_probe_that_was_overtaken_says_nothing() -> None:
+def test_the_result_of_an_outdated_probe_is_ignored() -> None:
     passive_health = make()
     passive_health.record_event(now=101.0, key="w0", event="refused")
-    [call] = look(passive_health, now=102.0)
+    [call] = due_probes(passive_health, now=102.0)
     passive_health.follow(now=102.0, workers={})
-    assert deliver(passive_health, call=call, now=102.1, x_who="w0") == []
+    assert finish_probe(passive_health, call=call, now=102.1, x_who="w0") == []
     passive_health.follow(now=103.0, workers={"w0": make_worker("w0")})
-    assert deliver(passive_health, call=call, now=103.1, code=0) == [] and passive_health.shown["w0"].state == "good"
+    assert (
+        finish_probe(passive_health, call=call, now=103.1, code=0) == [] and passive_health.shown["w0"].state == "good"
+    )
 
 
-def test_lists_tell_who_is_cold_and_a_later_telling_does_not_shorten_it() -> None:
+def test_lists_start_slow_start_and_a_later_list_does_not_shorten_it() -> None:
     passive_health = make(slow_start=4.0)
     assert passive_health.shown["w0"].slow_start_until == pytest.approx(104.0)
     passive_health.follow(now=101.0, workers={"w0": make_worker("w0", slow_start=2.0)})
@@ -124,13 +130,13 @@
     assert passive_health.shown["w0"].slow_start_until == pytest.approx(113.0)
 
 
-def test_who_goes_from_the_list_is_hung_up_on() -> None:
+def test_connections_to_a_worker_that_is_removed_from_the_list_are_closed() -> None:
     passive_health = make()
     assert passive_health.follow(now=101.0, workers={}) == [CloseConnections(owner="w0")]
     assert passive_health.record_event(now=101.0, key="w0", event="fail") == []
 
 
-def test_full_is_a_pause_and_no_fault() -> None:
+def test_a_full_worker_is_backed_off_from_and_not_marked_as_failed() -> None:
     passive_health = make()
     for _ in range(9):
         passive_health.record_event(now=101.0, key="w0", event="full")
@@ -139,19 +145,19 @@
     )
 
 
-def test_a_worker_that_comes_back_is_probed_under_a_token_of_its_own() -> None:
+def test_a_worker_that_returns_is_probed_under_a_new_token() -> None:
     """The result of a probe from before the worker left the list must not count for the worker listed again later."""
     passive_health = make()
     for _ in range(3):
         passive_health.record_event(now=100.0, key="w0", event="fail")
-    before = look(passive_health, now=101.0)[0]
+    before = due_probes(passive_health, now=101.0)[0]
     passive_health.follow(now=101.1, workers={})
     passive_health.follow(now=101.2, workers={"w0": make_worker("w0")})
     for _ in range(3):
         passive_health.record_event(now=101.2, key="w0", event="fail")
-    after = look(passive_health, now=102.0)[0]
+    after = due_probes(passive_health, now=102.0)[0]
     assert after.token != before.token
-    deliver(passive_health, call=before, now=102.1)
+    finish_probe(passive_health, call=before, now=102.1)
     assert not passive_health.shown["w0"].is_healthy
-    deliver(passive_health, call=after, now=102.1)
+    finish_probe(passive_health, call=after, now=102.1)
     assert passive_health.shown["w0"].is_healthy
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -139,7 +139,7 @@
         return self.ask("front", path, headers={"host": host, "attempt-id": f"a{self.count}", "time-budget": "2000"})
 
     def code(self, edge: str, path: str, **more: object) -> int:
-        return next(one.code for one in self.ask(edge, path, **more) if isinstance(one, Respond))
+        return next(command.code for command in self.ask(edge, path, **more) if isinstance(command, Respond))
 
 
 @pytest.fixture
@@ -156,7 +156,7 @@
     return [command for command in commands if isinstance(command, StartCall)]
 
 
-def test_it_is_ready_when_it_has_both_a_configuration_and_a_list() -> None:
+def test_it_is_ready_when_it_has_both_a_configuration_and_a_worker_list() -> None:
     bench = Bench()
     bench.run(3.0)
     assert (
@@ -170,32 +170,40 @@
 
 def test_every_push_is_acknowledged_and_an_older_one_changes_nothing(bench: Bench) -> None:
     newer = bench.push("config", {"written": make_written(label=9, weight=0)}, number=3)
-    assert [one.body["number"] for one in newer if isinstance(one, SendMessage) and one.body["kind"] == "ack"] == [3]
+    assert [
+        command.body["number"]
+        for command in newer
+        if isinstance(command, SendMessage) and command.body["kind"] == "ack"
+    ] == [3]
     older = bench.push("config", {"written": make_written(label=7)}, number=2)
-    assert [one.body["number"] for one in older if isinstance(one, SendMessage) and one.body["kind"] == "ack"] == [2]
+    assert [
+        command.body["number"]
+        for command in older
+        if isinstance(command, SendMessage) and command.body["kind"] == "ack"
+    ] == [2]
     assert bench.proxy.context.plan.label == 9
 
 
-def test_lists_are_taken_from_the_controller_it_follows_alone(bench: Bench) -> None:
+def test_lists_are_accepted_only_from_the_followed_controller(bench: Bench) -> None:
     bench.push("workers", WORKERS[:1], number=2, sender="c1")
     assert len(bench.proxy.endpoint_table.workers) == 3
     bench.push("workers", WORKERS[:2], number=2)
     assert len(bench.proxy.endpoint_table.workers) == 2
 
 
-def test_a_draining_worker_stays_so_though_another_list_lags(bench: Bench) -> None:
+def test_a_draining_worker_stays_draining_after_an_outdated_list(bench: Bench) -> None:
     bench.push("workers", [WORKERS[0], {**WORKERS[1], "leaving": True}, WORKERS[2]], number=2)
     bench.push("workers", WORKERS, number=3)
     assert bench.proxy.endpoint_table.workers["w1"].leaving and not bench.proxy.endpoint_table.workers["w0"].leaving
 
 
-def test_unexpected_messages_are_logged_and_do_no_harm(bench: Bench) -> None:
+def test_unexpected_messages_are_logged_and_change_nothing(bench: Bench) -> None:
     bench.receive({"kind": "gossip", "entries": [], "reply": False})
     bench.push("nonsense", {}, number=4)
     assert bench.code("ready", "/readiness") == 200
 
 
-def test_the_directory_names_the_fit_ones_of_the_callers_region(bench: Bench) -> None:
+def test_the_directory_lists_the_fit_proxies_of_the_callers_region(bench: Bench) -> None:
     [answer] = bench.ask("directory", "/resolve", query={"name": "two.example", "region": "gdl", "zone": "gdl-b"})
     told = json.loads(WIRE.answer_directory(answer, ttl=2.0).body)
     assert told == {"addresses": ["10.0.0.8:8641", "10.0.0.9:8641"], "ttl_s": 2.0}
@@ -204,40 +212,41 @@
     assert bench.code("directory", "/other") == 404 and bench.code("directory", "/resolve", method="POST") == 404
 
 
-def test_before_anything_is_known_the_directory_fails_rather_than_names_nobody() -> None:
+def test_before_any_proxy_is_known_the_directory_fails_instead_of_returning_an_empty_list() -> None:
     assert Bench().code("directory", "/resolve") == 503
 
 
-def test_it_tells_the_core_what_it_holds_and_finds_down(bench: Bench) -> None:
+def test_polls_report_the_configuration_and_the_workers_found_down(bench: Bench) -> None:
     bench.log.clear()
     [call] = calls(bench.request())
     bench.give(CallFinished(token=call.token, code=0, headers={}, body=b"", fault="refused", sent=False))
     bench.run(1.0)
-    asks = [one.body for one in bench.log if isinstance(one, SendMessage) and one.body["kind"] == "ask"]
+    asks = [command.body for command in bench.log if isinstance(command, SendMessage) and command.body["kind"] == "ask"]
     assert (
         asks[-1]["have"]["config"][0] == 1 and asks[-1]["daemon"]["fit"] and asks[-1]["report"]["down"] == [call.owner]
     )
 
 
-def test_an_evacuation_holds_at_once_and_its_end_makes_workers_cold(bench: Bench) -> None:
+def test_an_evacuation_applies_at_once_and_its_end_starts_slow_start(bench: Bench) -> None:
     bench.push("orders", {"emptied": ["gdl-a"]})
     assert not calls(bench.request())
     bench.push("orders", {"emptied": []}, number=2)
     assert all(shown.slow_start_until > bench.now for shown in bench.proxy.passive_health.shown.values())
 
 
-def test_a_stop_leaves_in_order(bench: Bench) -> None:
+def test_shutdown_drains_in_order(bench: Bench) -> None:
     commands = bench.give(ShutdownRequested())
-    assert [one.shut for one in commands if isinstance(one, DrainConnections)] == [False]
+    assert [command.shut for command in commands if isinstance(command, DrainConnections)] == [False]
     assert any(
-        isinstance(one, SendMessage) and one.body["kind"] == "ask" and not one.body["daemon"]["fit"] for one in commands
+        isinstance(command, SendMessage) and command.body["kind"] == "ask" and not command.body["daemon"]["fit"]
+        for command in commands
     )
     assert bench.code("ready", "/readiness") == 503
     bench.run(2.0)
     [call] = calls(bench.request())
     commands = bench.run(1.2)
-    assert [one.shut for one in commands if isinstance(one, DrainConnections)] == [True] and not any(
-        isinstance(one, ExitProcess) for one in commands
+    assert [command.shut for command in commands if isinstance(command, DrainConnections)] == [True] and not any(
+        isinstance(command, ExitProcess) for command in commands
     )
     commands = bench.give(
         CallFinished(
@@ -250,16 +259,16 @@
         )
     )
     assert [command.code for command in commands if isinstance(command, Respond)] == [200]
-    assert any(isinstance(one, ExitProcess) and one.code == 0 for one in bench.run(0.2))
+    assert any(isinstance(command, ExitProcess) and command.code == 0 for command in bench.run(0.2))
 
 
-def test_an_idle_one_stops_when_it_has_left(bench: Bench) -> None:
+def test_an_idle_proxy_stops_once_clients_had_time_to_leave(bench: Bench) -> None:
     bench.give(ShutdownRequested())
-    assert not any(isinstance(one, ExitProcess) for one in bench.run(2.5))
-    assert any(isinstance(one, ExitProcess) for one in bench.run(1.0))
+    assert not any(isinstance(command, ExitProcess) for command in bench.run(2.5))
+    assert any(isinstance(command, ExitProcess) for command in bench.run(1.0))
 
 
-def test_it_goes_on_without_the_core(bench: Bench) -> None:
+def test_it_keeps_serving_without_controllers(bench: Bench) -> None:
     bench.answering = set()
     bench.run(20.0)
     assert not bench.proxy.control_client.answers(now=bench.now)
