--- a/sailward/routing/concurrency_limits.py
+++ b/sailward/routing/concurrency_limits.py
@@ -31,7 +31,7 @@
         return True
 
     def forget(self, *, now: float, keep: set[str]) -> None:
-        """Drop the buckets of workers that are no longer listed, and of keys without requests for RETRY_BUDGET_WINDOW."""
+        """Drop the buckets of workers that are no longer listed, and of keys unused for RETRY_BUDGET_WINDOW."""
         self._buckets = {
             key: bucket
             for key, bucket in self._buckets.items()
