--- a/sailward/proxy/proxy.py
+++ b/sailward/proxy/proxy.py
@@ -170,8 +170,8 @@
         if rows is None:
             return None
         added, removed = self.endpoint_table.replace(now=now, workers=rows)
-        commands = self.passive_health.follow(now=now, workers=self.endpoint_table.workers)
-        self.context.follow(workers=self.endpoint_table.workers)
+        commands = self.passive_health.update_workers(now=now, workers=self.endpoint_table.workers)
+        self.context.update_workers(workers=self.endpoint_table.workers)
         if added or removed:
             commands.append(
                 LogEvent(
@@ -189,7 +189,7 @@
         self.directory.learn(rows=fleet.proxies)
         self.context.peers = {name: region for name, _, _, region, is_fit in fleet.proxies if is_fit}
         self.context.proxies = max(1, len(self.context.peers))
-        self.passive_health.hint(now=now, down=fleet.down)
+        self.passive_health.avoid_reported(now=now, keys=fleet.down)
         return []
 
     def _apply_register(self, *, now: float, name: str, ballot: Ballot, value: RegisterValue) -> list[Command]:
@@ -243,7 +243,7 @@
             name: [number if controller == lead else -1, lead or "none"]
             for name, (controller, number) in self.lists.items()
         }
-        down = [key for key, shown in self.passive_health.shown.items() if not shown.is_healthy]
+        down = [key for key, health in self.passive_health.workers.items() if not health.is_healthy]
         report = {
             "down": down,
             "loads": self.forwarder.take_loads(),
@@ -261,11 +261,11 @@
 
         Only for workers of this region, as the times of others include the latency between regions.
         """
-        workers = {key: self.passive_health.shown[key].worker for key in self.passive_health.shown}
+        workers = {key: self.passive_health.workers[key].worker for key in self.passive_health.workers}
         sharded = {name for name, service in self.context.plan.services.items() if service.ranged}
         return {
             key: times[-constants.LATENCY_SAMPLES_SENT :]
-            for key, times in self.passive_health.take_times().items()
+            for key, times in self.passive_health.take_response_times().items()
             if key in workers
             and workers[key].service in sharded
             and self.context.regions.get(workers[key].zone) == self.location.region
@@ -306,7 +306,7 @@
             f"{service}|{zone}": [state.state, round(state.fraction, 3)]
             for (service, zone), state in self.context.zones.zones.items()
         }
-        workers = {key: shown.state for key, shown in self.passive_health.shown.items()}
+        workers = {key: health.state for key, health in self.passive_health.workers.items()}
         registers = {name: learned.value["number"] for name, learned in self.learner.values.items()}
         return {
             "id": self.location.name,
--- a/sailward/proxy/tenant_proxy.py
+++ b/sailward/proxy/tenant_proxy.py
@@ -208,7 +208,7 @@
         added, removed = self.routing_state.endpoint_table.step(
             epoch=int(epoch), revision=value["number"], workers=rows
         )
-        commands = self.routing_state.prober.follow(
+        commands = self.routing_state.prober.update_workers(
             now=now, workers=self.routing_state.endpoint_table.workers, warm=self.routing_state.warm()
         )
         if added or removed:
--- a/sailward/routing/active_health.py
+++ b/sailward/routing/active_health.py
@@ -19,18 +19,18 @@
 
     worker: Worker
     state: str = CHART.initial
-    next_at: float = 0.0
-    token: str = ""
+    next_probe_at: float = 0.0
+    probe_token: str = ""
     slow_start_began_at: float = 0.0
-    listed: float = 0.0
+    listed_at: float = 0.0
 
     @property
-    def healthy(self) -> bool:
+    def is_healthy(self) -> bool:
         """May exchanges be sent to it, according to the probes?"""
         return self.state in CHART.marks["healthy"]
 
     @property
-    def known(self) -> bool:
+    def is_known(self) -> bool:
         """Has any probe finished?"""
         return self.state in CHART.marks["known"]
 
@@ -49,35 +49,35 @@
             return self._on_probe_finished(now=now, event=event)
         commands: list[Command] = []
         for key, probed in self.probed.items():
-            if probed.token and now > probed.next_at + 2 * constants.PROBE_TIMEOUT:
-                probed.token = ""  # the result of this probe was lost
-            if not probed.token and now >= probed.next_at:
+            if probed.probe_token and now > probed.next_probe_at + 2 * constants.PROBE_TIMEOUT:
+                probed.probe_token = ""  # the result of this probe was lost
+            if not probed.probe_token and now >= probed.next_probe_at:
                 commands.append(self._start_probe(now=now, key=key, probed=probed))
         return commands
 
-    def follow(self, *, now: float, workers: dict[str, Worker], warm: dict) -> list[Command]:
+    def update_workers(self, *, now: float, workers: dict[str, Worker], warm: dict) -> list[Command]:
         """Apply the newest worker list; `warm` holds how long (s) others have seen a worker in good status."""
         commands: list[Command] = [CloseConnections(owner=key) for key in self.probed if key not in workers]
         self.probed = {key: probed for key, probed in self.probed.items() if key in workers}
         for key, worker in workers.items():
             probed = self.probed.get(key)
             if probed is None:
-                self.probed[key] = Probed(worker=worker, next_at=now, listed=now)
+                self.probed[key] = Probed(worker=worker, next_probe_at=now, listed_at=now)
                 self.probed[key].slow_start_began_at = now - warm.get(key, 0.0)
             else:
                 probed.worker = worker
         return commands
 
-    def mark(self, *, now: float, key: str, event: str) -> list[Command]:
+    def record_event(self, *, now: float, key: str, event: str) -> list[Command]:
         """Apply the result of an exchange to a worker: `refused` or `stranger`."""
         probed = self.probed.get(key)
         return self._transition(now=now, probed=probed, event=event) if probed else []
 
     def _start_probe(self, *, now: float, key: str, probed: Probed) -> StartCall:
         self._probe_count += 1
-        probed.token, probed.next_at = f"probe {key} {self._probe_count}", now + constants.PROBE_TIMEOUT
+        probed.probe_token, probed.next_probe_at = f"probe {key} {self._probe_count}", now + constants.PROBE_TIMEOUT
         return StartCall(
-            token=probed.token,
+            token=probed.probe_token,
             owner=key,
             address=probed.worker.address,
             method="GET",
@@ -91,15 +91,15 @@
     def _on_probe_finished(self, *, now: float, event: CallFinished) -> list[Command]:
         key = event.token.removeprefix("probe ").rpartition(" ")[0]
         probed = self.probed.get(key)
-        if probed is None or probed.token != event.token:
+        if probed is None or probed.probe_token != event.token:
             return []
-        probed.token = ""
+        probed.probe_token = ""
         verdict = "pass" if event.code == 200 else "fail"
         if verdict == "pass" and event.headers.get("sailward-worker") != key:
             verdict = "stranger"
         commands = self._transition(now=now, probed=probed, event=verdict)
         interval = constants.PROBE_INTERVAL if probed.state in ("good", "down") else constants.PROBE_IN_DOUBT_INTERVAL
-        probed.next_at = now + interval * (0.9 + 0.2 * self._rng.random())
+        probed.next_probe_at = now + interval * (0.9 + 0.2 * self._rng.random())
         return commands
 
     def _transition(self, *, now: float, probed: Probed, event: str) -> list[Command]:
--- a/sailward/routing/endpoint_selection.py
+++ b/sailward/routing/endpoint_selection.py
@@ -11,7 +11,7 @@
 from sailward.discovery.endpoint_table import Worker
 from sailward.discovery.rendezvous import choose_names
 from sailward.routing.concurrency_limits import Bucket
-from sailward.routing.passive_health import PassiveHealth, Shown
+from sailward.routing.passive_health import PassiveHealth, WorkerHealth
 from sailward.routing.plan import Plan, Pool
 from sailward.routing.proxied_request import Refusal
 from sailward.routing.request import Request
@@ -38,17 +38,17 @@
     proxies: int = 1
     leave_after: float = constants.LEASE_DURATION
 
-    def follow(self, *, workers: dict[str, Worker]) -> None:
+    def update_workers(self, *, workers: dict[str, Worker]) -> None:
         """Replace the worker list with the newest one."""
         self.by_service = groupby(lambda worker: worker.service, workers.values())
 
     def counts(self) -> dict:
         """{(service, zone): (listed, healthy, known)}; a leaving worker counts as listed and unhealthy."""
         counts: dict = {}
-        for shown in self.passive_health.shown.values():
-            zone_key = (shown.worker.service, shown.worker.zone)
+        for health in self.passive_health.workers.values():
+            zone_key = (health.worker.service, health.worker.zone)
             listed, healthy, known = counts.get(zone_key, (0, 0, 0))
-            counts[zone_key] = (listed + 1, healthy + (shown.is_healthy and not shown.worker.leaving), known + 1)
+            counts[zone_key] = (listed + 1, healthy + (health.is_healthy and not health.worker.leaving), known + 1)
         return counts
 
 
@@ -147,9 +147,13 @@
 
     def _mean_unloaded_time(self, *, service: str) -> float:
         observed = [
-            self.context.passive_health.shown.get(worker.key) for worker in self.context.by_service.get(service, ())
+            self.context.passive_health.workers.get(worker.key) for worker in self.context.by_service.get(service, ())
+        ]
+        unloaded_times = [
+            candidate.unloaded_response_time
+            for candidate in observed
+            if candidate is not None and candidate.unloaded_response_time
         ]
-        unloaded_times = [candidate.calm for candidate in observed if candidate is not None and candidate.calm]
         return sum(unloaded_times) / len(unloaded_times) if unloaded_times else 0.0
 
     def _warm_capacity_by_zone(self, *, now: float, service: str) -> dict[str, float]:
@@ -157,71 +161,77 @@
         capacity_by_zone: dict[str, float] = {}
         mean = self._mean_unloaded_time(service=service)
         for worker in self.context.by_service.get(service, ()):
-            shown = self.context.passive_health.shown.get(worker.key)
+            health = self.context.passive_health.workers.get(worker.key)
             if (
-                shown is not None
-                and shown.is_healthy
+                health is not None
+                and health.is_healthy
                 and not worker.leaving
-                and now >= max(shown.slow_start_until, shown.shunned_until)
+                and now >= max(health.slow_start_until, health.avoided_until)
             ):
-                capacity_by_zone[worker.zone] = capacity_by_zone.get(worker.zone, 0.0) + shown.speed(mean=mean)
+                capacity_by_zone[worker.zone] = capacity_by_zone.get(worker.zone, 0.0) + health.relative_speed(
+                    mean=mean
+                )
         return capacity_by_zone
 
-    def _eligible_by_zone(self, *, now: float, request: Request) -> dict[str, list[Shown]]:
-        eligible: dict[str, list[Shown]] = {}
+    def _eligible_by_zone(self, *, now: float, request: Request) -> dict[str, list[WorkerHealth]]:
+        eligible: dict[str, list[WorkerHealth]] = {}
         for worker in self.context.by_service.get(request.service.name, ()):
-            shown = self.context.passive_health.shown.get(worker.key)
+            health = self.context.passive_health.workers.get(worker.key)
             if (
-                shown is not None
-                and shown.is_healthy
+                health is not None
+                and health.is_healthy
                 and not worker.leaving
                 and worker.key not in request.tried
                 and self._may_serve(zone=worker.zone, homes=request.match.homes)
             ):
-                eligible.setdefault(worker.zone, []).append(shown)
+                eligible.setdefault(worker.zone, []).append(health)
         return eligible
 
-    def _choose_worker(self, *, now: float, request: Request, eligible: list[Shown]) -> Worker | None:
-        available = [shown for shown in eligible if now >= shown.busy_until and self._has_capacity(shown=shown)]
-        warm = [shown for shown in available if now >= shown.slow_start_until]
-        warm = [shown for shown in warm if now >= shown.shunned_until] or warm
+    def _choose_worker(self, *, now: float, request: Request, eligible: list[WorkerHealth]) -> Worker | None:
+        available = [health for health in eligible if now >= health.busy_until and self._has_capacity(health=health)]
+        warm = [health for health in available if now >= health.slow_start_until]
+        warm = [health for health in warm if now >= health.avoided_until] or warm
         if warm:
             mean = self._mean_unloaded_time(service=request.service.name)
-            first = self.rng.choices(warm, weights=[shown.speed(mean=mean) for shown in warm])[0]
-            others = [shown for shown in warm if shown is not first]
+            first = self.rng.choices(warm, weights=[health.relative_speed(mean=mean) for health in warm])[0]
+            others = [health for health in warm if health is not first]
             second = (
-                self.rng.choices(others, weights=[shown.speed(mean=mean) for shown in others])[0] if others else first
+                self.rng.choices(others, weights=[health.relative_speed(mean=mean) for health in others])[0]
+                if others
+                else first
             )
             return min((first, second), key=self._load).worker
-        cold = [shown for shown in available if now < shown.slow_start_until]
+        cold = [health for health in available if now < health.slow_start_until]
         self.rng.shuffle(cold)
-        for shown in cold:
-            if self._take_slow_start_token(now=now, shown=shown, request=request):
-                return shown.worker
+        for health in cold:
+            if self._take_slow_start_token(now=now, health=health, request=request):
+                return health.worker
         return None
 
-    def _load(self, shown: Shown) -> float:
-        return (self.open.get(shown.worker.key, 0) + 1) * (shown.pace or constants.DEFAULT_WORKER_LATENCY)
+    def _load(self, health: WorkerHealth) -> float:
+        return (self.open.get(health.worker.key, 0) + 1) * (
+            health.mean_response_time or constants.DEFAULT_WORKER_LATENCY
+        )
 
-    def _has_capacity(self, *, shown: Shown) -> bool:
+    def _has_capacity(self, *, health: WorkerHealth) -> bool:
         """May this proxy have one more request open at the worker?
 
         The limit is this proxy's even share of the worker's total, scaled, but at most the concurrency window
         that the worker's response times allow.
         """
-        total_capacity = (shown.worker.capacity or constants.DEFAULT_WORKER_CAPACITY) * constants.WORKER_QUEUE_DEPTH
+        total_capacity = (health.worker.capacity or constants.DEFAULT_WORKER_CAPACITY) * constants.WORKER_QUEUE_DEPTH
         share = -(-total_capacity // max(1, self.context.proxies))
-        limit = min(max(constants.CONCURRENCY_WINDOW_MIN, constants.CONCURRENCY_SHARE_FACTOR * share), shown.window)
-        return self.open.get(shown.worker.key, 0) < max(1.0, limit)
+        limit = min(max(constants.CONCURRENCY_WINDOW_MIN, constants.CONCURRENCY_SHARE_FACTOR * share), health.window)
+        return self.open.get(health.worker.key, 0) < max(1.0, limit)
 
-    def _take_slow_start_token(self, *, now: float, shown: Shown, request: Request) -> bool:
+    def _take_slow_start_token(self, *, now: float, health: WorkerHealth, request: Request) -> bool:
         """Does the rate limit of a cold worker admit a request from this proxy?
 
         Only the few proxies that rendezvous hashing chooses send to a cold worker.
         """
-        context, key = self.context, shown.worker.key
+        context, key = self.context, health.worker.key
         names = [
-            name for name, region in context.peers.items() if region == context.regions.get(shown.worker.zone)
+            name for name, region in context.peers.items() if region == context.regions.get(health.worker.zone)
         ] or list(context.peers)
         if names and context.name not in choose_names(key=key, names=names, count=constants.SLOW_START_PROXIES):
             return False
@@ -244,15 +254,15 @@
             return Refusal(code=503, reason="key-unowned")
         if shard.state != "open":
             return Refusal(code=503, reason="key-moving")
-        shown = context.passive_health.shown.get(shard.owner)
+        health = context.passive_health.workers.get(shard.owner)
         if (
-            shown is None
-            or not shown.is_healthy
-            or not self._may_serve(zone=shown.worker.zone, homes=request.match.homes)
+            health is None
+            or not health.is_healthy
+            or not self._may_serve(zone=health.worker.zone, homes=request.match.homes)
         ):
             return Refusal(code=503, reason="owner-lost")
-        worker = shown.worker
-        if now - shown.leaving_since > context.leave_after:
+        worker = health.worker
+        if now - health.leaving_since > context.leave_after:
             # its keys should have moved by now: it must not be sent any more requests
             return Refusal(code=503, reason="owner-lost")
         if (
@@ -261,8 +271,8 @@
             and now - request.waits_since < constants.KEY_OWNER_BACKOFF
         ):
             return Refusal(code=503, reason="key-moving")
-        if not self._has_capacity(shown=shown) or now < shown.busy_until:
+        if not self._has_capacity(health=health) or now < health.busy_until:
             return Refusal(code=503, reason="no-room")
-        if now < shown.slow_start_until and not self._take_slow_start_token(now=now, shown=shown, request=request):
+        if now < health.slow_start_until and not self._take_slow_start_token(now=now, health=health, request=request):
             return Refusal(code=503, reason="owner-cold")
         return worker
--- a/sailward/routing/forwarding.py
+++ b/sailward/routing/forwarding.py
@@ -226,7 +226,7 @@
 
         One that many overtake is likely lost there.
         """
-        shown = self.endpoint_selector.context.passive_health.shown.get(attempt.worker)
+        shown = self.endpoint_selector.context.passive_health.workers.get(attempt.worker)
         for token in self.by_worker.get(attempt.worker, ()):
             request = self.calls.get(token)
             other = request.attempts.get(token) if request is not None else None
@@ -238,7 +238,8 @@
                 self.endpoint_selector.context.passive_health.record_event(now=now, key=attempt.worker, event="lost")
                 if request.hedge_at < float("inf"):
                     request.hedge_at = min(
-                        request.hedge_at, max(now, other.at + constants.LOST_REQUEST_LATENCY_RATIO * shown.calm)
+                        request.hedge_at,
+                        max(now, other.at + constants.LOST_REQUEST_LATENCY_RATIO * shown.unloaded_response_time),
                     )
 
     def _record(self, *, now: float, attempt: Attempt, verdict: object) -> list[Command]:
@@ -252,7 +253,7 @@
             self.tally[f"{type(verdict).__name__}-{getattr(verdict, 'reason', getattr(verdict, 'why', ''))}"] += 1
         return (
             self.endpoint_selector.context.passive_health.record_event(
-                now=now, key=attempt.worker, event=event, took=now - attempt.at
+                now=now, key=attempt.worker, event=event, elapsed=now - attempt.at
             )
             if event
             else []
--- a/sailward/routing/load_balancer.py
+++ b/sailward/routing/load_balancer.py
@@ -75,7 +75,7 @@
             not worker.leaving
             and worker.zone not in routing_state.emptied
             and probed is not None
-            and probed.healthy
+            and probed.is_healthy
             and (not homes or routing_state.plan.regions.get(worker.zone) in homes)
         )
 
@@ -110,7 +110,7 @@
             or routing_state.endpoint_table.workers[worker.key].leaving
             or worker.zone in routing_state.emptied
             or probed is None
-            or not probed.healthy
+            or not probed.is_healthy
         ):
             return False
         if exchange.slot < 0:
@@ -141,7 +141,7 @@
                 and key not in exchange.tried
             ):
                 probed = routing_state.prober.probed.get(key)
-                if probed is not None and probed.healthy:
+                if probed is not None and probed.is_healthy:
                     eligible.append((worker, now - probed.slow_start_began_at))
         while eligible:
             candidates = self.rng.sample(eligible, min(2, len(eligible)))
--- a/sailward/routing/passive_health.py
+++ b/sailward/routing/passive_health.py
@@ -17,29 +17,29 @@
 
 
 @dataclass(kw_only=True)
-class Shown:
+class WorkerHealth:
     """Health and load of one worker, as observed by this proxy."""
 
     worker: Worker
     state: str = CHART.initial
-    since: float = 0.0
+    state_changed_at: float = 0.0
     slow_start_until: float = 0.0
-    pace: float = 0.0
-    calm: float = 0.0
+    mean_response_time: float = 0.0
+    unloaded_response_time: float = 0.0
     window: float = constants.CONCURRENCY_WINDOW_INITIAL
     busy_until: float = 0.0
-    probe_at: float = 0.0
-    shunned_until: float = 0.0
+    next_probe_at: float = 0.0
+    avoided_until: float = 0.0
     leaving_since: float = float("inf")
-    answered: float = -1e9
-    probe: str = ""
-    missed: int = 0
+    last_pass_at: float = -1e9
+    probe_token: str = ""
+    failed_probes: int = 0
 
-    def speed(self, *, mean: float) -> float:
+    def relative_speed(self, *, mean: float) -> float:
         """Speed relative to the service: mean unloaded response time / its own, clamped; 1.0 until it is measured."""
-        if not self.calm or not mean:
+        if not self.unloaded_response_time or not mean:
             return 1.0
-        return min(constants.MAX_SPEED_RATIO, max(1 / constants.MAX_SPEED_RATIO, mean / self.calm))
+        return min(constants.MAX_SPEED_RATIO, max(1 / constants.MAX_SPEED_RATIO, mean / self.unloaded_response_time))
 
     @property
     def is_healthy(self) -> bool:
@@ -52,7 +52,7 @@
 
     def __init__(self, *, names: WireNames, rng: random.Random) -> None:
         self._names, self._rng = names, rng
-        self.shown: dict[str, Shown] = {}
+        self.workers: dict[str, WorkerHealth] = {}
         self._response_times: dict[str, list] = {}
         self._probe_count = 0
 
@@ -61,90 +61,98 @@
         if event is not None:
             return self._on_probe_finished(now=now, event=event)
         commands: list[Command] = []
-        for key, shown in self.shown.items():
-            if shown.state in CHART.marks["probed"] and not shown.probe and now >= shown.probe_at:
-                commands.append(self._start_probe(now=now, key=key, shown=shown, plan=plan))
+        for key, health in self.workers.items():
+            if health.state in CHART.marks["probed"] and not health.probe_token and now >= health.next_probe_at:
+                commands.append(self._start_probe(now=now, key=key, health=health, plan=plan))
         return commands
 
-    def follow(self, *, now: float, workers: dict[str, Worker]) -> list[Command]:
+    def update_workers(self, *, now: float, workers: dict[str, Worker]) -> list[Command]:
         """Apply the newest worker list."""
-        commands: list[Command] = [CloseConnections(owner=key) for key in self.shown if key not in workers]
-        self.shown = {key: shown for key, shown in self.shown.items() if key in workers}
+        commands: list[Command] = [CloseConnections(owner=key) for key in self.workers if key not in workers]
+        self.workers = {key: health for key, health in self.workers.items() if key in workers}
         for key, worker in workers.items():
-            shown = self.shown.setdefault(key, Shown(worker=worker, since=now))
-            if (worker.slow_start > 0 and shown.worker.slow_start != worker.slow_start) or (
-                worker.slow_start > 0 and shown.since == now
+            health = self.workers.setdefault(key, WorkerHealth(worker=worker, state_changed_at=now))
+            if (worker.slow_start > 0 and health.worker.slow_start != worker.slow_start) or (
+                worker.slow_start > 0 and health.state_changed_at == now
             ):
-                shown.slow_start_until = max(shown.slow_start_until, now + worker.slow_start)
+                health.slow_start_until = max(health.slow_start_until, now + worker.slow_start)
             if worker.leaving:
-                shown.leaving_since = min(shown.leaving_since, now)
-            shown.worker = worker
+                health.leaving_since = min(health.leaving_since, now)
+            health.worker = worker
         return commands
 
     def begin_slow_start(self, *, now: float, zone: str, plan: Plan) -> None:
         """Put the workers of this zone in slow start: its evacuation has ended, and they may have gone cold."""
-        for shown in self.shown.values():
-            service = plan.services.get(shown.worker.service)
-            if shown.worker.zone == zone and service is not None:
-                shown.slow_start_until = max(
-                    shown.slow_start_until, now + service.slow_start + constants.SLOW_START_MARGIN
+        for health in self.workers.values():
+            service = plan.services.get(health.worker.service)
+            if health.worker.zone == zone and service is not None:
+                health.slow_start_until = max(
+                    health.slow_start_until, now + service.slow_start + constants.SLOW_START_MARGIN
                 )
 
-    def hint(self, *, now: float, down: list) -> None:
+    def avoid_reported(self, *, now: float, keys: list) -> None:
         """Avoid workers that other proxies report as unreachable.
 
         They are avoided for UNREACHABLE_HINT_TTL, except those that have just answered this proxy.
         """
-        for key in down:
-            shown = self.shown.get(key)
-            if shown is not None and now - shown.answered > constants.UNREACHABLE_HINT_GRACE:
-                shown.shunned_until = now + constants.UNREACHABLE_HINT_TTL
+        for key in keys:
+            health = self.workers.get(key)
+            if health is not None and now - health.last_pass_at > constants.UNREACHABLE_HINT_GRACE:
+                health.avoided_until = now + constants.UNREACHABLE_HINT_TTL
 
-    def take_times(self) -> dict:
+    def take_response_times(self) -> dict:
         """{worker: [ms, ...]}: the response times since the last call."""
         times, self._response_times = self._response_times, {}
         return times
 
-    def record_event(self, *, now: float, key: str, event: str, took: float = 0.0) -> list[Command]:
-        """Apply the result of an exchange: pass (after `took` s), fail, late, lost, refused, dark, stranger or full."""
-        shown = self.shown.get(key)
-        if shown is None:
+    def record_event(self, *, now: float, key: str, event: str, elapsed: float = 0.0) -> list[Command]:
+        """Apply the result of an exchange: pass (`elapsed` in s), fail, late, lost, refused, dark, stranger or full."""
+        health = self.workers.get(key)
+        if health is None:
             return []
         if event == "full":
-            shown.busy_until = now + constants.WORKER_FULL_BACKOFF
+            health.busy_until = now + constants.WORKER_FULL_BACKOFF
             return []
         if event == "pass":
-            shown.answered, shown.shunned_until = now, 0.0
-            self._response_times.setdefault(key, []).append(round(took * 1000))
-            self._record_response_time(shown=shown, took=took)
+            health.last_pass_at, health.avoided_until = now, 0.0
+            self._response_times.setdefault(key, []).append(round(elapsed * 1000))
+            self._record_response_time(health=health, elapsed=elapsed)
         elif event == "lost":
-            shown.window = max(1.0, shown.window / 2)
+            health.window = max(1.0, health.window / 2)
             return []
         elif event == "late":
-            shown.window = max(1.0, shown.window / 2)
+            health.window = max(1.0, health.window / 2)
             event = "fail"
-        return self._transition(now=now, key=key, shown=shown, event=event)
+        return self._transition(now=now, key=key, health=health, event=event)
 
-    def _record_response_time(self, *, shown: Shown, took: float) -> None:
+    def _record_response_time(self, *, health: WorkerHealth, elapsed: float) -> None:
         """Update the mean response time, the unloaded response time and the concurrency window.
 
         The window, the number of requests that this proxy may have open at the worker, shrinks while the worker queues.
         """
-        shown.pace = took if not shown.pace else shown.pace + constants.LATENCY_EWMA_WEIGHT * (took - shown.pace)
-        shown.calm = min(shown.pace, shown.calm * constants.LATENCY_BASELINE_DRIFT) if shown.calm else shown.pace
-        if shown.pace > constants.LATENCY_QUEUEING_RATIO * shown.calm:
-            shown.window = max(1.0, shown.window * constants.CONCURRENCY_WINDOW_DECREASE)
+        health.mean_response_time = (
+            elapsed
+            if not health.mean_response_time
+            else health.mean_response_time + constants.LATENCY_EWMA_WEIGHT * (elapsed - health.mean_response_time)
+        )
+        health.unloaded_response_time = (
+            min(health.mean_response_time, health.unloaded_response_time * constants.LATENCY_BASELINE_DRIFT)
+            if health.unloaded_response_time
+            else health.mean_response_time
+        )
+        if health.mean_response_time > constants.LATENCY_QUEUEING_RATIO * health.unloaded_response_time:
+            health.window = max(1.0, health.window * constants.CONCURRENCY_WINDOW_DECREASE)
         else:
-            shown.window = min(constants.CONCURRENCY_WINDOW_MAX, shown.window + constants.CONCURRENCY_WINDOW_INCREASE)
+            health.window = min(constants.CONCURRENCY_WINDOW_MAX, health.window + constants.CONCURRENCY_WINDOW_INCREASE)
 
-    def _start_probe(self, *, now: float, key: str, shown: Shown, plan: Plan) -> StartCall:
+    def _start_probe(self, *, now: float, key: str, health: WorkerHealth, plan: Plan) -> StartCall:
         self._probe_count += 1
-        shown.probe = f"probe {key} {self._probe_count}"
-        service = plan.services.get(shown.worker.service)
+        health.probe_token = f"probe {key} {self._probe_count}"
+        service = plan.services.get(health.worker.service)
         return StartCall(
-            token=shown.probe,
+            token=health.probe_token,
             owner=key,
-            address=shown.worker.address,
+            address=health.worker.address,
             method="GET",
             path=service.health_path if service else "/status",
             headers={self._names.expect: key},
@@ -155,32 +163,32 @@
 
     def _on_probe_finished(self, *, now: float, event: CallFinished) -> list[Command]:
         key = event.token.removeprefix("probe ").rpartition(" ")[0]
-        shown = self.shown.get(key)
-        if shown is None or shown.probe != event.token:
+        health = self.workers.get(key)
+        if health is None or health.probe_token != event.token:
             return []
-        shown.probe = ""
+        health.probe_token = ""
         answered_by = event.headers.get(self._names.answered_by, key)
         verdict = "pass" if event.code == 200 and answered_by == key else "stranger" if answered_by != key else "fail"
-        shown.missed = 0 if verdict == "pass" else shown.missed + 1
-        backoff = min(constants.PROBE_MAX_BACKOFF, constants.PROBE_INITIAL_BACKOFF * 2 ** min(shown.missed, 4))
-        shown.probe_at = now + backoff * (0.8 + 0.4 * self._rng.random())
+        health.failed_probes = 0 if verdict == "pass" else health.failed_probes + 1
+        backoff = min(constants.PROBE_MAX_BACKOFF, constants.PROBE_INITIAL_BACKOFF * 2 ** min(health.failed_probes, 4))
+        health.next_probe_at = now + backoff * (0.8 + 0.4 * self._rng.random())
         slow_start = event.headers.get(self._names.slow_start, "")
         if verdict == "pass" and _is_seconds(text=slow_start):
-            shown.slow_start_until = max(shown.slow_start_until, now + float(slow_start))
-        return self._transition(now=now, key=key, shown=shown, event=verdict)
+            health.slow_start_until = max(health.slow_start_until, now + float(slow_start))
+        return self._transition(now=now, key=key, health=health, event=verdict)
 
-    def _transition(self, *, now: float, key: str, shown: Shown, event: str) -> list[Command]:
-        previous = shown.state
-        shown.state = CHART.step(state=previous, event=event)
-        if previous == shown.state:
+    def _transition(self, *, now: float, key: str, health: WorkerHealth, event: str) -> list[Command]:
+        previous = health.state
+        health.state = CHART.step(state=previous, event=event)
+        if previous == health.state:
             return []
-        shown.since = now
-        if shown.state == "wary" or (shown.state == "down" and previous != "wary"):
-            shown.probe_at, shown.missed = now + constants.PROBE_INITIAL_BACKOFF * self._rng.random(), 0
-        if {previous, shown.state} <= {"good", "doubt", "wary"}:
+        health.state_changed_at = now
+        if health.state == "wary" or (health.state == "down" and previous != "wary"):
+            health.next_probe_at, health.failed_probes = now + constants.PROBE_INITIAL_BACKOFF * self._rng.random(), 0
+        if {previous, health.state} <= {"good", "doubt", "wary"}:
             return []
         return [
-            LogEvent(event="worker-status", fields={"worker": key, "from": previous, "to": shown.state, "by": event})
+            LogEvent(event="worker-status", fields={"worker": key, "from": previous, "to": health.state, "by": event})
         ]
 
 
--- a/sailward/routing/proxied_requests.py
+++ b/sailward/routing/proxied_requests.py
@@ -305,7 +305,9 @@
         if isinstance(verdict, Bad):
             event = "stranger" if verdict.stranger else "fail"
         commands = (
-            self.load_balancer.routing_state.prober.mark(now=now, key=exchange.worker, event=event) if event else []
+            self.load_balancer.routing_state.prober.record_event(now=now, key=exchange.worker, event=event)
+            if event
+            else []
         )
         fields = {"exchange": exchange.name, "worker": exchange.worker, "reason": verdict.reason}
         return [*commands, LogEvent(event="forwarding-failed", fields=fields)]
--- a/sailward/routing/routing_state.py
+++ b/sailward/routing/routing_state.py
@@ -36,8 +36,8 @@
             probed = self.prober.probed.get(key)
             zone_key = (worker.service, worker.zone)
             listed, healthy, known = counts.get(zone_key, (0, 0, 0))
-            is_healthy = probed is not None and probed.healthy and not worker.leaving
-            is_known = worker.leaving or (probed is not None and probed.known)
+            is_healthy = probed is not None and probed.is_healthy and not worker.leaving
+            is_known = worker.leaving or (probed is not None and probed.is_known)
             counts[zone_key] = (listed + 1, healthy + is_healthy, known + is_known)
         return counts
 
@@ -106,7 +106,7 @@
         warm = {
             key: round(now - probed.slow_start_began_at, 1)
             for key, probed in self.prober.probed.items()
-            if probed.healthy
+            if probed.is_healthy
         }
         return {"halls": zones, "warm": warm, "suspect": suspect}
 
--- a/tests/forwarding_model.py
+++ b/tests/forwarding_model.py
@@ -97,7 +97,7 @@
         )
         workers = tuple(
             sorted(
-                (shown.state, shown.busy_until > self.bench.now) for shown in self.bench.passive_health.shown.values()
+                (shown.state, shown.busy_until > self.bench.now) for shown in self.bench.passive_health.workers.values()
             )
         )
         return requests, workers, self.incarnations, self.is_stopped, round(self.bench.now, 2)
--- a/tests/proxy_kit.py
+++ b/tests/proxy_kit.py
@@ -133,8 +133,8 @@
     def list(self, *, workers: list[Worker]) -> list:
         """Apply a list of workers, and update the zone health."""
         listed = {worker.key: worker for worker in workers}
-        commands = self.passive_health.follow(now=self.now, workers=listed)
-        self.context.follow(workers=listed)
+        commands = self.passive_health.update_workers(now=self.now, workers=listed)
+        self.context.update_workers(workers=listed)
         self.context.zones.step(now=self.now, counts=self.context.counts())
         return commands
 
--- a/tests/test_endpoint_selection.py
+++ b/tests/test_endpoint_selection.py
@@ -157,8 +157,8 @@
 
 def test_the_slower_of_two_workers_gets_fewer_requests() -> None:
     bench = make(workers=[make_worker("w0"), make_worker("w1")])
-    bench.passive_health.record_event(now=bench.now, key="w0", event="pass", took=0.5)
-    bench.passive_health.record_event(now=bench.now, key="w1", event="pass", took=0.1)
+    bench.passive_health.record_event(now=bench.now, key="w0", event="pass", elapsed=0.5)
+    bench.passive_health.record_event(now=bench.now, key="w1", event="pass", elapsed=0.1)
     assert select(bench).key == "w1"
     for _ in range(5):
         bench.endpoint_selector.took(key="w1")
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -260,7 +260,7 @@
     bench = make(kind="once", tries=3)
     [call] = calls(bench.ask(method="POST"))
     bench.forwarder.step(now=bench.now, event=ClientDisconnected(token="front 1"))
-    shown = bench.passive_health.shown[call.owner]
+    shown = bench.passive_health.workers[call.owner]
     before = (shown.state, shown.window, shown.busy_until)
     commands = bench.fail(call=call, fault="withdrawn", sent=False)
     assert [answer.code for answer in answers(commands)] == [503] and not calls(commands)
--- a/tests/test_passive_health.py
+++ b/tests/test_passive_health.py
@@ -16,7 +16,7 @@
 
 def make(**worker: object) -> PassiveHealth:
     passive_health = PassiveHealth(names=NAMES, rng=random.Random(1))
-    passive_health.follow(now=100.0, workers={"w0": make_worker("w0", **worker)})
+    passive_health.update_workers(now=100.0, workers={"w0": make_worker("w0", **worker)})
     return passive_health
 
 
@@ -42,9 +42,9 @@
 def test_no_worker_is_probed_while_exchanges_succeed() -> None:
     passive_health = make()
     for at in range(200):
-        passive_health.record_event(now=100 + at * 0.05, key="w0", event="pass", took=0.1)
+        passive_health.record_event(now=100 + at * 0.05, key="w0", event="pass", elapsed=0.1)
         assert not due_probes(passive_health, now=100 + at * 0.05)
-    assert passive_health.shown["w0"].pace == pytest.approx(0.1)
+    assert passive_health.workers["w0"].mean_response_time == pytest.approx(0.1)
 
 
 @pytest.mark.parametrize(
@@ -65,8 +65,8 @@
     passive_health = make()
     for event in events:
         passive_health.record_event(now=101.0, key="w0", event=event)
-    assert passive_health.shown["w0"].state == state
-    assert passive_health.shown["w0"].is_healthy == (state in ("good", "doubt", "wary"))
+    assert passive_health.workers["w0"].state == state
+    assert passive_health.workers["w0"].is_healthy == (state in ("good", "doubt", "wary"))
 
 
 def test_a_lost_worker_is_probed_until_it_recovers() -> None:
@@ -87,7 +87,7 @@
     while not (due := due_probes(passive_health, now=now)):
         now += constants.TICK_INTERVAL
     finish_probe(passive_health, call=due[0], now=now, x_who="w0")
-    assert passive_health.shown["w0"].state == "good" and not due_probes(passive_health, now=now + 5.0)
+    assert passive_health.workers["w0"].state == "good" and not due_probes(passive_health, now=now + 5.0)
 
 
 def test_another_worker_at_the_address_is_a_stranger_for_good() -> None:
@@ -95,7 +95,7 @@
     passive_health.record_event(now=101.0, key="w0", event="refused")
     [call] = due_probes(passive_health, now=102.0)
     finish_probe(passive_health, call=call, now=102.1, x_who="w7")
-    assert passive_health.shown["w0"].state == "gone" and not due_probes(passive_health, now=120.0)
+    assert passive_health.workers["w0"].state == "gone" and not due_probes(passive_health, now=120.0)
 
 
 @pytest.mark.parametrize(
@@ -106,33 +106,34 @@
     passive_health.record_event(now=101.0, key="w0", event="refused")
     [call] = due_probes(passive_health, now=102.0)
     finish_probe(passive_health, call=call, now=102.0, x_who="w0", x_cold=told)
-    assert max(0.0, passive_health.shown["w0"].slow_start_until - 102.0) == pytest.approx(slow_start)
+    assert max(0.0, passive_health.workers["w0"].slow_start_until - 102.0) == pytest.approx(slow_start)
 
 
 def test_the_result_of_an_outdated_probe_is_ignored() -> None:
     passive_health = make()
     passive_health.record_event(now=101.0, key="w0", event="refused")
     [call] = due_probes(passive_health, now=102.0)
-    passive_health.follow(now=102.0, workers={})
+    passive_health.update_workers(now=102.0, workers={})
     assert finish_probe(passive_health, call=call, now=102.1, x_who="w0") == []
-    passive_health.follow(now=103.0, workers={"w0": make_worker("w0")})
+    passive_health.update_workers(now=103.0, workers={"w0": make_worker("w0")})
     assert (
-        finish_probe(passive_health, call=call, now=103.1, code=0) == [] and passive_health.shown["w0"].state == "good"
+        finish_probe(passive_health, call=call, now=103.1, code=0) == []
+        and passive_health.workers["w0"].state == "good"
     )
 
 
 def test_lists_start_slow_start_and_a_later_list_does_not_shorten_it() -> None:
     passive_health = make(slow_start=4.0)
-    assert passive_health.shown["w0"].slow_start_until == pytest.approx(104.0)
-    passive_health.follow(now=101.0, workers={"w0": make_worker("w0", slow_start=2.0)})
-    assert passive_health.shown["w0"].slow_start_until == pytest.approx(104.0)
-    passive_health.follow(now=110.0, workers={"w0": make_worker("w0", slow_start=3.0)})
-    assert passive_health.shown["w0"].slow_start_until == pytest.approx(113.0)
+    assert passive_health.workers["w0"].slow_start_until == pytest.approx(104.0)
+    passive_health.update_workers(now=101.0, workers={"w0": make_worker("w0", slow_start=2.0)})
+    assert passive_health.workers["w0"].slow_start_until == pytest.approx(104.0)
+    passive_health.update_workers(now=110.0, workers={"w0": make_worker("w0", slow_start=3.0)})
+    assert passive_health.workers["w0"].slow_start_until == pytest.approx(113.0)
 
 
 def test_connections_to_a_worker_that_is_removed_from_the_list_are_closed() -> None:
     passive_health = make()
-    assert passive_health.follow(now=101.0, workers={}) == [CloseConnections(owner="w0")]
+    assert passive_health.update_workers(now=101.0, workers={}) == [CloseConnections(owner="w0")]
     assert passive_health.record_event(now=101.0, key="w0", event="fail") == []
 
 
@@ -140,7 +141,7 @@
     passive_health = make()
     for _ in range(9):
         passive_health.record_event(now=101.0, key="w0", event="full")
-    assert passive_health.shown["w0"].state == "good" and passive_health.shown["w0"].busy_until == pytest.approx(
+    assert passive_health.workers["w0"].state == "good" and passive_health.workers["w0"].busy_until == pytest.approx(
         101.0 + constants.WORKER_FULL_BACKOFF
     )
 
@@ -151,13 +152,13 @@
     for _ in range(3):
         passive_health.record_event(now=100.0, key="w0", event="fail")
     before = due_probes(passive_health, now=101.0)[0]
-    passive_health.follow(now=101.1, workers={})
-    passive_health.follow(now=101.2, workers={"w0": make_worker("w0")})
+    passive_health.update_workers(now=101.1, workers={})
+    passive_health.update_workers(now=101.2, workers={"w0": make_worker("w0")})
     for _ in range(3):
         passive_health.record_event(now=101.2, key="w0", event="fail")
     after = due_probes(passive_health, now=102.0)[0]
     assert after.token != before.token
     finish_probe(passive_health, call=before, now=102.1)
-    assert not passive_health.shown["w0"].is_healthy
+    assert not passive_health.workers["w0"].is_healthy
     finish_probe(passive_health, call=after, now=102.1)
-    assert passive_health.shown["w0"].is_healthy
+    assert passive_health.workers["w0"].is_healthy
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -231,7 +231,7 @@
     bench.push("orders", {"emptied": ["gdl-a"]})
     assert not calls(bench.request())
     bench.push("orders", {"emptied": []}, number=2)
-    assert all(shown.slow_start_until > bench.now for shown in bench.proxy.passive_health.shown.values())
+    assert all(health.slow_start_until > bench.now for health in bench.proxy.passive_health.workers.values())
 
 
 def test_shutdown_drains_in_order(bench: Bench) -> None:
