--- a/sailward/control/administration/status_report.py
+++ b/sailward/control/administration/status_report.py
@@ -77,7 +77,11 @@
 
 def _show_zones(*, sources: StatusSources, now: float) -> dict[str, dict]:
     return {
-        f"{service}|{zone}": {"state": state.state, "fraction": state.fraction, "for_s": round(now - state.since, 1)}
+        f"{service}|{zone}": {
+            "state": state.state,
+            "fraction": state.healthy_fraction,
+            "for_s": round(now - state.state_changed_at, 1),
+        }
         for (service, zone), state in sources.aggregated_health.table.zones.items()
     }
 
--- a/sailward/control/proxies/aggregated_health.py
+++ b/sailward/control/proxies/aggregated_health.py
@@ -52,7 +52,7 @@
 
     def view(self, *, with_slow_start: bool) -> dict:
         """The view as a grant carries it."""
-        drained = [f"{service}|{zone}" for (service, zone), state in self.table.zones.items() if state.drained]
+        drained = [f"{service}|{zone}" for (service, zone), state in self.table.zones.items() if state.is_drained]
         return {"drained": drained, **({"warm": self.warm} if with_slow_start else {})}
 
     def _old(self) -> dict:
--- a/sailward/control/shards/shard_moves.py
+++ b/sailward/control/shards/shard_moves.py
@@ -76,7 +76,7 @@
         self, *, learner: Learner, aggregated_health: AggregatedHealth, proxies: list[Subscriber]
     ) -> AssignmentContext:
         emptied = read_orders(value=learner.values["orders"].value) if "orders" in learner.values else frozenset()
-        drained = frozenset(location for location, zone in aggregated_health.table.zones.items() if zone.drained)
+        drained = frozenset(location for location, zone in aggregated_health.table.zones.items() if zone.is_drained)
         fresh = [
             proxy.report["warm"]
             for proxy in proxies
--- a/sailward/proxy/proxy.py
+++ b/sailward/proxy/proxy.py
@@ -63,8 +63,8 @@
     retry_slack: float = constants.RETRY_BUDGET_MINIMUM
     retry_window: float = constants.RETRY_BUDGET_WINDOW
     hold_down: float = constants.ZONE_HOLD_DOWN
-    leave_after: float = constants.LEASE_DURATION
-    leave_wait: float = constants.DEREGISTRATION_DELAY
+    drain_timeout: float = constants.LEASE_DURATION
+    deregistration_delay: float = constants.DEREGISTRATION_DELAY
     stop_grace: float = constants.STOP_GRACE
 
 
@@ -83,8 +83,8 @@
             region=location.region,
             regions=dict(options.regions),
             passive_health=self.passive_health,
-            zones=ZoneHealthTable(hold_down=options.hold_down),
-            leave_after=options.leave_after,
+            zone_health=ZoneHealthTable(hold_down=options.hold_down),
+            drain_timeout=options.drain_timeout,
         )
         budget = RetryBudget(ratio=options.retry_ratio, slack=options.retry_slack, window=options.retry_window)
         self.forwarder = Forwarder(
@@ -188,7 +188,7 @@
         self.control_client.learn(controllers=fleet.controllers)
         self.directory.learn(rows=fleet.proxies)
         self.context.peers = {name: region for name, _, _, region, is_fit in fleet.proxies if is_fit}
-        self.context.proxies = max(1, len(self.context.peers))
+        self.context.proxy_count = max(1, len(self.context.peers))
         self.passive_health.avoid_reported(now=now, keys=fleet.down)
         return []
 
@@ -205,9 +205,9 @@
             self.context.plan = plan
         elif name == "orders":
             emptied = read_orders(value=value)
-            for zone in self.context.emptied - emptied:
+            for zone in self.context.evacuated_zones - emptied:
                 self.passive_health.begin_slow_start(now=now, zone=zone, plan=self.context.plan)
-            self.context.emptied = emptied
+            self.context.evacuated_zones = emptied
         elif name.startswith(SLOTS):
             self.context.shards.step(name=name, value=value)
         log = LogEvent(event="in-force", fields={"register": name, "number": value["number"]})
@@ -273,7 +273,7 @@
 
     def _count_zones(self, *, now: float) -> list[Command]:
         self._zones_counted_at = now
-        return self.context.zones.step(now=now, counts=self.context.counts())
+        return self.context.zone_health.step(now=now, counts=self.context.counts())
 
     def _begin_stop(self, *, now: float) -> list[Command]:
         self.stopping, self.stop_at = STOPPING.step(state=self.stopping, event="stop_asked"), now
@@ -288,7 +288,7 @@
         if self.stopping == STOPPING.initial:
             return []
         previous, elapsed = self.stopping, now - self.stop_at
-        if elapsed >= self.options.leave_wait:
+        if elapsed >= self.options.deregistration_delay:
             self.stopping = STOPPING.step(state=self.stopping, event="left")
         is_grace_over = elapsed >= self.options.stop_grace
         event = "grace_over" if is_grace_over else "" if self.forwarder.live else "all_done"
@@ -303,8 +303,8 @@
 
     def _build_status(self, *, now: float) -> dict:
         zones = {
-            f"{service}|{zone}": [state.state, round(state.fraction, 3)]
-            for (service, zone), state in self.context.zones.zones.items()
+            f"{service}|{zone}": [state.state, round(state.healthy_fraction, 3)]
+            for (service, zone), state in self.context.zone_health.zones.items()
         }
         workers = {key: health.state for key, health in self.passive_health.workers.items()}
         registers = {name: learned.value["number"] for name, learned in self.learner.values.items()}
@@ -318,7 +318,7 @@
             "lead": self.control_client.lead,
             "in_touch": self.control_client.answers(now=now),
             "last_resort": self.control_client.is_last_resort(now=now),
-            "proxies": self.context.proxies,
+            "proxies": self.context.proxy_count,
             "workers": workers,
             "tally": dict(self.forwarder.tally),
             "open": len(self.forwarder.calls),
--- a/sailward/proxy/tenant_proxy.py
+++ b/sailward/proxy/tenant_proxy.py
@@ -162,7 +162,7 @@
         return [LogEvent(event="message-unexpected", fields={"kind": kind, "from": sender})]
 
     def _on_grant(self, *, now: float, sender: str, body: Message) -> list[Command]:
-        self.routing_state.keep_view(now=now, identity=body["identity"], view=body["view"])
+        self.routing_state.store_view(now=now, identity=body["identity"], view=body["view"])
         self.controllers[sender] = (now, body["proxies"])
         return self._step_lease(now=now, event=(sender, body))
 
@@ -209,7 +209,7 @@
             epoch=int(epoch), revision=value["number"], workers=rows
         )
         commands = self.routing_state.prober.update_workers(
-            now=now, workers=self.routing_state.endpoint_table.workers, warm=self.routing_state.warm()
+            now=now, workers=self.routing_state.endpoint_table.workers, warm=self.routing_state.warm_seconds()
         )
         if added or removed:
             commands.append(LogEvent(event="workers", fields={"came": len(added), "went": len(removed)}))
@@ -229,9 +229,9 @@
         if name == "config":
             self.routing_state.plan = plan
         elif name == "orders":
-            self.routing_state.emptied = read_orders(value=value)
+            self.routing_state.evacuated_zones = read_orders(value=value)
         elif name.startswith(SLOTS):
-            self.routing_state.slots.step(name=name, value=value)
+            self.routing_state.shard_owners.step(name=name, value=value)
         return [LogEvent(event="in-force", fields={"register": name, "number": value["number"]})]
 
     def _start_operations(self, *, now: float, operations: list[StartOperation]) -> list[Command]:
@@ -270,7 +270,7 @@
             if peer["version"] not in constants.VERSIONS_WITHOUT_REPLICAS
         ]
         recent_counts = [count for at, count in self.controllers.values() if now - at < constants.SUBSCRIBER_TTL]
-        self.routing_state.proxies = max([1, *recent_counts])
+        self.routing_state.proxy_count = max([1, *recent_counts])
         self.peer_table.fit = self.acting(now=now) and not self.suspect and self.stopping in STOPPING.marks["named"]
         return commands + self._check_shutdown(now=now)
 
@@ -290,19 +290,21 @@
 
     def _count_zones(self, *, now: float) -> list[Command]:
         self._zones_counted_at = now
-        commands = self.routing_state.zones.step(now=now, counts=self.routing_state.counts())
-        zones = {zone for _, zone in self.routing_state.zones.zones}
+        commands = self.routing_state.zone_health.step(now=now, counts=self.routing_state.counts())
+        zones = {zone for _, zone in self.routing_state.zone_health.zones}
         down = {
             zone
             for zone in zones
-            if all(state.healthy == 0 for (_, name), state in self.routing_state.zones.zones.items() if name == zone)
+            if all(
+                state.healthy == 0 for (_, name), state in self.routing_state.zone_health.zones.items() if name == zone
+            )
         }
         unreported = {
             zone
             for zone in down
             if not all(
-                self.routing_state.drained_by_aggregated_health(now=now, service=service, zone=zone)
-                for service, name in self.routing_state.zones.zones
+                self.routing_state.is_drained_by_majority(now=now, service=service, zone=zone)
+                for service, name in self.routing_state.zone_health.zones
                 if name == zone
             )
         }
@@ -324,8 +326,8 @@
     def _build_status(self, *, now: float) -> dict:
         workers = {key: probed.state for key, probed in self.routing_state.prober.probed.items()}
         zones = {
-            f"{service}|{zone}": [state.state, round(state.fraction, 3)]
-            for (service, zone), state in self.routing_state.zones.zones.items()
+            f"{service}|{zone}": [state.state, round(state.healthy_fraction, 3)]
+            for (service, zone), state in self.routing_state.zone_health.zones.items()
         }
         return {
             "id": self.location.name,
@@ -333,7 +335,7 @@
             "acting": self.acting(now=now),
             "suspect": self.suspect,
             "registers": {name: self.learner.number(name=name) for name in CONTROL},
-            "proxies": self.routing_state.proxies,
+            "proxies": self.routing_state.proxy_count,
             "halls": zones,
             "workers": workers,
             "tally": dict(self.exchanges.tally),
--- a/sailward/routing/endpoint_selection.py
+++ b/sailward/routing/endpoint_selection.py
@@ -29,18 +29,18 @@
     region: str
     regions: dict
     passive_health: PassiveHealth
-    zones: ZoneHealthTable
+    zone_health: ZoneHealthTable
     plan: Plan = field(default_factory=Plan)
-    emptied: frozenset = frozenset()
+    evacuated_zones: frozenset = frozenset()
     shards: ShardTables = field(default_factory=ShardTables)
-    by_service: dict = field(default_factory=dict)
+    workers_by_service: dict = field(default_factory=dict)
     peers: dict = field(default_factory=dict)
-    proxies: int = 1
-    leave_after: float = constants.LEASE_DURATION
+    proxy_count: int = 1
+    drain_timeout: float = constants.LEASE_DURATION
 
     def update_workers(self, *, workers: dict[str, Worker]) -> None:
         """Replace the worker list with the newest one."""
-        self.by_service = groupby(lambda worker: worker.service, workers.values())
+        self.workers_by_service = groupby(lambda worker: worker.service, workers.values())
 
     def counts(self) -> dict:
         """{(service, zone): (listed, healthy, known)}; a leaving worker counts as listed and unhealthy."""
@@ -85,7 +85,7 @@
             return Refusal(code=503, reason="no-worker")
         first_zone = draw_zone(shares=shares, rng=self.rng)
         other_zones = sorted(
-            (zone for zone in views if zone != first_zone and views[zone].allowed),
+            (zone for zone in views if zone != first_zone and views[zone].is_allowed),
             key=lambda zone: (zone not in shares, zone not in pool.preferred, zone),
         )
         for zone in (first_zone, *other_zones):
@@ -128,26 +128,27 @@
         )
 
     def _may_serve(self, *, zone: str, homes: frozenset) -> bool:
-        return zone not in self.context.emptied and (not homes or self.context.regions.get(zone) in homes)
+        return zone not in self.context.evacuated_zones and (not homes or self.context.regions.get(zone) in homes)
 
     def _views(self, *, now: float, service: str, homes: frozenset) -> dict[str, ZoneView]:
         views = {}
         capacity_by_zone = self._warm_capacity_by_zone(now=now, service=service)
-        for (name, zone), state in self.context.zones.zones.items():
+        for (name, zone), state in self.context.zone_health.zones.items():
             if name == service:
                 views[zone] = ZoneView(
-                    fraction=state.fraction,
+                    healthy_fraction=state.healthy_fraction,
                     healthy=state.healthy,
                     listed=state.listed,
-                    drained=state.drained,
-                    allowed=self._may_serve(zone=zone, homes=homes),
+                    is_drained=state.is_drained,
+                    is_allowed=self._may_serve(zone=zone, homes=homes),
                     weight=max(0.1, capacity_by_zone.get(zone, 0)),
                 )
         return views
 
     def _mean_unloaded_time(self, *, service: str) -> float:
         observed = [
-            self.context.passive_health.workers.get(worker.key) for worker in self.context.by_service.get(service, ())
+            self.context.passive_health.workers.get(worker.key)
+            for worker in self.context.workers_by_service.get(service, ())
         ]
         unloaded_times = [
             candidate.unloaded_response_time
@@ -160,7 +161,7 @@
         """The relative capacity of each zone: the sum of the speeds of its warm workers."""
         capacity_by_zone: dict[str, float] = {}
         mean = self._mean_unloaded_time(service=service)
-        for worker in self.context.by_service.get(service, ()):
+        for worker in self.context.workers_by_service.get(service, ()):
             health = self.context.passive_health.workers.get(worker.key)
             if (
                 health is not None
@@ -175,7 +176,7 @@
 
     def _eligible_by_zone(self, *, now: float, request: Request) -> dict[str, list[WorkerHealth]]:
         eligible: dict[str, list[WorkerHealth]] = {}
-        for worker in self.context.by_service.get(request.service.name, ()):
+        for worker in self.context.workers_by_service.get(request.service.name, ()):
             health = self.context.passive_health.workers.get(worker.key)
             if (
                 health is not None
@@ -220,7 +221,7 @@
         that the worker's response times allow.
         """
         total_capacity = (health.worker.capacity or constants.DEFAULT_WORKER_CAPACITY) * constants.WORKER_QUEUE_DEPTH
-        share = -(-total_capacity // max(1, self.context.proxies))
+        share = -(-total_capacity // max(1, self.context.proxy_count))
         limit = min(max(constants.CONCURRENCY_WINDOW_MIN, constants.CONCURRENCY_SHARE_FACTOR * share), health.window)
         return self.open.get(health.worker.key, 0) < max(1.0, limit)
 
@@ -262,7 +263,7 @@
         ):
             return Refusal(code=503, reason="owner-lost")
         worker = health.worker
-        if now - health.leaving_since > context.leave_after:
+        if now - health.leaving_since > context.drain_timeout:
             # its keys should have moved by now: it must not be sent any more requests
             return Refusal(code=503, reason="owner-lost")
         if (
--- a/sailward/routing/explain.py
+++ b/sailward/routing/explain.py
@@ -17,7 +17,7 @@
     explanation: dict = {
         "acting": acting,
         "config": routing_state.plan.number,
-        "emptied": sorted(routing_state.emptied),
+        "emptied": sorted(routing_state.evacuated_zones),
     }
     tenant = routing_state.plan.tenants.get(query.get("tenant", ""))
     if tenant is None:
@@ -31,7 +31,7 @@
     if service.slots:
         shard = _explain_shard(routing_state=routing_state, service=service, tenant=tenant, match=match, path=path)
         return {**explanation, **shard}
-    views = routing_state.views_of(now=now, service=service.name, tenant=tenant)
+    views = routing_state.zone_views(now=now, service=service.name, tenant=tenant)
     return {
         **explanation,
         "pools": _explain_pools(routing_state=routing_state, match=match, views=views),
@@ -45,7 +45,7 @@
 ) -> dict[str, str | bool | int]:
     key = part_of(path=path, match=match)
     slot, space = slot_of(key=key, slots=service.slots), space_of(homes=tenant.homes, service=service)
-    owned = routing_state.slots.find(service=service.name, space=space, slot=slot)
+    owned = routing_state.shard_owners.find(service=service.name, space=space, slot=slot)
     return {
         "key": key,
         "slot": f"{space}/{slot}",
@@ -73,9 +73,9 @@
         zone: {
             "healthy": view.healthy,
             "listed": view.listed,
-            "fraction": round(view.fraction, 3),
-            "drained": view.drained,
-            "allowed": view.allowed,
+            "fraction": round(view.healthy_fraction, 3),
+            "drained": view.is_drained,
+            "allowed": view.is_allowed,
         }
         for zone, view in sorted(views.items())
     }
--- a/sailward/routing/forwarding.py
+++ b/sailward/routing/forwarding.py
@@ -134,7 +134,7 @@
             now=now,
             service=request.service.name,
             first=is_first,
-            proxies=self.endpoint_selector.context.proxies,
+            proxies=self.endpoint_selector.context.proxy_count,
             is_hedge=is_hedge,
         )
 
--- a/sailward/routing/load_balancer.py
+++ b/sailward/routing/load_balancer.py
@@ -30,7 +30,7 @@
         if not exchange.pool:
             exchange.pool = draw_pool(match=exchange.match, rng=self.rng)
         pool = self.routing_state.plan.pools[exchange.pool]
-        views = self.routing_state.views_of(now=now, service=pool.service, tenant=exchange.tenant)
+        views = self.routing_state.zone_views(now=now, service=pool.service, tenant=exchange.tenant)
         shares = share_zones(pool=pool, views=views)
         if not shares:
             return Refusal(code=503, reason="no-hall", detail="no zone that may serve this tenant has a healthy worker")
@@ -38,9 +38,9 @@
         other_zones = [
             zone
             for zone in (*pool.preferred, *pool.fallback)
-            if zone != first_zone and zone in views and views[zone].allowed and views[zone].healthy
+            if zone != first_zone and zone in views and views[zone].is_allowed and views[zone].healthy
         ]
-        other_zones.sort(key=lambda zone: (zone not in shares, views[zone].drained))
+        other_zones.sort(key=lambda zone: (zone not in shares, views[zone].is_drained))
         for zone in (first_zone, *other_zones):
             worker = self._choose_worker(now=now, exchange=exchange, zone=zone)
             if worker is not None:
@@ -53,7 +53,7 @@
         exchange.pool = pool_at(shares=exchange.match.shares, slot=exchange.slot, slots=service.slots)
         homes = exchange.tenant.homes
         exchange.space = space_of(homes=homes, service=service)
-        owned = routing_state.slots.find(service=service.name, space=exchange.space, slot=exchange.slot)
+        owned = routing_state.shard_owners.find(service=service.name, space=exchange.space, slot=exchange.slot)
         if owned is None or not owned.owner:
             return Refusal(code=503, reason="key-unowned", detail="no worker that may serve owns this key yet")
         if not owned.is_open:
@@ -73,7 +73,7 @@
         probed = routing_state.prober.probed.get(worker.key)
         return (
             not worker.leaving
-            and worker.zone not in routing_state.emptied
+            and worker.zone not in routing_state.evacuated_zones
             and probed is not None
             and probed.is_healthy
             and (not homes or routing_state.plan.regions.get(worker.zone) in homes)
@@ -88,7 +88,7 @@
             key=f"key {service.name} {exchange.part}",
             service=key_limit,
             warm=service.slow_start_ramp,
-            proxies=routing_state.proxies,
+            proxies=routing_state.proxy_count,
         ):
             return Refusal(code=503, reason="hot-key", detail="this key is at its share of its worker's rate limit")
         if not self.bounds.step(
@@ -96,7 +96,7 @@
             key=owner,
             service=service,
             warm=now - routing_state.prober.probed[owner].slow_start_began_at,
-            proxies=routing_state.proxies,
+            proxies=routing_state.proxy_count,
         ):
             return Refusal(code=503, reason="owner-full", detail="this key's worker is at its rate limit")
         return None
@@ -108,14 +108,14 @@
         if (
             worker.key not in routing_state.endpoint_table.workers
             or routing_state.endpoint_table.workers[worker.key].leaving
-            or worker.zone in routing_state.emptied
+            or worker.zone in routing_state.evacuated_zones
             or probed is None
             or not probed.is_healthy
         ):
             return False
         if exchange.slot < 0:
             return True
-        owned = routing_state.slots.find(service=exchange.service.name, space=exchange.space, slot=exchange.slot)
+        owned = routing_state.shard_owners.find(service=exchange.service.name, space=exchange.space, slot=exchange.slot)
         return owned is not None and owned.is_open and (owned.owner, owned.term) == (worker.key, exchange.term)
 
     def took(self, *, key: str) -> None:
@@ -147,7 +147,7 @@
             candidates = self.rng.sample(eligible, min(2, len(eligible)))
             choice = min(candidates, key=lambda candidate: self.open.get(candidate[0].key, 0))
             if self.bounds.step(
-                now=now, key=choice[0].key, service=service, warm=choice[1], proxies=routing_state.proxies
+                now=now, key=choice[0].key, service=service, warm=choice[1], proxies=routing_state.proxy_count
             ):
                 return choice[0]
             eligible.remove(choice)
--- a/sailward/routing/proxied_requests.py
+++ b/sailward/routing/proxied_requests.py
@@ -104,7 +104,7 @@
             plan=self.load_balancer.routing_state.plan,
             now=now,
             name=f"{self.identity}.{self.count}",
-            clock=self.load_balancer.routing_state.clock(now=now),
+            clock=self.load_balancer.routing_state.wall_time(now=now),
         )
         promise = is_promise_safe(event=event)
         if not acting and not (isinstance(taken, Refusal) and taken.code == 413):
--- a/sailward/routing/routing_state.py
+++ b/sailward/routing/routing_state.py
@@ -21,13 +21,13 @@
 
     prober: Prober
     endpoint_table: EndpointTable = field(default_factory=EndpointTable)
-    zones: ZoneHealthTable = field(default_factory=ZoneHealthTable)
+    zone_health: ZoneHealthTable = field(default_factory=ZoneHealthTable)
     plan: Plan = field(default_factory=Plan)
-    emptied: frozenset = frozenset()
-    views: dict = field(default_factory=dict)
-    walls: dict = field(default_factory=dict)
-    proxies: int = 1
-    slots: ShardOwners = field(default_factory=ShardOwners)
+    evacuated_zones: frozenset = frozenset()
+    controller_views: dict = field(default_factory=dict)
+    clock_offsets: dict = field(default_factory=dict)
+    proxy_count: int = 1
+    shard_owners: ShardOwners = field(default_factory=ShardOwners)
 
     def counts(self) -> dict[tuple[str, str], tuple[int, int, int]]:
         """{(service, zone): (listed, healthy, known)}; a leaving worker counts as listed and unhealthy."""
@@ -41,59 +41,61 @@
             counts[zone_key] = (listed + 1, healthy + is_healthy, known + is_known)
         return counts
 
-    def keep_view(self, *, now: float, identity: str, view: dict) -> None:
+    def store_view(self, *, now: float, identity: str, view: dict) -> None:
         """Store the newest view of one controller."""
-        self.views[identity] = (now, view)
+        self.controller_views[identity] = (now, view)
         if isinstance(view.get("wall"), float):
-            self.walls[identity] = (now, view["wall"] - now)
+            self.clock_offsets[identity] = (now, view["wall"] - now)
 
-    def drained_by_aggregated_health(self, *, now: float, service: str, zone: str) -> bool:
+    def is_drained_by_majority(self, *, now: float, service: str, zone: str) -> bool:
         """Do most of the controllers with a recent view report this zone as drained?"""
-        recent_views = [view for at, view in self.views.values() if now - at < constants.HEALTH_REPORT_TTL]
+        recent_views = [view for at, view in self.controller_views.values() if now - at < constants.HEALTH_REPORT_TTL]
         name = f"{service}|{zone}"
         return bool(recent_views) and 2 * sum(name in view.get("drained", ()) for view in recent_views) > len(
             recent_views
         )
 
-    def clock(self, *, now: float) -> float | None:
+    def wall_time(self, *, now: float) -> float | None:
         """The wall time by the median of the controllers' clocks (the later one of two).
 
         The median keeps a jump of a single clock from turning the time back.
         """
-        self.walls = {
-            name: (at, offset) for name, (at, offset) in self.walls.items() if now - at < constants.CLOCK_SAMPLE_TTL
+        self.clock_offsets = {
+            name: (at, offset)
+            for name, (at, offset) in self.clock_offsets.items()
+            if now - at < constants.CLOCK_SAMPLE_TTL
         }
-        offsets = sorted(offset for _, offset in self.walls.values())
+        offsets = sorted(offset for _, offset in self.clock_offsets.values())
         return now + offsets[len(offsets) // 2] if offsets else None
 
     def has_unknown_outcomes(self, *, now: float) -> bool:
         """Does every controller with a recent view report that claims may have been lost?"""
-        recent_views = [view for at, view in self.views.values() if now - at < constants.HEALTH_REPORT_TTL]
+        recent_views = [view for at, view in self.controller_views.values() if now - at < constants.HEALTH_REPORT_TTL]
         return bool(recent_views) and all(view.get("doubt") for view in recent_views)
 
-    def warm(self) -> dict[str, float]:
+    def warm_seconds(self) -> dict[str, float]:
         """For how long (s) other proxies have seen each worker in good status."""
         warm: dict[str, float] = {}
-        for _, view in self.views.values():
+        for _, view in self.controller_views.values():
             for key, age in view.get("warm", {}).items():
                 warm[key] = max(age, warm.get(key, 0.0))
         return warm
 
-    def views_of(self, *, now: float, service: str, tenant: Tenant | None) -> dict[str, ZoneView]:
+    def zone_views(self, *, now: float, service: str, tenant: Tenant | None) -> dict[str, ZoneView]:
         """The state of each zone of a service for the selection of a zone for this tenant."""
         views = {}
-        for (name, zone), state in self.zones.zones.items():
+        for (name, zone), state in self.zone_health.zones.items():
             if name != service:
                 continue
             region = self.plan.regions.get(zone)
             is_home = tenant is None or not tenant.homes or region in tenant.homes
-            drained = state.drained or self.drained_by_aggregated_health(now=now, service=service, zone=zone)
+            drained = state.is_drained or self.is_drained_by_majority(now=now, service=service, zone=zone)
             views[zone] = ZoneView(
-                fraction=state.fraction,
+                healthy_fraction=state.healthy_fraction,
                 healthy=state.healthy,
                 listed=state.listed,
-                drained=drained,
-                allowed=is_home and zone not in self.emptied and region is not None,
+                is_drained=drained,
+                is_allowed=is_home and zone not in self.evacuated_zones and region is not None,
             )
         return views
 
@@ -101,7 +103,7 @@
         """This proxy's health report, which the controllers aggregate into their views."""
         zones = {
             f"{service}|{zone}": [state.listed, state.healthy, state.state]
-            for (service, zone), state in self.zones.zones.items()
+            for (service, zone), state in self.zone_health.zones.items()
         }
         warm = {
             key: round(now - probed.slow_start_began_at, 1)
--- a/sailward/routing/weighted_draw.py
+++ b/sailward/routing/weighted_draw.py
@@ -13,15 +13,15 @@
 class ZoneView:
     """The state of a zone of the pool's service that the selection uses.
 
-    `allowed` already accounts for overrides: evacuations and the tenant's home regions.
+    `is_allowed` already accounts for overrides: evacuations and the tenant's home regions.
     `weight` is the zone's share of requests relative to the other zones of its tier; equal by default.
     """
 
-    fraction: float
+    healthy_fraction: float
     healthy: int
     listed: int
-    drained: bool
-    allowed: bool
+    is_drained: bool
+    is_allowed: bool
     weight: float = 1.0
 
 
@@ -48,7 +48,7 @@
     usable = [
         zone
         for zone in (*pool.preferred, *pool.fallback)
-        if zone in views and views[zone].allowed and views[zone].listed
+        if zone in views and views[zone].is_allowed and views[zone].listed
     ]
     available = [zone for zone in usable if zone not in excluded]
     if not any(views[zone].healthy for zone in available):
@@ -56,7 +56,7 @@
     preferred = [zone for zone in pool.preferred if zone in available]
     fallback = [zone for zone in pool.fallback if zone in available]
     kept = {
-        zone: min(1.0, views[zone].fraction / constants.ZONE_SPILL_THRESHOLD) if views[zone].healthy else 0.0
+        zone: min(1.0, views[zone].healthy_fraction / constants.ZONE_SPILL_THRESHOLD) if views[zone].healthy else 0.0
         for zone in available
     }
     if not any(kept[zone] for zone in preferred) or not any(kept[zone] for zone in fallback):
@@ -80,7 +80,9 @@
 def _drained_within_cap(*, pool: Pool, views: dict[str, ZoneView]) -> set[str]:
     zones = [zone for zone in (*pool.preferred, *pool.fallback) if zone in views and views[zone].listed]
     cap = int(constants.MAX_DRAINED_ZONES_RATIO * len(zones))
-    drained = sorted((zone for zone in zones if views[zone].drained), key=lambda zone: (views[zone].fraction, zone))
+    drained = sorted(
+        (zone for zone in zones if views[zone].is_drained), key=lambda zone: (views[zone].healthy_fraction, zone)
+    )
     return set(drained[:cap])
 
 
--- a/sailward/routing/zone_health.py
+++ b/sailward/routing/zone_health.py
@@ -16,13 +16,13 @@
     """Health of one zone of one service."""
 
     state: str = CHART.initial
-    since: float = 0.0
-    fraction: float = 1.0
+    state_changed_at: float = 0.0
+    healthy_fraction: float = 1.0
     listed: int = 0
     healthy: int = 0
 
     @property
-    def drained(self) -> bool:
+    def is_drained(self) -> bool:
         """Is the zone taken out of the selection?"""
         return self.state in CHART.marks["drained"]
 
@@ -39,12 +39,12 @@
         commands = []
         self.zones = {key: zone for key, zone in self.zones.items() if key in counts}
         for key, (listed, healthy, known) in counts.items():
-            zone = self.zones.setdefault(key, ZoneHealth(since=now))
+            zone = self.zones.setdefault(key, ZoneHealth(state_changed_at=now))
             zone.listed, zone.healthy = listed, healthy
-            zone.fraction = healthy / listed if listed else 0.0
+            zone.healthy_fraction = healthy / listed if listed else 0.0
             if known < listed and zone.state == CHART.initial:
                 # not all workers have been probed: the fraction is used for weighting, but does not drain the zone yet
-                zone.fraction = healthy / known if known else 0.0
+                zone.healthy_fraction = healthy / known if known else 0.0
                 continue
             commands += self._transition(now=now, key=key, zone=zone)
         return commands
@@ -54,7 +54,7 @@
         for event in self._events(now=now, zone=zone):
             state = CHART.step(state=zone.state, event=event)
             if state != zone.state:
-                zone.state, zone.since = state, now
+                zone.state, zone.state_changed_at = state, now
         if previous == zone.state:
             return []
         return [
@@ -65,17 +65,17 @@
                     "hall": key[1],
                     "from": previous,
                     "to": zone.state,
-                    "fraction": round(zone.fraction, 2),
+                    "fraction": round(zone.healthy_fraction, 2),
                 },
             )
         ]
 
     def _events(self, *, now: float, zone: ZoneHealth) -> list[str]:
-        if zone.fraction < constants.ZONE_DRAIN_THRESHOLD:
+        if zone.healthy_fraction < constants.ZONE_DRAIN_THRESHOLD:
             return ["under_drain"]
-        if zone.fraction < constants.ZONE_RESTORE_THRESHOLD:
+        if zone.healthy_fraction < constants.ZONE_RESTORE_THRESHOLD:
             return ["under_restore"]
-        if zone.state == "holding" and now - zone.since >= (
+        if zone.state == "holding" and now - zone.state_changed_at >= (
             constants.ZONE_HOLD_DOWN if self._hold_down is None else self._hold_down
         ):
             return ["held"]
--- a/simulation/sim/sabotage.py
+++ b/simulation/sim/sabotage.py
@@ -69,10 +69,10 @@
 
 
 def _no_homes(old):
-    def views_of(self, *, now, service, tenant):
+    def zone_views(self, *, now, service, tenant):
         return old(self, now=now, service=service, tenant=None)
 
-    return views_of
+    return zone_views
 
 
 def _by_status(old):
@@ -82,9 +82,9 @@
             for name, weight in exchange.match.shares
             if weight
             and any(
-                view.fraction >= constants.ZONE_SPILL_THRESHOLD
+                view.healthy_fraction >= constants.ZONE_SPILL_THRESHOLD
                 and zone in self.routing_state.plan.pools[name].preferred
-                for zone, view in self.routing_state.views_of(
+                for zone, view in self.routing_state.zone_views(
                     now=now, service=exchange.service.name, tenant=exchange.tenant
                 ).items()
             )
@@ -183,7 +183,7 @@
     "sync": _method(write_ahead.WriteAhead, "step", _told_unsynced),
     "claim": _method(idempotency.Claims, "_begin", _always_won),
     "sticky": _method(endpoint_table.EndpointTable, "step", _forgetful),
-    "homes": _method(routing_state.RoutingState, "views_of", _no_homes),
+    "homes": _method(routing_state.RoutingState, "zone_views", _no_homes),
     "draw-first": _method(load_balancer.LoadBalancer, "step", _by_status),
     "never-older": _method(learner.Learner, "step", _older_too),
     "expected": _method(proposer.Proposer, "_judge_promises", _no_expected),
@@ -260,14 +260,15 @@
     "key-age": _method(exchange_module, "judge_key", lambda old: lambda **_: None),
     "clocks": _method(
         routing_state.RoutingState,
-        "clock",
+        "wall_time",
         lambda old: (
             lambda self, *, now: (
                 now
-                + self.walls[
-                    "controller-1#" + next(name for name in self.walls if name.startswith("controller-1")).split("#")[1]
+                + self.clock_offsets[
+                    "controller-1#"
+                    + next(name for name in self.clock_offsets if name.startswith("controller-1")).split("#")[1]
                 ][1]
-                if self.walls
+                if self.clock_offsets
                 else None
             )
         ),
--- a/tests/proxy_kit.py
+++ b/tests/proxy_kit.py
@@ -117,10 +117,10 @@
             region="north",
             regions=dict(ZONES),
             passive_health=self.passive_health,
-            zones=ZoneHealthTable(hold_down=1.0),
+            zone_health=ZoneHealthTable(hold_down=1.0),
             plan=plan or make_plan(),
         )
-        self.context.proxies = proxies
+        self.context.proxy_count = proxies
         self.endpoint_selector = EndpointSelector(context=self.context, rng=rng)
         self.forwarder = Forwarder(
             endpoint_selector=self.endpoint_selector,
@@ -135,7 +135,7 @@
         listed = {worker.key: worker for worker in workers}
         commands = self.passive_health.update_workers(now=self.now, workers=listed)
         self.context.update_workers(workers=listed)
-        self.context.zones.step(now=self.now, counts=self.context.counts())
+        self.context.zone_health.step(now=self.now, counts=self.context.counts())
         return commands
 
     def own(self, *, owner: str, state: str = OPEN, start: int = 0, end: int = 65535) -> None:
--- a/tests/test_endpoint_selection.py
+++ b/tests/test_endpoint_selection.py
@@ -55,7 +55,7 @@
 def fail_workers(bench: Bench, *names: str) -> None:
     for name in names:
         bench.passive_health.record_event(now=bench.now, key=name, event="dark")
-    bench.context.zones.step(now=bench.now, counts=bench.context.counts())
+    bench.context.zone_health.step(now=bench.now, counts=bench.context.counts())
 
 
 def test_all_requests_stay_in_the_own_region_while_it_is_healthy() -> None:
@@ -87,10 +87,10 @@
 
 def test_an_evacuated_zone_gets_no_requests_and_an_evacuated_home_region_still_binds() -> None:
     bench = make()
-    bench.context.emptied = frozenset({"north-a"})
+    bench.context.evacuated_zones = frozenset({"north-a"})
     assert set(count_zones(bench)) == {"north-b"}
     bench = make(homes=["north"])
-    bench.context.emptied = frozenset({"north-a", "north-b"})
+    bench.context.evacuated_zones = frozenset({"north-a", "north-b"})
     assert set(count_zones(bench)) == {"no-worker"}
 
 
@@ -178,7 +178,11 @@
     sent = 0
     for name in names:
         bench = make(workers=[make_worker("w0", slow_start=9.0)])
-        bench.context.name, bench.context.peers, bench.context.proxies = name, dict.fromkeys(names, "north"), len(names)
+        bench.context.name, bench.context.peers, bench.context.proxy_count = (
+            name,
+            dict.fromkeys(names, "north"),
+            len(names),
+        )
         for _ in range(200):
             sent += not isinstance(select(bench), Refusal)
             bench.now += 0.02
@@ -220,7 +224,7 @@
     assert select(bench, key=5).reason == "owner-lost"
     bench = make_ranged()
     bench.own(owner="w0")
-    bench.context.emptied = frozenset({"north-a"})
+    bench.context.evacuated_zones = frozenset({"north-a"})
     assert select(bench, key=5).reason == "owner-lost"
     bench = make_ranged()
     bench.own(owner="w1")
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -68,7 +68,7 @@
             expand=lambda written: CONFIG.expand(written, ZONES),
             retry_slack=60.0,
             hold_down=1.0,
-            leave_wait=3.0,
+            deregistration_delay=3.0,
             stop_grace=5.2,
         )
         self.proxy = Proxy(location=PLACE, start=1, rng=random.Random(1), options=options)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -86,7 +86,7 @@
     if role == "controller":
         assert hosted.options.lease_max == 10
     else:
-        assert hosted.options.retry_slack == 62 and hosted.options.leave_wait < hosted.options.stop_grace < 6
+        assert hosted.options.retry_slack == 62 and hosted.options.deregistration_delay < hosted.options.stop_grace < 6
 
 
 def test_unknown_fields_are_ignored_and_bounds_have_defaults(tmp_path: Path) -> None:
--- a/tests/test_stopping_proxy.py
+++ b/tests/test_stopping_proxy.py
@@ -81,7 +81,7 @@
         location=location,
         start=1,
         rng=random.Random(1),
-        options=ProxyOptions(regions=(("gdl-a", "gdl"),), leave_wait=3.0, stop_grace=5.2),
+        options=ProxyOptions(regions=(("gdl-a", "gdl"),), deregistration_delay=3.0, stop_grace=5.2),
     )
     proxy.step(now=0.0, event=TimerFired())
     view = {"place": ["gdl-a", "gdl"]}
