--- a/sailward/proxy/tenant_proxy.py
+++ b/sailward/proxy/tenant_proxy.py
@@ -263,7 +263,7 @@
         commands += self._step_exchanges(now=now, event=None)
         if now - self._zones_counted_at >= constants.ZONE_HEALTH_INTERVAL:
             commands += self._count_zones(now=now)
-            self.load_balancer.bounds.forget(now=now, keep=set(self.routing_state.endpoint_table.workers))
+            self.load_balancer.rate_limits.drop_unused(now=now, listed=set(self.routing_state.endpoint_table.workers))
         self.claims.peers = [
             Peer(name=peer["id"], post=peer["post"], region=peer["region"], zone=peer["hall"])
             for peer in self.peer_table.alive(kind="proxy")
--- a/sailward/routing/concurrency_limits.py
+++ b/sailward/routing/concurrency_limits.py
@@ -10,10 +10,10 @@
 
 @dataclass(kw_only=True)
 class Bucket:
-    """Token bucket: the number of requests that may be sent to a worker now, as of time `at`."""
+    """Token bucket: the number of requests that may be sent to a worker now, as of `updated_at`."""
 
-    level: float
-    at: float
+    tokens: float
+    updated_at: float
 
 
 class ConcurrencyLimits:
@@ -25,17 +25,17 @@
     def step(self, *, now: float, key: str, service: Service, warm: float, proxies: int) -> bool:
         """Take one token from the worker's bucket; False if it has none."""
         bucket = self._refill(now=now, key=key, service=service, warm=warm, proxies=proxies)
-        if bucket.level < 1.0:
+        if bucket.tokens < 1.0:
             return False
-        bucket.level -= 1.0
+        bucket.tokens -= 1.0
         return True
 
-    def forget(self, *, now: float, keep: set[str]) -> None:
+    def drop_unused(self, *, now: float, listed: set[str]) -> None:
         """Drop the buckets of workers that are no longer listed, and of keys unused for RETRY_BUDGET_WINDOW."""
         self._buckets = {
             key: bucket
             for key, bucket in self._buckets.items()
-            if key in keep or (key.startswith("key ") and now - bucket.at < constants.RETRY_BUDGET_WINDOW)
+            if key in listed or (key.startswith("key ") and now - bucket.updated_at < constants.RETRY_BUDGET_WINDOW)
         }
 
     def _refill(self, *, now: float, key: str, service: Service, warm: float, proxies: int) -> Bucket:
@@ -43,9 +43,9 @@
         burst = max(1.0, rate * constants.RATE_LIMIT_BURST)
         bucket = self._buckets.get(key)
         if bucket is None:
-            bucket = self._buckets[key] = Bucket(level=1.0, at=now)
-        bucket.level = min(burst, bucket.level + rate * (now - bucket.at))
-        bucket.at = now
+            bucket = self._buckets[key] = Bucket(tokens=1.0, updated_at=now)
+        bucket.tokens = min(burst, bucket.tokens + rate * (now - bucket.updated_at))
+        bucket.updated_at = now
         return bucket
 
 
--- a/sailward/routing/endpoint_selection.py
+++ b/sailward/routing/endpoint_selection.py
@@ -61,8 +61,8 @@
 
     context: SelectionContext
     rng: random.Random
-    open: dict = field(default_factory=dict)
-    slow_start: dict = field(default_factory=dict)
+    open_requests: dict = field(default_factory=dict)
+    slow_start_buckets: dict = field(default_factory=dict)
 
     def step(self, *, now: float, request: Request) -> Worker | Refusal:
         """Select the worker that runs this request now, or return the reason why none can."""
@@ -94,17 +94,17 @@
                 return worker
         return Refusal(code=503, reason="no-room" if any(eligible.values()) else "no-worker")
 
-    def took(self, *, key: str) -> None:
+    def record_sent(self, *, key: str) -> None:
         """Count a request that was forwarded to this worker."""
-        self.open[key] = self.open.get(key, 0) + 1
+        self.open_requests[key] = self.open_requests.get(key, 0) + 1
 
-    def left(self, *, key: str) -> None:
+    def record_ended(self, *, key: str) -> None:
         """Stop counting a request that has ended at this worker."""
-        count = self.open.get(key, 1) - 1
+        count = self.open_requests.get(key, 1) - 1
         if count > 0:
-            self.open[key] = count
+            self.open_requests[key] = count
         else:
-            self.open.pop(key, None)
+            self.open_requests.pop(key, None)
 
     def _draw_service(self, *, request: Request):
         plan = self.context.plan
@@ -210,7 +210,7 @@
         return None
 
     def _load(self, health: WorkerHealth) -> float:
-        return (self.open.get(health.worker.key, 0) + 1) * (
+        return (self.open_requests.get(health.worker.key, 0) + 1) * (
             health.mean_response_time or constants.DEFAULT_WORKER_LATENCY
         )
 
@@ -223,7 +223,7 @@
         total_capacity = (health.worker.capacity or constants.DEFAULT_WORKER_CAPACITY) * constants.WORKER_QUEUE_DEPTH
         share = -(-total_capacity // max(1, self.context.proxy_count))
         limit = min(max(constants.CONCURRENCY_WINDOW_MIN, constants.CONCURRENCY_SHARE_FACTOR * share), health.window)
-        return self.open.get(health.worker.key, 0) < max(1.0, limit)
+        return self.open_requests.get(health.worker.key, 0) < max(1.0, limit)
 
     def _take_slow_start_token(self, *, now: float, health: WorkerHealth, request: Request) -> bool:
         """Does the rate limit of a cold worker admit a request from this proxy?
@@ -237,13 +237,13 @@
         if names and context.name not in choose_names(key=key, names=names, count=constants.SLOW_START_PROXIES):
             return False
         rate = request.service.slow_start_rate / constants.SLOW_START_PROXIES
-        bucket = self.slow_start.get(key)
+        bucket = self.slow_start_buckets.get(key)
         if bucket is None:
-            bucket = self.slow_start[key] = Bucket(level=1.0, at=now)
-        bucket.level, bucket.at = min(1.0, bucket.level + rate * (now - bucket.at)), now
-        if bucket.level < 1.0:
+            bucket = self.slow_start_buckets[key] = Bucket(tokens=1.0, updated_at=now)
+        bucket.tokens, bucket.updated_at = min(1.0, bucket.tokens + rate * (now - bucket.updated_at)), now
+        if bucket.tokens < 1.0:
             return False
-        bucket.level -= 1.0
+        bucket.tokens -= 1.0
         return True
 
     def _find_owner(self, *, now: float, request: Request) -> Worker | Refusal:
--- a/sailward/routing/explain.py
+++ b/sailward/routing/explain.py
@@ -89,7 +89,7 @@
             "hall": worker.zone,
             "status": probed[key].state,
             "leaving": worker.leaving,
-            "open": load_balancer.open.get(key, 0),
+            "open": load_balancer.open_requests.get(key, 0),
             "bound": round(rate_of(service=service, warm=now - probed[key].slow_start_began_at), 1),
         }
         for key, worker in sorted(routing_state.endpoint_table.workers.items())
--- a/sailward/routing/forwarding.py
+++ b/sailward/routing/forwarding.py
@@ -151,7 +151,7 @@
         request.hedge_at = now + self._hedge_after(request=request) if may_hedge else float("inf")
         self.calls[token] = request
         self.by_worker.setdefault(worker.key, {})[token] = None
-        self.endpoint_selector.took(key=worker.key)
+        self.endpoint_selector.record_sent(key=worker.key)
         self.tally["sent"] += 1
         context, left = self.endpoint_selector.context, request.expiry - now
         return [
@@ -206,7 +206,7 @@
         return commands + self._give_up(now=now, request=request, refusal=_refusal_of(verdict=verdict))
 
     def _forget(self, *, token: str, worker: str) -> None:
-        self.endpoint_selector.left(key=worker)
+        self.endpoint_selector.record_ended(key=worker)
         tokens = self.by_worker.get(worker, {})
         tokens.pop(token, None)
         if not tokens:
--- a/sailward/routing/load_balancer.py
+++ b/sailward/routing/load_balancer.py
@@ -20,8 +20,8 @@
 
     rng: random.Random
     routing_state: RoutingState
-    bounds: ConcurrencyLimits = field(default_factory=ConcurrencyLimits)
-    open: dict = field(default_factory=dict)
+    rate_limits: ConcurrencyLimits = field(default_factory=ConcurrencyLimits)
+    open_requests: dict = field(default_factory=dict)
 
     def step(self, *, now: float, exchange: ProxiedRequest) -> Worker | Refusal:
         """Select the worker that runs this exchange, and count the exchange against its rate limit."""
@@ -83,7 +83,7 @@
         """The refusal if the rate limit of the key or of its owner is reached; None if the exchange may be sent."""
         routing_state, service = self.routing_state, exchange.service
         key_limit = replace(service, rate=service.rate * constants.HOT_KEY_SHARE)
-        if not self.bounds.step(
+        if not self.rate_limits.step(
             now=now,
             key=f"key {service.name} {exchange.part}",
             service=key_limit,
@@ -91,7 +91,7 @@
             proxies=routing_state.proxy_count,
         ):
             return Refusal(code=503, reason="hot-key", detail="this key is at its share of its worker's rate limit")
-        if not self.bounds.step(
+        if not self.rate_limits.step(
             now=now,
             key=owner,
             service=service,
@@ -101,7 +101,7 @@
             return Refusal(code=503, reason="owner-full", detail="this key's worker is at its rate limit")
         return None
 
-    def stands(self, *, exchange: ProxiedRequest) -> bool:
+    def is_choice_valid(self, *, exchange: ProxiedRequest) -> bool:
         """May this exchange still be sent to the worker that was chosen for it earlier?"""
         routing_state, worker = self.routing_state, exchange.chosen
         probed = routing_state.prober.probed.get(worker.key)
@@ -118,17 +118,17 @@
         owned = routing_state.shard_owners.find(service=exchange.service.name, space=exchange.space, slot=exchange.slot)
         return owned is not None and owned.is_open and (owned.owner, owned.term) == (worker.key, exchange.term)
 
-    def took(self, *, key: str) -> None:
+    def record_sent(self, *, key: str) -> None:
         """Count an exchange that was forwarded to this worker."""
-        self.open[key] = self.open.get(key, 0) + 1
+        self.open_requests[key] = self.open_requests.get(key, 0) + 1
 
-    def left(self, *, key: str) -> None:
+    def record_ended(self, *, key: str) -> None:
         """Stop counting an exchange that has ended at this worker."""
-        count = self.open.get(key, 1) - 1
+        count = self.open_requests.get(key, 1) - 1
         if count > 0:
-            self.open[key] = count
+            self.open_requests[key] = count
         else:
-            self.open.pop(key, None)
+            self.open_requests.pop(key, None)
 
     def _choose_worker(self, *, now: float, exchange: ProxiedRequest, zone: str) -> Worker | None:
         routing_state, service = self.routing_state, exchange.service
@@ -145,8 +145,8 @@
                     eligible.append((worker, now - probed.slow_start_began_at))
         while eligible:
             candidates = self.rng.sample(eligible, min(2, len(eligible)))
-            choice = min(candidates, key=lambda candidate: self.open.get(candidate[0].key, 0))
-            if self.bounds.step(
+            choice = min(candidates, key=lambda candidate: self.open_requests.get(candidate[0].key, 0))
+            if self.rate_limits.step(
                 now=now, key=choice[0].key, service=service, warm=choice[1], proxies=routing_state.proxy_count
             ):
                 return choice[0]
--- a/sailward/routing/proxied_requests.py
+++ b/sailward/routing/proxied_requests.py
@@ -92,8 +92,8 @@
         for call in under_way:
             del self.sent[call]
             self.calls.pop(call, None)
-            self.load_balancer.left(key=exchange.worker)
-            self.shards_in_use.linger(exchange=exchange)
+            self.load_balancer.record_ended(key=exchange.worker)
+            self.shards_in_use.record_abandoned(exchange=exchange)
         refusal = self._refuse(exchange=exchange, reason="caller-left", detail="its connection was closed")
         return [*(CancelCall(token=call) for call in under_way), refusal]
 
@@ -178,7 +178,7 @@
 
     def _forward(self, *, now: float, exchange: ProxiedRequest) -> list[Command]:
         plan_moved = exchange.plan != self.load_balancer.routing_state.plan.number
-        if exchange.chosen is None or plan_moved or not self.load_balancer.stands(exchange=exchange):
+        if exchange.chosen is None or plan_moved or not self.load_balancer.is_choice_valid(exchange=exchange):
             refusal = self._choose(now=now, exchange=exchange)
             if refusal is not None:
                 return [self._refuse(exchange=exchange, refusal=refusal)]
@@ -188,7 +188,7 @@
         exchange.attempts += 1
         exchange.worker, exchange.state, exchange.sent = worker.key, "sent", True
         exchange.tried.add(worker.key)
-        self.load_balancer.took(key=worker.key)
+        self.load_balancer.record_sent(key=worker.key)
         token = f"x {exchange.name} {exchange.attempts}"
         self.sent[token] = exchange
         left = max(0.05, exchange.expiry - now)
@@ -256,7 +256,7 @@
         self.calls.pop(event.token, None)
         if exchange is None:
             return [], []
-        self.load_balancer.left(key=exchange.worker)
+        self.load_balancer.record_ended(key=exchange.worker)
         verdict = judge_result(exchange=exchange, event=event)
         if isinstance(verdict, Good) and not self._retry_elsewhere(exchange=exchange, verdict=verdict):
             return self._finish(exchange=exchange, verdict=verdict), []
@@ -283,7 +283,7 @@
         ran = exchange.unsafe and isinstance(verdict, Bad)
         exchange.may_have_run = exchange.may_have_run or isinstance(verdict, (Bad, Good))
         if isinstance(verdict, Bad):
-            self.shards_in_use.linger(exchange=exchange)
+            self.shards_in_use.record_abandoned(exchange=exchange)
         if ran:
             memory = self.claims.memory.by_digest.get(exchange.digest)
             if memory is not None:
--- a/sailward/routing/shards_in_use.py
+++ b/sailward/routing/shards_in_use.py
@@ -12,17 +12,17 @@
 class ShardsInUse:
     """Keeps, by shard, the time until which exchanges without an answer may still be running."""
 
-    until: dict[str, float] = field(default_factory=dict)
+    busy_until: dict[str, float] = field(default_factory=dict)
 
-    def linger(self, *, exchange: ProxiedRequest) -> None:
+    def record_abandoned(self, *, exchange: ProxiedRequest) -> None:
         """Keep the shard of an abandoned exchange in use: its worker may go on until the service's expiry."""
         if exchange.slot >= 0:
-            self.until[_label(exchange=exchange)] = exchange.sent_at + exchange.service.expiry
+            self.busy_until[_label(exchange=exchange)] = exchange.sent_at + exchange.service.expiry
 
     def labels(self, *, now: float, sent: Iterable[ProxiedRequest]) -> list[str]:
         """The shards of the exchanges in flight and of abandoned ones that may still be running."""
-        self.until = {label: end for label, end in self.until.items() if now < end}
-        return sorted({*(_label(exchange=exchange) for exchange in sent if exchange.slot >= 0), *self.until})
+        self.busy_until = {label: end for label, end in self.busy_until.items() if now < end}
+        return sorted({*(_label(exchange=exchange) for exchange in sent if exchange.slot >= 0), *self.busy_until})
 
 
 def _label(*, exchange: ProxiedRequest) -> str:
--- a/tests/test_endpoint_selection.py
+++ b/tests/test_endpoint_selection.py
@@ -149,9 +149,9 @@
         )
     )
     for _ in range(2 * bound):
-        bench.endpoint_selector.took(key=select(bench).key)
-    assert bench.endpoint_selector.open == {"w0": bound, "w1": bound} and select(bench).reason == "no-room"
-    bench.endpoint_selector.left(key="w0")
+        bench.endpoint_selector.record_sent(key=select(bench).key)
+    assert bench.endpoint_selector.open_requests == {"w0": bound, "w1": bound} and select(bench).reason == "no-room"
+    bench.endpoint_selector.record_ended(key="w0")
     assert select(bench).key == "w0"
 
 
@@ -161,7 +161,7 @@
     bench.passive_health.record_event(now=bench.now, key="w1", event="pass", elapsed=0.1)
     assert select(bench).key == "w1"
     for _ in range(5):
-        bench.endpoint_selector.took(key="w1")
+        bench.endpoint_selector.record_sent(key="w1")
     assert select(bench).key == "w0"
 
 
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -32,7 +32,7 @@
     assert (answer.token, answer.code, answer.body) == ("front 1", 201, b"whole")
     assert answer.headers["x-seal"] == "s" and answer.headers["content-type"] == "text/x"
     assert not {"connection", "keep-alive"} & set(answer.headers)
-    assert not bench.forwarder.live and not bench.forwarder.calls and not bench.endpoint_selector.open
+    assert not bench.forwarder.live and not bench.forwarder.calls and not bench.endpoint_selector.open_requests
 
 
 @pytest.mark.parametrize(
@@ -222,7 +222,7 @@
     commands = bench.back(call=second[0], body=b"quick")
     assert [answer.body for answer in answers(commands)] == [b"quick"]
     assert [cancel.token for cancel in cancels(commands)] == [first.token]
-    assert not bench.endpoint_selector.open
+    assert not bench.endpoint_selector.open_requests
 
 
 def test_a_caller_that_leaves_ends_repeatable_work_with_a_final_answer() -> None:
@@ -234,7 +234,7 @@
     assert [answer.code for answer in answers(commands)] == [502]
     assert "Retry-After" not in answers(commands)[0].headers
     assert not bench.back(call=call) and not bench.wait(0.5)
-    assert not bench.endpoint_selector.open and not bench.forwarder.live and not bench.forwarder.calls
+    assert not bench.endpoint_selector.open_requests and not bench.forwarder.live and not bench.forwarder.calls
 
 
 def test_a_caller_that_leaves_does_not_end_once_only_work_whose_answer_it_may_still_read() -> None:
@@ -244,7 +244,7 @@
     assert not cancels(commands) and not answers(commands)
     assert [command.token for command in commands] == [call.token] and isinstance(commands[0], WithdrawCall)
     assert [answer.code for answer in answers(bench.back(call=call))] == [200]
-    assert not bench.endpoint_selector.open and not bench.forwarder.live and not bench.forwarder.calls
+    assert not bench.endpoint_selector.open_requests and not bench.forwarder.live and not bench.forwarder.calls
 
 
 def test_once_only_work_that_did_not_run_is_not_sent_again_when_its_caller_has_left() -> None:
@@ -265,7 +265,7 @@
     commands = bench.fail(call=call, fault="withdrawn", sent=False)
     assert [answer.code for answer in answers(commands)] == [503] and not calls(commands)
     assert (shown.state, shown.window, shown.busy_until) == before, "it tells nothing of the worker"
-    assert not bench.endpoint_selector.open and not bench.forwarder.live and not bench.forwarder.calls
+    assert not bench.endpoint_selector.open_requests and not bench.forwarder.live and not bench.forwarder.calls
 
 
 @pytest.mark.parametrize("kind", ["repeatable", "once"])
