--- a/sailward/control/shards/granting.py
+++ b/sailward/control/shards/granting.py
@@ -97,8 +97,8 @@
         before, self._number = self._table, value["number"]
         self._table = read_shards(text=value["text"])
         shards = self._table.shards if self._table else ()
-        term = (self._table.granter, self._table.since) if self._table else ("", 0)
-        is_new_term = before is None or (before.granter, before.since) != term
+        term = (self._table.granter, self._table.takeover_number) if self._table else ("", 0)
+        is_new_term = before is None or (before.granter, before.takeover_number) != term
         if is_new_term:
             self._named_at = now if self._is_named() else float("inf")
             self._granter_at = NEVER if before is None else now
@@ -124,7 +124,7 @@
         if not self._is_named():
             if now - self._granter_at < constants.GRANT_TAKEOVER_MIN_INTERVAL:
                 return None
-            return replace(self._table, granter=self._own, since=self._number + 1)
+            return replace(self._table, granter=self._own, takeover_number=self._number + 1)
         shards, fencing_token = self._redraw_all(now=now, table=self._table, context=context)
         most = constants.MAX_RANGES_PER_WORKER * max(1, len(self._targets.able(now=now, context=context)))
         if shards != list(self._table.shards) or len(shards) > most:
@@ -141,7 +141,9 @@
             Shard(start=span.start, end=span.end, owner=span.owner, fencing_token=at + 1, state=OPEN)
             for at, span in enumerate(spans)
         )
-        return ShardTable(granter=self._own, since=self._number + 1, fencing_token=len(shards) + 1, shards=shards)
+        return ShardTable(
+            granter=self._own, takeover_number=self._number + 1, fencing_token=len(shards) + 1, shards=shards
+        )
 
     def _redraw_all(self, *, now: float, table: ShardTable, context: GrantContext) -> tuple[list[Shard], int]:
         """All shards as they should be next, and the next fence."""
--- a/sailward/control/shards/shard_assignment.py
+++ b/sailward/control/shards/shard_assignment.py
@@ -9,7 +9,7 @@
 from sailward.discovery.endpoint_table import Worker
 from sailward.discovery.rendezvous import choose_names
 from sailward.routing.plan import Plan, Pool, Service
-from sailward.routing.shard_owners import Owned, common_residency, pool_at, read_table, space_of, write_table
+from sailward.routing.shard_owners import SlotOwner, common_residency, pool_of_slot, read_table, space_of, write_table
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -48,7 +48,8 @@
             rows = spaces.get(space, [])
             if len(rows) != service.slots:
                 rows = [
-                    rows[at] if at < len(rows) else Owned(owner="", term=0, is_open=True) for at in range(service.slots)
+                    rows[at] if at < len(rows) else SlotOwner(owner="", term=0, is_open=True)
+                    for at in range(service.slots)
                 ]
                 changed = True
             fresh[space] = []
@@ -92,19 +93,19 @@
         service: Service,
         space: str,
         slot: int,
-        old: Owned,
+        old: SlotOwner,
         context: AssignmentContext,
         capacity: int,
-    ) -> Owned:
+    ) -> SlotOwner:
         best = self._best(service=service, space=space, slot=slot, context=context)
         if not old.is_open:
             wait = constants.LEASE_DURATION + service.expiry + constants.SLOT_MOVE_MARGIN
             closing = self.closed[(space, slot, old.term)]
             if best and (closing.is_clear or now - closing.since >= wait):
-                return Owned(owner=best, term=old.term + 1, is_open=True)
+                return SlotOwner(owner=best, term=old.term + 1, is_open=True)
             return old
         if old.owner == "":
-            return Owned(owner=best, term=old.term + 1, is_open=True) if best else old
+            return SlotOwner(owner=best, term=old.term + 1, is_open=True) if best else old
         location = (space, slot)
         if (
             old.owner in context.healthy
@@ -133,7 +134,7 @@
         )
         if not shares:
             return ""
-        pool: Pool = context.plan.pools[pool_at(shares=shares, slot=slot, slots=service.slots)]
+        pool: Pool = context.plan.pools[pool_of_slot(shares=shares, slot=slot, slots=service.slots)]
         homes = set(space.split("+")) if space else set()
         if service.keys_shared:
             homes = common_residency(plan=context.plan, service=service.name)
--- a/sailward/proxy/proxy.py
+++ b/sailward/proxy/proxy.py
@@ -262,7 +262,7 @@
         Only for workers of this region, as the times of others include the latency between regions.
         """
         workers = {key: self.passive_health.workers[key].worker for key in self.passive_health.workers}
-        sharded = {name for name, service in self.context.plan.services.items() if service.ranged}
+        sharded = {name for name, service in self.context.plan.services.items() if service.is_ranged}
         return {
             key: times[-constants.LATENCY_SAMPLES_SENT :]
             for key, times in self.passive_health.take_response_times().items()
--- a/sailward/routing/endpoint_selection.py
+++ b/sailward/routing/endpoint_selection.py
@@ -70,7 +70,7 @@
         if not request.is_drawn:
             # drawn by weight before health is considered; retries stay with the drawn service
             request.service, request.is_drawn = self._draw_service(request=request), True
-        if request.service.ranged:
+        if request.service.is_ranged:
             return self._find_owner(now=now, request=request)
         pool = next(
             pool
@@ -115,14 +115,14 @@
 
     def _resolve_tiers(self, *, pool: Pool, homes: frozenset) -> Pool:
         """The pool with its tiers relative to this region, or to a home region if this is not one."""
-        if not pool.near:
+        if not pool.is_near:
             return pool
         region = self.context.region if not homes or self.context.region in homes else sorted(homes)[0]
         zones = sorted(self.context.regions)
         return Pool(
             name=pool.name,
             service=pool.service,
-            near=True,
+            is_near=True,
             preferred=tuple(zone for zone in zones if self.context.regions[zone] == region),
             fallback=tuple(zone for zone in zones if self.context.regions[zone] != region),
         )
--- a/sailward/routing/explain.py
+++ b/sailward/routing/explain.py
@@ -7,7 +7,7 @@
 from sailward.routing.plan import Match, Service, Tenant
 from sailward.routing.proxied_request import part_of
 from sailward.routing.routing_state import RoutingState
-from sailward.routing.shard_owners import pool_at, slot_of, space_of
+from sailward.routing.shard_owners import pool_of_slot, slot_of, space_of
 from sailward.routing.weighted_draw import ZoneView, share_zones
 
 
@@ -49,7 +49,7 @@
     return {
         "key": key,
         "slot": f"{space}/{slot}",
-        "pool": pool_at(shares=match.shares, slot=slot, slots=service.slots),
+        "pool": pool_of_slot(shares=match.shares, slot=slot, slots=service.slots),
         "owner": owned.owner if owned else "",
         "open": bool(owned and owned.is_open),
         "term": owned.term if owned else 0,
--- a/sailward/routing/forwarding.py
+++ b/sailward/routing/forwarding.py
@@ -87,7 +87,7 @@
             return [self._refusal(token=event.token, refusal=taken)]
         self.live[taken.token] = taken
         self.tally["taken"] += 1
-        if taken.service.ranged and taken.key >= 0:
+        if taken.service.is_ranged and taken.key >= 0:
             buckets = self.loads.setdefault(taken.service.name, Counter())
             buckets[taken.key // constants.KEYS_PER_BUCKET] += 1
         return self._select_and_forward(now=now, request=taken)
@@ -145,7 +145,7 @@
         token = f"x {self.count}"
         request.sent, request.waits_since = request.sent + 1, -1.0
         request.attempts[token] = Attempt(worker=worker.key, at=now)
-        if not request.service.ranged:
+        if not request.service.is_ranged:
             request.tried.add(worker.key)
         may_hedge = request.match.is_repeatable and request.sent < request.max_attempts
         request.hedge_at = now + self._hedge_after(request=request) if may_hedge else float("inf")
@@ -174,7 +174,7 @@
 
     def _hedge_after(self, *, request: Request) -> float:
         # a key has one owner: it is asked again only when its answer has most likely been lost
-        share = constants.KEY_OWNER_RETRY_RATIO if request.service.ranged else constants.HEDGE_DELAY_RATIO
+        share = constants.KEY_OWNER_RETRY_RATIO if request.service.is_ranged else constants.HEDGE_DELAY_RATIO
         return max(constants.HEDGE_MIN_DELAY, share * (request.match.target or constants.HEDGE_MIN_DELAY))
 
     def _return(self, *, now: float, event: CallFinished) -> list[Command]:  # noqa: C901 - one branch over the bound
--- a/sailward/routing/load_balancer.py
+++ b/sailward/routing/load_balancer.py
@@ -10,7 +10,7 @@
 from sailward.routing.concurrency_limits import ConcurrencyLimits
 from sailward.routing.proxied_request import ProxiedRequest, Refusal
 from sailward.routing.routing_state import RoutingState
-from sailward.routing.shard_owners import pool_at, slot_of, space_of
+from sailward.routing.shard_owners import pool_of_slot, slot_of, space_of
 from sailward.routing.weighted_draw import draw_pool, draw_zone, share_zones
 
 
@@ -50,7 +50,7 @@
     def _find_owner(self, *, now: float, exchange: ProxiedRequest) -> Worker | Refusal:
         routing_state, service = self.routing_state, exchange.service
         exchange.slot = slot_of(key=exchange.part, slots=service.slots)
-        exchange.pool = pool_at(shares=exchange.match.shares, slot=exchange.slot, slots=service.slots)
+        exchange.pool = pool_of_slot(shares=exchange.match.shares, slot=exchange.slot, slots=service.slots)
         homes = exchange.tenant.homes
         exchange.space = space_of(homes=homes, service=service)
         owned = routing_state.shard_owners.find(service=service.name, space=exchange.space, slot=exchange.slot)
--- a/sailward/routing/plan.py
+++ b/sailward/routing/plan.py
@@ -18,7 +18,7 @@
 class Pool:
     """One weighted pool: a service, and its zones in two tiers.
 
-    The tiers of a pool that is `near` depend on the proxy: the zones of the proxy's own region are preferred, all
+    The tiers of a pool with `is_near` depend on the proxy: the zones of the proxy's own region are preferred, all
     others are the fallback.
     """
 
@@ -26,7 +26,7 @@
     service: str
     preferred: tuple
     fallback: tuple
-    near: bool = False
+    is_near: bool = False
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -43,7 +43,7 @@
     timed_keys: bool
     slots: int
     keys_shared: bool
-    ranged: bool = False
+    is_ranged: bool = False
     health_path: str = "/status"
     connections: int = 0
     slow_start: float = 0.0
@@ -183,7 +183,7 @@
         timed_keys=fields.get("timed_keys", False),
         slots=fields["slots"],
         keys_shared=fields["keys"] == "shared",
-        ranged=fields["keys"] == "ranged",
+        is_ranged=fields["keys"] == "ranged",
         health_path=fields.get("health_path", "/status"),
         connections=fields.get("connections", 0),
         slow_start=fields.get("cold_s", 0.0),
@@ -197,7 +197,7 @@
         service=fields["service"],
         preferred=tuple(fields["preferred"]),
         fallback=tuple(fields["fallback"]),
-        near=fields.get("tiers") == "near",
+        is_near=fields.get("tiers") == "near",
     )
 
 
--- a/sailward/routing/shard_owners.py
+++ b/sailward/routing/shard_owners.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Owned:
+class SlotOwner:
     """One slot: the key of its owner (empty if none), its term, and whether it is open."""
 
     owner: str
@@ -32,22 +32,22 @@
         """Apply the newest table of one service."""
         self.tables[name.removeprefix(PREFIX)] = read_table(text=value["text"])
 
-    def find(self, *, service: str, space: str, slot: int) -> Owned | None:
+    def find(self, *, service: str, space: str, slot: int) -> SlotOwner | None:
         """The current owner of a slot; None if it was never assigned."""
         rows = self.tables.get(service, {}).get(space, ())
         return rows[slot] if slot < len(rows) else None
 
 
-def read_table(*, text: str) -> dict[str, list[Owned]]:
+def read_table(*, text: str) -> dict[str, list[SlotOwner]]:
     """Parse a register's text into {space: slots in order}."""
     spaces = json.loads(text)["spaces"] if text else {}
     return {
-        space: [Owned(owner=owner, term=term, is_open=state == OPEN) for owner, term, state in rows]
+        space: [SlotOwner(owner=owner, term=term, is_open=state == OPEN) for owner, term, state in rows]
         for space, rows in spaces.items()
     }
 
 
-def write_table(*, spaces: dict[str, list[Owned]]) -> str:
+def write_table(*, spaces: dict[str, list[SlotOwner]]) -> str:
     """Encode a table as a register's text."""
     return json.dumps(
         {
@@ -85,7 +85,7 @@
     return set(frozenset.intersection(*bound)) if bound else set()
 
 
-def pool_at(*, shares: tuple, slot: int, slots: int) -> str:
+def pool_of_slot(*, shares: tuple, slot: int, slots: int) -> str:
     """The pool that a slot belongs to: pools by weight as in the weighted draw, but by slot position, not at random."""
     total = sum(weight for _, weight in shares)
     position = (slot + 0.5) / slots * total
--- a/sailward/routing/shards.py
+++ b/sailward/routing/shards.py
@@ -38,7 +38,7 @@
     """One service's shards in order, the next fencing token, the granter and the register number of its takeover."""
 
     granter: str
-    since: int
+    takeover_number: int
     fencing_token: int
     shards: tuple
 
@@ -84,7 +84,9 @@
         )
         for row in body["ranges"]
     )
-    return ShardTable(granter=body["granter"], since=body["since"], fencing_token=body["fence"], shards=shards)
+    return ShardTable(
+        granter=body["granter"], takeover_number=body["since"], fencing_token=body["fence"], shards=shards
+    )
 
 
 def write_shards(*, table: ShardTable) -> str:
@@ -101,6 +103,6 @@
         for shard in table.shards
     ]
     return json.dumps(
-        {"granter": table.granter, "since": table.since, "fence": table.fencing_token, "ranges": rows},
+        {"granter": table.granter, "since": table.takeover_number, "fence": table.fencing_token, "ranges": rows},
         separators=(",", ":"),
     )
--- a/sailward/routing/worker_response.py
+++ b/sailward/routing/worker_response.py
@@ -59,7 +59,9 @@
     if names.not_run in headers and names.not_run_value in ("", headers[names.not_run]):
         if event.code == 421:
             is_other = headers.get(names.answered_by, worker) != worker
-            return WorkerRejected(code=421, why="stranger" if is_other or not request.service.ranged else "not-owner")
+            return WorkerRejected(
+                code=421, why="stranger" if is_other or not request.service.is_ranged else "not-owner"
+            )
         return WorkerRejected(code=event.code, why="full" if event.code in (429, 503) else "refused")
     if event.code == 421 and headers.get(names.answered_by, worker) != worker:
         return WorkerRejected(code=421, why="stranger")
--- a/tests/proxy_kit.py
+++ b/tests/proxy_kit.py
@@ -144,7 +144,7 @@
         parts.append(Shard(start=start, end=end, owner=owner, fencing_token=2, state=state, next_owner=""))
         if end < 65535:
             parts.append(Shard(start=end + 1, end=65535, owner="", fencing_token=3, state=OPEN))
-        text = write_shards(table=ShardTable(granter="g", since=1, fencing_token=9, shards=tuple(parts)))
+        text = write_shards(table=ShardTable(granter="g", takeover_number=1, fencing_token=9, shards=tuple(parts)))
         self.context.shards.step(name="slots/red", value={"number": 1, "text": text})
 
     def ask(
--- a/tests/test_platform_config.py
+++ b/tests/test_platform_config.py
@@ -158,15 +158,15 @@
     assert plan.match(path="/p1/", method="GET", tenant="", host="two.example").is_repeatable
     assert plan.match(path="/p1/", method="GET", tenant="", host="one.example") is None
     red, white = plan.services["red"], plan.services["white"]
-    assert (red.ranged, red.health_path, red.connections, red.slow_start, red.slow_start_rate) == (
+    assert (red.is_ranged, red.health_path, red.connections, red.slow_start, red.slow_start_rate) == (
         False,
         "/health",
         130,
         3.0,
         6.0,
     )
-    assert (white.ranged, white.warm_up, white.slots) == (True, 3.0, 0)
-    assert plan.pools["red"].near and plan.regions == ZONES
+    assert (white.is_ranged, white.warm_up, white.slots) == (True, 3.0, 0)
+    assert plan.pools["red"].is_near and plan.regions == ZONES
     assert check_config(config=full).full == full
 
 
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -105,7 +105,7 @@
     verdict = check_config(config=near)
     assert isinstance(verdict, Sound) and verdict.full["pools"]["near"]["preferred"] == []
     assert not any("near" in warning.path for warning in verdict.warnings)
-    assert plan_of(full=verdict.full, number=1).pools["near"].near
+    assert plan_of(full=verdict.full, number=1).pools["near"].is_near
     far = {**CONFIG, "pools": {**CONFIG["pools"], "far": {"service": SERVICE}}}
     assert any(fault.startswith("pools.far.preferred") for fault in faults(far))
 
@@ -132,7 +132,7 @@
     verdict = check_config(config=config)
     plan = plan_of(full=verdict.full, number=1)
     assert (
-        plan.services["keyed"].ranged
+        plan.services["keyed"].is_ranged
         and plan.services["keyed"].connections == 130
         and plan.label == 7
         and plan.limits.head_bytes == 100
--- a/tests/test_shards.py
+++ b/tests/test_shards.py
@@ -12,7 +12,7 @@
 
 
 def make_table(*, shards: tuple) -> ShardTable:
-    return ShardTable(granter="c1", since=1, fencing_token=9, shards=shards)
+    return ShardTable(granter="c1", takeover_number=1, fencing_token=9, shards=shards)
 
 
 def parts_of(*, spans: list[Span]) -> dict:
