--- a/sailward/proxy/directory.py
+++ b/sailward/proxy/directory.py
@@ -15,19 +15,19 @@
     """Keeps the list of proxies. `step` answers a request for their addresses."""
 
     location: Location
-    rows: list = field(default_factory=list)
+    proxies: list = field(default_factory=list)
     number: int = -1
 
-    def learn(self, *, rows: list) -> None:
+    def update_proxies(self, *, proxies: list) -> None:
         """Replace the list of proxies: [[name, address, zone, region, is_fit], ...]."""
-        self.rows = rows
+        self.proxies = proxies
 
     def step(self, *, event: RequestReceived, is_ready: bool) -> Respond:
         """Answer with the fit proxies of the caller's region, or with all fit proxies if that region has none."""
         if event.method != "GET" or event.path != "/proxies":
             return answer_json(token=event.token, code=404, body={"error": "unknown", "detail": "GET /proxies"})
         zone, region = event.query.get("hall", self.location.zone), event.query.get("region", self.location.region)
-        fit = [row for row in self.rows if row[4] and row[0] != self.location.name]
+        fit = [row for row in self.proxies if row[4] and row[0] != self.location.name]
         if is_ready:
             fit.append([self.location.name, self.location.http, self.location.zone, self.location.region, True])
         nearby = [row for row in fit if row[3] == region] or fit
--- a/sailward/proxy/proxy.py
+++ b/sailward/proxy/proxy.py
@@ -91,8 +91,8 @@
             endpoint_selector=EndpointSelector(context=self.context, rng=rng), names=options.names, budget=budget
         )
         self.directory = Directory(location=location)
-        self.stopping, self.stop_at = STOPPING.initial, 0.0
-        self.lists: dict = {"workers": ("", -1), "fleet": ("", -1)}
+        self.stopping, self.stop_requested_at = STOPPING.initial, 0.0
+        self.list_versions: dict = {"workers": ("", -1), "fleet": ("", -1)}
         self.unexpected, self.refused = UnexpectedEvents(), RefusedInput()
         self._zones_counted_at = -1e9
         self._poll_count = 0
@@ -125,7 +125,7 @@
         """May clients be sent to this proxy?"""
         return (
             bool(self.context.plan.number)
-            and self.lists["workers"][1] >= 0
+            and self.list_versions["workers"][1] >= 0
             and self.stopping in STOPPING.marks["named"]
         )
 
@@ -151,14 +151,17 @@
             return []
         name, value = body["name"], body["value"]
         ack = SendMessage(to=sender, body={"kind": "ack", "seq": body["seq"], "name": name, "number": body["number"]})
-        if name in self.lists:
-            if sender != self.control_client.lead or self.lists[name] == (sender, value["number"]):
+        if name in self.list_versions:
+            if sender != self.control_client.followed_controller or self.list_versions[name] == (
+                sender,
+                value["number"],
+            ):
                 return [ack]
             commands = (self._apply_workers if name == "workers" else self._apply_fleet)(now=now, value=value)
             if commands is None:
                 # an unreadable list is not acknowledged, so that it is pushed again
                 return self.refused.add(kind=name, reason=UNREADABLE_LIST)
-            self.lists[name] = (sender, value["number"])
+            self.list_versions[name] = (sender, value["number"])
             return [*commands, ack]
         if not is_control(name=name):
             return [LogEvent(event="push-unexpected", fields={"name": name})]
@@ -185,8 +188,8 @@
         fleet = read_fleet(text=value["text"])
         if fleet is None:
             return None
-        self.control_client.learn(controllers=fleet.controllers)
-        self.directory.learn(rows=fleet.proxies)
+        self.control_client.update_controllers(controllers=fleet.controllers)
+        self.directory.update_proxies(proxies=fleet.proxies)
         self.context.peers = {name: region for name, _, _, region, is_fit in fleet.proxies if is_fit}
         self.context.proxy_count = max(1, len(self.context.peers))
         self.passive_health.avoid_reported(now=now, keys=fleet.down)
@@ -204,10 +207,10 @@
         if name == "config":
             self.context.plan = plan
         elif name == "orders":
-            emptied = read_orders(value=value)
-            for zone in self.context.evacuated_zones - emptied:
+            evacuated_zones = read_orders(value=value)
+            for zone in self.context.evacuated_zones - evacuated_zones:
                 self.passive_health.begin_slow_start(now=now, zone=zone, plan=self.context.plan)
-            self.context.evacuated_zones = emptied
+            self.context.evacuated_zones = evacuated_zones
         elif name.startswith(SLOTS):
             self.context.shards.step(name=name, value=value)
         log = LogEvent(event="in-force", fields={"register": name, "number": value["number"]})
@@ -222,7 +225,7 @@
         return commands + self._check_shutdown(now=now)
 
     def _poll_controllers(self, *, now: float) -> list[Command]:
-        if now < self.control_client.next_at:
+        if now < self.control_client.next_poll_at:
             return []
         self._poll_count += 1
         location = self.location
@@ -236,19 +239,19 @@
             "fit": self.is_ready,
             "version": location.version,
         }
-        lead = self.control_client.lead
+        followed = self.control_client.followed_controller
         have = {name: [learned.value["number"]] for name, learned in self.learner.values.items()}
         # each controller numbers its own lists: only those of the followed one are sent, none before there is one
         have |= {
-            name: [number if controller == lead else -1, lead or "none"]
-            for name, (controller, number) in self.lists.items()
+            name: [number if controller == followed else -1, followed or "none"]
+            for name, (controller, number) in self.list_versions.items()
         }
         down = [key for key, health in self.passive_health.workers.items() if not health.is_healthy]
         report = {
             "down": down,
             "loads": self.forwarder.take_loads(),
             "turn": self._poll_count,
-            "lead": lead,
+            "lead": followed,
             "paces": self._take_response_times(),
             **({"last_resort": True} if self.control_client.is_last_resort(now=now) else {}),
         }
@@ -276,8 +279,8 @@
         return self.context.zone_health.step(now=now, counts=self.context.counts())
 
     def _begin_stop(self, *, now: float) -> list[Command]:
-        self.stopping, self.stop_at = STOPPING.step(state=self.stopping, event="stop_asked"), now
-        self.control_client.next_at = -1e9
+        self.stopping, self.stop_requested_at = STOPPING.step(state=self.stopping, event="stop_asked"), now
+        self.control_client.next_poll_at = -1e9
         return [
             LogEvent(event="stopping", fields={"open": len(self.forwarder.live)}),
             DrainConnections(),
@@ -287,7 +290,7 @@
     def _check_shutdown(self, *, now: float) -> list[Command]:
         if self.stopping == STOPPING.initial:
             return []
-        previous, elapsed = self.stopping, now - self.stop_at
+        previous, elapsed = self.stopping, now - self.stop_requested_at
         if elapsed >= self.options.deregistration_delay:
             self.stopping = STOPPING.step(state=self.stopping, event="left")
         is_grace_over = elapsed >= self.options.stop_grace
@@ -315,8 +318,8 @@
             "registers": registers,
             "halls": zones,
             "label": self.context.plan.label,
-            "lead": self.control_client.lead,
-            "in_touch": self.control_client.answers(now=now),
+            "lead": self.control_client.followed_controller,
+            "in_touch": self.control_client.has_recent_answer(now=now),
             "last_resort": self.control_client.is_last_resort(now=now),
             "proxies": self.context.proxy_count,
             "workers": workers,
--- a/sailward/proxy/tenant_proxy.py
+++ b/sailward/proxy/tenant_proxy.py
@@ -69,9 +69,9 @@
         )
         self.exchanges = ProxiedRequests(identity=self.identity, load_balancer=self.load_balancer, claims=self.claims)
         self.stopping = STOPPING.initial
-        self.stop_by = 0.0
-        self.suspect = False
-        self.controllers: dict[str, tuple[float, int]] = {}
+        self.stop_deadline = 0.0
+        self.suspects_itself = False
+        self.proxy_counts: dict[str, tuple[float, int]] = {}
         self._reads: dict[str, str] = {}
         self.unexpected, self.refused = UnexpectedEvents(), RefusedInput()
         self._zones_counted_at = -1e9
@@ -108,7 +108,7 @@
 
     def _begin_stop(self, *, now: float) -> list[Command]:
         self.stopping = STOPPING.step(state=self.stopping, event="stop_asked")
-        self.stop_by = now + constants.STOP_GRACE
+        self.stop_deadline = now + constants.STOP_GRACE
         return [LogEvent(event="stopping", fields={"open": len(self.exchanges.live)})]
 
     def acting(self, *, now: float) -> bool:
@@ -163,7 +163,7 @@
 
     def _on_grant(self, *, now: float, sender: str, body: Message) -> list[Command]:
         self.routing_state.store_view(now=now, identity=body["identity"], view=body["view"])
-        self.controllers[sender] = (now, body["proxies"])
+        self.proxy_counts[sender] = (now, body["proxies"])
         return self._step_lease(now=now, event=(sender, body))
 
     def _step_lease(self, *, now: float, event: tuple | None) -> list[Command]:
@@ -174,7 +174,7 @@
         report = {}
         if event is None:
             report = {
-                **self.routing_state.report(now=now, suspect=self.suspect),
+                **self.routing_state.report(now=now, suspect=self.suspects_itself),
                 "busy": self.exchanges.busy(now=now),
                 "rates": self.exchanges.rates(now=now),
             }
@@ -269,9 +269,11 @@
             for peer in self.peer_table.alive(kind="proxy")
             if peer["version"] not in constants.VERSIONS_WITHOUT_REPLICAS
         ]
-        recent_counts = [count for at, count in self.controllers.values() if now - at < constants.SUBSCRIBER_TTL]
+        recent_counts = [count for at, count in self.proxy_counts.values() if now - at < constants.SUBSCRIBER_TTL]
         self.routing_state.proxy_count = max([1, *recent_counts])
-        self.peer_table.fit = self.acting(now=now) and not self.suspect and self.stopping in STOPPING.marks["named"]
+        self.peer_table.fit = (
+            self.acting(now=now) and not self.suspects_itself and self.stopping in STOPPING.marks["named"]
+        )
         return commands + self._check_shutdown(now=now)
 
     def _read_stale_registers(self, *, now: float) -> list[Command]:
@@ -308,18 +310,18 @@
                 if name == zone
             )
         }
-        suspect = len(unreported) > constants.SELF_SUSPICION_RATIO * len(zones) and len(self.controllers) > 0
-        if suspect != self.suspect:
-            self.suspect = suspect
+        suspect = len(unreported) > constants.SELF_SUSPICION_RATIO * len(zones) and len(self.proxy_counts) > 0
+        if suspect != self.suspects_itself:
+            self.suspects_itself = suspect
             commands.append(LogEvent(event="self-suspected" if suspect else "self-trusted", fields={"down": len(down)}))
         return commands
 
     def _check_shutdown(self, *, now: float) -> list[Command]:
         if self.stopping == STOPPING.initial:
             return []
-        if now >= self.stop_by - constants.STOP_GRACE + constants.DEREGISTRATION_DELAY:
+        if now >= self.stop_deadline - constants.STOP_GRACE + constants.DEREGISTRATION_DELAY:
             self.stopping = STOPPING.step(state=self.stopping, event="left")
-        event = "grace_over" if now >= self.stop_by else "all_done" if not self.exchanges.live else ""
+        event = "grace_over" if now >= self.stop_deadline else "all_done" if not self.exchanges.live else ""
         self.stopping = STOPPING.step(state=self.stopping, event=event)
         return [ExitProcess(code=0)] if self.stopping == "over" else []
 
@@ -333,7 +335,7 @@
             "id": self.location.name,
             "fit": self.peer_table.fit,
             "acting": self.acting(now=now),
-            "suspect": self.suspect,
+            "suspect": self.suspects_itself,
             "registers": {name: self.learner.number(name=name) for name in CONTROL},
             "proxies": self.routing_state.proxy_count,
             "halls": zones,
--- a/simulation/hollow_fleet/added.py
+++ b/simulation/hollow_fleet/added.py
@@ -232,7 +232,7 @@
     host = Host(reactor=reactor)
     hosted = hosted_of(size=size, role="proxy", index=0, zones=zones_of(size=size))
     owner = Proxy(location=hosted.location, start=1, rng=random.Random(1), options=hosted.options)
-    owner.control_client.lead = LEAD
+    owner.control_client.followed_controller = LEAD
     rows = told_rows(size=size)
     for row in {part.split('"')[0] for part in rows.split('"address":"')[1:]}:
         rows = rows.replace(f'"{row}"', f'"127.0.0.1:{worker_port}"')
--- a/simulation/hollow_fleet/parts.py
+++ b/simulation/hollow_fleet/parts.py
@@ -81,7 +81,7 @@
     """A proxy that has heard a controller."""
     hosted = hosted_of(size=size, role="proxy", index=0, zones=zones_of(size=size))
     proxy = Proxy(location=hosted.location, start=1, rng=random.Random(1), options=hosted.options)
-    proxy.control_client.lead = LEAD
+    proxy.control_client.followed_controller = LEAD
     return proxy
 
 
--- a/tests/test_control_client.py
+++ b/tests/test_control_client.py
@@ -29,8 +29,12 @@
                     self.asked.append((self.now, command.to))
                     if command.to not in self.silent:
                         self.control_client.step(now=self.now + 0.02, sender=command.to, body={})
-            if self.told and self.control_client.lead and self.control_client.lead not in self.silent:
-                self.control_client.learn(controllers=self.told)
+            if (
+                self.told
+                and self.control_client.followed_controller
+                and self.control_client.followed_controller not in self.silent
+            ):
+                self.control_client.update_controllers(controllers=self.told)
             self.now += constants.TICK_INTERVAL
 
     def asked_since(self, since: float) -> set:
@@ -40,13 +44,17 @@
 def test_only_seeds_are_polled_at_first_and_one_that_answers_is_followed() -> None:
     core = Core()
     core.run(3.0)
-    assert core.asked_since(0) <= {"c-far", "c-near", "c-far2"} and core.control_client.lead in core.asked_since(0)
+    assert core.asked_since(0) <= {
+        "c-far",
+        "c-near",
+        "c-far2",
+    } and core.control_client.followed_controller in core.asked_since(0)
 
 
 def test_it_moves_to_the_nearest_controller_it_learns_of() -> None:
     core = Core(told=CONTROLLERS)
     core.run(6.0)
-    assert core.control_client.lead == "c-home"
+    assert core.control_client.followed_controller == "c-home"
     assert core.asked_since(core.now - 2.0) == {"c-home", "c-near"}
 
 
@@ -62,10 +70,10 @@
     core.run(6.0)
     core.silent = {"c-home"}
     core.run(constants.CONTROLLER_TIMEOUT + 2 * constants.POLL_INTERVAL)
-    assert core.control_client.lead == "c-near" and core.control_client.answers(now=core.now)
+    assert core.control_client.followed_controller == "c-near" and core.control_client.has_recent_answer(now=core.now)
     core.silent = set()
     core.run(3 * constants.POLL_TIMEOUT + 1.0)
-    assert core.control_client.lead == "c-home"
+    assert core.control_client.followed_controller == "c-home"
 
 
 def test_it_follows_another_region_if_its_own_is_silent() -> None:
@@ -73,7 +81,7 @@
     core.run(6.0)
     core.silent = {"c-home", "c-near"}
     core.run(5.0)
-    assert core.control_client.lead in ("c-far", "c-far2")
+    assert core.control_client.followed_controller in ("c-far", "c-far2")
 
 
 def test_with_no_controller_it_keeps_polling_all_and_recovers() -> None:
@@ -82,14 +90,14 @@
     core.silent = {post for post, _, _ in CONTROLLERS}
     begun = core.now
     core.run(10.0)
-    assert not core.control_client.answers(now=core.now) and core.asked_since(begun + 3.0) >= {
+    assert not core.control_client.has_recent_answer(now=core.now) and core.asked_since(begun + 3.0) >= {
         "c-home",
         "c-near",
         "c-far",
     }
     core.silent = set()
     core.run(2 * constants.POLL_TIMEOUT + constants.POLL_INTERVAL)
-    assert core.control_client.answers(now=core.now)
+    assert core.control_client.has_recent_answer(now=core.now)
 
 
 def test_a_replaced_controller_is_dropped_and_its_successor_polled() -> None:
@@ -98,15 +106,15 @@
     core.silent = {"c-home"}
     core.told = [["c-new", "north-a", "north"], *CONTROLLERS[1:]]
     core.run(8.0)
-    assert core.control_client.lead == "c-new" and "c-home" not in core.control_client.known
+    assert core.control_client.followed_controller == "c-new" and "c-home" not in core.control_client.controllers
 
 
 def test_a_seed_that_does_not_answer_stays_known() -> None:
     core = Core(told=CONTROLLERS[:2], seeds=("c-seed",))
-    core.control_client.learn(controllers=CONTROLLERS[:2])
+    core.control_client.update_controllers(controllers=CONTROLLERS[:2])
     core.silent = {"c-seed"}
     core.run(8.0)
-    assert "c-seed" in core.control_client.known and core.control_client.lead == "c-home"
+    assert "c-seed" in core.control_client.controllers and core.control_client.followed_controller == "c-home"
 
 
 def test_each_poll_has_its_own_sequence_number() -> None:
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -128,7 +128,7 @@
 
 
 def push(*, proxy: Proxy, now: float, name: str, number: int, text: str) -> None:
-    lead = proxy.control_client.lead or "10.0.0.1:7620"
+    lead = proxy.control_client.followed_controller or "10.0.0.1:7620"
     value = {"number": number, "mark": lead, "trail": [], "text": text}
     body = {"kind": "push", "seq": number, "name": name, "number": number, "ballot": [number, "x"], "value": value}
     proxy.step(now=now, event=MessageReceived(sender=lead, body=body))
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -271,5 +271,5 @@
 def test_it_keeps_serving_without_controllers(bench: Bench) -> None:
     bench.answering = set()
     bench.run(20.0)
-    assert not bench.proxy.control_client.answers(now=bench.now)
+    assert not bench.proxy.control_client.has_recent_answer(now=bench.now)
     assert calls(bench.request()) and bench.code("ready", "/readiness") == 200
--- a/tests/test_quorum_contact.py
+++ b/tests/test_quorum_contact.py
@@ -258,7 +258,7 @@
     control_client.step(now=1.0, sender=None, body={"kind": "ask"})
     grant(control_client, now=1.1, sender="near", zone="north-a")
     grant(control_client, now=1.1, sender="far", zone="south-a")
-    assert control_client.lead == "near"
+    assert control_client.followed_controller == "near"
     grant(
         control_client,
         now=1.5,
@@ -267,11 +267,11 @@
         contact=False,
         controllers=[["third", "north-b", "north"]],
     )
-    assert control_client.lead == "far" and "third" in control_client.known
+    assert control_client.followed_controller == "far" and "third" in control_client.controllers
     asked = {one.to for one in control_client.step(now=1.5, sender=None, body={"kind": "ask"}) if hasattr(one, "to")}
     assert "third" in asked
     grant(control_client, now=1.6, sender="near", zone="north-a")
-    assert control_client.lead == "near"
+    assert control_client.followed_controller == "near"
 
 
 def test_a_proxy_follows_one_without_contact_only_if_none_with_contact_answers_for_long() -> None:
@@ -282,22 +282,22 @@
         for one in control_client.step(now=now, sender=None, body={"kind": "ask"}):
             if getattr(one, "to", "") == "near":
                 grant(control_client, now=now + 0.01, sender="near", zone="north-a", contact=False)
-        led_at = led_at or (now if control_client.lead else None)
+        led_at = led_at or (now if control_client.followed_controller else None)
     assert led_at is not None
     assert constants.LAST_RESORT_DELAY <= led_at - begun <= constants.LAST_RESORT_DELAY + 2 * constants.POLL_TIMEOUT
     grant(control_client, now=now, sender="far", zone="south-a")
-    assert control_client.lead == "far" and not control_client.is_last_resort(now=now)
+    assert control_client.followed_controller == "far" and not control_client.is_last_resort(now=now)
 
 
 def test_an_answer_of_the_last_version_counts_as_one_with_contact() -> None:
     control_client = make_uplink()
     control_client.step(now=1.0, sender=None, body={"kind": "ask"})
     grant(control_client, now=1.1, sender="near", zone="north-a")
-    assert control_client.lead == "near"
+    assert control_client.followed_controller == "near"
 
 
 @pytest.mark.parametrize("controllers", [None, 3, "x", [3], [["a"]], [["a", 1, "c"]], [["a", "b", "c", "d"]]])
 def test_names_of_others_that_are_no_names_are_passed_over(controllers: object) -> None:
     control_client = make_uplink()
     grant(control_client, now=1.1, sender="near", zone="north-a", contact=False, controllers=controllers)
-    assert set(control_client.known) == {"near"}
+    assert set(control_client.controllers) == {"near"}
