--- a/tests/forwarding_model.py
+++ b/tests/forwarding_model.py
@@ -10,7 +10,7 @@
 from sailward.events import CancelCall, ClientDisconnected, Respond, StartCall
 from sailward.routing.forwarding import Forwarder
 from sailward.routing.retry_budget import RetryBudget
-from tests.proxy_kit import NAMES, Bench, make_plan, make_worker
+from tests.proxy_kit import NAMES, ForwarderHarness, make_plan, make_worker
 
 PROMISES = (408, 421, 429, 503)
 RAN = {"served", "failed", "lost", "silent", "misnamed", "unmarked"}
@@ -54,7 +54,7 @@
 
     def __init__(self, *, kind: str, attempts: int, workers: int) -> None:
         self.kind, self.attempts = kind, attempts
-        self.bench = Bench(
+        self.bench = ForwarderHarness(
             workers=[make_worker(f"w{at}") for at in range(workers)], plan=make_plan(kind=kind, tries=attempts)
         )
         self.asked: list[Told] = []
@@ -111,7 +111,7 @@
         return self.bench.ask(method="POST" if self.kind == "once" else "GET")
 
     def _do_wait(self, seconds: float) -> list:
-        return self.bench.wait(seconds)
+        return self.bench.advance(seconds)
 
     def _do_leave(self, at: int) -> list:
         self.asked[at].is_left = True
@@ -154,19 +154,19 @@
         sending = self.asked[at].sendings[number]
         sending.end, call = end, sending.call
         if end == "served":
-            return self.bench.back(call=call, body=call.headers["x-id"].encode())
+            return self.bench.respond(call=call, body=call.headers["x-id"].encode())
         if end == "failed":
-            return self.bench.back(call=call, code=500, x_seal="sealed-500")
+            return self.bench.respond(call=call, code=500, x_seal="sealed-500")
         if end == "full":
-            return self.bench.back(call=call, code=503, x_not_run="1")
+            return self.bench.respond(call=call, code=503, x_not_run="1")
         if end == "stranger":
-            return self.bench.back(call=call, code=421, x_not_run="1", x_who="another")
+            return self.bench.respond(call=call, code=421, x_not_run="1", x_who="another")
         if end == "misnamed":
-            return self.bench.back(call=call, code=503, x_not_run="1", x_id="id99")
+            return self.bench.respond(call=call, code=503, x_not_run="1", x_id="id99")
         if end == "unmarked":
-            return self.bench.back(call=call, code=503)
+            return self.bench.respond(call=call, code=503)
         fault = {"lost": "connection-lost", "silent": "timed-out", "unsent": "refused"}[end]
-        return self.bench.fail(call=call, fault=fault, sent=end != "unsent")
+        return self.bench.fail_call(call=call, fault=fault, sent=end != "unsent")
 
     def _take(self, *, commands: list) -> None:
         for command in commands:
--- a/tests/proxy_kit.py
+++ b/tests/proxy_kit.py
@@ -95,7 +95,7 @@
     )
 
 
-class Bench:
+class ForwarderHarness:
     """A forwarder with its workers and plan, and the clock that its steps are given."""
 
     def __init__(
@@ -127,10 +127,10 @@
             names=NAMES,
             budget=RetryBudget(ratio=ratio, slack=slack, window=10.0),
         )
-        self.list(workers=workers)
+        self.update_workers(workers=workers)
         self.count = 0
 
-    def list(self, *, workers: list[Worker]) -> list:
+    def update_workers(self, *, workers: list[Worker]) -> list:
         """Apply a list of workers, and update the zone health."""
         listed = {worker.key: worker for worker in workers}
         commands = self.passive_health.update_workers(now=self.now, workers=listed)
@@ -138,7 +138,7 @@
         self.context.zone_health.step(now=self.now, counts=self.context.counts())
         return commands
 
-    def own(self, *, owner: str, state: str = OPEN, start: int = 0, end: int = 65535) -> None:
+    def assign_keys(self, *, owner: str, state: str = OPEN, start: int = 0, end: int = 65535) -> None:
         """Set the owner of a key range of `red`; all other keys have no owner."""
         parts = [Shard(start=0, end=start - 1, owner="", fencing_token=1, state=OPEN)] if start else []
         parts.append(Shard(start=start, end=end, owner=owner, fencing_token=2, state=state, next_owner=""))
@@ -179,7 +179,7 @@
             ),
         )
 
-    def back(self, *, call: StartCall, code: int = 200, body: bytes = b"whole", **headers: str) -> list:
+    def respond(self, *, call: StartCall, code: int = 200, body: bytes = b"whole", **headers: str) -> list:
         """Step the forwarder with the worker's answer to a call."""
         given = {
             "x-id": call.headers.get("x-id", ""),
@@ -191,13 +191,13 @@
             now=self.now, event=CallFinished(token=call.token, code=code, headers=given, body=body, fault="", sent=True)
         )
 
-    def fail(self, *, call: StartCall, fault: str, sent: bool) -> list:
+    def fail_call(self, *, call: StartCall, fault: str, sent: bool) -> list:
         """Step the forwarder with a call that ended without an answer."""
         return self.forwarder.step(
             now=self.now, event=CallFinished(token=call.token, code=0, headers={}, body=b"", fault=fault, sent=sent)
         )
 
-    def wait(self, seconds: float) -> list:
+    def advance(self, seconds: float) -> list:
         """Advance the clock, and step the forwarder."""
         self.now += seconds
         return self.forwarder.step(now=self.now, event=None)
--- a/tests/proxy_path.py
+++ b/tests/proxy_path.py
@@ -20,7 +20,7 @@
 from sailward.runtime.reactor import Reactor
 from sailward.transport.http_client import HttpClient
 from tests.http_server_harness import PATIENCE
-from tests.proxy_kit import NAMES, Bench, make_plan, make_worker
+from tests.proxy_kit import NAMES, ForwarderHarness, make_plan, make_worker
 
 
 class WorkerCall:
@@ -64,7 +64,7 @@
         self._worker = socket.create_server(("127.0.0.1", 0))
         self.address = f"127.0.0.1:{self._worker.getsockname()[1]}"
         listed = [dataclasses.replace(make_worker(f"w{at}"), address=self.address) for at in range(workers)]
-        self.bench = Bench(workers=listed, plan=make_plan(**{"expiry_s": 30.0, "target_s": 20.0, **match}))
+        self.bench = ForwarderHarness(workers=listed, plan=make_plan(**{"expiry_s": 30.0, "target_s": 20.0, **match}))
         self.reactor = Reactor()
         self.host = Host(reactor=self.reactor)
         self.calls: queue.Queue[WorkerCall] = queue.Queue()
--- a/tests/test_endpoint_selection.py
+++ b/tests/test_endpoint_selection.py
@@ -12,19 +12,19 @@
 from sailward import constants
 from sailward.routing.proxied_request import Refusal
 from sailward.routing.request import Request
-from tests.proxy_kit import Bench, make_plan, make_worker
+from tests.proxy_kit import ForwarderHarness, make_plan, make_worker
 
 ZONES = ("north-a", "north-b", "south-a", "south-b")
 
 
-def make(*, workers: list | None = None, proxies: int = 1, **match: object) -> Bench:
+def make(*, workers: list | None = None, proxies: int = 1, **match: object) -> ForwarderHarness:
     listed = (
         workers if workers is not None else [make_worker(f"{zone}{at}", zone=zone) for zone in ZONES for at in range(2)]
     )
-    return Bench(workers=listed, plan=make_plan(**match), proxies=proxies)
+    return ForwarderHarness(workers=listed, plan=make_plan(**match), proxies=proxies)
 
 
-def select(bench: Bench, **fields: object):
+def select(bench: ForwarderHarness, **fields: object):
     plan = bench.context.plan
     match = plan.matches[0]
     request = Request(
@@ -43,7 +43,7 @@
     return bench.endpoint_selector.step(now=bench.now, request=request)
 
 
-def count_zones(bench: Bench, *, count: int = 60) -> dict:
+def count_zones(bench: ForwarderHarness, *, count: int = 60) -> dict:
     counts: dict = {}
     for _ in range(count):
         choice = select(bench)
@@ -52,7 +52,7 @@
     return counts
 
 
-def fail_workers(bench: Bench, *names: str) -> None:
+def fail_workers(bench: ForwarderHarness, *names: str) -> None:
     for name in names:
         bench.passive_health.record_event(now=bench.now, key=name, event="dark")
     bench.context.zone_health.step(now=bench.now, counts=bench.context.counts())
@@ -97,7 +97,7 @@
 def test_leaving_workers_get_no_requests() -> None:
     bench = make(workers=[make_worker("w0"), make_worker("w1", leaving=True)])
     assert {select(bench).key for _ in range(30)} == {"w0"}
-    bench.list(workers=[make_worker("w0", leaving=True), make_worker("w1", leaving=True)])
+    bench.update_workers(workers=[make_worker("w0", leaving=True), make_worker("w1", leaving=True)])
     assert isinstance(select(bench), Refusal)
 
 
@@ -203,42 +203,44 @@
     assert not isinstance(select(bench), Refusal)
 
 
-def make_ranged(**worker: object) -> Bench:
-    return Bench(workers=[make_worker("w0", **worker), make_worker("w1", zone="south-a")], plan=make_plan(ranged=True))
+def make_ranged(**worker: object) -> ForwarderHarness:
+    return ForwarderHarness(
+        workers=[make_worker("w0", **worker), make_worker("w1", zone="south-a")], plan=make_plan(ranged=True)
+    )
 
 
 def test_keys_go_only_to_their_owner() -> None:
     bench = make_ranged()
     assert select(bench, key=5).reason == "key-unowned"
-    bench.own(owner="w1", start=100, end=200)
+    bench.assign_keys(owner="w1", start=100, end=200)
     assert select(bench, key=150).key == "w1"
     assert select(bench, key=99).reason == "key-unowned" and select(bench, key=201).reason == "key-unowned"
-    bench.own(owner="w1", state="moving")
+    bench.assign_keys(owner="w1", state="moving")
     assert select(bench, key=150).reason == "key-moving"
 
 
 def test_an_owner_that_is_lost_evacuated_or_outside_the_home_regions_gets_no_requests() -> None:
     bench = make_ranged()
-    bench.own(owner="w0")
+    bench.assign_keys(owner="w0")
     fail_workers(bench, "w0")
     assert select(bench, key=5).reason == "owner-lost"
     bench = make_ranged()
-    bench.own(owner="w0")
+    bench.assign_keys(owner="w0")
     bench.context.evacuated_zones = frozenset({"north-a"})
     assert select(bench, key=5).reason == "owner-lost"
     bench = make_ranged()
-    bench.own(owner="w1")
+    bench.assign_keys(owner="w1")
     bench.context.plan = dataclasses.replace(
         bench.context.plan, matches=(dataclasses.replace(bench.context.plan.matches[0], homes=frozenset({"north"})),)
     )
     assert isinstance(select(bench, key=5), Refusal)
-    bench.own(owner="unlisted")
+    bench.assign_keys(owner="unlisted")
     assert select(bench, key=5).reason == "owner-lost"
 
 
 def test_a_cold_owner_is_rate_limited() -> None:
     bench = make_ranged(slow_start=5.0)
-    bench.own(owner="w0")
+    bench.assign_keys(owner="w0")
     taken = 0
     for _ in range(100):
         taken += not isinstance(select(bench, key=5), Refusal)
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -6,13 +6,13 @@
 
 from sailward import constants
 from sailward.events import ClientDisconnected, WithdrawCall
-from tests.proxy_kit import Bench, answers, calls, cancels, logs, make_plan, make_worker
+from tests.proxy_kit import ForwarderHarness, answers, calls, cancels, logs, make_plan, make_worker
 
 PROMISES = (408, 421, 429, 503)
 
 
-def make(*, workers: int = 3, proxies: int = 1, slack: float = 60.0, **match: object) -> Bench:
-    return Bench(
+def make(*, workers: int = 3, proxies: int = 1, slack: float = 60.0, **match: object) -> ForwarderHarness:
+    return ForwarderHarness(
         workers=[make_worker(f"w{at}") for at in range(workers)], plan=make_plan(**match), proxies=proxies, slack=slack
     )
 
@@ -27,7 +27,7 @@
     assert int(call.headers["x-left"]) <= 3000 and call.timeout <= 3.0
     assert not {"te", "connection", "expect"} & set(call.headers)
     [answer] = answers(
-        bench.back(call=call, code=201, content_type="text/x", connection="close", keep_alive="timeout=5")
+        bench.respond(call=call, code=201, content_type="text/x", connection="close", keep_alive="timeout=5")
     )
     assert (answer.token, answer.code, answer.body) == ("front 1", 201, b"whole")
     assert answer.headers["x-seal"] == "s" and answer.headers["content-type"] == "text/x"
@@ -54,7 +54,7 @@
 def test_a_workers_own_answer_is_final(code: int) -> None:
     bench = make()
     [call] = calls(bench.ask())
-    commands = bench.back(call=call, code=code)
+    commands = bench.respond(call=call, code=code)
     assert [answer.code for answer in answers(commands)] == [code] and not calls(commands)
 
 
@@ -73,8 +73,8 @@
     bench = make(kind="once", tries=3)
     [call] = calls(bench.ask(method="POST", body=b"buy"))
     assert call.fresh
-    commands = bench.fail(call=call, fault=fault, sent=sent)
-    assert not calls(commands) and not calls(bench.wait(1.0))
+    commands = bench.fail_call(call=call, fault=fault, sent=sent)
+    assert not calls(commands) and not calls(bench.advance(1.0))
     [answer] = answers(commands)
     assert answer.code in (502, 504) and "Retry-After" not in answer.headers
 
@@ -83,7 +83,7 @@
 def test_a_promise_needs_the_workers_mark(code: int) -> None:
     bench = make(kind="once", tries=3)
     [call] = calls(bench.ask(method="POST"))
-    commands = bench.back(call=call, code=code)
+    commands = bench.respond(call=call, code=code)
     assert not calls(commands)
     assert all(answer.code not in PROMISES for answer in answers(commands)) and len(answers(commands)) == 1
 
@@ -92,9 +92,9 @@
 def test_what_did_not_run_goes_to_another_worker_whatever_its_kind(code: int) -> None:
     bench = make(kind="once", tries=2)
     [first] = calls(bench.ask(method="POST", body=b"buy"))
-    [second] = calls(bench.back(call=first, code=code, x_not_run="1"))
+    [second] = calls(bench.respond(call=first, code=code, x_not_run="1"))
     assert second.owner != first.owner and second.body == b"buy" and second.headers["x-id"] == "id1"
-    commands = bench.back(call=second, code=code, x_not_run="1")
+    commands = bench.respond(call=second, code=code, x_not_run="1")
     assert not calls(commands)
     [answer] = answers(commands)
     assert answer.code == 503 and float(answer.headers["Retry-After"]) > 0
@@ -107,7 +107,7 @@
     while calls(commands):
         [call] = calls(commands)
         tried.append(call.owner)
-        commands = bench.fail(call=call, fault="refused", sent=False)
+        commands = bench.fail_call(call=call, fault="refused", sent=False)
     assert len(tried) == constants.MAX_UNREACHABLE_WORKERS + 1 and len(set(tried)) == len(tried)
     assert [answer.code for answer in answers(commands)] == [503]
 
@@ -119,7 +119,7 @@
     for _ in range(3):
         [call] = calls(commands)
         owners.append(call.owner)
-        commands = bench.fail(call=call, fault="connection-lost", sent=True)
+        commands = bench.fail_call(call=call, fault="connection-lost", sent=True)
     assert not calls(commands) and len(set(owners)) == 3
     [answer] = answers(commands)
     assert answer.code == 502
@@ -128,35 +128,35 @@
 def test_a_failure_of_the_worker_is_handed_on_when_nothing_better_comes() -> None:
     bench = make(tries=2)
     [first] = calls(bench.ask())
-    [second] = calls(bench.back(call=first, code=500, body=b"bad"))
-    [answer] = answers(bench.back(call=second, code=500, body=b"worse"))
+    [second] = calls(bench.respond(call=first, code=500, body=b"bad"))
+    [answer] = answers(bench.respond(call=second, code=500, body=b"worse"))
     assert (answer.code, answer.body) == (500, b"worse")
 
 
 def test_a_success_without_the_seal_is_not_passed_on() -> None:
     bench = make(tries=1)
     [call] = calls(bench.ask())
-    assert [answer.code for answer in answers(bench.back(call=call, x_seal=None))] == [502]
+    assert [answer.code for answer in answers(bench.respond(call=call, x_seal=None))] == [502]
 
 
 @pytest.mark.parametrize("name", ["another", None])
 def test_an_answer_to_another_request_is_not_passed_on(name: str | None) -> None:
     bench = make(tries=1, kind="once")
     [call] = calls(bench.ask())
-    assert [answer.code for answer in answers(bench.back(call=call, x_id=name))] == [502]
+    assert [answer.code for answer in answers(bench.respond(call=call, x_id=name))] == [502]
 
 
 def test_a_stranger_at_the_address_is_not_asked_again() -> None:
     bench = make(workers=2, tries=4)
     [first] = calls(bench.ask())
-    [second] = calls(bench.back(call=first, code=421, x_not_run="1", x_who="someone-else"))
+    [second] = calls(bench.respond(call=first, code=421, x_not_run="1", x_who="someone-else"))
     assert second.owner != first.owner
-    bench.back(call=second)
+    bench.respond(call=second)
     owners = set()
     for _ in range(6):
         [call] = calls(bench.ask())
         owners.add(call.owner)
-        bench.back(call=call)
+        bench.respond(call=call)
     assert owners == {second.owner}
 
 
@@ -165,10 +165,10 @@
     more = 0
     for _ in range(40):
         [call] = calls(bench.ask())
-        commands = bench.fail(call=call, fault="cut-short", sent=True)
+        commands = bench.fail_call(call=call, fault="cut-short", sent=True)
         for again in calls(commands):
             more += 1
-            bench.back(call=again)
+            bench.respond(call=again)
     assert 0 < more <= 0.2 * 40 + 10.0 / 2
     assert bench.forwarder.tally["refused-budget"] > 0
 
@@ -176,7 +176,7 @@
 def test_after_a_run_nothing_is_promised_for_want_of_budget() -> None:
     bench = make(slack=0.0)
     [call] = calls(bench.ask())
-    [answer] = answers(bench.fail(call=call, fault="cut-short", sent=True))
+    [answer] = answers(bench.fail_call(call=call, fault="cut-short", sent=True))
     assert answer.code == 502
 
 
@@ -185,7 +185,7 @@
     commands = bench.ask(method="POST")
     waited = 0.0
     while not answers(commands):
-        commands = bench.wait(constants.TICK_INTERVAL)
+        commands = bench.advance(constants.TICK_INTERVAL)
         waited += constants.TICK_INTERVAL
         assert waited < 0.25 * 2.0
     [answer] = answers(commands)
@@ -196,30 +196,30 @@
     bench = make(workers=0)
     low = bench.ask()
     assert not calls(low) and not answers(low)
-    bench.list(workers=[make_worker("w9")])
-    assert [call.owner for call in calls(bench.wait(0.05))] == ["w9"]
+    bench.update_workers(workers=[make_worker("w9")])
+    assert [call.owner for call in calls(bench.advance(0.05))] == ["w9"]
 
 
 def test_silence_ends_only_at_the_deadline() -> None:
     bench = make(kind="once", tries=3)
     [call] = calls(bench.ask(method="POST", within="2000"))
     for _ in range(39):
-        assert not answers(bench.wait(0.05)) and not calls(bench.wait(0.0))
-    [answer] = answers(bench.wait(0.06))
+        assert not answers(bench.advance(0.05)) and not calls(bench.advance(0.0))
+    [answer] = answers(bench.advance(0.06))
     assert answer.code == 504
-    assert bench.back(call=call) == []
+    assert bench.respond(call=call) == []
 
 
 def test_a_silent_worker_of_a_repeatable_request_is_hedged_within_the_budget_and_the_loser_given_up() -> None:
     bench = make(tries=2, target_s=0.5)
     for _ in range(40):
-        bench.back(call=calls(bench.ask())[0])
+        bench.respond(call=calls(bench.ask())[0])
     [first] = calls(bench.ask())
     second = []
     while not second:
-        second = calls(bench.wait(0.05))
-    assert second[0].owner != first.owner and not calls(bench.wait(0.5))
-    commands = bench.back(call=second[0], body=b"quick")
+        second = calls(bench.advance(0.05))
+    assert second[0].owner != first.owner and not calls(bench.advance(0.5))
+    commands = bench.respond(call=second[0], body=b"quick")
     assert [answer.body for answer in answers(commands)] == [b"quick"]
     assert [cancel.token for cancel in cancels(commands)] == [first.token]
     assert not bench.endpoint_selector.open_requests
@@ -233,7 +233,7 @@
     # its caller may have closed one side only; the request may have run, so nothing is promised
     assert [answer.code for answer in answers(commands)] == [502]
     assert "Retry-After" not in answers(commands)[0].headers
-    assert not bench.back(call=call) and not bench.wait(0.5)
+    assert not bench.respond(call=call) and not bench.advance(0.5)
     assert not bench.endpoint_selector.open_requests and not bench.forwarder.live and not bench.forwarder.calls
 
 
@@ -243,7 +243,7 @@
     commands = bench.forwarder.step(now=bench.now, event=ClientDisconnected(token="front 1"))
     assert not cancels(commands) and not answers(commands)
     assert [command.token for command in commands] == [call.token] and isinstance(commands[0], WithdrawCall)
-    assert [answer.code for answer in answers(bench.back(call=call))] == [200]
+    assert [answer.code for answer in answers(bench.respond(call=call))] == [200]
     assert not bench.endpoint_selector.open_requests and not bench.forwarder.live and not bench.forwarder.calls
 
 
@@ -251,8 +251,8 @@
     bench = make(kind="once", tries=3)
     [call] = calls(bench.ask(method="POST"))
     bench.forwarder.step(now=bench.now, event=ClientDisconnected(token="front 1"))
-    commands = bench.back(call=call, code=503, x_not_run="1")
-    assert not calls(commands) and not calls(bench.wait(0.5))
+    commands = bench.respond(call=call, code=503, x_not_run="1")
+    assert not calls(commands) and not calls(bench.advance(0.5))
     assert [answer.code for answer in answers(commands)] == [503]
 
 
@@ -262,7 +262,7 @@
     bench.forwarder.step(now=bench.now, event=ClientDisconnected(token="front 1"))
     shown = bench.passive_health.workers[call.owner]
     before = (shown.state, shown.window, shown.busy_until)
-    commands = bench.fail(call=call, fault="withdrawn", sent=False)
+    commands = bench.fail_call(call=call, fault="withdrawn", sent=False)
     assert [answer.code for answer in answers(commands)] == [503] and not calls(commands)
     assert (shown.state, shown.window, shown.busy_until) == before, "it tells nothing of the worker"
     assert not bench.endpoint_selector.open_requests and not bench.forwarder.live and not bench.forwarder.calls
@@ -287,15 +287,15 @@
 
 
 def test_a_divided_service_goes_to_the_owner_and_comes_back_to_it() -> None:
-    bench = Bench(workers=[make_worker("w0"), make_worker("w1")], plan=make_plan(ranged=True, tries=3))
-    bench.own(owner="w1")
+    bench = ForwarderHarness(workers=[make_worker("w0"), make_worker("w1")], plan=make_plan(ranged=True, tries=3))
+    bench.assign_keys(owner="w1")
     [first] = calls(bench.ask(x_key="77"))
     assert first.owner == "w1"
-    commands = bench.back(call=first, code=421, x_not_run="1", x_who="w1")
+    commands = bench.respond(call=first, code=421, x_not_run="1", x_who="w1")
     assert not answers(commands)
     again = calls(commands)
     while not again:
-        again = calls(bench.wait(0.05))
+        again = calls(bench.advance(0.05))
         assert bench.now < 101.0
     assert [one.owner for one in again] == ["w1"]
     bucket = str(77 // constants.KEYS_PER_BUCKET)
@@ -304,24 +304,24 @@
 
 @pytest.mark.parametrize("key", ["", "x", "70000", "-1"])
 def test_a_divided_service_needs_a_key(key: str) -> None:
-    bench = Bench(workers=[make_worker("w0")], plan=make_plan(ranged=True))
-    bench.own(owner="w0")
+    bench = ForwarderHarness(workers=[make_worker("w0")], plan=make_plan(ranged=True))
+    bench.assign_keys(owner="w0")
     assert [answer.code for answer in answers(bench.ask(x_key=key))] == [400]
 
 
 def test_a_refusal_is_logged_with_its_reason() -> None:
     bench = make(tries=1)
     [call] = calls(bench.ask())
-    [log] = logs(bench.fail(call=call, fault="malformed", sent=True), event="given-up")
+    [log] = logs(bench.fail_call(call=call, fault="malformed", sent=True), event="given-up")
     assert log.fields["reason"] == "worker-malformed" and log.fields["code"] == 502
 
 
 @pytest.mark.parametrize("phase", [0.01, 0.025, 0.029, 0.04])
 def test_a_refusal_for_want_of_a_worker_comes_within_a_quarter_of_the_aim(phase: float) -> None:
-    bench = Bench(workers=[], plan=make_plan(target_s=0.4))
+    bench = ForwarderHarness(workers=[], plan=make_plan(target_s=0.4))
     commands, waited, step = bench.ask(), 0.0, phase
     while not answers(commands):
-        commands, waited, step = bench.wait(step), waited + step, constants.TICK_INTERVAL
+        commands, waited, step = bench.advance(step), waited + step, constants.TICK_INTERVAL
     assert waited <= 0.25 * 0.4
 
 
@@ -330,26 +330,26 @@
     bench = make(proxies=200)
     for _ in range(20):
         call = calls(bench.ask())[0]
-        bench.back(call=call)
-    bench.wait(9.9)
+        bench.respond(call=call)
+    bench.advance(9.9)
     call = calls(bench.ask())[0]
-    commands = bench.wait(0.35)
+    commands = bench.advance(0.35)
     assert not answers(commands) and not cancels(commands) and not calls(commands)
-    assert answers(bench.back(call=call))[0].code == 200
+    assert answers(bench.respond(call=call))[0].code == 200
 
 
 def test_a_second_asking_without_time_for_it_leaves_the_first_under_way() -> None:
     bench = make()
     for _ in range(20):
-        bench.back(call=calls(bench.ask())[0])
+        bench.respond(call=calls(bench.ask())[0])
     call = calls(bench.ask(within="320"))[0]
-    assert not answers(bench.wait(0.305))
-    assert answers(bench.back(call=call))[0].code == 200
+    assert not answers(bench.advance(0.305))
+    assert answers(bench.respond(call=call))[0].code == 200
 
 
 @pytest.mark.parametrize("code", [400, 421, 429, 503])
 def test_a_promise_about_another_request_is_none_about_this(code: int) -> None:
     bench = make(kind="once")
     call = calls(bench.ask(method="POST"))[0]
-    commands = bench.back(call=call, code=code, x_not_run="1", x_id="id99")
+    commands = bench.respond(call=call, code=code, x_not_run="1", x_id="id99")
     assert not calls(commands) and answers(commands)[0].code == 502
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -14,7 +14,7 @@
 from sailward.transport.http_server import HttpServer
 from sailward.transport.http_server_departures import check_departures
 from tests.http_server_harness import Harness, get
-from tests.proxy_kit import Bench, calls, logs, make_plan, make_worker
+from tests.proxy_kit import ForwarderHarness, calls, logs, make_plan, make_worker
 
 pytestmark = pytest.mark.plants_faults
 
@@ -26,11 +26,11 @@
     harness.end()
 
 
-def make(**match: object) -> Bench:
-    return Bench(workers=[make_worker("w0")], plan=make_plan(**match))
+def make(**match: object) -> ForwarderHarness:
+    return ForwarderHarness(workers=[make_worker("w0")], plan=make_plan(**match))
 
 
-def leave(bench: Bench, token: str) -> list:
+def leave(bench: ForwarderHarness, token: str) -> list:
     return bench.forwarder.step(now=bench.now, event=ClientDisconnected(token=token))
 
 
@@ -80,7 +80,7 @@
     waiting.is_left = True
     first = next(iter(bench.forwarder.calls))
     call = mock.Mock(token=first, headers={"x-id": bench.forwarder.calls[first].name})
-    [log] = logs(bench.back(call=call), event="invariant-violated")
+    [log] = logs(bench.respond(call=call), event="invariant-violated")
     assert log.fields["invariant"] == "departed-not-served" and violations == {"departed-not-served": 1}
 
 
@@ -89,7 +89,7 @@
     bench.ask()
     with mock.patch.object(Forwarder, "_end", lambda self, *, request: []):
         leave(bench, "front 1")
-    [log] = logs(bench.wait(constants.TICK_INTERVAL), event="invariant-violated")
+    [log] = logs(bench.advance(constants.TICK_INTERVAL), event="invariant-violated")
     assert log.fields == {"invariant": "departed-not-running", "attempts": 1}
 
 
@@ -98,5 +98,5 @@
     bench = make(kind=kind)
     bench.ask()
     leave(bench, "front 1")
-    bench.wait(constants.TICK_INTERVAL)
+    bench.advance(constants.TICK_INTERVAL)
     assert not violations
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -58,7 +58,7 @@
 ]
 
 
-class Bench:
+class ProxyHarness:
     """A proxy, the controller `c0` that answers it, and the commands that the proxy returned."""
 
     def __init__(self) -> None:
@@ -143,8 +143,8 @@
 
 
 @pytest.fixture
-def bench() -> Bench:
-    bench = Bench()
+def bench() -> ProxyHarness:
+    bench = ProxyHarness()
     bench.run(3.0)
     bench.push("config", {"written": make_written(label=5)})
     bench.push("workers", WORKERS)
@@ -157,7 +157,7 @@
 
 
 def test_it_is_ready_when_it_has_both_a_configuration_and_a_worker_list() -> None:
-    bench = Bench()
+    bench = ProxyHarness()
     bench.run(3.0)
     assert (
         bench.code("ready", "/readiness") == 503 and bench.code("front", "/x", headers={"host": "two.example"}) == 503
@@ -168,7 +168,7 @@
     assert bench.code("ready", "/readiness") == 200
 
 
-def test_every_push_is_acknowledged_and_an_older_one_changes_nothing(bench: Bench) -> None:
+def test_every_push_is_acknowledged_and_an_older_one_changes_nothing(bench: ProxyHarness) -> None:
     newer = bench.push("config", {"written": make_written(label=9, weight=0)}, number=3)
     assert [
         command.body["number"]
@@ -184,26 +184,26 @@
     assert bench.proxy.context.plan.label == 9
 
 
-def test_lists_are_accepted_only_from_the_followed_controller(bench: Bench) -> None:
+def test_lists_are_accepted_only_from_the_followed_controller(bench: ProxyHarness) -> None:
     bench.push("workers", WORKERS[:1], number=2, sender="c1")
     assert len(bench.proxy.endpoint_table.workers) == 3
     bench.push("workers", WORKERS[:2], number=2)
     assert len(bench.proxy.endpoint_table.workers) == 2
 
 
-def test_a_draining_worker_stays_draining_after_an_outdated_list(bench: Bench) -> None:
+def test_a_draining_worker_stays_draining_after_an_outdated_list(bench: ProxyHarness) -> None:
     bench.push("workers", [WORKERS[0], {**WORKERS[1], "leaving": True}, WORKERS[2]], number=2)
     bench.push("workers", WORKERS, number=3)
     assert bench.proxy.endpoint_table.workers["w1"].leaving and not bench.proxy.endpoint_table.workers["w0"].leaving
 
 
-def test_unexpected_messages_are_logged_and_change_nothing(bench: Bench) -> None:
+def test_unexpected_messages_are_logged_and_change_nothing(bench: ProxyHarness) -> None:
     bench.receive({"kind": "gossip", "entries": [], "reply": False})
     bench.push("nonsense", {}, number=4)
     assert bench.code("ready", "/readiness") == 200
 
 
-def test_the_directory_lists_the_fit_proxies_of_the_callers_region(bench: Bench) -> None:
+def test_the_directory_lists_the_fit_proxies_of_the_callers_region(bench: ProxyHarness) -> None:
     [answer] = bench.ask("directory", "/resolve", query={"name": "two.example", "region": "gdl", "zone": "gdl-b"})
     told = json.loads(WIRE.answer_directory(answer, ttl=2.0).body)
     assert told == {"addresses": ["10.0.0.8:8641", "10.0.0.9:8641"], "ttl_s": 2.0}
@@ -213,10 +213,10 @@
 
 
 def test_before_any_proxy_is_known_the_directory_fails_instead_of_returning_an_empty_list() -> None:
-    assert Bench().code("directory", "/resolve") == 503
+    assert ProxyHarness().code("directory", "/resolve") == 503
 
 
-def test_polls_report_the_configuration_and_the_workers_found_down(bench: Bench) -> None:
+def test_polls_report_the_configuration_and_the_workers_found_down(bench: ProxyHarness) -> None:
     bench.log.clear()
     [call] = calls(bench.request())
     bench.give(CallFinished(token=call.token, code=0, headers={}, body=b"", fault="refused", sent=False))
@@ -227,14 +227,14 @@
     )
 
 
-def test_an_evacuation_applies_at_once_and_its_end_starts_slow_start(bench: Bench) -> None:
+def test_an_evacuation_applies_at_once_and_its_end_starts_slow_start(bench: ProxyHarness) -> None:
     bench.push("orders", {"emptied": ["gdl-a"]})
     assert not calls(bench.request())
     bench.push("orders", {"emptied": []}, number=2)
     assert all(health.slow_start_until > bench.now for health in bench.proxy.passive_health.workers.values())
 
 
-def test_shutdown_drains_in_order(bench: Bench) -> None:
+def test_shutdown_drains_in_order(bench: ProxyHarness) -> None:
     commands = bench.give(ShutdownRequested())
     assert [command.shut for command in commands if isinstance(command, DrainConnections)] == [False]
     assert any(
@@ -262,13 +262,13 @@
     assert any(isinstance(command, ExitProcess) and command.code == 0 for command in bench.run(0.2))
 
 
-def test_an_idle_proxy_stops_once_clients_had_time_to_leave(bench: Bench) -> None:
+def test_an_idle_proxy_stops_once_clients_had_time_to_leave(bench: ProxyHarness) -> None:
     bench.give(ShutdownRequested())
     assert not any(isinstance(command, ExitProcess) for command in bench.run(2.5))
     assert any(isinstance(command, ExitProcess) for command in bench.run(1.0))
 
 
-def test_it_keeps_serving_without_controllers(bench: Bench) -> None:
+def test_it_keeps_serving_without_controllers(bench: ProxyHarness) -> None:
     bench.answering = set()
     bench.run(20.0)
     assert not bench.proxy.control_client.has_recent_answer(now=bench.now)
