--- a/tests/proxy_kit.py
+++ b/tests/proxy_kit.py
@@ -159,7 +159,7 @@
     ) -> list:
         """Step the forwarder with a client's request."""
         self.count += 1
-        given = {
+        sent_headers = {
             "host": host,
             "x-id": f"id{self.count}",
             "x-left": within,
@@ -173,7 +173,7 @@
                 method=method,
                 path=path,
                 query={},
-                headers=given,
+                headers=sent_headers,
                 body=body,
                 target=path + "?q=%20",
             ),
@@ -181,14 +181,15 @@
 
     def respond(self, *, call: StartCall, code: int = 200, body: bytes = b"whole", **headers: str) -> list:
         """Step the forwarder with the worker's answer to a call."""
-        given = {
+        reply_headers = {
             "x-id": call.headers.get("x-id", ""),
             "x-seal": "s",
             **{name.replace("_", "-"): value for name, value in headers.items()},
         }
-        given = {name: value for name, value in given.items() if value is not None}
+        reply_headers = {name: value for name, value in reply_headers.items() if value is not None}
         return self.forwarder.step(
-            now=self.now, event=CallFinished(token=call.token, code=code, headers=given, body=body, fault="", sent=True)
+            now=self.now,
+            event=CallFinished(token=call.token, code=code, headers=reply_headers, body=body, fault="", sent=True),
         )
 
     def fail_call(self, *, call: StartCall, fault: str, sent: bool) -> list:
--- a/tests/test_endpoint_selection.py
+++ b/tests/test_endpoint_selection.py
@@ -141,16 +141,16 @@
 
 def test_a_worker_gets_no_more_than_this_proxys_share_of_its_queue() -> None:
     bench = make(workers=[make_worker("w0"), make_worker("w1")], proxies=8)
-    part = -(-4 * constants.WORKER_QUEUE_DEPTH // 8)
-    bound = int(
+    share = -(-4 * constants.WORKER_QUEUE_DEPTH // 8)
+    limit = int(
         min(
-            max(constants.CONCURRENCY_WINDOW_MIN, constants.CONCURRENCY_SHARE_FACTOR * part),
+            max(constants.CONCURRENCY_WINDOW_MIN, constants.CONCURRENCY_SHARE_FACTOR * share),
             constants.CONCURRENCY_WINDOW_INITIAL,
         )
     )
-    for _ in range(2 * bound):
+    for _ in range(2 * limit):
         bench.endpoint_selector.record_sent(key=select(bench).key)
-    assert bench.endpoint_selector.open_requests == {"w0": bound, "w1": bound} and select(bench).reason == "no-room"
+    assert bench.endpoint_selector.open_requests == {"w0": limit, "w1": limit} and select(bench).reason == "no-room"
     bench.endpoint_selector.record_ended(key="w0")
     assert select(bench).key == "w0"
 
@@ -197,8 +197,8 @@
 def test_after_an_evacuation_the_workers_of_the_zone_count_as_cold() -> None:
     bench = make(workers=[make_worker("w0")])
     bench.passive_health.begin_slow_start(now=bench.now, zone="north-a", plan=bench.context.plan)
-    taken = sum(not isinstance(select(bench), Refusal) for _ in range(50))
-    assert taken <= 1
+    accepted = sum(not isinstance(select(bench), Refusal) for _ in range(50))
+    assert accepted <= 1
     bench.now += 3.0 + constants.SLOW_START_MARGIN + 0.1
     assert not isinstance(select(bench), Refusal)
 
@@ -241,8 +241,8 @@
 def test_a_cold_owner_is_rate_limited() -> None:
     bench = make_ranged(slow_start=5.0)
     bench.assign_keys(owner="w0")
-    taken = 0
+    accepted = 0
     for _ in range(100):
-        taken += not isinstance(select(bench, key=5), Refusal)
+        accepted += not isinstance(select(bench, key=5), Refusal)
         bench.now += 0.01
-    assert 1 <= taken <= 6
+    assert 1 <= accepted <= 6
--- a/tests/test_passive_health.py
+++ b/tests/test_passive_health.py
@@ -99,13 +99,14 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "slow_start"), [("2.5", 2.5), ("0", 0.0), ("", 0.0), ("x", 0.0), ("nan", 0.0), ("-3", 0.0), ("1e9", 0.0)]
+    ("cold_header", "slow_start"),
+    [("2.5", 2.5), ("0", 0.0), ("", 0.0), ("x", 0.0), ("nan", 0.0), ("-3", 0.0), ("1e9", 0.0)],
 )
-def test_a_probe_reports_how_long_the_worker_stays_cold(told: str, slow_start: float) -> None:
+def test_a_probe_reports_how_long_the_worker_stays_cold(cold_header: str, slow_start: float) -> None:
     passive_health = make()
     passive_health.record_event(now=101.0, key="w0", event="refused")
     [call] = due_probes(passive_health, now=102.0)
-    finish_probe(passive_health, call=call, now=102.0, x_who="w0", x_cold=told)
+    finish_probe(passive_health, call=call, now=102.0, x_who="w0", x_cold=cold_header)
     assert max(0.0, passive_health.workers["w0"].slow_start_until - 102.0) == pytest.approx(slow_start)
 
 
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -205,8 +205,8 @@
 
 def test_the_directory_lists_the_fit_proxies_of_the_callers_region(bench: ProxyHarness) -> None:
     [answer] = bench.ask("directory", "/resolve", query={"name": "two.example", "region": "gdl", "zone": "gdl-b"})
-    told = json.loads(WIRE.answer_directory(answer, ttl=2.0).body)
-    assert told == {"addresses": ["10.0.0.8:8641", "10.0.0.9:8641"], "ttl_s": 2.0}
+    answered = json.loads(WIRE.answer_directory(answer, ttl=2.0).body)
+    assert answered == {"addresses": ["10.0.0.8:8641", "10.0.0.9:8641"], "ttl_s": 2.0}
     [answer] = bench.ask("directory", "/resolve", query={"region": "atlantis"})
     assert len(json.loads(WIRE.answer_directory(answer, ttl=2.0).body)["addresses"]) == 3
     assert bench.code("directory", "/other") == 404 and bench.code("directory", "/resolve", method="POST") == 404
@@ -221,9 +221,13 @@
     [call] = calls(bench.request())
     bench.give(CallFinished(token=call.token, code=0, headers={}, body=b"", fault="refused", sent=False))
     bench.run(1.0)
-    asks = [command.body for command in bench.log if isinstance(command, SendMessage) and command.body["kind"] == "ask"]
+    polls = [
+        command.body for command in bench.log if isinstance(command, SendMessage) and command.body["kind"] == "ask"
+    ]
     assert (
-        asks[-1]["have"]["config"][0] == 1 and asks[-1]["daemon"]["fit"] and asks[-1]["report"]["down"] == [call.owner]
+        polls[-1]["have"]["config"][0] == 1
+        and polls[-1]["daemon"]["fit"]
+        and polls[-1]["report"]["down"] == [call.owner]
     )
 
 
