--- a/sailward/proxy/proxy.py
+++ b/sailward/proxy/proxy.py
@@ -54,7 +54,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ProxyOptions:
-    """Settings of a deployment: the names used on the wire, the regions, and the limits (times in s)."""
+    """Settings of a deployment: the names used on the wire, the regions, and the limits (times in s).
+
+    After a request to stop, the proxy accepts connections for `deregistration_delay` more, so that clients learn that
+    it is going away, and ends after `stop_grace` at the latest.
+    """
 
     names: WireNames = WireNames()
     regions: tuple = ()
--- a/sailward/routing/endpoint_selection.py
+++ b/sailward/routing/endpoint_selection.py
@@ -22,7 +22,11 @@
 
 @dataclass(kw_only=True)
 class SelectionContext:
-    """The routing data that a proxy has received from controllers; endpoint selection reads it."""
+    """The routing data that a proxy has received from controllers; endpoint selection reads it.
+
+    `regions` maps zones to regions, and `peers` the proxies that are fit to serve to their regions. A worker that owns
+    keys gets no more requests once it has been listed as leaving for `drain_timeout` (s).
+    """
 
     name: str
     zone: str
@@ -65,7 +69,7 @@
     slow_start_buckets: dict = field(default_factory=dict)
 
     def step(self, *, now: float, request: Request) -> Worker | Refusal:
-        """Select the worker that runs this request now, or return the reason why none can."""
+        """Select the worker that runs this request now, or return why none can; some reasons pass within moments."""
         context = self.context
         if not request.is_drawn:
             # drawn by weight before health is considered; retries stay with the drawn service
--- a/sailward/routing/passive_health.py
+++ b/sailward/routing/passive_health.py
@@ -18,7 +18,11 @@
 
 @dataclass(kw_only=True)
 class WorkerHealth:
-    """Health and load of one worker, as observed by this proxy."""
+    """Health and load of one worker, as observed by this proxy.
+
+    Response times are in s. `window` is the number of requests that this proxy may have open at the worker,
+    `busy_until` the end of the backoff after an answer that it is full.
+    """
 
     worker: Worker
     state: str = CHART.initial
