--- a/sailward/control/shards/granting.py
+++ b/sailward/control/shards/granting.py
@@ -34,7 +34,7 @@
 from sailward.control.shards.grant_targets import GrantContext, GrantTargets
 from sailward.control.shards.shard_plan import Span, place
 from sailward.events import CallFinished, Command
-from sailward.routing.shard_owners import PREFIX
+from sailward.routing.shard_owners import SHARD_REGISTER_PREFIX
 from sailward.routing.shards import KEYS, MOVING, OPEN, Shard, ShardTable, read_shards, write_shards
 from sailward.wire_types import RegisterValue
 
@@ -116,7 +116,7 @@
         if table is None or table == self._table:
             return []
         self._requested = (self._number, now)
-        return [(PREFIX + self._service, self._number, write_shards(table=table))]
+        return [(SHARD_REGISTER_PREFIX + self._service, self._number, write_shards(table=table))]
 
     def _next_table(self, *, now: float, context: GrantContext) -> ShardTable | None:
         if self._table is None:
--- a/sailward/control/shards/quiescence.py
+++ b/sailward/control/shards/quiescence.py
@@ -8,7 +8,7 @@
 from sailward import constants
 from sailward.consensus.proposer import majority_of
 from sailward.control.proxies.subscribers import Subscriber
-from sailward.routing.shard_owners import PREFIX
+from sailward.routing.shard_owners import SHARD_REGISTER_PREFIX
 from sailward.wire_types import PeerEntry
 
 
@@ -66,5 +66,5 @@
         )
 
     def _has_left(self, *, proxy: Subscriber, closing: Closing, slot: str) -> bool:
-        have = (proxy.have.get(PREFIX + self.service) or [-1])[0]
+        have = (proxy.have.get(SHARD_REGISTER_PREFIX + self.service) or [-1])[0]
         return have >= closing.number and f"{self.service}|{slot}" not in proxy.report.get("busy", ())
--- a/sailward/control/shards/shard_leases.py
+++ b/sailward/control/shards/shard_leases.py
@@ -25,7 +25,7 @@
 from sailward.discovery.rendezvous import choose_names
 from sailward.events import CallFinished, Command, SendMessage
 from sailward.routing.routing_state import read_orders
-from sailward.routing.shard_owners import PREFIX
+from sailward.routing.shard_owners import SHARD_REGISTER_PREFIX
 from sailward.wire_types import Message, RegisterValue
 
 
@@ -129,7 +129,9 @@
         controllers = [*self._peer_table.alive(kind="controller"), self._peer_table.own_entry()]
         well = {peer["identity"]: peer["post"] for peer in controllers if peer["fit"]}
         leads = (
-            {name: choose_names(key=PREFIX + name, names=set(well), count=1)[0] for name in services} if well else {}
+            {name: choose_names(key=SHARD_REGISTER_PREFIX + name, names=set(well), count=1)[0] for name in services}
+            if well
+            else {}
         )
         if may_set_readers:
             self._proxy_registry.readers = frozenset(well[lead] for lead in leads.values())
@@ -143,16 +145,16 @@
             members=voter.voters.members,
             number=voter.voters.number,
             own=voter.identity,
-            registers=[PREFIX + name for name in acting],
+            registers=[SHARD_REGISTER_PREFIX + name for name in acting],
         )
 
     def _grant_context(self, *, now: float, service: str, is_acting: bool) -> GrantContext:
         """What the granting of one service looks at in this moment."""
         voter = self._voter
-        learned = voter.learner.values.get(PREFIX + service)
+        learned = voter.learner.values.get(SHARD_REGISTER_PREFIX + service)
         fresh_until = self.freshness.until(
             now=now,
-            register=PREFIX + service,
+            register=SHARD_REGISTER_PREFIX + service,
             learner=voter.learner,
             members=voter.voters.members,
             own=voter.identity,
--- a/sailward/control/shards/shard_moves.py
+++ b/sailward/control/shards/shard_moves.py
@@ -15,7 +15,7 @@
 from sailward.discovery.rendezvous import choose_names
 from sailward.routing.plan import Plan
 from sailward.routing.routing_state import read_orders
-from sailward.routing.shard_owners import PREFIX
+from sailward.routing.shard_owners import SHARD_REGISTER_PREFIX
 from sailward.wire_types import PeerEntry, RegisterValue
 
 
@@ -53,7 +53,7 @@
         context = self._context(learner=learner, aggregated_health=aggregated_health, proxies=proxies)
         changes = []
         for service in divided:
-            name = PREFIX + service.name
+            name = SHARD_REGISTER_PREFIX + service.name
             if choose_names(key=name, names=well, count=1) != [own]:
                 # another controller assigns the shards of this service
                 self.assigning.pop(name, None)
--- a/sailward/proxy/proxy.py
+++ b/sailward/proxy/proxy.py
@@ -43,7 +43,7 @@
 from sailward.routing.proxied_request import answer_json
 from sailward.routing.retry_budget import RetryBudget
 from sailward.routing.routing_state import read_orders
-from sailward.routing.shard_owners import PREFIX as SLOTS
+from sailward.routing.shard_owners import SHARD_REGISTER_PREFIX
 from sailward.routing.zone_health import ZoneHealthTable
 from sailward.state_machines import Chart
 from sailward.wire_names import WireNames
@@ -215,7 +215,7 @@
             for zone in self.context.evacuated_zones - evacuated_zones:
                 self.passive_health.begin_slow_start(now=now, zone=zone, plan=self.context.plan)
             self.context.evacuated_zones = evacuated_zones
-        elif name.startswith(SLOTS):
+        elif name.startswith(SHARD_REGISTER_PREFIX):
             self.context.shards.step(name=name, value=value)
         log = LogEvent(event="in-force", fields={"register": name, "number": value["number"]})
         return [log, *self.forwarder.step(now=now, event=None)]
--- a/sailward/proxy/tenant_proxy.py
+++ b/sailward/proxy/tenant_proxy.py
@@ -40,7 +40,7 @@
 from sailward.routing.proxied_requests import ProxiedRequests
 from sailward.routing.result_replicas import Peer, ResultReplicas
 from sailward.routing.routing_state import RoutingState, read_orders
-from sailward.routing.shard_owners import PREFIX as SLOTS
+from sailward.routing.shard_owners import SHARD_REGISTER_PREFIX
 from sailward.state_machines import Chart
 from sailward.wire_types import Ballot, Message, RegisterValue
 
@@ -230,7 +230,7 @@
             self.routing_state.plan = plan
         elif name == "orders":
             self.routing_state.evacuated_zones = read_orders(value=value)
-        elif name.startswith(SLOTS):
+        elif name.startswith(SHARD_REGISTER_PREFIX):
             self.routing_state.shard_owners.step(name=name, value=value)
         return [LogEvent(event="in-force", fields={"register": name, "number": value["number"]})]
 
--- a/sailward/routing/forwarding.py
+++ b/sailward/routing/forwarding.py
@@ -20,7 +20,7 @@
 )
 from sailward.invariants import Invariant, check
 from sailward.routing.endpoint_selection import EndpointSelector
-from sailward.routing.passive_health import EVENTS
+from sailward.routing.passive_health import EVENT_BY_FAULT
 from sailward.routing.proxied_request import Refusal, answer_json
 from sailward.routing.request import Attempt, Request, headers_to_caller, headers_to_worker, take_request
 from sailward.routing.retry_budget import RetryBudget
@@ -248,7 +248,7 @@
         elif isinstance(verdict, WorkerRejected):
             event = verdict.why if verdict.why in ("full", "stranger") else ""
         else:
-            event = EVENTS.get(verdict.reason, "" if verdict.reason in OUR_OWN_FAULTS else "fail")
+            event = EVENT_BY_FAULT.get(verdict.reason, "" if verdict.reason in OUR_OWN_FAULTS else "fail")
         if isinstance(verdict, (Broken, NotSent, WorkerRejected)):
             self.tally[f"{type(verdict).__name__}-{getattr(verdict, 'reason', getattr(verdict, 'why', ''))}"] += 1
         return (
--- a/sailward/routing/passive_health.py
+++ b/sailward/routing/passive_health.py
@@ -13,7 +13,7 @@
 from sailward.wire_names import WireNames
 
 CHART = Chart(name="instance")
-EVENTS = {"timed-out": "late", "refused": "refused", "no-connection": "dark", "connect-timeout": "dark"}
+EVENT_BY_FAULT = {"timed-out": "late", "refused": "refused", "no-connection": "dark", "connect-timeout": "dark"}
 
 
 @dataclass(kw_only=True)
--- a/sailward/routing/shard_owners.py
+++ b/sailward/routing/shard_owners.py
@@ -9,7 +9,7 @@
 from sailward.routing.plan import Plan, Service
 from sailward.wire_types import RegisterValue
 
-PREFIX = "slots/"
+SHARD_REGISTER_PREFIX = "slots/"
 OPEN, CLOSED = 1, 0
 
 
@@ -30,7 +30,7 @@
 
     def step(self, *, name: str, value: RegisterValue) -> None:
         """Apply the newest table of one service."""
-        self.tables[name.removeprefix(PREFIX)] = read_table(text=value["text"])
+        self.tables[name.removeprefix(SHARD_REGISTER_PREFIX)] = read_table(text=value["text"])
 
     def find(self, *, service: str, space: str, slot: int) -> SlotOwner | None:
         """The current owner of a slot; None if it was never assigned."""
--- a/sailward/routing/shards.py
+++ b/sailward/routing/shards.py
@@ -6,7 +6,7 @@
 import json
 from dataclasses import dataclass, field
 
-from sailward.routing.shard_owners import PREFIX
+from sailward.routing.shard_owners import SHARD_REGISTER_PREFIX
 from sailward.wire_types import RegisterValue
 
 KEYS = 1 << 16
@@ -52,7 +52,7 @@
 
     def step(self, *, name: str, value: RegisterValue) -> None:
         """Apply the newest table of one service."""
-        service = name.removeprefix(PREFIX)
+        service = name.removeprefix(SHARD_REGISTER_PREFIX)
         table = read_shards(text=value["text"])
         if table is None:
             self.tables.pop(service, None)
