--- a/sailward/routing/passive_health.py
+++ b/sailward/routing/passive_health.py
@@ -14,6 +14,7 @@
 
 CHART = Chart(name="instance")
 EVENT_BY_FAULT = {"timed-out": "late", "refused": "refused", "no-connection": "dark", "connect-timeout": "dark"}
+"""State machine event of a worker, by the fault of a call to it."""
 
 
 @dataclass(kw_only=True)
--- a/sailward/routing/shard_owners.py
+++ b/sailward/routing/shard_owners.py
@@ -10,6 +10,7 @@
 from sailward.wire_types import RegisterValue
 
 SHARD_REGISTER_PREFIX = "slots/"
+"""Prefix of the name of the register that holds the shard table of a service."""
 OPEN, CLOSED = 1, 0
 
 
--- a/sailward/routing/shards.py
+++ b/sailward/routing/shards.py
@@ -10,6 +10,7 @@
 from sailward.wire_types import RegisterValue
 
 KEYS = 1 << 16
+"""keys of a service that is sharded by range: 0 to KEYS - 1."""
 OPEN, MOVING = "open", "moving"
 
 
