--- a/sailward/proxy/proxy.py
+++ b/sailward/proxy/proxy.py
@@ -1,6 +1,6 @@
-"""The whole of a proxy for routes by host.
+"""A proxy process that routes by host.
 
-What the core tells, the evidence on workers, requests, the directory, stopping.
+Handles the data pushed by controllers, worker health, requests, the directory, and shutdown.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 from sailward.routing.proxied_request import answer_json
 from sailward.routing.retry_budget import RetryBudget
 from sailward.routing.routing_state import read_orders
-from sailward.routing.shard_owners import PREFIX as SLOTS
+from sailward.routing.shard_owners import SHARD_REGISTER_PREFIX
 from sailward.routing.zone_health import ZoneHealthTable
 from sailward.state_machines import Chart
 from sailward.wire_names import WireNames
@@ -54,7 +54,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ProxyOptions:
-    """What a deployment sets: the words of its wire, its bounds (s), its regions."""
+    """Settings of a deployment: the names used on the wire, the regions, and the limits (times in s).
+
+    After a request to stop, the proxy accepts connections for `deregistration_delay` more, so that clients learn that
+    it is going away, and ends after `stop_grace` at the latest.
+    """
 
     names: WireNames = WireNames()
     regions: tuple = ()
@@ -63,13 +67,13 @@
     retry_slack: float = constants.RETRY_BUDGET_MINIMUM
     retry_window: float = constants.RETRY_BUDGET_WINDOW
     hold_down: float = constants.ZONE_HOLD_DOWN
-    leave_after: float = constants.LEASE_DURATION
-    leave_wait: float = constants.DEREGISTRATION_DELAY
+    drain_timeout: float = constants.LEASE_DURATION
+    deregistration_delay: float = constants.DEREGISTRATION_DELAY
     stop_grace: float = constants.STOP_GRACE
 
 
 class Proxy:
-    """Owner of a proxy process. `step` takes one event and gives commands."""
+    """The state machine of a proxy. `step` takes one event and returns commands."""
 
     def __init__(self, *, location: Location, start: int, rng: random.Random, options: ProxyOptions) -> None:
         self.location, self.start, self.options = location, start, options
@@ -83,22 +87,22 @@
             region=location.region,
             regions=dict(options.regions),
             passive_health=self.passive_health,
-            zones=ZoneHealthTable(hold_down=options.hold_down),
-            leave_after=options.leave_after,
+            zone_health=ZoneHealthTable(hold_down=options.hold_down),
+            drain_timeout=options.drain_timeout,
         )
         budget = RetryBudget(ratio=options.retry_ratio, slack=options.retry_slack, window=options.retry_window)
         self.forwarder = Forwarder(
             endpoint_selector=EndpointSelector(context=self.context, rng=rng), names=options.names, budget=budget
         )
         self.directory = Directory(location=location)
-        self.stopping, self.stop_at = STOPPING.initial, 0.0
-        self.lists: dict = {"workers": ("", -1), "fleet": ("", -1)}
+        self.stopping, self.stop_requested_at = STOPPING.initial, 0.0
+        self.list_versions: dict = {"workers": ("", -1), "fleet": ("", -1)}
         self.unexpected, self.refused = UnexpectedEvents(), RefusedInput()
-        self._counted = -1e9
-        self._heartbeat = 0
+        self._zones_counted_at = -1e9
+        self._poll_count = 0
 
     def step(self, *, now: float, event: Event) -> list[Command]:
-        """Answer one event with commands."""
+        """Handle one event; returns the commands to execute."""
         match event:
             case RequestReceived():
                 return self._on_request(now=now, event=event)
@@ -115,17 +119,17 @@
             case TimerFired():
                 return self._on_timer(now=now)
             case RecordsSynced() | DiskWriteFailed() | ConfigValidated():
-                # a proxy has no disk, and checks no configuration
+                # a proxy has no disk, and validates no configuration
                 return self.unexpected.add(event=event)
             case _:
                 return self.unexpected.add_unknown(event=event)
 
     @property
     def is_ready(self) -> bool:
-        """May callers be sent here?"""
+        """May clients be sent to this proxy?"""
         return (
             bool(self.context.plan.number)
-            and self.lists["workers"][1] >= 0
+            and self.list_versions["workers"][1] >= 0
             and self.stopping in STOPPING.marks["named"]
         )
 
@@ -137,12 +141,12 @@
             code = 200 if self.is_ready else 503
             return [answer_json(token=event.token, code=code, body={"ready": self.is_ready, "stopping": self.stopping})]
         if event.path == "/status":
-            return [answer_json(token=event.token, code=200, body=self._show(now=now))]
+            return [answer_json(token=event.token, code=200, body=self._build_status(now=now))]
         return [self.directory.step(event=event, is_ready=self.is_ready)]
 
     def _on_message(self, *, now: float, sender: str, body: Message) -> list[Command]:
         if body["kind"] == "grant":
-            return self.control_client.step(now=now, sender=sender, body=body) + self._request_core(now=now)
+            return self.control_client.step(now=now, sender=sender, body=body) + self._poll_controllers(now=now)
         if body["kind"] == "want":
             return self.learner.send(to=sender, name=body["register"])
         if body["kind"] != "push":
@@ -151,48 +155,51 @@
             return []
         name, value = body["name"], body["value"]
         ack = SendMessage(to=sender, body={"kind": "ack", "seq": body["seq"], "name": name, "number": body["number"]})
-        if name in self.lists:
-            if sender != self.control_client.lead or self.lists[name] == (sender, value["number"]):
+        if name in self.list_versions:
+            if sender != self.control_client.followed_controller or self.list_versions[name] == (
+                sender,
+                value["number"],
+            ):
                 return [ack]
-            commands = (self._take_workers if name == "workers" else self._take_fleet)(now=now, value=value)
+            commands = (self._apply_workers if name == "workers" else self._apply_fleet)(now=now, value=value)
             if commands is None:
-                # what can't be read is not acknowledged: it is pushed again
+                # an unreadable list is not acknowledged, so that it is pushed again
                 return self.refused.add(kind=name, reason=UNREADABLE_LIST)
-            self.lists[name] = (sender, value["number"])
+            self.list_versions[name] = (sender, value["number"])
             return [*commands, ack]
         if not is_control(name=name):
             return [LogEvent(event="push-unexpected", fields={"name": name})]
-        commands = self._keep(now=now, name=name, ballot=body["ballot"], value=value)
+        commands = self._apply_register(now=now, name=name, ballot=body["ballot"], value=value)
         return [*commands, ack] if self.learner.number(name=name) >= value["number"] else commands
 
-    def _take_workers(self, *, now: float, value: RegisterValue) -> list[Command] | None:
+    def _apply_workers(self, *, now: float, value: RegisterValue) -> list[Command] | None:
         rows = read_workers(text=value["text"], check=is_incarnation)
         if rows is None:
             return None
-        came, went = self.endpoint_table.replace(now=now, workers=rows)
-        commands = self.passive_health.follow(now=now, workers=self.endpoint_table.workers)
-        self.context.follow(workers=self.endpoint_table.workers)
-        if came or went:
+        added, removed = self.endpoint_table.replace(now=now, workers=rows)
+        commands = self.passive_health.update_workers(now=now, workers=self.endpoint_table.workers)
+        self.context.update_workers(workers=self.endpoint_table.workers)
+        if added or removed:
             commands.append(
                 LogEvent(
                     event="workers",
-                    fields={"came": len(came), "went": len(went), "all": len(self.endpoint_table.workers)},
+                    fields={"came": len(added), "went": len(removed), "all": len(self.endpoint_table.workers)},
                 )
             )
         return commands + self._count_zones(now=now)
 
-    def _take_fleet(self, *, now: float, value: RegisterValue) -> list[Command] | None:
-        told = read_fleet(text=value["text"])
-        if told is None:
+    def _apply_fleet(self, *, now: float, value: RegisterValue) -> list[Command] | None:
+        fleet = read_fleet(text=value["text"])
+        if fleet is None:
             return None
-        self.control_client.learn(controllers=told.controllers)
-        self.directory.learn(rows=told.proxies)
-        self.context.peers = {name: region for name, _, _, region, is_fit in told.proxies if is_fit}
-        self.context.proxies = max(1, len(self.context.peers))
-        self.passive_health.hint(now=now, down=told.down)
+        self.control_client.update_controllers(controllers=fleet.controllers)
+        self.directory.update_proxies(proxies=fleet.proxies)
+        self.context.peers = {name: region for name, _, _, region, is_fit in fleet.proxies if is_fit}
+        self.context.proxy_count = max(1, len(self.context.peers))
+        self.passive_health.avoid_reported(now=now, keys=fleet.down)
         return []
 
-    def _keep(self, *, now: float, name: str, ballot: Ballot, value: RegisterValue) -> list[Command]:
+    def _apply_register(self, *, now: float, name: str, ballot: Ballot, value: RegisterValue) -> list[Command]:
         plan = self.context.plan
         if name == "config" and self.learner.is_newer(name=name, value=value):
             config = load_config(value=value, expand=self.options.expand)
@@ -204,27 +211,27 @@
         if name == "config":
             self.context.plan = plan
         elif name == "orders":
-            emptied = read_orders(value=value)
-            for zone in self.context.emptied - emptied:
+            evacuated_zones = read_orders(value=value)
+            for zone in self.context.evacuated_zones - evacuated_zones:
                 self.passive_health.begin_slow_start(now=now, zone=zone, plan=self.context.plan)
-            self.context.emptied = emptied
-        elif name.startswith(SLOTS):
+            self.context.evacuated_zones = evacuated_zones
+        elif name.startswith(SHARD_REGISTER_PREFIX):
             self.context.shards.step(name=name, value=value)
         log = LogEvent(event="in-force", fields={"register": name, "number": value["number"]})
         return [log, *self.forwarder.step(now=now, event=None)]
 
     def _on_timer(self, *, now: float) -> list[Command]:
-        commands = self._request_core(now=now)
+        commands = self._poll_controllers(now=now)
         commands += self.passive_health.step(now=now, event=None, plan=self.context.plan)
         commands += self.forwarder.step(now=now, event=None)
-        if now - self._counted >= constants.ZONE_HEALTH_INTERVAL:
+        if now - self._zones_counted_at >= constants.ZONE_HEALTH_INTERVAL:
             commands += self._count_zones(now=now)
         return commands + self._check_shutdown(now=now)
 
-    def _request_core(self, *, now: float) -> list[Command]:
-        if now < self.control_client.next_at:
+    def _poll_controllers(self, *, now: float) -> list[Command]:
+        if now < self.control_client.next_poll_at:
             return []
-        self._heartbeat += 1
+        self._poll_count += 1
         location = self.location
         daemon = {
             "id": location.name,
@@ -236,76 +243,77 @@
             "fit": self.is_ready,
             "version": location.version,
         }
-        lead = self.control_client.lead
+        followed = self.control_client.followed_controller
         have = {name: [learned.value["number"]] for name, learned in self.learner.values.items()}
-        # lists have numbers of each controller's own: only the leading one's are wanted, and none before there is one
+        # each controller numbers its own lists: only those of the followed one are sent, none before there is one
         have |= {
-            name: [number if teller == lead else -1, lead or "none"] for name, (teller, number) in self.lists.items()
+            name: [number if controller == followed else -1, followed or "none"]
+            for name, (controller, number) in self.list_versions.items()
         }
-        down = [key for key, shown in self.passive_health.shown.items() if not shown.is_healthy]
+        down = [key for key, health in self.passive_health.workers.items() if not health.is_healthy]
         report = {
             "down": down,
             "loads": self.forwarder.take_loads(),
-            "turn": self._heartbeat,
-            "lead": lead,
-            "paces": self._take_paces(),
+            "turn": self._poll_count,
+            "lead": followed,
+            "paces": self._take_response_times(),
             **({"last_resort": True} if self.control_client.is_last_resort(now=now) else {}),
         }
         return self.control_client.step(
             now=now, sender=None, body={"kind": "ask", "have": have, "report": report, "daemon": daemon}
         )
 
-    def _take_paces(self) -> dict:
-        """Times in ms by worker, for divided services.
+    def _take_response_times(self) -> dict:
+        """Response times in ms by worker, for sharded services.
 
-        Only of this region's workers, as others' times hold the way there.
+        Only for workers of this region, as the times of others include the latency between regions.
         """
-        workers = {key: self.passive_health.shown[key].worker for key in self.passive_health.shown}
-        divided = {name for name, service in self.context.plan.services.items() if service.ranged}
+        workers = {key: self.passive_health.workers[key].worker for key in self.passive_health.workers}
+        sharded = {name for name, service in self.context.plan.services.items() if service.is_ranged}
         return {
             key: times[-constants.LATENCY_SAMPLES_SENT :]
-            for key, times in self.passive_health.take_times().items()
+            for key, times in self.passive_health.take_response_times().items()
             if key in workers
-            and workers[key].service in divided
+            and workers[key].service in sharded
             and self.context.regions.get(workers[key].zone) == self.location.region
         }
 
     def _count_zones(self, *, now: float) -> list[Command]:
-        self._counted = now
-        return self.context.zones.step(now=now, counts=self.context.counts())
+        self._zones_counted_at = now
+        return self.context.zone_health.step(now=now, counts=self.context.counts())
 
     def _begin_stop(self, *, now: float) -> list[Command]:
-        self.stopping, self.stop_at = STOPPING.step(state=self.stopping, event="stop_asked"), now
-        self.control_client.next_at = -1e9
+        self.stopping, self.stop_requested_at = STOPPING.step(state=self.stopping, event="stop_asked"), now
+        self.control_client.next_poll_at = -1e9
         return [
             LogEvent(event="stopping", fields={"open": len(self.forwarder.live)}),
             DrainConnections(),
-            *self._request_core(now=now),
+            *self._poll_controllers(now=now),
         ]
 
     def _check_shutdown(self, *, now: float) -> list[Command]:
         if self.stopping == STOPPING.initial:
             return []
-        before, since = self.stopping, now - self.stop_at
-        if since >= self.options.leave_wait:
+        previous, elapsed = self.stopping, now - self.stop_requested_at
+        if elapsed >= self.options.deregistration_delay:
             self.stopping = STOPPING.step(state=self.stopping, event="left")
-        is_over = since >= self.options.stop_grace
-        event = "grace_over" if is_over else "" if self.forwarder.live else "all_done"
+        is_grace_over = elapsed >= self.options.stop_grace
+        event = "grace_over" if is_grace_over else "" if self.forwarder.live else "all_done"
         self.stopping = STOPPING.step(state=self.stopping, event=event)
         commands: list[Command] = (
-            [DrainConnections(shut=True)] if before == "leaving" and self.stopping != "leaving" else []
+            [DrainConnections(shut=True)] if previous == "leaving" and self.stopping != "leaving" else []
         )
         if self.stopping != "over":
             return commands
-        # what no worker has answered by now gets its answer from here: a closed connection would say nothing
+        # requests that no worker has answered by now are answered here: a closed connection would give no reason
         return [*commands, *self.forwarder.end_all(now=now), ExitProcess(code=0)]
 
-    def _show(self, *, now: float) -> dict:
+    def _build_status(self, *, now: float) -> dict:
         zones = {
-            f"{service}|{zone}": [state.state, round(state.fraction, 3)]
-            for (service, zone), state in self.context.zones.zones.items()
+            f"{service}|{zone}": [state.state, round(state.healthy_fraction, 3)]
+            for (service, zone), state in self.context.zone_health.zones.items()
         }
-        workers = {key: shown.state for key, shown in self.passive_health.shown.items()}
+        workers = {key: health.state for key, health in self.passive_health.workers.items()}
         registers = {name: learned.value["number"] for name, learned in self.learner.values.items()}
         return {
             "id": self.location.name,
@@ -314,10 +322,10 @@
             "registers": registers,
             "halls": zones,
             "label": self.context.plan.label,
-            "lead": self.control_client.lead,
-            "in_touch": self.control_client.answers(now=now),
+            "lead": self.control_client.followed_controller,
+            "in_touch": self.control_client.has_recent_answer(now=now),
             "last_resort": self.control_client.is_last_resort(now=now),
-            "proxies": self.context.proxies,
+            "proxies": self.context.proxy_count,
             "workers": workers,
             "tally": dict(self.forwarder.tally),
             "open": len(self.forwarder.calls),
--- a/sailward/routing/active_health.py
+++ b/sailward/routing/active_health.py
@@ -1,4 +1,4 @@
-"""Status of workers by this proxy's own probes."""
+"""Active health checks: worker status from this proxy's own probes."""
 
 from __future__ import annotations
 
@@ -15,69 +15,69 @@
 
 @dataclass(kw_only=True)
 class Probed:
-    """What is known of one worker of one generation."""
+    """Probe status of one generation of a worker."""
 
     worker: Worker
     state: str = CHART.initial
-    next_at: float = 0.0
-    token: str = ""
+    next_probe_at: float = 0.0
+    probe_token: str = ""
     slow_start_began_at: float = 0.0
-    listed: float = 0.0
+    listed_at: float = 0.0
 
     @property
-    def healthy(self) -> bool:
-        """May it be sent exchanges, as far as probes tell?"""
+    def is_healthy(self) -> bool:
+        """May exchanges be sent to it, according to the probes?"""
         return self.state in CHART.marks["healthy"]
 
     @property
-    def known(self) -> bool:
-        """Has any probe ended?"""
+    def is_known(self) -> bool:
+        """Has any probe finished?"""
         return self.state in CHART.marks["known"]
 
 
 class Prober:
-    """Owner of the workers' status. `step` takes a probe's end, or None for time going on."""
+    """Keeps the status of every worker. `step` takes a finished probe, or None on a timer tick."""
 
     def __init__(self, *, rng: random.Random) -> None:
         self._rng = rng
         self.probed: dict[str, Probed] = {}
-        self._probes = 0
+        self._probe_count = 0
 
     def step(self, *, now: float, event: CallFinished | None) -> list[Command]:
-        """Judge one probe, or begin those that are due."""
+        """Evaluate a finished probe, or start the probes that are due."""
         if event is not None:
-            return self._judge(now=now, event=event)
+            return self._on_probe_finished(now=now, event=event)
         commands: list[Command] = []
         for key, probed in self.probed.items():
-            if probed.token and now > probed.next_at + 2 * constants.PROBE_TIMEOUT:
-                probed.token = ""  # its end was lost on the way
-            if not probed.token and now >= probed.next_at:
-                commands.append(self._probe(now=now, key=key, probed=probed))
+            if probed.probe_token and now > probed.next_probe_at + 2 * constants.PROBE_TIMEOUT:
+                probed.probe_token = ""  # the result of this probe was lost
+            if not probed.probe_token and now >= probed.next_probe_at:
+                commands.append(self._start_probe(now=now, key=key, probed=probed))
         return commands
 
-    def follow(self, *, now: float, workers: dict[str, Worker], warm: dict) -> list[Command]:
-        """Take the newest list; `warm` tells how long others have seen a worker in good status."""
+    def update_workers(self, *, now: float, workers: dict[str, Worker], warm: dict) -> list[Command]:
+        """Apply the newest worker list; `warm` holds how long (s) others have seen a worker in good status."""
         commands: list[Command] = [CloseConnections(owner=key) for key in self.probed if key not in workers]
         self.probed = {key: probed for key, probed in self.probed.items() if key in workers}
         for key, worker in workers.items():
             probed = self.probed.get(key)
             if probed is None:
-                self.probed[key] = Probed(worker=worker, next_at=now, listed=now)
+                self.probed[key] = Probed(worker=worker, next_probe_at=now, listed_at=now)
                 self.probed[key].slow_start_began_at = now - warm.get(key, 0.0)
             else:
                 probed.worker = worker
         return commands
 
-    def mark(self, *, now: float, key: str, event: str) -> list[Command]:
-        """Fold what an exchange told of a worker: `refused` or `stranger`."""
+    def record_event(self, *, now: float, key: str, event: str) -> list[Command]:
+        """Apply the result of an exchange to a worker: `refused` or `stranger`."""
         probed = self.probed.get(key)
-        return self._move(now=now, probed=probed, event=event) if probed else []
+        return self._transition(now=now, probed=probed, event=event) if probed else []
 
-    def _probe(self, *, now: float, key: str, probed: Probed) -> StartCall:
-        self._probes += 1
-        probed.token, probed.next_at = f"probe {key} {self._probes}", now + constants.PROBE_TIMEOUT
+    def _start_probe(self, *, now: float, key: str, probed: Probed) -> StartCall:
+        self._probe_count += 1
+        probed.probe_token, probed.next_probe_at = f"probe {key} {self._probe_count}", now + constants.PROBE_TIMEOUT
         return StartCall(
-            token=probed.token,
+            token=probed.probe_token,
             owner=key,
             address=probed.worker.address,
             method="GET",
@@ -88,32 +88,32 @@
             fresh=False,
         )
 
-    def _judge(self, *, now: float, event: CallFinished) -> list[Command]:
+    def _on_probe_finished(self, *, now: float, event: CallFinished) -> list[Command]:
         key = event.token.removeprefix("probe ").rpartition(" ")[0]
         probed = self.probed.get(key)
-        if probed is None or probed.token != event.token:
+        if probed is None or probed.probe_token != event.token:
             return []
-        probed.token = ""
+        probed.probe_token = ""
         verdict = "pass" if event.code == 200 else "fail"
         if verdict == "pass" and event.headers.get("sailward-worker") != key:
             verdict = "stranger"
-        commands = self._move(now=now, probed=probed, event=verdict)
-        every = constants.PROBE_INTERVAL if probed.state in ("good", "down") else constants.PROBE_IN_DOUBT_INTERVAL
-        probed.next_at = now + every * (0.9 + 0.2 * self._rng.random())
+        commands = self._transition(now=now, probed=probed, event=verdict)
+        interval = constants.PROBE_INTERVAL if probed.state in ("good", "down") else constants.PROBE_IN_DOUBT_INTERVAL
+        probed.next_probe_at = now + interval * (0.9 + 0.2 * self._rng.random())
         return commands
 
-    def _move(self, *, now: float, probed: Probed, event: str) -> list[Command]:
-        before = probed.state
-        probed.state = CHART.step(state=before, event=event)
-        if before == probed.state:
+    def _transition(self, *, now: float, probed: Probed, event: str) -> list[Command]:
+        previous = probed.state
+        probed.state = CHART.step(state=previous, event=event)
+        if previous == probed.state:
             return []
-        if before == "rising" and probed.state == "good":
+        if previous == "rising" and probed.state == "good":
             probed.slow_start_began_at = now
-        if {before, probed.state} <= {"good", "doubt"}:
+        if {previous, probed.state} <= {"good", "doubt"}:
             return []
         return [
             LogEvent(
                 event="worker-status",
-                fields={"worker": probed.worker.key, "from": before, "to": probed.state, "by": event},
+                fields={"worker": probed.worker.key, "from": previous, "to": probed.state, "by": event},
             )
         ]
--- a/sailward/routing/concurrency_limits.py
+++ b/sailward/routing/concurrency_limits.py
@@ -1,4 +1,4 @@
-"""Rate bounds of workers, counted over all pools; cold workers rise from a small bound."""
+"""Rate limits of workers, shared by all pools; the limit of a cold worker rises from a small rate (slow start)."""
 
 from __future__ import annotations
 
@@ -10,47 +10,47 @@
 
 @dataclass(kw_only=True)
 class Bucket:
-    """What a worker may still be sent."""
+    """Token bucket: the number of requests that may be sent to a worker now, as of `updated_at`."""
 
-    level: float
-    at: float
+    tokens: float
+    updated_at: float
 
 
 class ConcurrencyLimits:
-    """Owner of this proxy's part of each worker's bound. `step` asks for one exchange's place."""
+    """Keeps this proxy's share of each worker's rate limit. `step` takes one token for an exchange."""
 
     def __init__(self) -> None:
         self._buckets: dict[str, Bucket] = {}
 
     def step(self, *, now: float, key: str, service: Service, warm: float, proxies: int) -> bool:
-        """Take a place at the worker if its bound has one."""
-        bucket = self._fill(now=now, key=key, service=service, warm=warm, proxies=proxies)
-        if bucket.level < 1.0:
+        """Take one token from the worker's bucket; False if it has none."""
+        bucket = self._refill(now=now, key=key, service=service, warm=warm, proxies=proxies)
+        if bucket.tokens < 1.0:
             return False
-        bucket.level -= 1.0
+        bucket.tokens -= 1.0
         return True
 
-    def forget(self, *, now: float, keep: set[str]) -> None:
-        """Drop the workers that are no longer listed, and the keys that have gone quiet."""
+    def drop_unused(self, *, now: float, listed: set[str]) -> None:
+        """Drop the buckets of workers that are no longer listed, and of keys unused for RETRY_BUDGET_WINDOW."""
         self._buckets = {
             key: bucket
             for key, bucket in self._buckets.items()
-            if key in keep or (key.startswith("key ") and now - bucket.at < constants.RETRY_BUDGET_WINDOW)
+            if key in listed or (key.startswith("key ") and now - bucket.updated_at < constants.RETRY_BUDGET_WINDOW)
         }
 
-    def _fill(self, *, now: float, key: str, service: Service, warm: float, proxies: int) -> Bucket:
+    def _refill(self, *, now: float, key: str, service: Service, warm: float, proxies: int) -> Bucket:
         rate = rate_of(service=service, warm=warm) * constants.RATE_LIMIT_UTILIZATION / max(1, proxies)
         burst = max(1.0, rate * constants.RATE_LIMIT_BURST)
         bucket = self._buckets.get(key)
         if bucket is None:
-            bucket = self._buckets[key] = Bucket(level=1.0, at=now)
-        bucket.level = min(burst, bucket.level + rate * (now - bucket.at))
-        bucket.at = now
+            bucket = self._buckets[key] = Bucket(tokens=1.0, updated_at=now)
+        bucket.tokens = min(burst, bucket.tokens + rate * (now - bucket.updated_at))
+        bucket.updated_at = now
         return bucket
 
 
 def rate_of(*, service: Service, warm: float) -> float:
-    """The bound of a worker that has been in good status for `warm` seconds."""
+    """The rate limit (requests per s) of a worker that has been in good status for `warm` seconds."""
     if service.slow_start_ramp <= 0 or warm >= service.slow_start_ramp:
         return service.rate
     slow_start = min(service.slow_start_rate, service.rate)
--- a/sailward/routing/endpoint_selection.py
+++ b/sailward/routing/endpoint_selection.py
@@ -1,4 +1,4 @@
-"""Which worker serves a request: pool by weight, zone by tier and health, worker by two random choices."""
+"""Selects the worker for a request: pool by weight, zone by tier and health, worker by two random choices."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from sailward.discovery.endpoint_table import Worker
 from sailward.discovery.rendezvous import choose_names
 from sailward.routing.concurrency_limits import Bucket
-from sailward.routing.passive_health import PassiveHealth, Shown
+from sailward.routing.passive_health import PassiveHealth, WorkerHealth
 from sailward.routing.plan import Plan, Pool
 from sailward.routing.proxied_request import Refusal
 from sailward.routing.request import Request
@@ -22,86 +22,93 @@
 
 @dataclass(kw_only=True)
 class SelectionContext:
-    """What a proxy knows, folded from what it heard; placing reads it."""
+    """The routing data that a proxy has received from controllers; endpoint selection reads it.
+
+    `regions` maps zones to regions, and `peers` the proxies that are fit to serve to their regions. A worker that owns
+    keys gets no more requests once it has been listed as leaving for `drain_timeout` (s).
+    """
 
     name: str
     zone: str
     region: str
     regions: dict
     passive_health: PassiveHealth
-    zones: ZoneHealthTable
+    zone_health: ZoneHealthTable
     plan: Plan = field(default_factory=Plan)
-    emptied: frozenset = frozenset()
+    evacuated_zones: frozenset = frozenset()
     shards: ShardTables = field(default_factory=ShardTables)
-    by_service: dict = field(default_factory=dict)
+    workers_by_service: dict = field(default_factory=dict)
     peers: dict = field(default_factory=dict)
-    proxies: int = 1
-    leave_after: float = constants.LEASE_DURATION
+    proxy_count: int = 1
+    drain_timeout: float = constants.LEASE_DURATION
 
-    def follow(self, *, workers: dict[str, Worker]) -> None:
-        """Take the newest list."""
-        self.by_service = groupby(lambda worker: worker.service, workers.values())
+    def update_workers(self, *, workers: dict[str, Worker]) -> None:
+        """Replace the worker list with the newest one."""
+        self.workers_by_service = groupby(lambda worker: worker.service, workers.values())
 
     def counts(self) -> dict:
-        """{(service, zone): (listed, healthy, known)}; a leaving worker is listed and unhealthy."""
+        """{(service, zone): (listed, healthy, known)}; a leaving worker counts as listed and unhealthy."""
         counts: dict = {}
-        for shown in self.passive_health.shown.values():
-            zone_key = (shown.worker.service, shown.worker.zone)
+        for health in self.passive_health.workers.values():
+            zone_key = (health.worker.service, health.worker.zone)
             listed, healthy, known = counts.get(zone_key, (0, 0, 0))
-            counts[zone_key] = (listed + 1, healthy + (shown.is_healthy and not shown.worker.leaving), known + 1)
+            counts[zone_key] = (listed + 1, healthy + (health.is_healthy and not health.worker.leaving), known + 1)
         return counts
 
 
 @dataclass(kw_only=True)
 class EndpointSelector:
-    """Owner of the open counts and cold bounds. `step` gives a worker, or why there is none."""
+    """Keeps the counts of open requests and the rate limits of cold workers.
+
+    `step` returns a worker, or the reason why there is none.
+    """
 
     context: SelectionContext
     rng: random.Random
-    open: dict = field(default_factory=dict)
-    slow_start: dict = field(default_factory=dict)
+    open_requests: dict = field(default_factory=dict)
+    slow_start_buckets: dict = field(default_factory=dict)
 
     def step(self, *, now: float, request: Request) -> Worker | Refusal:
-        """The worker that is to run this request now; a refusal with `line` may be asked again shortly."""
+        """Select the worker that runs this request now, or return why none can; some reasons pass within moments."""
         context = self.context
         if not request.is_drawn:
-            # by weight, before any health is looked at; retries stay with it
+            # drawn by weight before health is considered; retries stay with the drawn service
             request.service, request.is_drawn = self._draw_service(request=request), True
-        if request.service.ranged:
+        if request.service.is_ranged:
             return self._find_owner(now=now, request=request)
         pool = next(
             pool
             for pool in (context.plan.pools.get(name) for name, _ in request.match.shares)
             if pool is not None and pool.service == request.service.name
         )
-        pool = self._near(pool=pool, homes=request.match.homes)
-        able = self._eligible(now=now, request=request)
+        pool = self._resolve_tiers(pool=pool, homes=request.match.homes)
+        eligible = self._eligible_by_zone(now=now, request=request)
         views = self._views(now=now, service=request.service.name, homes=request.match.homes)
         shares = share_zones(pool=pool, views=views)
         if not shares:
             return Refusal(code=503, reason="no-worker")
-        first = draw_zone(shares=shares, rng=self.rng)
-        others = sorted(
-            (zone for zone in views if zone != first and views[zone].allowed),
+        first_zone = draw_zone(shares=shares, rng=self.rng)
+        other_zones = sorted(
+            (zone for zone in views if zone != first_zone and views[zone].is_allowed),
             key=lambda zone: (zone not in shares, zone not in pool.preferred, zone),
         )
-        for zone in (first, *others):
-            worker = self._choose(now=now, request=request, able=able.get(zone, []))
+        for zone in (first_zone, *other_zones):
+            worker = self._choose_worker(now=now, request=request, eligible=eligible.get(zone, []))
             if worker is not None:
                 return worker
-        return Refusal(code=503, reason="no-room" if any(able.values()) else "no-worker")
+        return Refusal(code=503, reason="no-room" if any(eligible.values()) else "no-worker")
 
-    def took(self, *, key: str) -> None:
-        """A request was sent on to this worker."""
-        self.open[key] = self.open.get(key, 0) + 1
+    def record_sent(self, *, key: str) -> None:
+        """Count a request that was forwarded to this worker."""
+        self.open_requests[key] = self.open_requests.get(key, 0) + 1
 
-    def left(self, *, key: str) -> None:
-        """A request ended at this worker."""
-        count = self.open.get(key, 1) - 1
+    def record_ended(self, *, key: str) -> None:
+        """Stop counting a request that has ended at this worker."""
+        count = self.open_requests.get(key, 1) - 1
         if count > 0:
-            self.open[key] = count
+            self.open_requests[key] = count
         else:
-            self.open.pop(key, None)
+            self.open_requests.pop(key, None)
 
     def _draw_service(self, *, request: Request):
         plan = self.context.plan
@@ -110,143 +117,158 @@
         pool = plan.pools.get(name)
         return plan.services[pool.service] if pool is not None else request.service
 
-    def _near(self, *, pool: Pool, homes: frozenset) -> Pool:
-        """The pool with its tiers as they stand from here, or from home where that is elsewhere."""
-        if not pool.near:
+    def _resolve_tiers(self, *, pool: Pool, homes: frozenset) -> Pool:
+        """The pool with its tiers relative to this region, or to a home region if this is not one."""
+        if not pool.is_near:
             return pool
         region = self.context.region if not homes or self.context.region in homes else sorted(homes)[0]
         zones = sorted(self.context.regions)
         return Pool(
             name=pool.name,
             service=pool.service,
-            near=True,
+            is_near=True,
             preferred=tuple(zone for zone in zones if self.context.regions[zone] == region),
             fallback=tuple(zone for zone in zones if self.context.regions[zone] != region),
         )
 
     def _may_serve(self, *, zone: str, homes: frozenset) -> bool:
-        return zone not in self.context.emptied and (not homes or self.context.regions.get(zone) in homes)
+        return zone not in self.context.evacuated_zones and (not homes or self.context.regions.get(zone) in homes)
 
     def _views(self, *, now: float, service: str, homes: frozenset) -> dict[str, ZoneView]:
         views = {}
-        past_slow_start = self._slow_start_ages(now=now, service=service)
-        for (name, zone), state in self.context.zones.zones.items():
+        capacity_by_zone = self._warm_capacity_by_zone(now=now, service=service)
+        for (name, zone), state in self.context.zone_health.zones.items():
             if name == service:
                 views[zone] = ZoneView(
-                    fraction=state.fraction,
+                    healthy_fraction=state.healthy_fraction,
                     healthy=state.healthy,
                     listed=state.listed,
-                    drained=state.drained,
-                    allowed=self._may_serve(zone=zone, homes=homes),
-                    weight=max(0.1, past_slow_start.get(zone, 0)),
+                    is_drained=state.is_drained,
+                    is_allowed=self._may_serve(zone=zone, homes=homes),
+                    weight=max(0.1, capacity_by_zone.get(zone, 0)),
                 )
         return views
 
-    def _mean(self, *, service: str) -> float:
-        shown = [
-            self.context.passive_health.shown.get(worker.key) for worker in self.context.by_service.get(service, ())
+    def _mean_unloaded_time(self, *, service: str) -> float:
+        observed = [
+            self.context.passive_health.workers.get(worker.key)
+            for worker in self.context.workers_by_service.get(service, ())
         ]
-        calms = [candidate.calm for candidate in shown if candidate is not None and candidate.calm]
-        return sum(calms) / len(calms) if calms else 0.0
+        unloaded_times = [
+            candidate.unloaded_response_time
+            for candidate in observed
+            if candidate is not None and candidate.unloaded_response_time
+        ]
+        return sum(unloaded_times) / len(unloaded_times) if unloaded_times else 0.0
 
-    def _slow_start_ages(self, *, now: float, service: str) -> dict[str, float]:
-        """What the warm workers of each zone bear beside each other: their number, by their speeds."""
-        past_slow_start: dict[str, float] = {}
-        mean = self._mean(service=service)
-        for worker in self.context.by_service.get(service, ()):
-            shown = self.context.passive_health.shown.get(worker.key)
+    def _warm_capacity_by_zone(self, *, now: float, service: str) -> dict[str, float]:
+        """The relative capacity of each zone: the sum of the speeds of its warm workers."""
+        capacity_by_zone: dict[str, float] = {}
+        mean = self._mean_unloaded_time(service=service)
+        for worker in self.context.workers_by_service.get(service, ()):
+            health = self.context.passive_health.workers.get(worker.key)
             if (
-                shown is not None
-                and shown.is_healthy
+                health is not None
+                and health.is_healthy
                 and not worker.leaving
-                and now >= max(shown.slow_start_until, shown.shunned_until)
+                and now >= max(health.slow_start_until, health.avoided_until)
             ):
-                past_slow_start[worker.zone] = past_slow_start.get(worker.zone, 0.0) + shown.speed(mean=mean)
-        return past_slow_start
+                capacity_by_zone[worker.zone] = capacity_by_zone.get(worker.zone, 0.0) + health.relative_speed(
+                    mean=mean
+                )
+        return capacity_by_zone
 
-    def _eligible(self, *, now: float, request: Request) -> dict[str, list[Shown]]:
-        able: dict[str, list[Shown]] = {}
-        for worker in self.context.by_service.get(request.service.name, ()):
-            shown = self.context.passive_health.shown.get(worker.key)
+    def _eligible_by_zone(self, *, now: float, request: Request) -> dict[str, list[WorkerHealth]]:
+        eligible: dict[str, list[WorkerHealth]] = {}
+        for worker in self.context.workers_by_service.get(request.service.name, ()):
+            health = self.context.passive_health.workers.get(worker.key)
             if (
-                shown is not None
-                and shown.is_healthy
+                health is not None
+                and health.is_healthy
                 and not worker.leaving
                 and worker.key not in request.tried
                 and self._may_serve(zone=worker.zone, homes=request.match.homes)
             ):
-                able.setdefault(worker.zone, []).append(shown)
-        return able
+                eligible.setdefault(worker.zone, []).append(health)
+        return eligible
 
-    def _choose(self, *, now: float, request: Request, able: list[Shown]) -> Worker | None:
-        free = [shown for shown in able if now >= shown.busy_until and self._has_capacity(shown=shown)]
-        past_slow_start = [shown for shown in free if now >= shown.slow_start_until]
-        past_slow_start = [shown for shown in past_slow_start if now >= shown.shunned_until] or past_slow_start
-        if past_slow_start:
-            mean = self._mean(service=request.service.name)
-            first = self.rng.choices(past_slow_start, weights=[shown.speed(mean=mean) for shown in past_slow_start])[0]
-            others = [shown for shown in past_slow_start if shown is not first]
+    def _choose_worker(self, *, now: float, request: Request, eligible: list[WorkerHealth]) -> Worker | None:
+        available = [health for health in eligible if now >= health.busy_until and self._has_capacity(health=health)]
+        warm = [health for health in available if now >= health.slow_start_until]
+        warm = [health for health in warm if now >= health.avoided_until] or warm
+        if warm:
+            mean = self._mean_unloaded_time(service=request.service.name)
+            first = self.rng.choices(warm, weights=[health.relative_speed(mean=mean) for health in warm])[0]
+            others = [health for health in warm if health is not first]
             second = (
-                self.rng.choices(others, weights=[shown.speed(mean=mean) for shown in others])[0] if others else first
+                self.rng.choices(others, weights=[health.relative_speed(mean=mean) for health in others])[0]
+                if others
+                else first
             )
             return min((first, second), key=self._load).worker
-        slow_start = [shown for shown in free if now < shown.slow_start_until]
-        self.rng.shuffle(slow_start)
-        for shown in slow_start:
-            if self._is_within_limits(now=now, shown=shown, request=request):
-                return shown.worker
+        cold = [health for health in available if now < health.slow_start_until]
+        self.rng.shuffle(cold)
+        for health in cold:
+            if self._take_slow_start_token(now=now, health=health, request=request):
+                return health.worker
         return None
 
-    def _load(self, shown: Shown) -> float:
-        return (self.open.get(shown.worker.key, 0) + 1) * (shown.pace or constants.DEFAULT_WORKER_LATENCY)
+    def _load(self, health: WorkerHealth) -> float:
+        return (self.open_requests.get(health.worker.key, 0) + 1) * (
+            health.mean_response_time or constants.DEFAULT_WORKER_LATENCY
+        )
 
-    def _has_capacity(self, *, shown: Shown) -> bool:
-        """May this proxy have one more open at the worker?
+    def _has_capacity(self, *, health: WorkerHealth) -> bool:
+        """May this proxy have one more request open at the worker?
 
-        Its even part of what all may, or the window that the worker's pace allows.
+        The limit is this proxy's even share of the worker's total, scaled, but at most the concurrency window
+        that the worker's response times allow.
         """
-        total_capacity = (shown.worker.capacity or constants.DEFAULT_WORKER_CAPACITY) * constants.WORKER_QUEUE_DEPTH
-        part = -(-total_capacity // max(1, self.context.proxies))
-        most = min(max(constants.CONCURRENCY_WINDOW_MIN, constants.CONCURRENCY_SHARE_FACTOR * part), shown.window)
-        return self.open.get(shown.worker.key, 0) < max(1.0, most)
+        total_capacity = (health.worker.capacity or constants.DEFAULT_WORKER_CAPACITY) * constants.WORKER_QUEUE_DEPTH
+        share = -(-total_capacity // max(1, self.context.proxy_count))
+        limit = min(max(constants.CONCURRENCY_WINDOW_MIN, constants.CONCURRENCY_SHARE_FACTOR * share), health.window)
+        return self.open_requests.get(health.worker.key, 0) < max(1.0, limit)
+
+    def _take_slow_start_token(self, *, now: float, health: WorkerHealth, request: Request) -> bool:
+        """Does the rate limit of a cold worker admit a request from this proxy?
 
-    def _is_within_limits(self, *, now: float, shown: Shown, request: Request) -> bool:
-        """Has the cold worker's bound room for one from here? Only the few proxies that hashing names send to it."""
-        context, key = self.context, shown.worker.key
+        Only the few proxies that rendezvous hashing chooses send to a cold worker.
+        """
+        context, key = self.context, health.worker.key
         names = [
-            name for name, region in context.peers.items() if region == context.regions.get(shown.worker.zone)
+            name for name, region in context.peers.items() if region == context.regions.get(health.worker.zone)
         ] or list(context.peers)
         if names and context.name not in choose_names(key=key, names=names, count=constants.SLOW_START_PROXIES):
             return False
         rate = request.service.slow_start_rate / constants.SLOW_START_PROXIES
-        bucket = self.slow_start.get(key)
+        bucket = self.slow_start_buckets.get(key)
         if bucket is None:
-            bucket = self.slow_start[key] = Bucket(level=1.0, at=now)
-        bucket.level, bucket.at = min(1.0, bucket.level + rate * (now - bucket.at)), now
-        if bucket.level < 1.0:
+            bucket = self.slow_start_buckets[key] = Bucket(tokens=1.0, updated_at=now)
+        bucket.tokens, bucket.updated_at = min(1.0, bucket.tokens + rate * (now - bucket.updated_at)), now
+        if bucket.tokens < 1.0:
             return False
-        bucket.level -= 1.0
+        bucket.tokens -= 1.0
         return True
 
     def _find_owner(self, *, now: float, request: Request) -> Worker | Refusal:
         context = self.context
         if request.key < 0:
-            return Refusal(code=400, reason="part-missing", detail="this service is divided: give the key")
+            return Refusal(code=400, reason="part-missing", detail="this service is sharded: send the key")
         shard = context.shards.find(service=request.service.name, key=request.key)
         if shard is None or not shard.owner:
             return Refusal(code=503, reason="key-unowned")
         if shard.state != "open":
             return Refusal(code=503, reason="key-moving")
-        shown = context.passive_health.shown.get(shard.owner)
+        health = context.passive_health.workers.get(shard.owner)
         if (
-            shown is None
-            or not shown.is_healthy
-            or not self._may_serve(zone=shown.worker.zone, homes=request.match.homes)
+            health is None
+            or not health.is_healthy
+            or not self._may_serve(zone=health.worker.zone, homes=request.match.homes)
         ):
             return Refusal(code=503, reason="owner-lost")
-        worker = shown.worker
-        if now - shown.leaving_since > context.leave_after:
-            # its keys should have moved by now: it must not be sent anything any more
+        worker = health.worker
+        if now - health.leaving_since > context.drain_timeout:
+            # its keys should have moved by now: it must not be sent any more requests
             return Refusal(code=503, reason="owner-lost")
         if (
             request.rejected
@@ -254,8 +276,8 @@
             and now - request.waits_since < constants.KEY_OWNER_BACKOFF
         ):
             return Refusal(code=503, reason="key-moving")
-        if not self._has_capacity(shown=shown) or now < shown.busy_until:
+        if not self._has_capacity(health=health) or now < health.busy_until:
             return Refusal(code=503, reason="no-room")
-        if now < shown.slow_start_until and not self._is_within_limits(now=now, shown=shown, request=request):
+        if now < health.slow_start_until and not self._take_slow_start_token(now=now, health=health, request=request):
             return Refusal(code=503, reason="owner-cold")
         return worker
--- a/sailward/routing/explain.py
+++ b/sailward/routing/explain.py
@@ -1,4 +1,4 @@
-"""Why a request would go where: the selection, told without making it."""
+"""Explains how a request would be routed, without routing it."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 from sailward.routing.plan import Match, Service, Tenant
 from sailward.routing.proxied_request import part_of
 from sailward.routing.routing_state import RoutingState
-from sailward.routing.shard_owners import pool_at, slot_of, space_of
+from sailward.routing.shard_owners import pool_of_slot, slot_of, space_of
 from sailward.routing.weighted_draw import ZoneView, share_zones
 
 
 def explain(*, now: float, query: dict[str, str], load_balancer: LoadBalancer, acting: bool) -> dict:
-    """What this proxy would do with such a request now, by the operators' words."""
+    """The routing of a request with these query parameters at this proxy now, in the terms of the configuration."""
     routing_state = load_balancer.routing_state
     explanation: dict = {
         "acting": acting,
         "config": routing_state.plan.number,
-        "emptied": sorted(routing_state.emptied),
+        "emptied": sorted(routing_state.evacuated_zones),
     }
     tenant = routing_state.plan.tenants.get(query.get("tenant", ""))
     if tenant is None:
@@ -31,7 +31,7 @@
     if service.slots:
         shard = _explain_shard(routing_state=routing_state, service=service, tenant=tenant, match=match, path=path)
         return {**explanation, **shard}
-    views = routing_state.views_of(now=now, service=service.name, tenant=tenant)
+    views = routing_state.zone_views(now=now, service=service.name, tenant=tenant)
     return {
         **explanation,
         "pools": _explain_pools(routing_state=routing_state, match=match, views=views),
@@ -45,11 +45,11 @@
 ) -> dict[str, str | bool | int]:
     key = part_of(path=path, match=match)
     slot, space = slot_of(key=key, slots=service.slots), space_of(homes=tenant.homes, service=service)
-    owned = routing_state.slots.find(service=service.name, space=space, slot=slot)
+    owned = routing_state.shard_owners.find(service=service.name, space=space, slot=slot)
     return {
         "key": key,
         "slot": f"{space}/{slot}",
-        "pool": pool_at(shares=match.shares, slot=slot, slots=service.slots),
+        "pool": pool_of_slot(shares=match.shares, slot=slot, slots=service.slots),
         "owner": owned.owner if owned else "",
         "open": bool(owned and owned.is_open),
         "term": owned.term if owned else 0,
@@ -73,9 +73,9 @@
         zone: {
             "healthy": view.healthy,
             "listed": view.listed,
-            "fraction": round(view.fraction, 3),
-            "drained": view.drained,
-            "allowed": view.allowed,
+            "fraction": round(view.healthy_fraction, 3),
+            "drained": view.is_drained,
+            "allowed": view.is_allowed,
         }
         for zone, view in sorted(views.items())
     }
@@ -89,7 +89,7 @@
             "hall": worker.zone,
             "status": probed[key].state,
             "leaving": worker.leaving,
-            "open": load_balancer.open.get(key, 0),
+            "open": load_balancer.open_requests.get(key, 0),
             "bound": round(rate_of(service=service, warm=now - probed[key].slow_start_began_at), 1),
         }
         for key, worker in sorted(routing_state.endpoint_table.workers.items())
--- a/sailward/routing/forwarding.py
+++ b/sailward/routing/forwarding.py
@@ -20,7 +20,7 @@
 )
 from sailward.invariants import Invariant, check
 from sailward.routing.endpoint_selection import EndpointSelector
-from sailward.routing.passive_health import EVENTS
+from sailward.routing.passive_health import EVENT_BY_FAULT
 from sailward.routing.proxied_request import Refusal, answer_json
 from sailward.routing.request import Attempt, Request, headers_to_caller, headers_to_worker, take_request
 from sailward.routing.retry_budget import RetryBudget
@@ -87,7 +87,7 @@
             return [self._refusal(token=event.token, refusal=taken)]
         self.live[taken.token] = taken
         self.tally["taken"] += 1
-        if taken.service.ranged and taken.key >= 0:
+        if taken.service.is_ranged and taken.key >= 0:
             buckets = self.loads.setdefault(taken.service.name, Counter())
             buckets[taken.key // constants.KEYS_PER_BUCKET] += 1
         return self._select_and_forward(now=now, request=taken)
@@ -134,7 +134,7 @@
             now=now,
             service=request.service.name,
             first=is_first,
-            proxies=self.endpoint_selector.context.proxies,
+            proxies=self.endpoint_selector.context.proxy_count,
             is_hedge=is_hedge,
         )
 
@@ -145,13 +145,13 @@
         token = f"x {self.count}"
         request.sent, request.waits_since = request.sent + 1, -1.0
         request.attempts[token] = Attempt(worker=worker.key, at=now)
-        if not request.service.ranged:
+        if not request.service.is_ranged:
             request.tried.add(worker.key)
         may_hedge = request.match.is_repeatable and request.sent < request.max_attempts
         request.hedge_at = now + self._hedge_after(request=request) if may_hedge else float("inf")
         self.calls[token] = request
         self.by_worker.setdefault(worker.key, {})[token] = None
-        self.endpoint_selector.took(key=worker.key)
+        self.endpoint_selector.record_sent(key=worker.key)
         self.tally["sent"] += 1
         context, left = self.endpoint_selector.context, request.expiry - now
         return [
@@ -174,7 +174,7 @@
 
     def _hedge_after(self, *, request: Request) -> float:
         # a key has one owner: it is asked again only when its answer has most likely been lost
-        share = constants.KEY_OWNER_RETRY_RATIO if request.service.ranged else constants.HEDGE_DELAY_RATIO
+        share = constants.KEY_OWNER_RETRY_RATIO if request.service.is_ranged else constants.HEDGE_DELAY_RATIO
         return max(constants.HEDGE_MIN_DELAY, share * (request.match.target or constants.HEDGE_MIN_DELAY))
 
     def _return(self, *, now: float, event: CallFinished) -> list[Command]:  # noqa: C901 - one branch over the bound
@@ -206,7 +206,7 @@
         return commands + self._give_up(now=now, request=request, refusal=_refusal_of(verdict=verdict))
 
     def _forget(self, *, token: str, worker: str) -> None:
-        self.endpoint_selector.left(key=worker)
+        self.endpoint_selector.record_ended(key=worker)
         tokens = self.by_worker.get(worker, {})
         tokens.pop(token, None)
         if not tokens:
@@ -226,7 +226,7 @@
 
         One that many overtake is likely lost there.
         """
-        shown = self.endpoint_selector.context.passive_health.shown.get(attempt.worker)
+        shown = self.endpoint_selector.context.passive_health.workers.get(attempt.worker)
         for token in self.by_worker.get(attempt.worker, ()):
             request = self.calls.get(token)
             other = request.attempts.get(token) if request is not None else None
@@ -238,7 +238,8 @@
                 self.endpoint_selector.context.passive_health.record_event(now=now, key=attempt.worker, event="lost")
                 if request.hedge_at < float("inf"):
                     request.hedge_at = min(
-                        request.hedge_at, max(now, other.at + constants.LOST_REQUEST_LATENCY_RATIO * shown.calm)
+                        request.hedge_at,
+                        max(now, other.at + constants.LOST_REQUEST_LATENCY_RATIO * shown.unloaded_response_time),
                     )
 
     def _record(self, *, now: float, attempt: Attempt, verdict: object) -> list[Command]:
@@ -247,12 +248,12 @@
         elif isinstance(verdict, WorkerRejected):
             event = verdict.why if verdict.why in ("full", "stranger") else ""
         else:
-            event = EVENTS.get(verdict.reason, "" if verdict.reason in OUR_OWN_FAULTS else "fail")
+            event = EVENT_BY_FAULT.get(verdict.reason, "" if verdict.reason in OUR_OWN_FAULTS else "fail")
         if isinstance(verdict, (Broken, NotSent, WorkerRejected)):
             self.tally[f"{type(verdict).__name__}-{getattr(verdict, 'reason', getattr(verdict, 'why', ''))}"] += 1
         return (
             self.endpoint_selector.context.passive_health.record_event(
-                now=now, key=attempt.worker, event=event, took=now - attempt.at
+                now=now, key=attempt.worker, event=event, elapsed=now - attempt.at
             )
             if event
             else []
--- a/sailward/routing/load_balancer.py
+++ b/sailward/routing/load_balancer.py
@@ -1,4 +1,4 @@
-"""Choosing the worker: pool by weight, zone by share, worker by two random choices."""
+"""Selects the worker for a request: pool by weight, zone by share, worker by two random choices."""
 
 from __future__ import annotations
 
@@ -10,57 +10,57 @@
 from sailward.routing.concurrency_limits import ConcurrencyLimits
 from sailward.routing.proxied_request import ProxiedRequest, Refusal
 from sailward.routing.routing_state import RoutingState
-from sailward.routing.shard_owners import pool_at, slot_of, space_of
+from sailward.routing.shard_owners import pool_of_slot, slot_of, space_of
 from sailward.routing.weighted_draw import draw_pool, draw_zone, share_zones
 
 
 @dataclass(kw_only=True)
 class LoadBalancer:
-    """Owner of the open counts and bounds by worker. `step` gives a worker or a refusal."""
+    """Keeps the counts of open requests and the rate limits by worker. `step` returns a worker or a refusal."""
 
     rng: random.Random
     routing_state: RoutingState
-    bounds: ConcurrencyLimits = field(default_factory=ConcurrencyLimits)
-    open: dict = field(default_factory=dict)
+    rate_limits: ConcurrencyLimits = field(default_factory=ConcurrencyLimits)
+    open_requests: dict = field(default_factory=dict)
 
     def step(self, *, now: float, exchange: ProxiedRequest) -> Worker | Refusal:
-        """The worker that is to run this exchange; takes its place in the bound."""
+        """Select the worker that runs this exchange, and count the exchange against its rate limit."""
         if exchange.service.slots:
             return self._find_owner(now=now, exchange=exchange)
         if not exchange.pool:
             exchange.pool = draw_pool(match=exchange.match, rng=self.rng)
         pool = self.routing_state.plan.pools[exchange.pool]
-        views = self.routing_state.views_of(now=now, service=pool.service, tenant=exchange.tenant)
+        views = self.routing_state.zone_views(now=now, service=pool.service, tenant=exchange.tenant)
         shares = share_zones(pool=pool, views=views)
         if not shares:
-            return Refusal(code=503, reason="no-hall", detail="no hall that may serve this tenant has a healthy worker")
-        first = draw_zone(shares=shares, rng=self.rng)
-        others = [
+            return Refusal(code=503, reason="no-hall", detail="no zone that may serve this tenant has a healthy worker")
+        first_zone = draw_zone(shares=shares, rng=self.rng)
+        other_zones = [
             zone
             for zone in (*pool.preferred, *pool.fallback)
-            if zone != first and zone in views and views[zone].allowed and views[zone].healthy
+            if zone != first_zone and zone in views and views[zone].is_allowed and views[zone].healthy
         ]
-        others.sort(key=lambda zone: (zone not in shares, views[zone].drained))
-        for zone in (first, *others):
-            worker = self._choose(now=now, exchange=exchange, zone=zone)
+        other_zones.sort(key=lambda zone: (zone not in shares, views[zone].is_drained))
+        for zone in (first_zone, *other_zones):
+            worker = self._choose_worker(now=now, exchange=exchange, zone=zone)
             if worker is not None:
                 return worker
-        return Refusal(code=503, reason="no-room", detail="every worker that may serve is at its bound")
+        return Refusal(code=503, reason="no-room", detail="every worker that may serve is at its rate limit")
 
     def _find_owner(self, *, now: float, exchange: ProxiedRequest) -> Worker | Refusal:
         routing_state, service = self.routing_state, exchange.service
         exchange.slot = slot_of(key=exchange.part, slots=service.slots)
-        exchange.pool = pool_at(shares=exchange.match.shares, slot=exchange.slot, slots=service.slots)
+        exchange.pool = pool_of_slot(shares=exchange.match.shares, slot=exchange.slot, slots=service.slots)
         homes = exchange.tenant.homes
         exchange.space = space_of(homes=homes, service=service)
-        owned = routing_state.slots.find(service=service.name, space=exchange.space, slot=exchange.slot)
+        owned = routing_state.shard_owners.find(service=service.name, space=exchange.space, slot=exchange.slot)
         if owned is None or not owned.owner:
             return Refusal(code=503, reason="key-unowned", detail="no worker that may serve owns this key yet")
         if not owned.is_open:
-            return Refusal(code=503, reason="key-moving", detail="this key is on its way to another worker")
+            return Refusal(code=503, reason="key-moving", detail="this key is moving to another worker")
         worker = routing_state.endpoint_table.workers.get(owned.owner)
         if worker is None or owned.owner in exchange.tried or not self._may_serve(worker=worker, homes=homes):
-            return Refusal(code=503, reason="owner-lost", detail="this key's worker can't be used; it will move")
+            return Refusal(code=503, reason="owner-lost", detail="this key's worker can't be used; the key will move")
         refusal = self._refuse_over_limit(now=now, exchange=exchange, owner=owned.owner)
         if refusal is not None:
             return refusal
@@ -68,71 +68,71 @@
         return worker
 
     def _may_serve(self, *, worker: Worker, homes: frozenset[str]) -> bool:
-        """Is the owner of a key healthy, and where the request's tenant may be served?"""
+        """Is the owner of a key healthy, and in a zone that may serve the request's tenant?"""
         routing_state = self.routing_state
         probed = routing_state.prober.probed.get(worker.key)
         return (
             not worker.leaving
-            and worker.zone not in routing_state.emptied
+            and worker.zone not in routing_state.evacuated_zones
             and probed is not None
-            and probed.healthy
+            and probed.is_healthy
             and (not homes or routing_state.plan.regions.get(worker.zone) in homes)
         )
 
     def _refuse_over_limit(self, *, now: float, exchange: ProxiedRequest, owner: str) -> Refusal | None:
-        """Why a key's owner takes nothing more now, by the key's own bound and the worker's; None if it does."""
+        """The refusal if the rate limit of the key or of its owner is reached; None if the exchange may be sent."""
         routing_state, service = self.routing_state, exchange.service
-        hot = replace(service, rate=service.rate * constants.HOT_KEY_SHARE)
-        if not self.bounds.step(
+        key_limit = replace(service, rate=service.rate * constants.HOT_KEY_SHARE)
+        if not self.rate_limits.step(
             now=now,
             key=f"key {service.name} {exchange.part}",
-            service=hot,
+            service=key_limit,
             warm=service.slow_start_ramp,
-            proxies=routing_state.proxies,
+            proxies=routing_state.proxy_count,
         ):
-            return Refusal(code=503, reason="hot-key", detail="this key has taken its part of its worker's bound")
-        if not self.bounds.step(
+            return Refusal(code=503, reason="hot-key", detail="this key is at its share of its worker's rate limit")
+        if not self.rate_limits.step(
             now=now,
             key=owner,
             service=service,
             warm=now - routing_state.prober.probed[owner].slow_start_began_at,
-            proxies=routing_state.proxies,
+            proxies=routing_state.proxy_count,
         ):
-            return Refusal(code=503, reason="owner-full", detail="this key's worker is at its bound")
+            return Refusal(code=503, reason="owner-full", detail="this key's worker is at its rate limit")
         return None
 
-    def stands(self, *, exchange: ProxiedRequest) -> bool:
-        """May the worker chosen a moment ago still be sent this exchange?"""
+    def is_choice_valid(self, *, exchange: ProxiedRequest) -> bool:
+        """May this exchange still be sent to the worker that was chosen for it earlier?"""
         routing_state, worker = self.routing_state, exchange.chosen
         probed = routing_state.prober.probed.get(worker.key)
         if (
             worker.key not in routing_state.endpoint_table.workers
             or routing_state.endpoint_table.workers[worker.key].leaving
-            or worker.zone in routing_state.emptied
+            or worker.zone in routing_state.evacuated_zones
             or probed is None
-            or not probed.healthy
+            or not probed.is_healthy
         ):
             return False
         if exchange.slot < 0:
             return True
-        owned = routing_state.slots.find(service=exchange.service.name, space=exchange.space, slot=exchange.slot)
+        owned = routing_state.shard_owners.find(service=exchange.service.name, space=exchange.space, slot=exchange.slot)
         return owned is not None and owned.is_open and (owned.owner, owned.term) == (worker.key, exchange.term)
 
-    def took(self, *, key: str) -> None:
-        """An exchange was sent on to this worker."""
-        self.open[key] = self.open.get(key, 0) + 1
+    def record_sent(self, *, key: str) -> None:
+        """Count an exchange that was forwarded to this worker."""
+        self.open_requests[key] = self.open_requests.get(key, 0) + 1
 
-    def left(self, *, key: str) -> None:
-        """An exchange ended at this worker."""
-        count = self.open.get(key, 1) - 1
+    def record_ended(self, *, key: str) -> None:
+        """Stop counting an exchange that has ended at this worker."""
+        count = self.open_requests.get(key, 1) - 1
         if count > 0:
-            self.open[key] = count
+            self.open_requests[key] = count
         else:
-            self.open.pop(key, None)
+            self.open_requests.pop(key, None)
 
-    def _choose(self, *, now: float, exchange: ProxiedRequest, zone: str) -> Worker | None:
+    def _choose_worker(self, *, now: float, exchange: ProxiedRequest, zone: str) -> Worker | None:
         routing_state, service = self.routing_state, exchange.service
-        able = []
+        eligible = []
         for key, worker in routing_state.endpoint_table.workers.items():
             if (
                 worker.service == service.name
@@ -141,12 +141,14 @@
                 and key not in exchange.tried
             ):
                 probed = routing_state.prober.probed.get(key)
-                if probed is not None and probed.healthy:
-                    able.append((worker, now - probed.slow_start_began_at))
-        while able:
-            picks = self.rng.sample(able, min(2, len(able)))
-            pick = min(picks, key=lambda candidate: self.open.get(candidate[0].key, 0))
-            if self.bounds.step(now=now, key=pick[0].key, service=service, warm=pick[1], proxies=routing_state.proxies):
-                return pick[0]
-            able.remove(pick)
+                if probed is not None and probed.is_healthy:
+                    eligible.append((worker, now - probed.slow_start_began_at))
+        while eligible:
+            candidates = self.rng.sample(eligible, min(2, len(eligible)))
+            choice = min(candidates, key=lambda candidate: self.open_requests.get(candidate[0].key, 0))
+            if self.rate_limits.step(
+                now=now, key=choice[0].key, service=service, warm=choice[1], proxies=routing_state.proxy_count
+            ):
+                return choice[0]
+            eligible.remove(choice)
         return None
--- a/tests/proxy_kit.py
+++ b/tests/proxy_kit.py
@@ -1,4 +1,4 @@
-"""Makers for tests of a proxy's parts: a plan, a scene with workers, a forwarder, and events as the edges give them."""
+"""Helpers for tests of the components of a proxy: a plan, workers, a forwarder, and events."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def make_plan(*, ranged: bool = False, **match: object) -> Plan:
-    """Two services, and one rule of host `shop` at /a with the given fields."""
+    """A plan with two services, and one rule for host `shop` and path /a with the given fields."""
     rule = {
         "path": "/a",
         "methods": [],
@@ -81,7 +81,7 @@
     slow_start: float = 0.0,
     capacity: int = 4,
 ) -> Worker:
-    """A worker of a list without generations."""
+    """A worker from a list without generations."""
     return Worker(
         name=name,
         generation=0,
@@ -95,8 +95,8 @@
     )
 
 
-class Bench:
-    """A forwarder over a scene, and the clock by which it is asked."""
+class ForwarderHarness:
+    """A forwarder with its workers and plan, and the clock that its steps are given."""
 
     def __init__(
         self,
@@ -117,34 +117,34 @@
             region="north",
             regions=dict(ZONES),
             passive_health=self.passive_health,
-            zones=ZoneHealthTable(hold_down=1.0),
+            zone_health=ZoneHealthTable(hold_down=1.0),
             plan=plan or make_plan(),
         )
-        self.context.proxies = proxies
+        self.context.proxy_count = proxies
         self.endpoint_selector = EndpointSelector(context=self.context, rng=rng)
         self.forwarder = Forwarder(
             endpoint_selector=self.endpoint_selector,
             names=NAMES,
             budget=RetryBudget(ratio=ratio, slack=slack, window=10.0),
         )
-        self.list(workers=workers)
+        self.update_workers(workers=workers)
         self.count = 0
 
-    def list(self, *, workers: list[Worker]) -> list:
-        """Take a list of workers, and count the halls."""
+    def update_workers(self, *, workers: list[Worker]) -> list:
+        """Apply a list of workers, and update the zone health."""
         listed = {worker.key: worker for worker in workers}
-        commands = self.passive_health.follow(now=self.now, workers=listed)
-        self.context.follow(workers=listed)
-        self.context.zones.step(now=self.now, counts=self.context.counts())
+        commands = self.passive_health.update_workers(now=self.now, workers=listed)
+        self.context.update_workers(workers=listed)
+        self.context.zone_health.step(now=self.now, counts=self.context.counts())
         return commands
 
-    def own(self, *, owner: str, state: str = OPEN, start: int = 0, end: int = 65535) -> None:
-        """Name the owner of a range of `red`; all other keys have none."""
+    def assign_keys(self, *, owner: str, state: str = OPEN, start: int = 0, end: int = 65535) -> None:
+        """Set the owner of a key range of `red`; all other keys have no owner."""
         parts = [Shard(start=0, end=start - 1, owner="", fencing_token=1, state=OPEN)] if start else []
         parts.append(Shard(start=start, end=end, owner=owner, fencing_token=2, state=state, next_owner=""))
         if end < 65535:
             parts.append(Shard(start=end + 1, end=65535, owner="", fencing_token=3, state=OPEN))
-        text = write_shards(table=ShardTable(granter="g", since=1, fencing_token=9, shards=tuple(parts)))
+        text = write_shards(table=ShardTable(granter="g", takeover_number=1, fencing_token=9, shards=tuple(parts)))
         self.context.shards.step(name="slots/red", value={"number": 1, "text": text})
 
     def ask(
@@ -157,9 +157,9 @@
         body: bytes = b"",
         **headers: str,
     ) -> list:
-        """A caller's request arrives."""
+        """Step the forwarder with a client's request."""
         self.count += 1
-        given = {
+        sent_headers = {
             "host": host,
             "x-id": f"id{self.count}",
             "x-left": within,
@@ -173,32 +173,33 @@
                 method=method,
                 path=path,
                 query={},
-                headers=given,
+                headers=sent_headers,
                 body=body,
                 target=path + "?q=%20",
             ),
         )
 
-    def back(self, *, call: StartCall, code: int = 200, body: bytes = b"whole", **headers: str) -> list:
-        """The worker answers a call as itself."""
-        given = {
+    def respond(self, *, call: StartCall, code: int = 200, body: bytes = b"whole", **headers: str) -> list:
+        """Step the forwarder with the worker's answer to a call."""
+        reply_headers = {
             "x-id": call.headers.get("x-id", ""),
             "x-seal": "s",
             **{name.replace("_", "-"): value for name, value in headers.items()},
         }
-        given = {name: value for name, value in given.items() if value is not None}
+        reply_headers = {name: value for name, value in reply_headers.items() if value is not None}
         return self.forwarder.step(
-            now=self.now, event=CallFinished(token=call.token, code=code, headers=given, body=body, fault="", sent=True)
+            now=self.now,
+            event=CallFinished(token=call.token, code=code, headers=reply_headers, body=body, fault="", sent=True),
         )
 
-    def fail(self, *, call: StartCall, fault: str, sent: bool) -> list:
-        """A call ends without an answer."""
+    def fail_call(self, *, call: StartCall, fault: str, sent: bool) -> list:
+        """Step the forwarder with a call that ended without an answer."""
         return self.forwarder.step(
             now=self.now, event=CallFinished(token=call.token, code=0, headers={}, body=b"", fault=fault, sent=sent)
         )
 
-    def wait(self, seconds: float) -> list:
-        """Time goes on."""
+    def advance(self, seconds: float) -> list:
+        """Advance the clock, and step the forwarder."""
         self.now += seconds
         return self.forwarder.step(now=self.now, event=None)
 
@@ -209,15 +210,15 @@
 
 
 def answers(commands: list) -> list[Respond]:
-    """The answers among the commands."""
+    """The responses among the commands."""
     return [command for command in commands if isinstance(command, Respond)]
 
 
 def cancels(commands: list) -> list[CancelCall]:
-    """The calls that are given up."""
+    """The cancelled calls among the commands."""
     return [command for command in commands if isinstance(command, CancelCall)]
 
 
 def logs(commands: list, *, event: str) -> list[LogEvent]:
-    """The log lines of one event."""
+    """The log lines of one event among the commands."""
     return [command for command in commands if isinstance(command, LogEvent) and command.event == event]
