--- a/sailward/proxy/tenant_proxy.py
+++ b/sailward/proxy/tenant_proxy.py
@@ -127,7 +127,7 @@
             )
             return [answer_json(token=event.token, code=200, body=explanation)]
         if self.stopping not in STOPPING.marks["taking"]:
-            refusal = Refusal(code=503, reason="stopping", detail="this proxy is stopping; ask a directory for another")
+            refusal = Refusal(code=503, reason="stopping", detail="this proxy is stopping: ask a directory for another")
             return [answer_refusal(token=event.token, refusal=refusal, not_run=is_promise_safe(event=event))]
         commands, operations = self.exchanges.step(now=now, event=event, acting=self.acting(now=now))
         return commands + self._start_operations(now=now, operations=operations)
--- a/sailward/routing/endpoint_selection.py
+++ b/sailward/routing/endpoint_selection.py
@@ -253,7 +253,7 @@
     def _find_owner(self, *, now: float, request: Request) -> Worker | Refusal:
         context = self.context
         if request.key < 0:
-            return Refusal(code=400, reason="part-missing", detail="this service is sharded: send the key")
+            return Refusal(code=400, reason="part-missing", detail="this service is divided: give the key")
         shard = context.shards.find(service=request.service.name, key=request.key)
         if shard is None or not shard.owner:
             return Refusal(code=503, reason="key-unowned")
--- a/sailward/routing/load_balancer.py
+++ b/sailward/routing/load_balancer.py
@@ -33,7 +33,7 @@
         views = self.routing_state.zone_views(now=now, service=pool.service, tenant=exchange.tenant)
         shares = share_zones(pool=pool, views=views)
         if not shares:
-            return Refusal(code=503, reason="no-hall", detail="no zone that may serve this tenant has a healthy worker")
+            return Refusal(code=503, reason="no-hall", detail="no hall that may serve this tenant has a healthy worker")
         first_zone = draw_zone(shares=shares, rng=self.rng)
         other_zones = [
             zone
@@ -45,7 +45,7 @@
             worker = self._choose_worker(now=now, exchange=exchange, zone=zone)
             if worker is not None:
                 return worker
-        return Refusal(code=503, reason="no-room", detail="every worker that may serve is at its rate limit")
+        return Refusal(code=503, reason="no-room", detail="every worker that may serve is at its bound")
 
     def _find_owner(self, *, now: float, exchange: ProxiedRequest) -> Worker | Refusal:
         routing_state, service = self.routing_state, exchange.service
@@ -57,10 +57,10 @@
         if owned is None or not owned.owner:
             return Refusal(code=503, reason="key-unowned", detail="no worker that may serve owns this key yet")
         if not owned.is_open:
-            return Refusal(code=503, reason="key-moving", detail="this key is moving to another worker")
+            return Refusal(code=503, reason="key-moving", detail="this key is on its way to another worker")
         worker = routing_state.endpoint_table.workers.get(owned.owner)
         if worker is None or owned.owner in exchange.tried or not self._may_serve(worker=worker, homes=homes):
-            return Refusal(code=503, reason="owner-lost", detail="this key's worker can't be used; the key will move")
+            return Refusal(code=503, reason="owner-lost", detail="this key's worker can't be used; it will move")
         refusal = self._refuse_over_limit(now=now, exchange=exchange, owner=owned.owner)
         if refusal is not None:
             return refusal
@@ -90,7 +90,7 @@
             warm=service.slow_start_ramp,
             proxies=routing_state.proxy_count,
         ):
-            return Refusal(code=503, reason="hot-key", detail="this key is at its share of its worker's rate limit")
+            return Refusal(code=503, reason="hot-key", detail="this key has taken its part of its worker's bound")
         if not self.rate_limits.step(
             now=now,
             key=owner,
@@ -98,7 +98,7 @@
             warm=now - routing_state.prober.probed[owner].slow_start_began_at,
             proxies=routing_state.proxy_count,
         ):
-            return Refusal(code=503, reason="owner-full", detail="this key's worker is at its rate limit")
+            return Refusal(code=503, reason="owner-full", detail="this key's worker is at its bound")
         return None
 
     def is_choice_valid(self, *, exchange: ProxiedRequest) -> bool:
