--- a/sailward/control/endpoints/__init__.py
+++ b/sailward/control/endpoints/__init__.py
@@ -1,4 +1,4 @@
-"""The platform's list of workers, as this controller reads it or hears it from the one that does.
+"""The platform's list of workers, which this controller reads itself or receives from the controller that does.
 
-Owns the endpoint list with its epoch and revision. Called by the controller, the proxies' part and the shards' part.
+Owns the endpoint list with its epoch and revision. Called by the controller and the packages proxies and shards.
 """
--- a/sailward/control/endpoints/endpoint_list.py
+++ b/sailward/control/endpoints/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The list of workers as a controller holds it: by the platform's own pages, or by those of a platform's adapter."""
+"""A controller's list of workers, read from the platform's own pages or through an adapter for another platform."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class EndpointList:
-    """Owner of the list. `step` takes a page, or None for time going on; `receive` the list of another controller.
+    """Maintains the list. `step` takes a page, or None for the passing of time; `receive` another controller's list.
 
-    `value` has the shape of a register's value, None until the first whole list; (`epoch`, `revision`) grows with each
-    change.
+    `value` has the form of a register's value and is None until the first complete list; (`epoch`, `revision`) grows
+    with each change.
     """
 
     def __init__(
@@ -44,7 +44,7 @@
     def step(
         self, *, now: float, event: CallFinished | None, peer_table: PeerTable, is_needed: bool
     ) -> tuple[list[Command], bool]:
-        """(commands, is the list news). `is_needed`: does anyone read the list here?"""
+        """Returns (commands, has the list changed). `is_needed`: does anyone read the list from this controller?"""
         if not self._has_reader:
             return self._step_own(now=now, event=event)
         commands, is_newer = self._listing.step(
@@ -58,7 +58,7 @@
         return commands, is_newer
 
     def receive(self, *, now: float, body: Message) -> tuple[list[Command], bool]:
-        """Take the list of the controller that reads it."""
+        """Adopt the list sent by the controller that reads it from the platform."""
         commands, is_newer = self._listing.receive(now=now, body=body)
         self._adopt_incarnations()
         return commands, is_newer
--- a/sailward/control/endpoints/endpoint_poller.py
+++ b/sailward/control/endpoints/endpoint_poller.py
@@ -1,4 +1,4 @@
-"""The platform's list of workers in a controller: read by one controller, told to all others."""
+"""Reading of the platform's list of workers: one controller polls it and sends it to all others."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 @dataclass(kw_only=True)
 class EndpointPoller:
-    """Owner of the list as this controller tells it.
+    """Polls the list of workers, or follows the controller that does.
 
-    `step` takes a page, or None for time going on; `receive` another's list.
+    `step` takes a page, or None for the passing of time; `receive` another controller's list.
 
-    The one of the living controllers that hashing names reads the platform's list. It tells the others of each pass,
-    with rows only where they are new; who hears of none for ENDPOINT_LIST_READER_TIMEOUT, as after a cut, reads the
-    list itself.
+    Hashing chooses one live controller, which reads the platform's list. It informs the others of each pass, and sends
+    the rows only if they are new; a controller that hears of no pass for ENDPOINT_LIST_READER_TIMEOUT, as after a
+    network partition, reads the list itself.
     """
 
     pager: Pager
@@ -34,9 +34,9 @@
     def step(
         self, *, now: float, event: CallFinished | None, controllers: list[PeerEntry], own: PeerEntry, is_needed: bool
     ) -> tuple[list, bool]:
-        """(commands, is the list news).
+        """Returns (commands, has the list changed).
 
-        `controllers` are the others that live; `is_needed`: does anyone read it here?
+        `controllers` are the other live ones; `is_needed`: does anyone read the list from this controller?
         """
         names = [own["id"], *(controller["id"] for controller in controllers)]
         is_reader = choose_names(key="list", names=names, count=1) == [own["id"]]
@@ -63,7 +63,7 @@
         return commands, is_newer
 
     def receive(self, *, now: float, body: Message) -> tuple[list, bool]:
-        """Take the reader's list."""
+        """Adopt the list sent by the controller that reads it from the platform."""
         self.last_update_at = now
         if not body["rows"]:
             return [], False
--- a/sailward/control/endpoints/incarnations.py
+++ b/sailward/control/endpoints/incarnations.py
@@ -1,4 +1,4 @@
-"""The list of workers as a controller tells it where the platform's has no numbers."""
+"""Numbering of the list of workers by the controller, for platforms whose list has no revision numbers."""
 
 from __future__ import annotations
 
@@ -11,9 +11,10 @@
 
 @dataclass(kw_only=True)
 class Incarnations:
-    """Owner of this controller's own numbers of the list. `step` takes a whole pass and says whether it is news.
+    """Numbers the versions of the list. `step` takes a complete pass and returns whether the list has changed.
 
-    A cold time counts down by itself, which is no news; but who asks later gets it as it stands. A rise is news.
+    A remaining slow-start time that merely counts down is no change, but the value is updated for later readers. A rise
+    of it is a change.
     """
 
     post: str
@@ -23,7 +24,7 @@
     slow_start_until: dict = field(default_factory=dict)
 
     def step(self, *, now: float, rows: list) -> bool:
-        """Take the rows of a pass; is something new?"""
+        """Adopt the rows of a pass; returns whether the list has changed."""
         fresh = {row["id"]: {**row, "cold_s": 0.0} for row in rows}
         risen = any(
             row["cold_s"]
--- a/sailward/control/proxies/__init__.py
+++ b/sailward/control/proxies/__init__.py
@@ -1,5 +1,5 @@
-"""What proxies are told and what they report: subscriptions, pushes, the registry and the aggregated health.
+"""The exchange with proxies: subscriptions, pushes, the proxy registry and the health aggregated from reports.
 
-Owns which proxy has which version, the registry of live proxies and the fold of their reports. Called by the
-controller, the shards' part and administration.
+Owns the versions that each proxy has, the registry of live proxies and the aggregation of their reports. Called by the
+controller, the shards package and administration.
 """
--- a/sailward/control/proxies/aggregated_health.py
+++ b/sailward/control/proxies/aggregated_health.py
@@ -1,4 +1,4 @@
-"""The standing view of zones: what most proxies say, held before it changes."""
+"""The aggregated view of zone health: the median of the proxies' reports, with hysteresis."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from sailward.routing.zone_health import ZoneHealthTable
 
 PARTS = 1000
-"""A fraction as a count: the fold takes counts."""
+"""The denominator that turns a fraction into counts, which the zone health table takes."""
 
 
 @dataclass(kw_only=True)
 class AggregatedHealth:
-    """Owner of the standing view. `step` folds the digests of the proxies heard of late."""
+    """Aggregates zone health. `step` takes the reports of the proxies heard from within HEALTH_REPORT_TTL."""
 
     table: ZoneHealthTable = field(default_factory=ZoneHealthTable)
     warm: dict = field(default_factory=dict)
 
     def step(self, *, now: float, proxies: list[Subscriber]) -> list[Command]:
-        """Fold the digests; a proxy that suspects itself has no voice."""
+        """Aggregate the reports; one of a proxy that suspects itself counts only if there are no others."""
         fresh = [
             proxy.report
             for proxy in proxies
@@ -46,12 +46,13 @@
             middle = sorted(fractions)[len(fractions) // 2]
             counts[location] = (PARTS, round(middle * PARTS), PARTS)
             if location not in self.table.zones and 2 * sum(marks[name]) > len(marks[name]):
-                # lost with this controller, told by those who know: drained until its hold is over
+                # this controller has no state of the zone, as after a restart, but most proxies report it drained:
+                # drain it until its hold time has passed
                 self.table.step(now=now, counts={**self._old(), location: (PARTS, 0, PARTS)})
         return self.table.step(now=now, counts=counts) if counts else []
 
     def view(self, *, with_slow_start: bool) -> dict:
-        """The view as a grant carries it."""
+        """The view as sent in a grant."""
         drained = [f"{service}|{zone}" for (service, zone), state in self.table.zones.items() if state.drained]
         return {"drained": drained, **({"warm": self.warm} if with_slow_start else {})}
 
--- a/sailward/control/proxies/key_loads.py
+++ b/sailward/control/proxies/key_loads.py
@@ -1,6 +1,6 @@
-"""How busy the keys of divided services are, and how quick their workers.
+"""Request rates of the keys of divided services, and service times of their workers.
 
-Counted by one controller, told in few bytes, added up.
+Each controller counts those of its own proxies and sends them to others in a compact encoding; receivers add them up.
 """
 
 from __future__ import annotations
@@ -17,9 +17,10 @@
 
 @dataclass(kw_only=True)
 class Counts:
-    """Requests by bucket.
+    """Exponentially decayed request counts by bucket.
 
-    Those of later moments are weighted by e to the time since `base`, so that nothing has to be aged.
+    A request's weight grows by a factor of e for each KEY_LOAD_WINDOW between `base` and its arrival, so earlier counts
+    need no update when time passes.
     """
 
     base: float
@@ -28,16 +29,16 @@
 
 
 class KeyLoads:
-    """Owner of one controller's counts.
+    """The request counts of one controller's proxies.
 
-    `step` folds the {bucket: requests} that a proxy reports; the rates are of those of late.
+    `step` adds the {bucket: requests} that a proxy reports; `rates` returns the recent rates.
     """
 
     def __init__(self) -> None:
         self._counts: dict[str, Counts] = {}
 
     def step(self, *, now: float, service: str, buckets: dict) -> None:
-        """Fold one report."""
+        """Add one report."""
         counts = self._counts.get(service)
         if counts is None:
             counts = self._counts[service] = Counts(base=now, since=now)
@@ -50,7 +51,7 @@
             counts.masses[int(bucket)] = counts.masses.get(int(bucket), 0.0) + count * weight
 
     def rates(self, *, now: float) -> dict:
-        """{service: {bucket: requests/s}}; a short time of counting is taken for what it is, not for a slight load."""
+        """{service: {bucket: requests/s}}, corrected for services that have been counted for only a short time."""
         rates = {}
         for service, counts in self._counts.items():
             total = 1.0 - math.exp(-(now - counts.since + constants.POLL_INTERVAL) / constants.KEY_LOAD_WINDOW)
@@ -69,9 +70,9 @@
 
 
 class WorkerPaces:
-    """Owner of the times that workers of one region took.
+    """The service times of the workers of one region.
 
-    A pace is the mean of the lower half: what queued is in the upper one.
+    A worker's service time is the mean of the lower half of its samples: requests that queued are in the upper half.
     """
 
     def __init__(self) -> None:
@@ -79,13 +80,13 @@
         self._at: dict[str, float] = {}
 
     def step(self, *, now: float, times: dict) -> None:
-        """Fold one proxy's {worker: [ms, ...]}."""
+        """Add one proxy's {worker: [ms, ...]}."""
         for key, took in times.items():
             self._times.setdefault(key, deque(maxlen=constants.LATENCY_SAMPLES_KEPT)).extend(took)
             self._at[key] = now
 
     def paces(self, *, now: float) -> dict:
-        """{worker: [ms, number of times]}."""
+        """{worker: [ms, number of samples]}."""
         for key in [key for key, at in self._at.items() if now - at > constants.LATENCY_TTL]:
             del self._times[key], self._at[key]
         paces = {}
@@ -96,9 +97,10 @@
 
 
 def write_rates(*, rates: dict) -> list:
-    """Rates in few numbers.
+    """Encode rates compactly.
 
-    The whole in tenths, the first bucket, and the buckets in which each further part of the load ends.
+    The total in tenths, the first bucket, and the buckets in which each of KEY_LOAD_QUANTILES equal parts of the load
+    ends.
     """
     total = sum(rates.values())
     if total < 0.1:
@@ -114,7 +116,7 @@
 
 
 def read_rates(*, row: list) -> dict:
-    """{bucket: requests/s} of what was told; within a part the load is taken as even."""
+    """Decode rates as {bucket: requests/s}; the load within one part is assumed to be uniform."""
     rates: dict = {}
     if not row:
         return rates
@@ -127,7 +129,7 @@
 
 
 def has_shifted(*, before: dict, after: dict) -> bool:
-    """Has a third of the load come, gone or moved? Looked at in coarse parts, as each bucket alone is never at rest."""
+    """Has a large part of the load appeared, gone or moved? Compared by coarse ranges, as buckets always fluctuate."""
     parts = [0.0] * COARSE
     for rates, sign in ((before, -1), (after, 1)):
         for bucket, rate in rates.items():
--- a/sailward/control/proxies/proxy_registry.py
+++ b/sailward/control/proxies/proxy_registry.py
@@ -1,6 +1,6 @@
-"""The fleet as the core tells it.
+"""The fleet as controllers publish it.
 
-The proxies that ask any controller, where the controllers are, and what proxies report of workers.
+The proxies that poll any controller, the addresses of the controllers, and what proxies report about workers.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 from sailward.wire_types import PeerEntry
 
 SAME = ["same"]
-"""Rows that are as the receiver has them."""
+"""Sent in place of rows that the receiver already has."""
 
 
 @dataclass(kw_only=True)
 class PeerSnapshot:
-    """What one other controller said last of its own proxies."""
+    """The latest report of another controller about its own proxies."""
 
     at: float
     number: int
@@ -31,10 +31,10 @@
 
 @dataclass(kw_only=True)
 class ProxyRegistry:
-    """Owner of the fleet's view. `step` folds another controller's word, or tells the others what is new here.
+    """Maintains the view of the fleet. `step` takes another controller's report, or sends the others what is new here.
 
-    `readers` are the posts of the controllers that place keys: only these are told how busy the keys are (all, where it
-    is None).
+    `readers` are the addresses of the controllers that place keys: only these are sent the loads of keys (all
+    controllers if it is None).
     """
 
     post: str
@@ -60,7 +60,7 @@
     def step(
         self, *, now: float, event: tuple | None, proxies: list[Subscriber], controllers: list[PeerEntry]
     ) -> list[Command]:
-        """A (sender, body) of kind fleet or want, or None for time going on.
+        """Handle a (sender, body) of kind fleet or want, or the passing of time if `event` is None.
 
         `controllers` are those of the peer table that are not lost.
         """
@@ -75,7 +75,7 @@
             self.others[sender] = PeerSnapshot(
                 at=now, number=number, rows=rows, down=body["down"], loads=read_loads(told=body["loads"])
             )
-            # a telling was lost: the rows are wanted, and the old ones stand until they come
+            # an earlier report was lost: request the rows, and keep the old ones until they arrive
             return (
                 [SendMessage(to=sender, body={"kind": "want", "register": "fleet"})] if is_same and not is_known else []
             )
@@ -97,12 +97,12 @@
         return self._send_to_all(now=now, to=others)
 
     def _forget_gone(self, *, now: float, posts: set) -> None:
-        """Drop what was told by and to controllers that are gone.
+        """Drop the state kept for controllers that are gone.
 
-        As machines are replaced, there are ever more of them.
+        As machines are replaced, it would otherwise grow without bound.
         """
         self.others = {post: told for post, told in self.others.items() if now - told.at < constants.PEER_TTL}
-        # one that comes back is told all rows again
+        # a controller that returns is sent all rows again
         self.sent_to = {post: version for post, version in self.sent_to.items() if post in posts}
 
     def _reads(self, *, to: dict) -> bool:
@@ -141,7 +141,7 @@
         )
 
     def _resend(self, *, now: float, to: str) -> list:
-        """Tell the rows to a controller that lacks them."""
+        """Send all rows to a controller that lacks them."""
         self.sent_to.pop(to, None)
         loads = self._own_loads(now=now) if self._reads(to={"post": to}) else {}
         return [
@@ -158,11 +158,11 @@
         ]
 
     def value(self) -> dict | None:
-        """The fleet as a push carries it."""
+        """The fleet as sent in a push."""
         return {"number": self.number, "mark": self.post, "trail": [], "text": self.text} if self.text else None
 
     def down(self, *, now: float, proxies: list[Subscriber]) -> dict:
-        """{worker: (proxies that call it unreachable, proxies that report)}."""
+        """{worker: (proxies that report it unreachable, proxies that report at all)}."""
         counts = self._own_down(proxies=proxies)
         voices = len(proxies)
         for told in self._fresh(now=now):
@@ -180,7 +180,7 @@
         return total
 
     def paces(self, *, now: float) -> dict:
-        """{worker: (pace in s, number of times behind it)} of the workers of divided services, over the whole fleet."""
+        """{worker: (service time in s, number of samples)} of the workers of divided services, over the fleet."""
         total: dict = {}
         for paces in [
             self.worker_paces.paces(now=now),
@@ -243,7 +243,7 @@
         self.last.setdefault("rates", now)
 
     def _agreed(self, *, now: float, proxies: list[Subscriber]) -> list:
-        """The workers that several proxies call unreachable, and so many that one alone can't be wrong for all."""
+        """The workers that so many proxies report unreachable that one faulty proxy can't decide alone for all."""
         return sorted(
             key
             for key, (count, voices) in self.down(now=now, proxies=proxies).items()
@@ -262,7 +262,7 @@
         text = json.dumps(
             {"proxies": [rows[name] for name in sorted(rows)], "cellars": posts, "down": down}, separators=(",", ":")
         )
-        # what is down is told again while it lasts, as it is believed for a moment only
+        # unreachable workers are published again while they remain so, as the hints expire at receivers
         is_due = bool(down) and now - self.last.get("composed", now) >= constants.UNREACHABLE_HINT_TTL / 2
         if text != self.text or is_due:
             self.last["composed"] = now
@@ -270,7 +270,7 @@
 
 
 def read_loads(*, told: dict) -> dict:
-    """What another controller told of the loads of keys, and of the paces of workers."""
+    """Decode another controller's report of key loads and of workers' service times."""
     return {
         "rates": {service: read_rates(row=rates) for service, rates in told.get("rates", {}).items()},
         "paces": told.get("paces", {}),
--- a/sailward/control/proxies/serving.py
+++ b/sailward/control/proxies/serving.py
@@ -1,6 +1,6 @@
-"""What a controller gives the daemons that ask it.
+"""A controller's answers to the daemons that poll it.
 
-Leases, the numbers of the newest values, and pushes of what is new.
+Leases, the numbers of the newest values, and pushes of new values.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
 
 
 class Serving:
-    """Owner of the answers to askers.
+    """Serves the daemons that poll this controller.
 
-    `answer` grants, `acknowledge` folds an acknowledgement, `push` sends what is new.
+    `answer` grants leases, `acknowledge` records an acknowledgement, `push` sends new values.
 
-    `wall_offset`: s from this process's steady clock to the machine's time of day, set with each tick.
+    `wall_offset`: s to add to this process's monotonic clock to get the machine's wall clock, set with each tick.
     """
 
     def __init__(
@@ -56,32 +56,32 @@
         self.wall_offset = 0.0
 
     def answer(self, *, now: float, sender: str, body: Message) -> list[Command]:
-        """Answer one `ask`: push what it lacks, and grant."""
+        """Answer one `ask`: push the values that the sender lacks, and grant a lease."""
         if self._tells_fleet and kind_of(entry=body["daemon"]) != "controller":
             return self._answer_proxy(now=now, sender=sender, body=body)
         commands: list[Command] = [*self._subscribers.step(now=now, event=(sender, body), updates=self.updates())]
-        # before the joiner is heard: what is granted from is what was known when it asked
+        # read before the joining controller is recorded: the grant reflects what was known when it asked
         newest = self._voter.newest()
         if self._is_bootstrapped:
             commands += self._on_joiner(now=now, sender=sender, daemon=body["daemon"])
             learned = self._voter.learner.values.get("voters")
             if learned is not None and learned.value["number"] > newest.get("voters", [0])[0]:
-                # a consent of one that knows the next set is none under the set before
+                # a grant of a voter that already knows the next set of voters does not count under the previous set
                 newest["voters"] = [learned.value["number"], learned.value["mark"], learned.ballot]
         commands += self._record_versions(now=now, sender=sender, have=body["have"])
         return [*commands, self._grant(now=now, sender=sender, body=body, newest=newest)]
 
     def acknowledge(self, *, now: float, sender: str, body: Message) -> list[Command]:
-        """Fold one `ack` of a push."""
+        """Record one `ack` of a push."""
         return [*self._subscribers.step(now=now, event=(sender, body), updates={})]
 
     def push(self, *, now: float) -> list[Command]:
-        """Push to each daemon what it lacks, unless nothing may be served."""
+        """Push to each daemon the values that it lacks, unless this controller may not serve."""
         updates = self.updates() if self._contact_watch.may_serve(now=now) else {}
         return [*self._subscribers.step(now=now, event=None, updates=updates)]
 
     def updates(self) -> dict[str, tuple]:
-        """{name: (number, ballot, value)} of all that is pushed."""
+        """{name: (number, ballot, value)} of all values that are pushed."""
         updates = {
             name: (learned.value["number"], learned.ballot, learned.value)
             for name, learned in self._voter.learner.values.items()
@@ -96,9 +96,10 @@
         return updates
 
     def _answer_proxy(self, *, now: float, sender: str, body: Message) -> list[Command]:
-        """Push what a proxy lacks.
+        """Push the values that a proxy lacks.
 
-        Without contact with a majority only to one that finds no other controller, and marked so.
+        Without contact with a majority, values are pushed only to a proxy that finds no other controller, and marked
+        as such.
         """
         may_serve = self._contact_watch.may_serve(now=now)
         is_last_resort = body["report"].get("last_resort") is True
@@ -111,9 +112,9 @@
         return [*commands, self._say_present(sender=sender, body=body, may_serve=may_serve)]
 
     def _say_present(self, *, sender: str, body: Message, may_serve: bool) -> SendMessage:
-        """No lease is asked for: only that this controller is there, where it stands, and whether it has contact.
+        """Answer without a lease: this controller's presence, its location, and whether it has contact with a majority.
 
-        An answer that does not say has contact. One without names the other controllers that may be asked.
+        An answer without the field `contact` means that it has. One without contact names other controllers to ask.
         """
         location = self._voter.location
         grant = {
@@ -151,7 +152,7 @@
         )
 
     def _record_versions(self, *, now: float, sender: str, have: dict) -> list[Command]:
-        """One that asks holds something newer than this controller: it is read at once."""
+        """Where the sender has newer values than this controller, start to read them at once."""
         commands: list[Command] = []
         for name, newest in have.items():
             is_newer = isinstance(newest, list) and newest[0] > self._voter.learner.number(name=name)
--- a/sailward/control/proxies/subscribers.py
+++ b/sailward/control/proxies/subscribers.py
@@ -12,14 +12,14 @@
 OWN_LIST = "workers"
 """The name under which the list of workers is pushed."""
 OWN_LISTS = (OWN_LIST, "fleet")
-"""What has numbers of each controller's own."""
+"""Values that each controller numbers by itself."""
 LARGE = "config"
 """The register whose value is large."""
 
 
 @dataclass(kw_only=True)
 class Subscriber:
-    """One daemon that asks this controller for its lease."""
+    """One daemon that polls this controller."""
 
     entry: PeerEntry
     first: float
@@ -32,10 +32,10 @@
 
 @dataclass(kw_only=True)
 class Subscribers:
-    """Owner of the pushes. `step` folds an asking or an acknowledgement, or pushes what is due.
+    """Pushes values to subscribers. `step` handles an ask or an acknowledgement, or pushes what is due.
 
-    With a `post` the lists of this controller have numbers of its own: they are pushed only to those that name this
-    post, or none, as the teller of the list that they follow.
+    With a `post` (its own address), this controller numbers its lists by itself: they are pushed only to subscribers
+    that name it, or no controller, as the source of the list that they follow.
     """
 
     members: dict[str, Subscriber] = field(default_factory=dict)
@@ -44,15 +44,15 @@
     post: str = ""
 
     def step(self, *, now: float, event: tuple | None, updates: dict) -> list[SendMessage]:
-        """`updates` is {name: (number, ballot, value)}; the event a (sender, ask or ack) or None."""
+        """`updates` is {name: (number, ballot, value)}; `event` is a (sender, ask or ack) or None."""
         if event is not None:
             self._fold(now=now, sender=event[0], body=event[1])
         for address, member in list(self.members.items()):
             if now - member.last_seen_at > constants.SUBSCRIBER_TTL:
                 del self.members[address]
         commands = []
-        # one that asks is pushed what it lacks, whoever leads it; when news come here, only those that this controller
-        # leads
+        # a subscriber that asks is pushed the values that it lacks, whichever controller it follows; new values here
+        # are pushed only to subscribers that follow this controller
         asker = event[0] if event is not None else ""
         for address, member in self.members.items():
             if not (self.post and event is not None and address != asker):
@@ -70,15 +70,15 @@
         return commands
 
     def has_followers(self) -> bool:
-        """Is there a proxy that follows this controller's list of workers, or none yet?"""
+        """Does any proxy follow this controller's list of workers, or no list yet?"""
         return any((proxy.have.get(OWN_LIST) or [-1, ""])[1] in ("", self.post) for proxy in self.proxies())
 
     def proxies(self) -> list[Subscriber]:
-        """The proxies that have asked of late."""
+        """The proxies that have asked recently."""
         return [member for member in self.members.values() if kind_of(entry=member.entry) == "proxy"]
 
     def asks(self, *, now: float) -> str:
-        """Every proxy start that asked within the longest time that what it sent on may run."""
+        """The incarnations of proxies whose forwarded requests may still run: those that asked recently enough."""
         self._forget_inactive(now=now)
         return ",".join(sorted(self.active_proxies))
 
@@ -116,10 +116,11 @@
     ) -> list[SendMessage]:
         given = member.have.get(name)
         if self.post and kind_of(entry=member.entry) == "controller" and name in OWN_LISTS:
-            # a controller follows nobody's lists
+            # a controller follows no other controller's lists
             return []
         if self.post and not is_requested and name == LARGE and member.report.get("lead", self.post) != self.post:
-            # the one that leads it pushes this; what is small comes from both it asks, as one may be gone
+            # only the controller that the proxy follows pushes the large value; small ones come from both controllers
+            # that it polls, as one may be gone
             return []
         if self.post and name in OWN_LISTS:
             return self._push_own(
@@ -150,7 +151,7 @@
             return []
         pushed = member.pushed.get(name)
         if pushed and pushed[0] == (0, number) and member.last_seen_at - pushed[1] < constants.PUSH_RETRY_INTERVAL:
-            # no asking since then has shown that it was lost
+            # the subscriber has not asked since then, so nothing shows that the push was lost
             return []
         return self._send(
             now=now, address=address, member=member, name=name, at=(0, number), ballot=[0, ""], value=value
@@ -177,5 +178,5 @@
 
 
 def _epoch_of(*, given: list | None) -> int:
-    """The epoch in [number, mark, ballot] as an asker tells it; 0 where it tells less."""
+    """The epoch in the [number, mark, ballot] of an ask; 0 if it holds fewer items."""
     return given[2][0] if given is not None and len(given) > 2 else 0
--- a/sailward/control/shards/__init__.py
+++ b/sailward/control/shards/__init__.py
@@ -1,4 +1,4 @@
-"""The shards of keyed services: who owns which key range, leases on them, their plan, moves and key loads.
+"""The shards of keyed services: ownership of key ranges, their leases, their placement and their moves.
 
-Owns the table of shards and the leases granted to workers. Called by the controller alone.
+Owns the table of shards and the leases granted to workers. Called only by the controller.
 """
--- a/sailward/control/shards/freshness.py
+++ b/sailward/control/shards/freshness.py
@@ -1,6 +1,6 @@
-"""How long a controller may take what it holds of a register for the newest.
+"""Read leases: how long a controller may treat its copy of a register as the newest value.
 
-A read lease from a blocking set of voters.
+A read lease is granted by a blocking set of voters.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 @dataclass(kw_only=True)
 class Confirmation:
-    """What one voter said last: when it was asked, and its newest vote of each register."""
+    """The latest answer of one voter: when it was requested, and the voter's newest vote in each register."""
 
     requested_at: float
     newest: dict
@@ -28,14 +28,15 @@
 
 @dataclass(kw_only=True)
 class Freshness:
-    """Owner of the confirmations.
+    """Collects the voters' confirmations and derives read leases from them.
 
-    `step` folds one, or asks all other voters when it is time; `until` gives the lease's end.
+    `step` records one confirmation, or requests new ones from all other voters when they are due; `until` returns the
+    end of a register's lease.
 
-    A newer value can only be chosen by a majority, which has a voter in common with every blocking set: if each of one
-    said after a moment that it had voted for nothing newer than what is learner here, nothing newer was chosen by that
-    moment. A voter that knows another set of voters confirms nothing: one set may choose what the other's blocking sets
-    don't meet.
+    A newer value can only be chosen by a majority, which shares a voter with every blocking set. If every voter of a
+    blocking set states, after some moment, that it has voted for nothing newer than the value learned here, then
+    nothing newer had been chosen by that moment. A voter that knows another set of voters confirms nothing: that set
+    may choose a value by a majority that shares no voter with a blocking set of this one.
     """
 
     confirmations: dict = field(default_factory=dict)
@@ -46,7 +47,7 @@
     def step(
         self, *, now: float, body: Message | None, members: Mapping[str, str], number: int, own: str, registers: list
     ) -> list[Command]:
-        """`members` are the voters and `number` their register's, `own` this one's identity."""
+        """`members` are the voters, `number` is that of the voters register, `own` is this controller's identity."""
         if body is not None:
             requested_at = self.requested_at.get(body["seq"])
             known = self.confirmations.get(body["identity"])
@@ -69,7 +70,7 @@
     def until(
         self, *, now: float, register: str, learner: Learner, members: Mapping[str, str], own: str, slots: Slots
     ) -> float:
-        """The moment until which the value held of this register may be acted on as the newest."""
+        """The time until which the local value of this register may be acted on as the newest."""
         if not members:
             return NEVER
         ends = []
--- a/sailward/control/shards/grant_calls.py
+++ b/sailward/control/shards/grant_calls.py
@@ -1,4 +1,4 @@
-"""Calls that grant key ranges to workers and take them back: which are under way, and what their answers say."""
+"""Calls that grant key ranges to workers and release them: those in flight, and what their results show."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(kw_only=True)
 class Renewing:
-    """The grants of one open shard."""
+    """The state of the repeated grants of one open shard."""
 
     due: float = NEVER
     token: str = ""
@@ -25,7 +25,7 @@
 
 @dataclass(kw_only=True)
 class Releasing:
-    """What is known of one moving shard: since when it is seen moving, and whether its owner has let go."""
+    """The state of one moving shard: since when it has been seen moving, and whether its owner has released it."""
 
     shard: Shard
     since: float
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Sent:
-    """A call under way; none of its bytes leave after `until`."""
+    """A call in flight; none of its bytes are sent after `until`."""
 
     shard: Shard
     is_grant: bool
@@ -47,7 +47,7 @@
 
 @dataclass(kw_only=True)
 class GrantCalls:
-    """The calls of one service. What moves and what is open follows from the table that `take_table` is given."""
+    """The calls of one service. The table passed to `take_table` determines which shards are open and which move."""
 
     service: str
     codec: GrantCodec
@@ -63,11 +63,11 @@
     _count: int = 0
 
     def is_own(self, *, token: str) -> bool:
-        """Is this the token of a call that is under way?"""
+        """Is this the token of a call in flight?"""
         return token in self._sent
 
     def take_table(self, *, now: float, shards: Iterable[Shard], is_new_term: bool) -> None:
-        """Follow a table's shards: open ones are renewed, all of them anew in a new term; moving ones are released."""
+        """Adopt a new table: open shards are granted and renewed, moving ones released. A new term grants all again."""
         shards = list(shards)
         known = {} if is_new_term else self._renewing
         self._renewing = {
@@ -95,7 +95,7 @@
         )
 
     def take_result(self, *, now: float, event: CallFinished) -> list[Command]:
-        """Fold the result of a call of ours; gives what is to be logged."""
+        """Handle the result of one of these calls; returns log events."""
         sent = self._sent.pop(event.token, None)
         if sent is None:
             return []
@@ -147,7 +147,7 @@
         )
 
     def grant(self, *, now: float, hold: float, fresh_until: float) -> list[Command]:
-        """Grant each open shard that is due, for `hold` s; none of a call's bytes leave after `fresh_until`."""
+        """Grant each open shard that is due, for `hold` s; no bytes of a call are sent after `fresh_until`."""
         commands: list = []
         for shard, renewing in self._renewing.items():
             if renewing.token or now < renewing.due or shard.owner in self.ended or shard.owner not in self.addresses:
@@ -173,7 +173,7 @@
         return commands
 
     def release(self, *, now: float, sole_at: float, fresh_until: float) -> list[Command]:
-        """Ask the owners of moving shards to let go; not before `sole_at`, when no other granter's grants arrive."""
+        """Ask the owners of moving shards to release them, from `sole_at` on, when no other granter's grants arrive."""
         commands: list = []
         for releasing in self._moving:
             shard = releasing.shard
@@ -201,7 +201,7 @@
         return commands
 
     def _may_arrive(self, *, now: float, shard: Shard) -> bool:
-        """May a grant of ours of these keys still be under way to their owner?"""
+        """May a grant of these keys by this granter still be on its way to their owner?"""
         return self._arrived.get(shard.owner, NEVER) > now or any(
             sent.is_grant
             and sent.shard.owner == shard.owner
@@ -227,8 +227,9 @@
                 headers=headers,
                 body=body,
                 timeout=wait,
-                # its answer bears no id: only on a connection of its own is the first one surely its own, and a surplus
-                # one that passed for the end of a release would give the keys to a second holder
+                # the response carries no request id, so only on a new connection is the first response certain to
+                # belong to this call; a surplus response taken for the end of a release would let a second worker
+                # hold the keys
                 fresh=kind == RELEASE,
                 begin_by=begin_by,
             )
@@ -237,7 +238,7 @@
         return token
 
     def is_free(self, *, now: float, shard: Shard, sole_at: float) -> bool:
-        """Has the owner of a moving shard certainly let go?"""
+        """Is it certain that the owner of a moving shard no longer holds it?"""
         releasing = self._releasing_of(shard=shard) or Releasing(shard=shard, since=now)
         if releasing.is_released or shard.owner in self.ended:
             return True
@@ -253,16 +254,16 @@
         )
 
     def handover_of(self, *, shard: Shard) -> str:
-        """What the owner of a moving shard handed over, or ""."""
+        """The handover data that the owner of a moving shard returned, or ""."""
         releasing = self._releasing_of(shard=shard)
         return releasing.handover if releasing else ""
 
     def is_failing(self, *, now: float, key: str) -> bool:
-        """Have calls to this worker failed for a while, and lately?"""
+        """Have calls to this worker failed for some time, and was the last failure recent?"""
         since, last = self._failing.get(key, (now, now))
         return last - since >= constants.GRANT_FAILURE_TIMEOUT and now - last < constants.GRANT_FAILURE_BACKOFF
 
     def is_granted(self, *, shard: Shard) -> bool:
-        """Was the shard granted, with nothing left to hand over?"""
+        """Has a grant of the shard been sent, with no handover data left to deliver?"""
         renewing = self._renewing.get(shard)
         return renewing is not None and renewing.due > NEVER and not renewing.handover
--- a/sailward/control/shards/grant_targets.py
+++ b/sailward/control/shards/grant_targets.py
@@ -1,4 +1,4 @@
-"""Where the keys of a divided service should be: on workers that are well, as few moves as it takes."""
+"""The target owners of a divided service's keys: healthy workers, reached with as few moves as possible."""
 
 from __future__ import annotations
 
@@ -13,11 +13,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class GrantContext:
-    """What the granting looks at in one moment.
+    """The inputs of one step of granting.
 
-    `value` is the register's as held here; `fresh_until` when the confirmation that it is the newest runs out (s, the
-    clock of `now`); `down` tells since when workers have been called unreachable; `loads` has requests/s by bucket of
-    keys, `paces` how long workers take for one: (s, from so many times).
+    `value` is the local value of the register; `fresh_until` is the end of the read lease that confirms it as the
+    newest (s, on the clock of `now`); `down` maps workers to the time since which they have been reported unreachable;
+    `loads` has requests/s by bucket of keys; `paces` has the time that workers take for one request:
+    (s, number of samples).
     """
 
     value: RegisterValue
@@ -33,7 +34,7 @@
 
 @dataclass(kw_only=True)
 class GrantTargets:
-    """Owner of the wish to move keys: a load that is uneven for long enough is shared out anew."""
+    """Computes target owners; a load that stays uneven for long enough is rebalanced."""
 
     service: str
     calls: GrantCalls
@@ -41,7 +42,7 @@
     _balanced: float = NEVER
 
     def targets(self, *, now: float, shards: tuple[Shard, ...], sole_at: float, context: GrantContext) -> list[Span]:
-        """Where all keys should be; what is moving counts as where it goes."""
+        """The target owners of all keys; a moving shard counts as its next owner's."""
         spans = [
             Span(start=shard.start, end=shard.end, owner=shard.owner if shard.is_open else shard.next_owner)
             for shard in shards
@@ -81,7 +82,7 @@
         return key not in self.calls.ended and not worker.leaving and worker.zone not in context.emptied
 
     def able(self, *, now: float, context: GrantContext) -> dict:
-        """The requests/s that each worker which may own keys can do; cold ones only where there are no others."""
+        """The requests/s that each eligible worker can serve; workers in slow start only if there are no others."""
         well = {
             key: worker
             for key, worker in self.listed(context=context).items()
--- a/sailward/control/shards/granting.py
+++ b/sailward/control/shards/granting.py
@@ -1,27 +1,27 @@
-"""Grants of key ranges: one worker at a time holds a key, whichever controllers act, and as few changes as it takes.
-
-The table of a service is one register (`routing/shards.py`), changed by compare-and-swap. It names its granter: one
-life of one controller. The argument that no two workers that are up hold a key at one time:
-
-1. Only the granter that the newest table names sends grants, and only of open shards, with their owner and fence. It
-   acts until `fresh_until`: GRANT_CONFIRMATION_TTL after it asked a blocking set of voters, who all told that the
-   newest table they voted for is the one held here. A newer table is chosen by a majority, so one of that set voted for
-   it after it answered: whoever holds an older table begins its last grant before GRANT_CONFIRMATION_TTL is over,
-   counted from the choice. A call may take GRANT_TIMEOUT, and bytes of a call given up may fly for
-   GRANT_IN_FLIGHT_LIMIT: GRANT_FENCE_DELAY after a table was first held here, nothing sent on an older one arrives any
-   more.
-2. So GRANT_FENCE_DELAY after it first held a table that names it, a granter is the only one whose grants can still
+"""Grants of key ranges: each key has at most one holder, whichever controllers act, with as few changes as possible.
+
+The table of a service is one register (`routing/shards.py`), changed by compare-and-swap. It names its granter, which
+is one incarnation of one controller. The argument that no two running workers hold a key at the same time:
+
+1. Only the granter named in the newest table sends grants, and only for open shards, with their owner and fence. It
+   acts until `fresh_until`: GRANT_CONFIRMATION_TTL after it asked a blocking set of voters, all of which answered that
+   the newest table they voted for is its own local one. A newer table is chosen by a majority, so a voter of that set
+   voted for it after answering: a controller with an older table begins its last grant within GRANT_CONFIRMATION_TTL of
+   the newer choice. A call may take GRANT_TIMEOUT, and bytes of an abandoned call may be in the network for
+   GRANT_IN_FLIGHT_LIMIT: GRANT_FENCE_DELAY after this controller first has a table, nothing sent on an older table can
+   arrive any more.
+2. So GRANT_FENCE_DELAY after it first has a table that names it, a granter is the only one whose grants can still
    arrive (`_sole_at`). A later granter writes another name or another number of the takeover.
-3. A shard that has a living owner first becomes moving, and what is moving is never granted. It opens for another
-   owner, under a new fence, when the old one has certainly let go: (a) it answered a release that was sent when the
-   granter was the only one and none of its own grants of these keys was under way; or (b) its process has ended:
-   another worker answered at its address (a connection that is refused proves nothing: a cut may refuse too, while the
-   worker lives and holds); or (c) its hold has run out: GRANT_DURATION by the slowest clock after the last moment at
-   which a grant can have arrived. That moment is GRANT_FENCE_DELAY after the shard was first seen moving here, or, for
-   the only granter, the later of `_sole_at` and the last of its own.
-4. Each of these stays true as long as the table does not change, and the change is conditional on its number.
-
-Fences are in the table, grow with each opening, and are never used again.
+3. A shard that has a living owner first becomes moving, and a moving shard is never granted. It opens for another
+   owner, under a new fence, once the old owner certainly no longer holds it: (a) it answered a release that was sent
+   when the granter was the only one and none of its own grants of these keys was in flight; or (b) its process has
+   ended: another worker answered at its address (a refused connection proves nothing: a network partition may refuse
+   too, while the worker lives and holds the keys); or (c) its hold has expired: GRANT_DURATION by the slowest clock
+   after the last moment at which a grant can have arrived. That moment is GRANT_FENCE_DELAY after the shard was first
+   seen moving here, or, for the only granter, the later of `_sole_at` and the last arrival of its own grants.
+4. Each of these stays true as long as the table does not change, and the change is conditional on the table's number.
+
+Fences are stored in the table, grow with each opening, and are never reused.
 """
 
 from __future__ import annotations
@@ -40,10 +40,10 @@
 
 
 class Granting:
-    """Owner of one service's grants in a controller's process. `step` gives (commands, changes).
+    """Grants the shards of one service in a controller's process. `step` returns (commands, changes).
 
-    A change is (register, expected number, text); it is done when the register's value shows it. `own` names this life
-    of this controller. `codec` makes the calls.
+    A change is (register, expected number, text); it has taken effect once the register's value shows it. `own` names
+    this incarnation of this controller. `codec` encodes the calls.
     """
 
     def __init__(self, *, service: str, own: str, codec: GrantCodec) -> None:
@@ -58,7 +58,7 @@
         self._next_check_at = NEVER
 
     def step(self, *, now: float, event: CallFinished | None, context: GrantContext) -> tuple[list, list]:
-        """Take the result of a call of ours, or None for time going on."""
+        """Handle the result of one of its calls, or the passing of time if `event` is None."""
         commands = []
         if event is not None and self.is_own(token=event.token):
             self._next_check_at = NEVER
@@ -72,7 +72,7 @@
         return commands, self._change(now=now, context=context) if context.is_acting else []
 
     def is_own(self, *, token: str) -> bool:
-        """Is this the token of a call of ours?"""
+        """Is this the token of one of its calls in flight?"""
         return self._calls.is_own(token=token)
 
     def _grant(self, *, now: float, context: GrantContext) -> list[Command]:
@@ -144,7 +144,7 @@
         return ShardTable(granter=self._own, since=self._number + 1, fencing_token=len(shards) + 1, shards=shards)
 
     def _redraw_all(self, *, now: float, table: ShardTable, context: GrantContext) -> tuple[list[Shard], int]:
-        """All shards as they should be next, and the next fence."""
+        """The next state of all shards, and the next fence."""
         shards, fencing_token, sole_at = [], table.fencing_token, self._sole_at()
         targets = self._targets.targets(now=now, shards=table.shards, sole_at=sole_at, context=context)
         for shard in table.shards:
@@ -157,7 +157,7 @@
                 if drawn.fencing_token != 0:
                     shards.append(drawn)
                     continue
-                # where a worker knows a higher fence than we do, doubling soon steps over it
+                # the worker knows a higher fence than the table: doubling exceeds it within a few attempts
                 fenced = replace(
                     drawn, fencing_token=2 * fencing_token if shard in self._calls.outrun else fencing_token
                 )
@@ -168,7 +168,7 @@
         return shards, fencing_token
 
     def _redraw(self, *, now: float, shard: Shard, parts: list[Span], is_sole: bool) -> list[Shard]:
-        """What becomes of a shard; a fence of 0 stands for a new one."""
+        """The shards that replace a shard; a fencing token of 0 stands for one still to be assigned."""
         fresh = [Shard(start=part.start, end=part.end, owner=part.owner, fencing_token=0, state=OPEN) for part in parts]
         if not shard.is_open:
             if self._is_free(now=now, shard=shard):
@@ -188,9 +188,9 @@
         ]
 
     def _join(self, *, shards: list[Shard], fencing_token: int) -> tuple[list[Shard], int]:
-        """Neighbouring ranges of one owner under one new fence, as each is granted by itself.
+        """Merge adjacent ranges of one owner under one new fence, since each range costs a grant of its own.
 
-        What is new may have a handover to come.
+        Only granted ranges are merged: a new one may still have handover data to deliver.
         """
         joined: list[Shard] = []
         for shard in shards:
--- a/sailward/control/shards/quiescence.py
+++ b/sailward/control/shards/quiescence.py
@@ -1,4 +1,4 @@
-"""Proof that every proxy that could act knows a slot closed, and has nothing open in it."""
+"""Proof that every proxy that could act knows that a slot is closed, and has no request in flight in it."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(kw_only=True)
 class Closing:
-    """One closed slot: since when this controller holds it, under which number, and whether it is clear."""
+    """One closed slot: when this controller first saw it closed, the register's number, and whether it is clear."""
 
     since: float
     number: int
@@ -25,10 +25,11 @@
 
 @dataclass(kw_only=True)
 class Quiescence:
-    """What one moment proves of a service's closings.
+    """What the current state proves about a service's closed slots.
 
-    A proxy acts on grants of a blocking set, which meets every majority of the voters. So the proxies that
-    a majority of voters tell of, in heartbeats made after the closing, are all that could act or have sent on.
+    A proxy acts on grants of a blocking set, which shares a voter with every majority of the voters. So the proxies
+    that a majority of voters report, in heartbeats made after the closing, are all that can act or have forwarded
+    requests.
     """
 
     service: str
@@ -38,11 +39,11 @@
     proxies: list[Subscriber]
 
     def heartbeats(self) -> dict:
-        """The voters' heartbeats at this moment."""
+        """The voters' current heartbeats."""
         return {voter["identity"]: (voter["start"], voter["beat"]) for voter in self._voters()}
 
     def check(self, *, closing: Closing, slot: str) -> None:
-        """Mark the closing as clear if this moment proves it."""
+        """Mark the closed slot as clear if the current state proves it."""
         reporting = [entry for entry in self._voters() if self._is_after(entry=entry, closing=closing)]
         for voter in self._voters():
             closing.proxy_names |= set(filter(None, voter["asks"].split(",")))
--- a/sailward/control/shards/shard_assignment.py
+++ b/sailward/control/shards/shard_assignment.py
@@ -1,4 +1,4 @@
-"""Who owns which slot: close for all, wait until nothing can be under way, open for the new owner."""
+"""Ownership of slots: close for all, wait until no request can be in flight, open for the new owner."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class AssignmentContext:
-    """What the assigning looks at in one moment."""
+    """The inputs of one step of assignment."""
 
     plan: Plan
     emptied: frozenset
@@ -25,11 +25,12 @@
 
 @dataclass(kw_only=True)
 class ShardAssignment:
-    """Owner of one service's slot moves, on the controller that hashing names. `step` gives the next text or "".
+    """Moves the slots of one service, on the controller chosen by hashing. `step` returns the next text or "".
 
-    A closed slot opens when every proxy that could act is witnessed to know it closed and to have nothing
-    open in it; else after LEASE_DURATION, by when no proxy can act without knowing it closed, and the service's
-    expiry, by when what was sent before has ended, counted from when this controller first held the closing.
+    A closed slot opens once every proxy that could act has reported that it knows the slot is closed and has no
+    request in flight in it. Otherwise it opens after LEASE_DURATION, by when no proxy can act without knowing that it
+    is closed, plus the service's expiry, by when all requests sent before have ended; both count from when this
+    controller first saw the slot closed.
     """
 
     closed: dict = field(default_factory=dict)
@@ -38,7 +39,7 @@
     def step(
         self, *, now: float, service: Service, text: str, context: AssignmentContext, quiescence: Quiescence
     ) -> str:
-        """Judge all slots of a service against the moment."""
+        """Check all slots of a service against the current state."""
         spaces = read_table(text=text)
         fresh = {}
         changed = False
@@ -156,7 +157,7 @@
         return ""
 
     def _tiers(self, *, pool: Pool) -> list[tuple[bool, tuple]]:
-        """(drained zones or the others, tier) in the order of choice: where only drained zones could serve, they do."""
+        """(is drained, tier) in order of preference: drained zones serve only if no others can."""
         return [(drained, tier) for drained in (False, True) for tier in (pool.preferred, pool.fallback)]
 
 
--- a/sailward/control/shards/shard_leases.py
+++ b/sailward/control/shards/shard_leases.py
@@ -1,6 +1,6 @@
-"""A controller's part in the keys of services that are divided by number.
+"""A controller's part in the leases of services whose keys are divided into ranges.
 
-Who acts, how fresh it is, and what it grants from.
+Determines which controller acts, how fresh its view is, and what it grants from.
 """
 
 from __future__ import annotations
@@ -30,9 +30,9 @@
 
 
 class ShardLeases:
-    """Owner of the grants of one controller.
+    """Runs the grants of one controller.
 
-    `step` takes a call's end, or None for time going on; `receive` a message.
+    `step` takes the result of a call, or None for the passing of time; `receive` takes a message.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         self._ops = 0
 
     def receive(self, *, now: float, sender: str, body: Message) -> list[Command]:
-        """Answer another controller's asking, or fold an answer."""
+        """Answer another controller's request for a confirmation, or record an answer."""
         voter = self._voter
         if body["kind"] == "confirm":
             known, learned = voter.voters.number, voter.learner.values.get("voters")
@@ -84,11 +84,11 @@
             reply = SendMessage(
                 to=sender, body={"kind": "confirmed", "seq": body["seq"], "identity": voter.identity, "newest": newest}
             )
-            # a vote that is not synced yet may be lost: it is told behind the disk
+            # a vote that is not yet synced may be lost: the reply is sent after the disk sync
             return voter.write_ahead.step(records=[], replies=[reply])
         for name, newest in body["newest"].items():
             if isinstance(newest, list) and newest and newest[0] > voter.learner.number(name=name):
-                # chosen or not, it is newer than what would be granted from
+                # chosen or not, it is newer than the value that grants would be based on
                 self._catch_up.record_behind(now=now, name=name)
         return self.freshness.step(
             now=now,
@@ -100,7 +100,7 @@
         )
 
     def step(self, *, now: float, event: CallFinished | None) -> StepResult:
-        """Step the grants of each divided service: (commands, operations to begin)."""
+        """Step the grants of each divided service; returns (commands, operations to start)."""
         services = sorted(name for name, service in self._shard_moves.plan.services.items() if service.ranged)
         if event is not None:
             services = [
@@ -125,7 +125,7 @@
         return StepResult(commands, begins)
 
     def _choose_acting(self, *, services: list[str], may_set_readers: bool) -> list[str]:
-        """The services whose leases this controller grants: for each one voter is chosen by hashing."""
+        """The services whose leases this controller grants: hashing chooses one voter for each."""
         controllers = [*self._peer_table.alive(kind="controller"), self._peer_table.own_entry()]
         well = {peer["identity"]: peer["post"] for peer in controllers if peer["fit"]}
         leads = (
@@ -147,7 +147,7 @@
         )
 
     def _grant_context(self, *, now: float, service: str, is_acting: bool) -> GrantContext:
-        """What the granting of one service looks at in this moment."""
+        """The current inputs of the granting of one service."""
         voter = self._voter
         learned = voter.learner.values.get(PREFIX + service)
         fresh_until = self.freshness.until(
@@ -177,7 +177,7 @@
         )
 
     def _loads_of(self, *, now: float, service: str, is_acting: bool) -> dict:
-        """Loads and paces for the one that acts, added up anew now and then."""
+        """Loads and service times for the acting controller, recomputed at intervals."""
         if not is_acting:
             self._loads.pop(service, None)
             return {}
@@ -193,7 +193,7 @@
         return found
 
     def _follow_endpoints(self, *, now: float) -> None:
-        """Fold the list, the orders and what proxies call unreachable into what is granted from."""
+        """Update workers, emptied zones and unreachable workers from the endpoint list, orders and proxy reports."""
         voter = self._voter
         orders = voter.learner.values.get("orders")
         emptied = read_orders(value=orders.value) if orders else frozenset()
--- a/sailward/control/shards/shard_moves.py
+++ b/sailward/control/shards/shard_moves.py
@@ -1,4 +1,4 @@
-"""The slot moves of all divided services, each minded by the one controller that hashing names."""
+"""The slot moves of all divided services; hashing chooses the one controller responsible for each."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass(kw_only=True)
 class ShardMoves:
-    """Owner of the moves. `step` gives the changes to begin as (register, expected number, text)."""
+    """Runs the moves. `step` returns the changes to start as (register, expected number, text)."""
 
     plan: Plan = field(default_factory=Plan)
     table: EndpointTable = field(default_factory=EndpointTable)
@@ -40,7 +40,7 @@
         epoch: int,
         proxies: list[Subscriber],
     ) -> list[tuple[str, int, str]]:
-        """Look at each divided service that this controller minds; `epoch` is that of the list of workers."""
+        """Check each divided service this controller is responsible for; `epoch` is that of the list of workers."""
         if now - self.last_check_at < constants.SLOT_ASSIGNMENT_INTERVAL or workers is None:
             return []
         self.last_check_at = now
--- a/sailward/control/shards/shard_plan.py
+++ b/sailward/control/shards/shard_plan.py
@@ -1,4 +1,4 @@
-"""Which worker should own which keys: few moves, cut by load."""
+"""Placement of keys on workers: ranges are split by load, and few keys move."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Span:
-    """Keys from `start` to `end`, both inside, and their owner's key; empty if they have none."""
+    """Keys from `start` to `end`, both inclusive, and their owner's key; "" if they have no owner."""
 
     start: int
     end: int
@@ -23,7 +23,10 @@
 
 
 class Spread:
-    """How busy the keys are: parts of the whole, from the requests/s of each bucket. Cuts lie between buckets."""
+    """The distribution of load over the keys, as fractions of the total, from the requests/s of each bucket.
+
+    Ranges are split only between buckets.
+    """
 
     def __init__(self, *, loads: dict) -> None:
         total = sum(loads.values())
@@ -35,11 +38,11 @@
             self._sums.append(self._sums[-1] + (1 - FLOOR) * loads[bucket] / total)
 
     def of(self, *, span: Span) -> float:
-        """The part of all load that these keys have."""
+        """The fraction of the total load on these keys."""
         return self._below(key=span.end + 1) - self._below(key=span.start)
 
     def split_point(self, *, start: int, part: float) -> int:
-        """The key before which about this part of all load lies, counted from `start`."""
+        """The key such that about the fraction `part` of the total load lies between `start` and it."""
         aim = self._below(key=start) + part
         at = bisect.bisect_left(range(BUCKETS + 1), aim, key=lambda bucket: self._below(key=bucket * WIDTH))
         before, after = (aim - self._below(key=max(0, at - 1) * WIDTH), self._below(key=min(BUCKETS, at) * WIDTH) - aim)
@@ -55,13 +58,13 @@
 
 
 def place(*, spans: list[Span], able: dict, loads: dict, is_balancing: bool) -> list[Span]:
-    """The wanted owners of all keys.
+    """The target owners of all keys.
 
-    `able` has the requests/s that each worker that may own can do, `loads` those by bucket.
+    `able` has the requests/s that each eligible worker can serve, `loads` the requests/s of each bucket.
 
-    Spans whose owner is able stay, but for what `is_balancing` moves: from those that are well over their part and not
-    calm, or slow for what others could do, to those that are well under it. All others are given to those that lack
-    most.
+    Spans with an eligible owner stay, except for what `is_balancing` moves: from workers that are well over their share
+    and busy, or that are slower than others with capacity to spare, to workers well under their share. All other spans
+    go to the workers furthest below their share.
     """
     if not able:
         return _join(spans=[replace(span, owner="") for span in spans])
@@ -85,15 +88,15 @@
 
 
 def strain(*, spans: list[Span], able: dict, loads: dict) -> float:
-    """How many times its part the busiest owner has."""
+    """The load of the most loaded owner, as a multiple of its share."""
     parts = _parts_of(spans=spans, able=able, loads=loads)
     return max((parts.ratio(name=name) for name in able), default=0.0)
 
 
 def weigh(*, capacities: dict, paces: dict) -> dict:
-    """The requests/s that each worker can do.
+    """The requests/s that each worker can serve, from its capacity and its time per request.
 
-    A pace from few times counts less, and none is far from the middle one.
+    A time from few samples counts less, and none may be far from the median.
     """
     known = sorted(paces[key][0] for key in capacities if key in paces)
     middle = known[len(known) // 2] if known else constants.DEFAULT_WORKER_LATENCY * constants.LATENCY_LOWER_HALF_RATIO
@@ -108,7 +111,10 @@
 
 @dataclass(kw_only=True)
 class Parts:
-    """The parts of the load: what each worker can do of the whole, what it should have, and what it has."""
+    """The workers' shares of the load, as fractions of the total.
+
+    `even` is proportional to what each worker can serve, `fair` is the target, `assigned` is what it has.
+    """
 
     able: dict
     spread: Spread
@@ -117,11 +123,11 @@
     assigned: dict
 
     def ratio(self, *, name: str) -> float:
-        """What it has, in times its part; a slow worker that should have little may have its even part in peace."""
+        """The assigned load as a multiple of the share; a slow worker with a small target may keep its even share."""
         return self.assigned[name] / max(self.fair[name], self.even[name])
 
     def is_over(self, *, name: str) -> bool:
-        """Should it give keys away?"""
+        """Is the worker overloaded enough to give keys away?"""
         ratio, use = self.ratio(name=name), self.assigned[name] * self.spread.total / self.able[name]
         is_slow = (
             self.assigned[name] - self.fair[name] > constants.REBALANCE_SLOW_WORKER_RATIO * self.even[name]
@@ -134,7 +140,7 @@
         )
 
     def is_under(self, *, name: str) -> bool:
-        """Is it idle though it should not be?"""
+        """Is the worker idle although its share says it should not be?"""
         return (
             self.assigned[name] < constants.REBALANCE_LOW_RATIO * min(self.fair[name], self.even[name])
             and self.fair[name] > 0.5 * self.even[name]
@@ -151,9 +157,9 @@
 
 
 def _share(*, able: dict, total: float) -> dict:
-    """The part of the load that each worker should have.
+    """The target share of each worker.
 
-    The less there is to do, the more of it goes to the quick ones.
+    The lower the total load, the larger the share of the fast workers.
     """
     total_capacity = sum(able.values())
     lean = (
@@ -196,7 +202,7 @@
 
 
 def _balance(*, spans: list[Span], parts: Parts) -> list[Span] | None:
-    """One piece moved, from the first of the busiest that can be relieved; None if nothing needs to move."""
+    """Move one chunk from the most loaded worker that can be relieved; None if nothing needs to move."""
     fair, assigned = parts.fair, parts.assigned
     names = sorted(fair)
     taker = min(
@@ -232,7 +238,7 @@
 def _move(
     *, spans: list[Span], spread: Spread, giver: str, taker: str, part: float, assigned: dict
 ) -> list[Span] | None:
-    """A piece of about this part of the load goes over: the one with the fewest keys for it."""
+    """Move a chunk with about this fraction of the load: the one with the fewest keys per load."""
     best = None
     for span in spans:
         for chunk in _edges(span=span, spread=spread, part=part) if span.owner == giver else ():
