--- a/sailward/control/endpoints/endpoint_list.py
+++ b/sailward/control/endpoints/endpoint_list.py
@@ -33,7 +33,7 @@
         self.value: RegisterValue | None = None
         self._has_reader = reader is not None
         self._pager = Pager(platform=platform, reader=reader, rate=rate)
-        self._listing = EndpointPoller(
+        self._poller = EndpointPoller(
             pager=self._pager, incarnations=Incarnations(post=post, number=start), refused=refused
         )
 
@@ -46,8 +46,8 @@
     ) -> tuple[list[Command], bool]:
         """Returns (commands, has the list changed). `is_needed`: does anyone read the list from this controller?"""
         if not self._has_reader:
-            return self._step_own(now=now, event=event)
-        commands, is_newer = self._listing.step(
+            return self._step_platform_list(now=now, event=event)
+        commands, is_newer = self._poller.step(
             now=now,
             event=event,
             controllers=peer_table.alive(kind="controller"),
@@ -59,11 +59,11 @@
 
     def receive(self, *, now: float, body: Message) -> tuple[list[Command], bool]:
         """Adopt the list sent by the controller that reads it from the platform."""
-        commands, is_newer = self._listing.receive(now=now, body=body)
+        commands, is_newer = self._poller.receive(now=now, body=body)
         self._adopt_incarnations()
         return commands, is_newer
 
-    def _step_own(self, *, now: float, event: CallFinished | None) -> tuple[list[Command], bool]:
+    def _step_platform_list(self, *, now: float, event: CallFinished | None) -> tuple[list[Command], bool]:
         commands, complete_list = self._pager.step(now=now, event=event)
         if complete_list is None or (complete_list.epoch, complete_list.revision) <= (self.epoch, self.revision):
             return commands, False
@@ -81,5 +81,5 @@
         return commands, True
 
     def _adopt_incarnations(self) -> None:
-        incarnations = self._listing.incarnations
+        incarnations = self._poller.incarnations
         self.epoch, self.revision, self.value = 0, incarnations.number, incarnations.value
--- a/sailward/control/endpoints/incarnations.py
+++ b/sailward/control/endpoints/incarnations.py
@@ -25,27 +25,27 @@
 
     def step(self, *, now: float, rows: list) -> bool:
         """Adopt the rows of a pass; returns whether the list has changed."""
-        fresh = {row["id"]: {**row, "cold_s": 0.0} for row in rows}
-        risen = any(
+        rows_without_slow_start = {row["id"]: {**row, "cold_s": 0.0} for row in rows}
+        has_risen = any(
             row["cold_s"]
             > max(0.0, self.slow_start_until.get(row["id"], now) - now) + constants.SLOW_START_REPORT_THRESHOLD
             for row in rows
         )
-        is_new = self.value is None or fresh != self.rows or risen
+        is_new = self.value is None or rows_without_slow_start != self.rows or has_risen
         if is_new:
-            self.number, self.rows = self.number + 1, fresh
+            self.number, self.rows = self.number + 1, rows_without_slow_start
         was_in_slow_start = any(
             until > now - constants.ENDPOINT_LIST_MAX_BACKOFF for until in self.slow_start_until.values()
         )
         if is_new or was_in_slow_start:
             self.slow_start_until = {row["id"]: now + row["cold_s"] for row in rows if row["cold_s"] > 0}
-            listed_rows = [
+            published_rows = [
                 {**row, "cold_s": round(row["cold_s"], 2)} for row in sorted(rows, key=lambda row: row["id"])
             ]
             self.value = {
                 "number": self.number,
                 "mark": self.post,
                 "trail": [],
-                "text": json.dumps(listed_rows, separators=(",", ":")),
+                "text": json.dumps(published_rows, separators=(",", ":")),
             }
         return is_new
--- a/sailward/control/proxies/aggregated_health.py
+++ b/sailward/control/proxies/aggregated_health.py
@@ -22,33 +22,33 @@
 
     def step(self, *, now: float, proxies: list[Subscriber]) -> list[Command]:
         """Aggregate the reports; one of a proxy that suspects itself counts only if there are no others."""
-        fresh = [
+        recent_reports = [
             proxy.report
             for proxy in proxies
             if now - proxy.last_seen_at < constants.HEALTH_REPORT_TTL and proxy.report.get("halls") is not None
         ]
-        voices = [report for report in fresh if not report.get("suspect")] or fresh
-        reported: dict = {}
-        marks: dict = {}
+        counted_reports = [report for report in recent_reports if not report.get("suspect")] or recent_reports
+        fractions_by_zone: dict = {}
+        drained_flags: dict = {}
         self.warm = {}
-        for report in voices:
+        for report in counted_reports:
             for name, (listed, healthy, state) in report["halls"].items():
                 if listed:
-                    reported.setdefault(name, []).append(healthy / listed)
-                    marks.setdefault(name, []).append(state in ("drained", "holding"))
+                    fractions_by_zone.setdefault(name, []).append(healthy / listed)
+                    drained_flags.setdefault(name, []).append(state in ("drained", "holding"))
             for key, age in report.get("warm", {}).items():
                 self.warm[key] = max(age, self.warm.get(key, 0.0))
         counts = {}
-        for name, fractions in reported.items():
-            if 2 * len(fractions) <= len(voices):
+        for name, fractions in fractions_by_zone.items():
+            if 2 * len(fractions) <= len(counted_reports):
                 continue
             location = tuple(name.split("|", 1))
-            middle = sorted(fractions)[len(fractions) // 2]
-            counts[location] = (PARTS, round(middle * PARTS), PARTS)
-            if location not in self.table.zones and 2 * sum(marks[name]) > len(marks[name]):
+            median = sorted(fractions)[len(fractions) // 2]
+            counts[location] = (PARTS, round(median * PARTS), PARTS)
+            if location not in self.table.zones and 2 * sum(drained_flags[name]) > len(drained_flags[name]):
                 # this controller has no state of the zone, as after a restart, but most proxies report it drained:
                 # drain it until its hold time has passed
-                self.table.step(now=now, counts={**self._old(), location: (PARTS, 0, PARTS)})
+                self.table.step(now=now, counts={**self._current_counts(), location: (PARTS, 0, PARTS)})
         return self.table.step(now=now, counts=counts) if counts else []
 
     def view(self, *, with_slow_start: bool) -> dict:
@@ -56,5 +56,5 @@
         drained = [f"{service}|{zone}" for (service, zone), state in self.table.zones.items() if state.drained]
         return {"drained": drained, **({"warm": self.warm} if with_slow_start else {})}
 
-    def _old(self) -> dict:
+    def _current_counts(self) -> dict:
         return {location: (zone.listed, zone.healthy, zone.listed) for location, zone in self.table.zones.items()}
--- a/sailward/control/proxies/key_loads.py
+++ b/sailward/control/proxies/key_loads.py
@@ -43,7 +43,7 @@
         if counts is None:
             counts = self._counts[service] = Counts(base=now, since=now)
         if now - counts.base > constants.KEY_LOAD_WINDOW:
-            self._age(now=now, counts=counts)
+            self._rebase(now=now, counts=counts)
         if not counts.masses:
             counts.since = now
         weight = math.exp((now - counts.base) / constants.KEY_LOAD_WINDOW)
@@ -56,16 +56,16 @@
         for service, counts in self._counts.items():
             total = 1.0 - math.exp(-(now - counts.since + constants.POLL_INTERVAL) / constants.KEY_LOAD_WINDOW)
             scale = math.exp(-(now - counts.base) / constants.KEY_LOAD_WINDOW) / constants.KEY_LOAD_WINDOW / total
-            rates[service] = {bucket: mass * scale for bucket, mass in counts.masses.items()}
+            rates[service] = {bucket: count * scale for bucket, count in counts.masses.items()}
         return rates
 
-    def _age(self, *, now: float, counts: Counts) -> None:
+    def _rebase(self, *, now: float, counts: Counts) -> None:
         scale = math.exp(-(now - counts.base) / constants.KEY_LOAD_WINDOW)
         counts.base = now
         counts.masses = {
-            bucket: mass * scale
-            for bucket, mass in counts.masses.items()
-            if mass * scale >= constants.KEY_LOAD_MIN_COUNT
+            bucket: count * scale
+            for bucket, count in counts.masses.items()
+            if count * scale >= constants.KEY_LOAD_MIN_COUNT
         }
 
 
@@ -77,18 +77,18 @@
 
     def __init__(self) -> None:
         self._times: dict[str, deque] = {}
-        self._at: dict[str, float] = {}
+        self._updated_at: dict[str, float] = {}
 
     def step(self, *, now: float, times: dict) -> None:
         """Add one proxy's {worker: [ms, ...]}."""
-        for key, took in times.items():
-            self._times.setdefault(key, deque(maxlen=constants.LATENCY_SAMPLES_KEPT)).extend(took)
-            self._at[key] = now
+        for key, durations in times.items():
+            self._times.setdefault(key, deque(maxlen=constants.LATENCY_SAMPLES_KEPT)).extend(durations)
+            self._updated_at[key] = now
 
     def paces(self, *, now: float) -> dict:
         """{worker: [ms, number of samples]}."""
-        for key in [key for key, at in self._at.items() if now - at > constants.LATENCY_TTL]:
-            del self._times[key], self._at[key]
+        for key in [key for key, at in self._updated_at.items() if now - at > constants.LATENCY_TTL]:
+            del self._times[key], self._updated_at[key]
         paces = {}
         for key, times in self._times.items():
             lower = sorted(times)[: (len(times) + 1) // 2]
--- a/sailward/control/proxies/proxy_registry.py
+++ b/sailward/control/proxies/proxy_registry.py
@@ -73,7 +73,7 @@
             rows = body["rows"] if not is_same else old.rows if old is not None else []
             number = body["number"] if is_known or not is_same else -1
             self.others[sender] = PeerSnapshot(
-                at=now, number=number, rows=rows, down=body["down"], loads=read_loads(told=body["loads"])
+                at=now, number=number, rows=rows, down=body["down"], loads=read_loads(report=body["loads"])
             )
             # an earlier report was lost: request the rows, and keep the old ones until they arrive
             return (
@@ -85,12 +85,12 @@
         self.last["looked"] = now
         self._forget_gone(now=now, posts={controller["post"] for controller in controllers})
         own = self._own_rows(now=now, proxies=proxies)
-        self._compose(now=now, own=own, controllers=controllers, down=self._agreed(now=now, proxies=proxies))
+        self._compose(now=now, own=own, controllers=controllers, down=self._confirmed_down(now=now, proxies=proxies))
         down = self._own_down(proxies=proxies)
         changed = own != self.own or down != self.own_down
         others = [controller for controller in controllers if controller["post"] != self.post]
         if now - self.sent_at < (constants.PROXY_REPORT_MIN_INTERVAL if changed else constants.PROXY_REPORT_INTERVAL):
-            readers = [other for other in others if self._reads(to=other)]
+            readers = [other for other in others if self._is_reader(to=other)]
             return self._send_to_all(now=now, to=readers) if readers and self._is_load_due(now=now) else []
         self.own_number += own != self.own
         self.sent_at, self.own, self.own_down = now, own, down
@@ -101,11 +101,13 @@
 
         As machines are replaced, it would otherwise grow without bound.
         """
-        self.others = {post: told for post, told in self.others.items() if now - told.at < constants.PEER_TTL}
+        self.others = {
+            post: snapshot for post, snapshot in self.others.items() if now - snapshot.at < constants.PEER_TTL
+        }
         # a controller that returns is sent all rows again
         self.sent_to = {post: version for post, version in self.sent_to.items() if post in posts}
 
-    def _reads(self, *, to: dict) -> bool:
+    def _is_reader(self, *, to: dict) -> bool:
         return self.readers is None or to["post"] in self.readers
 
     def _is_load_due(self, *, now: float) -> bool:
@@ -122,7 +124,8 @@
         loads = self._own_loads(now=now)
         self.loads_at, self.rates_sent = now, self.rates
         return [
-            self._send_snapshot(to=controller, loads=loads if self._reads(to=controller) else {}) for controller in to
+            self._send_snapshot(to=controller, loads=loads if self._is_reader(to=controller) else {})
+            for controller in to
         ]
 
     def _send_snapshot(self, *, to: dict, loads: dict) -> SendMessage:
@@ -143,7 +146,7 @@
     def _resend(self, *, now: float, to: str) -> list:
         """Send all rows to a controller that lacks them."""
         self.sent_to.pop(to, None)
-        loads = self._own_loads(now=now) if self._reads(to={"post": to}) else {}
+        loads = self._own_loads(now=now) if self._is_reader(to={"post": to}) else {}
         return [
             SendMessage(
                 to=to,
@@ -165,17 +168,17 @@
         """{worker: (proxies that report it unreachable, proxies that report at all)}."""
         counts = self._own_down(proxies=proxies)
         voices = len(proxies)
-        for told in self._fresh(now=now):
-            for key, count in told.down.items():
+        for snapshot in self._recent_snapshots(now=now):
+            for key, count in snapshot.down.items():
                 counts[key] = counts.get(key, 0) + count
-            voices += len(told.rows)
+            voices += len(snapshot.rows)
         return {key: (count, voices) for key, count in counts.items()}
 
     def loads(self, *, now: float, service: str) -> dict:
         """Requests/s by bucket of a divided service, over the whole fleet."""
         total = dict(self.rates.get(service, {}))
-        for told in self._fresh(now=now):
-            for bucket, rate in told.loads.get("rates", {}).get(service, {}).items():
+        for snapshot in self._recent_snapshots(now=now):
+            for bucket, rate in snapshot.loads.get("rates", {}).get(service, {}).items():
                 total[bucket] = total.get(bucket, 0.0) + rate
         return total
 
@@ -184,15 +187,15 @@
         total: dict = {}
         for paces in [
             self.worker_paces.paces(now=now),
-            *(told.loads.get("paces", {}) for told in self._fresh(now=now)),
+            *(snapshot.loads.get("paces", {}) for snapshot in self._recent_snapshots(now=now)),
         ]:
             for key, (pace, count) in paces.items():
                 before, counted = total.get(key, (0.0, 0))
                 total[key] = (before * counted + pace / 1000 * count) / (counted + count), counted + count
         return total
 
-    def _fresh(self, *, now: float) -> list[PeerSnapshot]:
-        return [told for told in self.others.values() if now - told.at < constants.PROXY_REPORT_TTL]
+    def _recent_snapshots(self, *, now: float) -> list[PeerSnapshot]:
+        return [snapshot for snapshot in self.others.values() if now - snapshot.at < constants.PROXY_REPORT_TTL]
 
     def _own_rows(self, *, now: float, proxies: list[Subscriber]) -> list:
         return sorted(
@@ -242,7 +245,7 @@
             self.last["rates"] = now
         self.last.setdefault("rates", now)
 
-    def _agreed(self, *, now: float, proxies: list[Subscriber]) -> list:
+    def _confirmed_down(self, *, now: float, proxies: list[Subscriber]) -> list:
         """The workers that so many proxies report unreachable that one faulty proxy can't decide alone for all."""
         return sorted(
             key
@@ -253,9 +256,9 @@
     def _compose(self, *, now: float, own: list, controllers: list[PeerEntry], down: list) -> None:
         rows = {
             row[0]: row
-            for told in self.others.values()
-            if now - told.at < constants.PROXY_REPORT_TTL
-            for row in told.rows
+            for snapshot in self.others.values()
+            if now - snapshot.at < constants.PROXY_REPORT_TTL
+            for row in snapshot.rows
         }
         rows |= {row[0]: row for row in own}
         posts = sorted([controller["post"], controller["hall"], controller["region"]] for controller in controllers)
@@ -269,9 +272,9 @@
             self.text, self.number = text, self.number + 1
 
 
-def read_loads(*, told: dict) -> dict:
+def read_loads(*, report: dict) -> dict:
     """Decode another controller's report of key loads and of workers' service times."""
     return {
-        "rates": {service: read_rates(row=rates) for service, rates in told.get("rates", {}).items()},
-        "paces": told.get("paces", {}),
+        "rates": {service: read_rates(row=rates) for service, rates in report.get("rates", {}).items()},
+        "paces": report.get("paces", {}),
     }
--- a/sailward/control/proxies/serving.py
+++ b/sailward/control/proxies/serving.py
@@ -109,9 +109,9 @@
             pushes = [SendMessage(to=push.to, body={**push.body, "contact": False}) for push in pushes]
         commands: list[Command] = [*pushes]
         commands += self._record_versions(now=now, sender=sender, have=body["have"])
-        return [*commands, self._say_present(sender=sender, body=body, may_serve=may_serve)]
+        return [*commands, self._presence_answer(sender=sender, body=body, may_serve=may_serve)]
 
-    def _say_present(self, *, sender: str, body: Message, may_serve: bool) -> SendMessage:
+    def _presence_answer(self, *, sender: str, body: Message, may_serve: bool) -> SendMessage:
         """Answer without a lease: this controller's presence, its location, and whether it has contact with a majority.
 
         An answer without the field `contact` means that it has. One without contact names other controllers to ask.
@@ -133,7 +133,7 @@
         return SendMessage(to=sender, body=grant)
 
     def _grant(self, *, now: float, sender: str, body: Message, newest: dict) -> SendMessage:
-        is_slow_start_over = now - self._subscribers.members[sender].first < constants.SLOW_START_REPORT_DURATION
+        is_new_subscriber = now - self._subscribers.members[sender].first < constants.SLOW_START_REPORT_DURATION
         return SendMessage(
             to=sender,
             body={
@@ -144,7 +144,7 @@
                 "voting": self._voter.voting,
                 "proxies": len(self._subscribers.proxies()),
                 "view": {
-                    **self._aggregated_health.view(with_slow_start=is_slow_start_over),
+                    **self._aggregated_health.view(with_slow_start=is_new_subscriber),
                     "doubt": self._membership.has_unknown_outcomes(now=now),
                     "wall": self.wall_offset + now,
                 },
--- a/sailward/control/proxies/subscribers.py
+++ b/sailward/control/proxies/subscribers.py
@@ -46,7 +46,7 @@
     def step(self, *, now: float, event: tuple | None, updates: dict) -> list[SendMessage]:
         """`updates` is {name: (number, ballot, value)}; `event` is a (sender, ask or ack) or None."""
         if event is not None:
-            self._fold(now=now, sender=event[0], body=event[1])
+            self._record(now=now, sender=event[0], body=event[1])
         for address, member in list(self.members.items()):
             if now - member.last_seen_at > constants.SUBSCRIBER_TTL:
                 del self.members[address]
@@ -87,7 +87,7 @@
             name: at for name, at in self.active_proxies.items() if now - at < constants.PROXY_ACTIVITY_TTL
         }
 
-    def _fold(self, *, now: float, sender: str, body: Message) -> None:
+    def _record(self, *, now: float, sender: str, body: Message) -> None:
         member = self.members.get(sender)
         if body["kind"] == "ack":
             if member is not None:
@@ -114,7 +114,7 @@
         value: RegisterValue,
         is_requested: bool = False,
     ) -> list[SendMessage]:
-        given = member.have.get(name)
+        held_version = member.have.get(name)
         if self.post and kind_of(entry=member.entry) == "controller" and name in OWN_LISTS:
             # a controller follows no other controller's lists
             return []
@@ -124,14 +124,20 @@
             return []
         if self.post and name in OWN_LISTS:
             return self._push_own(
-                now=now, address=address, member=member, name=name, given=given, number=number, value=value
+                now=now,
+                address=address,
+                member=member,
+                name=name,
+                held_version=held_version,
+                number=number,
+                value=value,
             )
-        had = (_epoch_of(given=given), given[0] if given else -1)
+        held_at = (_epoch_of(held_version=held_version), held_version[0] if held_version else -1)
         if name != "workers":
-            had = (0, had[1])
+            held_at = (0, held_at[1])
         at = (ballot[0], number) if name == "workers" else (0, number)
         acked = name != "workers" and member.acked.get(name, -1) >= number
-        if had >= at or acked:
+        if held_at >= at or acked:
             return []
         return self._send(now=now, address=address, member=member, name=name, at=at, ballot=ballot, value=value)
 
@@ -142,12 +148,12 @@
         address: str,
         member: Subscriber,
         name: str,
-        given: list | None,
+        held_version: list | None,
         number: int,
         value: RegisterValue,
     ) -> list[SendMessage]:
-        teller = given[1] if given else ""
-        if teller not in ("", self.post) or (teller == self.post and given[0] == number):
+        source = held_version[1] if held_version else ""
+        if source not in ("", self.post) or (source == self.post and held_version[0] == number):
             return []
         pushed = member.pushed.get(name)
         if pushed and pushed[0] == (0, number) and member.last_seen_at - pushed[1] < constants.PUSH_RETRY_INTERVAL:
@@ -177,6 +183,6 @@
         return [SendMessage(to=address, body=body)]
 
 
-def _epoch_of(*, given: list | None) -> int:
+def _epoch_of(*, held_version: list | None) -> int:
     """The epoch in the [number, mark, ballot] of an ask; 0 if it holds fewer items."""
-    return given[2][0] if given is not None and len(given) > 2 else 0
+    return held_version[2][0] if held_version is not None and len(held_version) > 2 else 0
--- a/sailward/control/shards/freshness.py
+++ b/sailward/control/shards/freshness.py
@@ -73,7 +73,7 @@
         """The time until which the local value of this register may be acted on as the newest."""
         if not members:
             return NEVER
-        ends = []
+        lease_ends = []
         for name in members:
             if name == own:
                 slot = slots.get(register)
@@ -82,7 +82,7 @@
                     or slot.value is None
                     or _covers(learner=learner, register=register, newest=newest_vote(slots=slots, name=register))
                 ):
-                    ends.append(now + constants.GRANT_CONFIRMATION_TTL)
+                    lease_ends.append(now + constants.GRANT_CONFIRMATION_TTL)
                 continue
             confirmation = self.confirmations.get(name)
             if (
@@ -90,9 +90,9 @@
                 and register in confirmation.newest
                 and _covers(learner=learner, register=register, newest=confirmation.newest[register])
             ):
-                ends.append(confirmation.requested_at + constants.GRANT_CONFIRMATION_TTL)
-        need = blocking_of(members=members)
-        return sorted(ends, reverse=True)[need - 1] if len(ends) >= need else NEVER
+                lease_ends.append(confirmation.requested_at + constants.GRANT_CONFIRMATION_TTL)
+        needed = blocking_of(members=members)
+        return sorted(lease_ends, reverse=True)[needed - 1] if len(lease_ends) >= needed else NEVER
 
 
 def _covers(*, learner: Learner, register: str, newest: list) -> bool:
--- a/sailward/control/shards/grant_calls.py
+++ b/sailward/control/shards/grant_calls.py
@@ -55,38 +55,36 @@
     ended: set[str] = field(default_factory=set)
     outrun: set[Shard] = field(default_factory=set)
     handovers: dict[Shard, str] = field(default_factory=dict)
-    _renewing: dict[Shard, Renewing] = field(default_factory=dict)
-    _moving: list[Releasing] = field(default_factory=list)
-    _sent: dict[str, Sent] = field(default_factory=dict)
-    _arrived: dict[str, float] = field(default_factory=dict)
-    _failing: dict[str, tuple[float, float]] = field(default_factory=dict)
-    _count: int = 0
+    _renewals: dict[Shard, Renewing] = field(default_factory=dict)
+    _releases: list[Releasing] = field(default_factory=list)
+    _in_flight: dict[str, Sent] = field(default_factory=dict)
+    _last_arrival_at: dict[str, float] = field(default_factory=dict)
+    _failure_spans: dict[str, tuple[float, float]] = field(default_factory=dict)
+    _call_count: int = 0
 
     def is_own(self, *, token: str) -> bool:
         """Is this the token of a call in flight?"""
-        return token in self._sent
+        return token in self._in_flight
 
     def take_table(self, *, now: float, shards: Iterable[Shard], is_new_term: bool) -> None:
         """Adopt a new table: open shards are granted and renewed, moving ones released. A new term grants all again."""
         shards = list(shards)
-        known = {} if is_new_term else self._renewing
-        self._renewing = {
+        known = {} if is_new_term else self._renewals
+        self._renewals = {
             shard: known.get(shard) or Renewing(handover=self.handovers.get(shard, ""))
             for shard in shards
             if shard.is_open and shard.owner
         }
-        self._moving = [
-            self._releasing_of(shard=shard) or Releasing(shard=shard, since=now)
-            for shard in shards
-            if not shard.is_open
+        self._releases = [
+            self._release_of(shard=shard) or Releasing(shard=shard, since=now) for shard in shards if not shard.is_open
         ]
-        self.outrun &= set(self._renewing)
+        self.outrun &= set(self._renewals)
 
-    def _releasing_of(self, *, shard: Shard) -> Releasing | None:
+    def _release_of(self, *, shard: Shard) -> Releasing | None:
         return next(
             (
                 replace(releasing, shard=shard)
-                for releasing in self._moving
+                for releasing in self._releases
                 if (releasing.shard.owner, releasing.shard.fencing_token) == (shard.owner, shard.fencing_token)
                 and releasing.shard.start <= shard.start
                 and shard.end <= releasing.shard.end
@@ -96,31 +94,31 @@
 
     def take_result(self, *, now: float, event: CallFinished) -> list[Command]:
         """Handle the result of one of these calls; returns log events."""
-        sent = self._sent.pop(event.token, None)
+        sent = self._in_flight.pop(event.token, None)
         if sent is None:
             return []
         owner = sent.shard.owner
         if event.code == 421:
             self.ended.add(owner)
         if event.code in (200, 409):
-            self._failing.pop(owner, None)
+            self._failure_spans.pop(owner, None)
         else:
-            self._failing[owner] = (self._failing.get(owner, (sent.since, now))[0], now)
+            self._failure_spans[owner] = (self._failure_spans.get(owner, (sent.since, now))[0], now)
         if sent.is_grant:
-            return self._take_grant(now=now, shard=sent.shard, event=event)
-        for releasing in self._moving:
+            return self._take_grant_result(now=now, shard=sent.shard, event=event)
+        for releasing in self._releases:
             if releasing.token == event.token:
                 releasing.due, releasing.token = now + constants.GRANT_RETRY_INTERVAL, ""
                 if event.code == 200:
                     releasing.is_released = True
                     releasing.handover = self.codec.handover(headers=event.headers)
-        return [] if event.code == 200 else [self._complain(shard=sent.shard, event=event, name="release-failed")]
+        return [] if event.code == 200 else [self._failure_event(shard=sent.shard, event=event, name="release-failed")]
 
-    def _take_grant(self, *, now: float, shard: Shard, event: CallFinished) -> list[Command]:
+    def _take_grant_result(self, *, now: float, shard: Shard, event: CallFinished) -> list[Command]:
         if event.code or event.sent:
-            late = 0.0 if event.code else constants.GRANT_IN_FLIGHT_LIMIT
-            self._arrived[shard.owner] = max(self._arrived.get(shard.owner, NEVER), now + late)
-        renewing = self._renewing.get(shard)
+            flight_margin = 0.0 if event.code else constants.GRANT_IN_FLIGHT_LIMIT
+            self._last_arrival_at[shard.owner] = max(self._last_arrival_at.get(shard.owner, NEVER), now + flight_margin)
+        renewing = self._renewals.get(shard)
         if renewing is None or renewing.token != event.token:
             return []
         renewing.token = ""
@@ -131,9 +129,9 @@
         renewing.due = now + constants.GRANT_RETRY_INTERVAL
         if event.code == 409:
             self.outrun.add(shard)
-        return [self._complain(shard=shard, event=event, name="grant-failed")]
+        return [self._failure_event(shard=shard, event=event, name="grant-failed")]
 
-    def _complain(self, *, shard: Shard, event: CallFinished, name: str) -> LogEvent:
+    def _failure_event(self, *, shard: Shard, event: CallFinished, name: str) -> LogEvent:
         return LogEvent(
             event=name,
             fields={
@@ -149,10 +147,10 @@
     def grant(self, *, now: float, hold: float, fresh_until: float) -> list[Command]:
         """Grant each open shard that is due, for `hold` s; no bytes of a call are sent after `fresh_until`."""
         commands: list = []
-        for shard, renewing in self._renewing.items():
+        for shard, renewing in self._renewals.items():
             if renewing.token or now < renewing.due or shard.owner in self.ended or shard.owner not in self.addresses:
                 continue
-            made = self.codec.grant(
+            request = self.codec.grant(
                 start=shard.start,
                 end=shard.end,
                 fencing_token=shard.fencing_token,
@@ -165,7 +163,7 @@
                 now=now,
                 kind=GRANT,
                 shard=shard,
-                made=made,
+                request=request,
                 wait=constants.GRANT_TIMEOUT,
                 begin_by=fresh_until,
                 commands=commands,
@@ -175,7 +173,7 @@
     def release(self, *, now: float, sole_at: float, fresh_until: float) -> list[Command]:
         """Ask the owners of moving shards to release them, from `sole_at` on, when no other granter's grants arrive."""
         commands: list = []
-        for releasing in self._moving:
+        for releasing in self._releases:
             shard = releasing.shard
             if (
                 releasing.token
@@ -186,14 +184,14 @@
                 or self._may_arrive(now=now, shard=shard)
             ):
                 continue
-            made = self.codec.release(
+            request = self.codec.release(
                 start=shard.start, end=shard.end, fencing_token=shard.fencing_token, owner=shard.owner
             )
             releasing.token = self._call(
                 now=now,
                 kind=RELEASE,
                 shard=shard,
-                made=made,
+                request=request,
                 wait=constants.GRANT_RELEASE_TIMEOUT,
                 begin_by=fresh_until,
                 commands=commands,
@@ -202,21 +200,21 @@
 
     def _may_arrive(self, *, now: float, shard: Shard) -> bool:
         """May a grant of these keys by this granter still be on its way to their owner?"""
-        return self._arrived.get(shard.owner, NEVER) > now or any(
+        return self._last_arrival_at.get(shard.owner, NEVER) > now or any(
             sent.is_grant
             and sent.shard.owner == shard.owner
             and sent.shard.start <= shard.end
             and shard.start <= sent.shard.end
             and now < sent.until + constants.GRANT_IN_FLIGHT_LIMIT
-            for sent in self._sent.values()
+            for sent in self._in_flight.values()
         )
 
     def _call(
-        self, *, now: float, kind: str, shard: Shard, made: tuple, wait: float, begin_by: float, commands: list
+        self, *, now: float, kind: str, shard: Shard, request: tuple, wait: float, begin_by: float, commands: list
     ) -> str:
-        self._count += 1
-        token = f"{kind} {self.service} {self._count}"
-        method, path, headers, body = made
+        self._call_count += 1
+        token = f"{kind} {self.service} {self._call_count}"
+        method, path, headers, body = request
         commands.append(
             StartCall(
                 token=token,
@@ -234,20 +232,20 @@
                 begin_by=begin_by,
             )
         )
-        self._sent[token] = Sent(shard=shard, is_grant=kind == GRANT, since=now, until=begin_by + wait)
+        self._in_flight[token] = Sent(shard=shard, is_grant=kind == GRANT, since=now, until=begin_by + wait)
         return token
 
     def is_free(self, *, now: float, shard: Shard, sole_at: float) -> bool:
         """Is it certain that the owner of a moving shard no longer holds it?"""
-        releasing = self._releasing_of(shard=shard) or Releasing(shard=shard, since=now)
+        releasing = self._release_of(shard=shard) or Releasing(shard=shard, since=now)
         if releasing.is_released or shard.owner in self.ended:
             return True
-        ends = [
+        grant_ends = [
             sent.until + constants.GRANT_IN_FLIGHT_LIMIT
-            for sent in self._sent.values()
+            for sent in self._in_flight.values()
             if sent.is_grant and sent.shard.owner == shard.owner
         ]
-        last = max([sole_at, self._arrived.get(shard.owner, NEVER), *ends])
+        last = max([sole_at, self._last_arrival_at.get(shard.owner, NEVER), *grant_ends])
         last = min(last, releasing.since + constants.GRANT_FENCE_DELAY)
         return (
             now >= last + constants.GRANT_DURATION * constants.GRANT_CLOCK_DRIFT_FACTOR + constants.GRANT_EXPIRY_MARGIN
@@ -255,15 +253,15 @@
 
     def handover_of(self, *, shard: Shard) -> str:
         """The handover data that the owner of a moving shard returned, or ""."""
-        releasing = self._releasing_of(shard=shard)
+        releasing = self._release_of(shard=shard)
         return releasing.handover if releasing else ""
 
     def is_failing(self, *, now: float, key: str) -> bool:
         """Have calls to this worker failed for some time, and was the last failure recent?"""
-        since, last = self._failing.get(key, (now, now))
+        since, last = self._failure_spans.get(key, (now, now))
         return last - since >= constants.GRANT_FAILURE_TIMEOUT and now - last < constants.GRANT_FAILURE_BACKOFF
 
     def is_granted(self, *, shard: Shard) -> bool:
         """Has a grant of the shard been sent, with no handover data left to deliver?"""
-        renewing = self._renewing.get(shard)
+        renewing = self._renewals.get(shard)
         return renewing is not None and renewing.due > NEVER and not renewing.handover
--- a/sailward/control/shards/grant_targets.py
+++ b/sailward/control/shards/grant_targets.py
@@ -39,7 +39,7 @@
     service: str
     calls: GrantCalls
     _uneven_since: float | None = None
-    _balanced: float = NEVER
+    _rebalanced_at: float = NEVER
 
     def targets(self, *, now: float, shards: tuple[Shard, ...], sole_at: float, context: GrantContext) -> list[Span]:
         """The target owners of all keys; a moving shard counts as its next owner's."""
@@ -60,18 +60,18 @@
         if any(not shard.is_open for shard in shards) or now < sole_at:
             self._uneven_since = None
             return targets
-        even = place(spans=spans, able=able, loads=context.loads, is_balancing=True)
-        if even == targets:
+        balanced = place(spans=spans, able=able, loads=context.loads, is_balancing=True)
+        if balanced == targets:
             self._uneven_since = None
             return targets
         self._uneven_since = now if self._uneven_since is None else self._uneven_since
         is_urgent = strain(spans=targets, able=able, loads=context.loads) > constants.REBALANCE_URGENT_RATIO
-        if now - max(self._uneven_since, self._balanced) < (
+        if now - max(self._uneven_since, self._rebalanced_at) < (
             constants.REBALANCE_URGENT_DELAY if is_urgent else constants.REBALANCE_DELAY
         ):
             return targets
-        self._uneven_since, self._balanced = None, now
-        return even
+        self._uneven_since, self._rebalanced_at = None, now
+        return balanced
 
     def listed(self, *, context: GrantContext) -> dict:
         """The service's workers by key."""
@@ -83,18 +83,18 @@
 
     def able(self, *, now: float, context: GrantContext) -> dict:
         """The requests/s that each eligible worker can serve; workers in slow start only if there are no others."""
-        well = {
+        reachable = {
             key: worker
             for key, worker in self.listed(context=context).items()
             if self._may_stay(key=key, context=context)
             and now - context.down.get(key, now) < constants.GRANT_FAILURE_TIMEOUT
             and not self.calls.is_failing(now=now, key=key)
         }
-        ready = {key: worker for key, worker in well.items() if getattr(worker, "slow_start", 0.0) <= 0}
+        ready = {key: worker for key, worker in reachable.items() if getattr(worker, "slow_start", 0.0) <= 0}
         return weigh(
             capacities={
                 key: getattr(worker, "capacity", 0) or constants.DEFAULT_WORKER_CAPACITY
-                for key, worker in (ready or well).items()
+                for key, worker in (ready or reachable).items()
             },
             paces=context.paces,
         )
--- a/sailward/control/shards/granting.py
+++ b/sailward/control/shards/granting.py
@@ -11,14 +11,14 @@
    GRANT_IN_FLIGHT_LIMIT: GRANT_FENCE_DELAY after this controller first has a table, nothing sent on an older table can
    arrive any more.
 2. So GRANT_FENCE_DELAY after it first has a table that names it, a granter is the only one whose grants can still
-   arrive (`_sole_at`). A later granter writes another name or another number of the takeover.
+   arrive (`_sole_granter_at`). A later granter writes another name or another number of the takeover.
 3. A shard that has a living owner first becomes moving, and a moving shard is never granted. It opens for another
    owner, under a new fence, once the old owner certainly no longer holds it: (a) it answered a release that was sent
    when the granter was the only one and none of its own grants of these keys was in flight; or (b) its process has
    ended: another worker answered at its address (a refused connection proves nothing: a network partition may refuse
    too, while the worker lives and holds the keys); or (c) its hold has expired: GRANT_DURATION by the slowest clock
    after the last moment at which a grant can have arrived. That moment is GRANT_FENCE_DELAY after the shard was first
-   seen moving here, or, for the only granter, the later of `_sole_at` and the last arrival of its own grants.
+   seen moving here, or, for the only granter, the later of `_sole_granter_at` and the last arrival of its own grants.
 4. Each of these stays true as long as the table does not change, and the change is conditional on the table's number.
 
 Fences are stored in the table, grow with each opening, and are never reused.
@@ -47,14 +47,14 @@
     """
 
     def __init__(self, *, service: str, own: str, codec: GrantCodec) -> None:
-        self._service, self._own = service, own
+        self._service, self._own_name = service, own
         self._calls = GrantCalls(service=service, codec=codec)
         self._targets = GrantTargets(service=service, calls=self._calls)
         self._table: ShardTable | None = None
         self._number = -1
-        self._named_at = float("inf")
-        self._granter_at = NEVER
-        self._requested = (-1, NEVER)
+        self._became_granter_at = float("inf")
+        self._granter_changed_at = NEVER
+        self._last_request = (-1, NEVER)
         self._next_check_at = NEVER
 
     def step(self, *, now: float, event: CallFinished | None, context: GrantContext) -> tuple[list, list]:
@@ -67,7 +67,7 @@
         self._calls.addresses |= {key: worker.address for key, worker in self._targets.listed(context=context).items()}
         if now >= context.fresh_until:
             return commands, []
-        if self._is_named():
+        if self._is_granter():
             commands += self._release(now=now, context=context) + self._grant(now=now, context=context)
         return commands, self._change(now=now, context=context) if context.is_acting else []
 
@@ -80,16 +80,16 @@
         return self._calls.grant(now=now, hold=hold, fresh_until=context.fresh_until)
 
     def _release(self, *, now: float, context: GrantContext) -> list[Command]:
-        return self._calls.release(now=now, sole_at=self._sole_at(), fresh_until=context.fresh_until)
+        return self._calls.release(now=now, sole_at=self._sole_granter_at(), fresh_until=context.fresh_until)
 
-    def _is_free(self, *, now: float, shard: Shard) -> bool:
-        return self._calls.is_free(now=now, shard=shard, sole_at=self._sole_at())
+    def _is_relinquished(self, *, now: float, shard: Shard) -> bool:
+        return self._calls.is_free(now=now, shard=shard, sole_at=self._sole_granter_at())
 
-    def _is_named(self) -> bool:
-        return self._table is not None and self._table.granter == self._own
+    def _is_granter(self) -> bool:
+        return self._table is not None and self._table.granter == self._own_name
 
-    def _sole_at(self) -> float:
-        return self._named_at + constants.GRANT_FENCE_DELAY
+    def _sole_granter_at(self) -> float:
+        return self._became_granter_at + constants.GRANT_FENCE_DELAY
 
     def _take_table(self, *, now: float, value: RegisterValue) -> None:
         if value["number"] == self._number:
@@ -100,13 +100,13 @@
         term = (self._table.granter, self._table.since) if self._table else ("", 0)
         is_new_term = before is None or (before.granter, before.since) != term
         if is_new_term:
-            self._named_at = now if self._is_named() else float("inf")
-            self._granter_at = NEVER if before is None else now
+            self._became_granter_at = now if self._is_granter() else float("inf")
+            self._granter_changed_at = NEVER if before is None else now
         self._calls.take_table(now=now, shards=shards, is_new_term=is_new_term)
         self._next_check_at = NEVER
 
     def _change(self, *, now: float, context: GrantContext) -> list:
-        number, requested_at = self._requested
+        number, requested_at = self._last_request
         if now < self._next_check_at or (
             number == self._number and now - requested_at < constants.GRANT_TABLE_CHANGE_TIMEOUT
         ):
@@ -115,20 +115,20 @@
         table = self._next_table(now=now, context=context)
         if table is None or table == self._table:
             return []
-        self._requested = (self._number, now)
+        self._last_request = (self._number, now)
         return [(PREFIX + self._service, self._number, write_shards(table=table))]
 
     def _next_table(self, *, now: float, context: GrantContext) -> ShardTable | None:
         if self._table is None:
             return self._first_table(now=now, context=context)
-        if not self._is_named():
-            if now - self._granter_at < constants.GRANT_TAKEOVER_MIN_INTERVAL:
+        if not self._is_granter():
+            if now - self._granter_changed_at < constants.GRANT_TAKEOVER_MIN_INTERVAL:
                 return None
-            return replace(self._table, granter=self._own, since=self._number + 1)
-        shards, fencing_token = self._redraw_all(now=now, table=self._table, context=context)
-        most = constants.MAX_RANGES_PER_WORKER * max(1, len(self._targets.able(now=now, context=context)))
-        if shards != list(self._table.shards) or len(shards) > most:
-            shards, fencing_token = self._join(shards=shards, fencing_token=fencing_token)
+            return replace(self._table, granter=self._own_name, since=self._number + 1)
+        shards, fencing_token = self._next_shards(now=now, table=self._table, context=context)
+        max_shards = constants.MAX_RANGES_PER_WORKER * max(1, len(self._targets.able(now=now, context=context)))
+        if shards != list(self._table.shards) or len(shards) > max_shards:
+            shards, fencing_token = self._merge(shards=shards, fencing_token=fencing_token)
         return replace(self._table, shards=tuple(shards), fencing_token=fencing_token)
 
     def _first_table(self, *, now: float, context: GrantContext) -> ShardTable | None:
@@ -141,11 +141,11 @@
             Shard(start=span.start, end=span.end, owner=span.owner, fencing_token=at + 1, state=OPEN)
             for at, span in enumerate(spans)
         )
-        return ShardTable(granter=self._own, since=self._number + 1, fencing_token=len(shards) + 1, shards=shards)
+        return ShardTable(granter=self._own_name, since=self._number + 1, fencing_token=len(shards) + 1, shards=shards)
 
-    def _redraw_all(self, *, now: float, table: ShardTable, context: GrantContext) -> tuple[list[Shard], int]:
+    def _next_shards(self, *, now: float, table: ShardTable, context: GrantContext) -> tuple[list[Shard], int]:
         """The next state of all shards, and the next fence."""
-        shards, fencing_token, sole_at = [], table.fencing_token, self._sole_at()
+        shards, fencing_token, sole_at = [], table.fencing_token, self._sole_granter_at()
         targets = self._targets.targets(now=now, shards=table.shards, sole_at=sole_at, context=context)
         for shard in table.shards:
             parts = [
@@ -153,32 +153,34 @@
                 for span in targets
                 if span.start <= shard.end and shard.start <= span.end
             ]
-            for drawn in self._redraw(now=now, shard=shard, parts=parts, is_sole=now >= sole_at):
-                if drawn.fencing_token != 0:
-                    shards.append(drawn)
+            for replacement in self._replacements_of(now=now, shard=shard, parts=parts, is_sole=now >= sole_at):
+                if replacement.fencing_token != 0:
+                    shards.append(replacement)
                     continue
                 # the worker knows a higher fence than the table: doubling exceeds it within a few attempts
-                fenced = replace(
-                    drawn, fencing_token=2 * fencing_token if shard in self._calls.outrun else fencing_token
+                with_fence = replace(
+                    replacement, fencing_token=2 * fencing_token if shard in self._calls.outrun else fencing_token
                 )
-                is_moved = fenced.owner != shard.owner
-                self._calls.handovers[fenced] = self._calls.handover_of(shard=shard) if is_moved else ""
-                fencing_token = fenced.fencing_token + 1
-                shards.append(fenced)
+                is_moved = with_fence.owner != shard.owner
+                self._calls.handovers[with_fence] = self._calls.handover_of(shard=shard) if is_moved else ""
+                fencing_token = with_fence.fencing_token + 1
+                shards.append(with_fence)
         return shards, fencing_token
 
-    def _redraw(self, *, now: float, shard: Shard, parts: list[Span], is_sole: bool) -> list[Shard]:
+    def _replacements_of(self, *, now: float, shard: Shard, parts: list[Span], is_sole: bool) -> list[Shard]:
         """The shards that replace a shard; a fencing token of 0 stands for one still to be assigned."""
-        fresh = [Shard(start=part.start, end=part.end, owner=part.owner, fencing_token=0, state=OPEN) for part in parts]
+        new_shards = [
+            Shard(start=part.start, end=part.end, owner=part.owner, fencing_token=0, state=OPEN) for part in parts
+        ]
         if not shard.is_open:
-            if self._is_free(now=now, shard=shard):
-                return fresh
+            if self._is_relinquished(now=now, shard=shard):
+                return new_shards
             largest = max(parts, key=lambda part: part.end - part.start).owner
             return [replace(shard, next_owner=largest)]
         if shard in self._calls.outrun and shard.owner not in self._calls.ended:
             return [replace(shard, fencing_token=0)]
         if shard.owner == "" or shard.owner in self._calls.ended:
-            return fresh if any(part.owner != shard.owner for part in parts) else [shard]
+            return new_shards if any(part.owner != shard.owner for part in parts) else [shard]
         if not is_sole or all(part.owner == shard.owner for part in parts):
             return [shard]
         split_shards = [replace(shard, start=part.start, end=part.end) for part in parts]
@@ -187,7 +189,7 @@
             for part, moved in zip(parts, split_shards, strict=True)
         ]
 
-    def _join(self, *, shards: list[Shard], fencing_token: int) -> tuple[list[Shard], int]:
+    def _merge(self, *, shards: list[Shard], fencing_token: int) -> tuple[list[Shard], int]:
         """Merge adjacent ranges of one owner under one new fence, since each range costs a grant of its own.
 
         Only granted ranges are merged: a new one may still have handover data to deliver.
--- a/sailward/control/shards/quiescence.py
+++ b/sailward/control/shards/quiescence.py
@@ -44,21 +44,21 @@
 
     def check(self, *, closing: Closing, slot: str) -> None:
         """Mark the closed slot as clear if the current state proves it."""
-        reporting = [entry for entry in self._voters() if self._is_after(entry=entry, closing=closing)]
+        reporting = [entry for entry in self._voters() if self._has_beaten_since(entry=entry, closing=closing)]
         for voter in self._voters():
             closing.proxy_names |= set(filter(None, voter["asks"].split(",")))
         if closing.is_clear or len(reporting) < majority_of(members=self.members):
             return
         known = {f"{proxy.entry.get('id')}#{proxy.entry.get('start')}": proxy for proxy in self.proxies}
         closing.is_clear = all(
-            name in known and self._has_left(proxy=known[name], closing=closing, slot=slot)
+            name in known and self._is_drained(proxy=known[name], closing=closing, slot=slot)
             for name in closing.proxy_names
         )
 
     def _voters(self) -> list[dict]:
         return [controller for controller in self.controllers if controller["identity"] in self.members]
 
-    def _is_after(self, *, entry: PeerEntry, closing: Closing) -> bool:
+    def _has_beaten_since(self, *, entry: PeerEntry, closing: Closing) -> bool:
         start, heartbeat = closing.heartbeats.get(entry["identity"], (None, 0))
         return (
             entry["start"] == start
@@ -66,6 +66,6 @@
             and entry["beat"] >= constants.PROXY_ACTIVITY_HEARTBEATS
         )
 
-    def _has_left(self, *, proxy: Subscriber, closing: Closing, slot: str) -> bool:
-        have = (proxy.have.get(PREFIX + self.service) or [-1])[0]
-        return have >= closing.number and f"{self.service}|{slot}" not in proxy.report.get("busy", ())
+    def _is_drained(self, *, proxy: Subscriber, closing: Closing, slot: str) -> bool:
+        known_number = (proxy.have.get(PREFIX + self.service) or [-1])[0]
+        return known_number >= closing.number and f"{self.service}|{slot}" not in proxy.report.get("busy", ())
--- a/sailward/control/shards/shard_assignment.py
+++ b/sailward/control/shards/shard_assignment.py
@@ -41,7 +41,7 @@
     ) -> str:
         """Check all slots of a service against the current state."""
         spaces = read_table(text=text)
-        fresh = {}
+        next_spaces = {}
         changed = False
         moving = sum(not row.is_open for rows in spaces.values() for row in rows)
         self._record_closed(now=now, spaces=spaces, quiescence=quiescence)
@@ -52,9 +52,9 @@
                     rows[at] if at < len(rows) else Owned(owner="", term=0, is_open=True) for at in range(service.slots)
                 ]
                 changed = True
-            fresh[space] = []
+            next_spaces[space] = []
             for slot, old in enumerate(rows):
-                new = self._judge(
+                new = self._next_state(
                     now=now,
                     service=service,
                     space=space,
@@ -65,8 +65,8 @@
                 )
                 moving += old.is_open and not new.is_open
                 changed = changed or new != old
-                fresh[space].append(new)
-        return write_table(spaces=fresh) if changed else ""
+                next_spaces[space].append(new)
+        return write_table(spaces=next_spaces) if changed else ""
 
     def _spaces(self, *, plan: Plan, service: Service) -> list[str]:
         return sorted({space_of(homes=tenant.homes, service=service) for tenant in plan.tenants.values()} | {""})
@@ -86,7 +86,7 @@
         for (space, slot, _), closing in self.closed.items():
             quiescence.check(closing=closing, slot=f"{space}/{slot}")
 
-    def _judge(
+    def _next_state(
         self,
         *,
         now: float,
@@ -97,7 +97,7 @@
         context: AssignmentContext,
         capacity: int,
     ) -> Owned:
-        best = self._best(service=service, space=space, slot=slot, context=context)
+        best = self._best_owner(service=service, space=space, slot=slot, context=context)
         if not old.is_open:
             wait = constants.LEASE_DURATION + service.expiry + constants.SLOT_MOVE_MARGIN
             closing = self.closed[(space, slot, old.term)]
@@ -117,13 +117,13 @@
             return replace(old, is_open=False) if best and best != old.owner and capacity > 0 else old
         since = self.missing.setdefault(location, now)
         worker = context.workers.get(old.owner)
-        certain = worker is None or worker.leaving or worker.zone in context.emptied
-        if certain or now - since >= constants.SLOT_OWNER_GRACE:
+        is_certain = worker is None or worker.leaving or worker.zone in context.emptied
+        if is_certain or now - since >= constants.SLOT_OWNER_GRACE:
             self.missing.pop(location, None)
             return replace(old, is_open=False)
         return old
 
-    def _best(self, *, service: Service, space: str, slot: int, context: AssignmentContext) -> str:
+    def _best_owner(self, *, service: Service, space: str, slot: int, context: AssignmentContext) -> str:
         shares = next(
             (
                 match.shares
@@ -146,14 +146,14 @@
                 and ((service.name, zone) in context.drained) == drained
                 and (not homes or context.plan.regions.get(zone) in homes)
             ]
-            able = {
+            candidates = {
                 worker.name: key
                 for key, worker in context.workers.items()
-                if _is_able(worker=worker, key=key, service=service, zones=zones, context=context)
+                if _is_eligible(worker=worker, key=key, service=service, zones=zones, context=context)
             }
-            if able:
-                name = choose_names(key=f"{service.name}/{space}/{slot}", names=able, count=1)[0]
-                return able[name]
+            if candidates:
+                name = choose_names(key=f"{service.name}/{space}/{slot}", names=candidates, count=1)[0]
+                return candidates[name]
         return ""
 
     def _tiers(self, *, pool: Pool) -> list[tuple[bool, tuple]]:
@@ -161,5 +161,5 @@
         return [(drained, tier) for drained in (False, True) for tier in (pool.preferred, pool.fallback)]
 
 
-def _is_able(*, worker: Worker, key: str, service: Service, zones: list, context: AssignmentContext) -> bool:
+def _is_eligible(*, worker: Worker, key: str, service: Service, zones: list, context: AssignmentContext) -> bool:
     return worker.service == service.name and worker.zone in zones and not worker.leaving and key in context.healthy
--- a/sailward/control/shards/shard_leases.py
+++ b/sailward/control/shards/shard_leases.py
@@ -54,13 +54,13 @@
         self._codec, self._lease_max, self._op_prefix = codec, lease_max, op_prefix
         self.freshness = Freshness()
         self.granting: dict[str, Granting] = {}
-        self._listed: RegisterValue | None = None
+        self._adopted_list: RegisterValue | None = None
         self._workers: dict[str, Worker] = {}
-        self._slow_start: dict[str, float] = {}
-        self._emptied: frozenset = frozenset()
-        self._down: dict[str, float] = {}
-        self._loads: dict[str, tuple[float, dict]] = {}
-        self._ops = 0
+        self._slow_start_until: dict[str, float] = {}
+        self._emptied_zones: frozenset = frozenset()
+        self._down_since: dict[str, float] = {}
+        self._cached_loads: dict[str, tuple[float, dict]] = {}
+        self._operation_count = 0
 
     def receive(self, *, now: float, sender: str, body: Message) -> list[Command]:
         """Answer another controller's request for a confirmation, or record an answer."""
@@ -111,29 +111,37 @@
         self._follow_endpoints(now=now)
         acting = self._choose_acting(services=services, may_set_readers=event is None)
         commands = self._step_freshness(now=now, acting=acting) if event is None else []
-        begins: list[StartOperation] = []
+        operations: list[StartOperation] = []
         for name in services:
             granting = self.granting.get(name)
             if granting is None:
                 granting = self.granting[name] = Granting(service=name, own=self._op_prefix, codec=self._codec)
             context = self._grant_context(now=now, service=name, is_acting=name in acting)
-            more, changes = granting.step(now=now, event=event, context=context)
-            commands += more
-            begins += [
+            granting_commands, changes = granting.step(now=now, event=event, context=context)
+            commands += granting_commands
+            operations += [
                 self._change(register=register, expected=number, text=text) for register, number, text in changes
             ]
-        return StepResult(commands, begins)
+        return StepResult(commands, operations)
 
     def _choose_acting(self, *, services: list[str], may_set_readers: bool) -> list[str]:
         """The services whose leases this controller grants: hashing chooses one voter for each."""
         controllers = [*self._peer_table.alive(kind="controller"), self._peer_table.own_entry()]
-        well = {peer["identity"]: peer["post"] for peer in controllers if peer["fit"]}
-        leads = (
-            {name: choose_names(key=PREFIX + name, names=set(well), count=1)[0] for name in services} if well else {}
+        fit_controllers = {peer["identity"]: peer["post"] for peer in controllers if peer["fit"]}
+        chosen_voters = (
+            {name: choose_names(key=PREFIX + name, names=set(fit_controllers), count=1)[0] for name in services}
+            if fit_controllers
+            else {}
         )
         if may_set_readers:
-            self._proxy_registry.readers = frozenset(well[lead] for lead in leads.values())
-        return [name for name, lead in leads.items() if self._voter.voting and lead == self._voter.identity]
+            self._proxy_registry.readers = frozenset(
+                fit_controllers[voter_identity] for voter_identity in chosen_voters.values()
+            )
+        return [
+            name
+            for name, voter_identity in chosen_voters.items()
+            if self._voter.voting and voter_identity == self._voter.identity
+        ]
 
     def _step_freshness(self, *, now: float, acting: list[str]) -> list[Command]:
         voter = self._voter
@@ -163,15 +171,15 @@
             workers=self._workers,
             fresh_until=fresh_until,
             is_acting=is_acting,
-            emptied=self._emptied,
-            down=self._down,
+            emptied=self._emptied_zones,
+            down=self._down_since,
             lease_max=self._lease_max,
             **self._loads_of(now=now, service=service, is_acting=is_acting),
         )
 
     def _change(self, *, register: str, expected: int, text: str) -> StartOperation:
-        self._ops += 1
-        op = f"{self._op_prefix}/grant{self._ops}"
+        self._operation_count += 1
+        op = f"{self._op_prefix}/grant{self._operation_count}"
         return StartOperation(
             op=op, register=register, expected=expected, text=text, timeout=constants.GRANT_CONFIRMATION_TTL
         )
@@ -179,26 +187,26 @@
     def _loads_of(self, *, now: float, service: str, is_acting: bool) -> dict:
         """Loads and service times for the acting controller, recomputed at intervals."""
         if not is_acting:
-            self._loads.pop(service, None)
+            self._cached_loads.pop(service, None)
             return {}
-        at, found = self._loads.get(service, (-1e9, {}))
+        at, inputs = self._cached_loads.get(service, (-1e9, {}))
         if now - at >= constants.GRANT_CHECK_INTERVAL:
             paces = {
                 key: pace
                 for key, pace in self._proxy_registry.paces(now=now).items()
                 if key in self._workers and self._workers[key].service == service
             }
-            found = {"loads": self._proxy_registry.loads(now=now, service=service), "paces": paces}
-            self._loads[service] = now, found
-        return found
+            inputs = {"loads": self._proxy_registry.loads(now=now, service=service), "paces": paces}
+            self._cached_loads[service] = now, inputs
+        return inputs
 
     def _follow_endpoints(self, *, now: float) -> None:
         """Update workers, emptied zones and unreachable workers from the endpoint list, orders and proxy reports."""
         voter = self._voter
         orders = voter.learner.values.get("orders")
         emptied = read_orders(value=orders.value) if orders else frozenset()
-        if self._endpoint_list.value is not self._listed:
-            self._listed = self._endpoint_list.value
+        if self._endpoint_list.value is not self._adopted_list:
+            self._adopted_list = self._endpoint_list.value
             self._workers = {}
             for row in self._endpoint_list.rows():
                 self._workers[row["id"]] = Worker(
@@ -213,20 +221,20 @@
                     is_incarnation=True,
                 )
                 if row["cold_s"] > 0:
-                    self._slow_start.setdefault(row["id"], now + row["cold_s"])
-            self._slow_start = {key: at for key, at in self._slow_start.items() if key in self._workers}
-        for zone in self._emptied - emptied:
+                    self._slow_start_until.setdefault(row["id"], now + row["cold_s"])
+            self._slow_start_until = {key: at for key, at in self._slow_start_until.items() if key in self._workers}
+        for zone in self._emptied_zones - emptied:
             for key, worker in self._workers.items():
                 service = self._shard_moves.plan.services.get(worker.service)
                 if worker.zone == zone and service is not None:
-                    self._slow_start[key] = max(
-                        self._slow_start.get(key, 0.0), now + service.slow_start + constants.SLOW_START_MARGIN
+                    self._slow_start_until[key] = max(
+                        self._slow_start_until.get(key, 0.0), now + service.slow_start + constants.SLOW_START_MARGIN
                     )
-        self._emptied = emptied
+        self._emptied_zones = emptied
         self._workers = {
-            key: replace(worker, slow_start=max(0.0, self._slow_start.get(key, now) - now))
+            key: replace(worker, slow_start=max(0.0, self._slow_start_until.get(key, now) - now))
             for key, worker in self._workers.items()
         }
         reports = self._proxy_registry.down(now=now, proxies=self._subscribers.proxies())
         down = {key for key, (count, voices) in reports.items() if 2 * count > voices}
-        self._down = {key: self._down.get(key, now) for key in down}
+        self._down_since = {key: self._down_since.get(key, now) for key in down}
--- a/sailward/control/shards/shard_moves.py
+++ b/sailward/control/shards/shard_moves.py
@@ -49,12 +49,12 @@
             return []
         if (epoch, workers["number"]) > self.table.revision:
             self.table.step(epoch=epoch, revision=workers["number"], workers=json.loads(workers["text"]))
-        well = {controller["identity"] for controller in controllers if controller["fit"]}
+        fit_controllers = {controller["identity"] for controller in controllers if controller["fit"]}
         context = self._context(learner=learner, aggregated_health=aggregated_health, proxies=proxies)
         changes = []
         for service in divided:
             name = PREFIX + service.name
-            if choose_names(key=name, names=well, count=1) != [own]:
+            if choose_names(key=name, names=fit_controllers, count=1) != [own]:
                 # another controller assigns the shards of this service
                 self.assigning.pop(name, None)
                 continue
@@ -77,16 +77,16 @@
     ) -> AssignmentContext:
         emptied = read_orders(value=learner.values["orders"].value) if "orders" in learner.values else frozenset()
         drained = frozenset(location for location, zone in aggregated_health.table.zones.items() if zone.drained)
-        fresh = [
+        reports = [
             proxy.report["warm"]
             for proxy in proxies
             if proxy.report.get("warm") is not None and not proxy.report.get("suspect")
         ]
         counts: dict[str, int] = {}
-        for warm in fresh:
-            for key in warm:
+        for healthy_workers in reports:
+            for key in healthy_workers:
                 counts[key] = counts.get(key, 0) + 1
-        healthy = frozenset(key for key, count in counts.items() if 2 * count > len(fresh))
+        healthy = frozenset(key for key, count in counts.items() if 2 * count > len(reports))
         return AssignmentContext(
             plan=self.plan, emptied=emptied, drained=drained, workers=self.table.workers, healthy=healthy
         )
--- a/sailward/control/shards/shard_plan.py
+++ b/sailward/control/shards/shard_plan.py
@@ -39,16 +39,19 @@
 
     def of(self, *, span: Span) -> float:
         """The fraction of the total load on these keys."""
-        return self._below(key=span.end + 1) - self._below(key=span.start)
+        return self._load_below(key=span.end + 1) - self._load_below(key=span.start)
 
     def split_point(self, *, start: int, part: float) -> int:
         """The key such that about the fraction `part` of the total load lies between `start` and it."""
-        aim = self._below(key=start) + part
-        at = bisect.bisect_left(range(BUCKETS + 1), aim, key=lambda bucket: self._below(key=bucket * WIDTH))
-        before, after = (aim - self._below(key=max(0, at - 1) * WIDTH), self._below(key=min(BUCKETS, at) * WIDTH) - aim)
+        wanted = self._load_below(key=start) + part
+        at = bisect.bisect_left(range(BUCKETS + 1), wanted, key=lambda bucket: self._load_below(key=bucket * WIDTH))
+        before, after = (
+            wanted - self._load_below(key=max(0, at - 1) * WIDTH),
+            self._load_below(key=min(BUCKETS, at) * WIDTH) - wanted,
+        )
         return min(KEYS, WIDTH * (max(0, at - 1) if before < after else at))
 
-    def _below(self, *, key: int) -> float:
+    def _load_below(self, *, key: int) -> float:
         bucket, rest = divmod(key, WIDTH)
         at = bisect.bisect_left(self._buckets, bucket)
         below = self._sums[at] + self._floor * key / KEYS
@@ -67,8 +70,8 @@
     go to the workers furthest below their share.
     """
     if not able:
-        return _join(spans=[replace(span, owner="") for span in spans])
-    parts = _parts_of(spans=spans, able=able, loads=loads)
+        return _merge_adjacent(spans=[replace(span, owner="") for span in spans])
+    parts = _load_shares(spans=spans, able=able, loads=loads)
     if not any(span.owner in able for span in spans):
         return _divide(spread=parts.spread, fair=parts.fair)
     placed: list[Span] = []
@@ -80,16 +83,16 @@
         )
     if is_balancing:
         for _ in range(constants.REBALANCE_MAX_MOVES):
-            fresh = _balance(spans=placed, parts=parts)
-            if fresh is None:
+            moved = _balance(spans=placed, parts=parts)
+            if moved is None:
                 break
-            placed = fresh
-    return _join(spans=placed)
+            placed = moved
+    return _merge_adjacent(spans=placed)
 
 
 def strain(*, spans: list[Span], able: dict, loads: dict) -> float:
     """The load of the most loaded owner, as a multiple of its share."""
-    parts = _parts_of(spans=spans, able=able, loads=loads)
+    parts = _load_shares(spans=spans, able=able, loads=loads)
     return max((parts.ratio(name=name) for name in able), default=0.0)
 
 
@@ -98,13 +101,17 @@
 
     A time from few samples counts less, and none may be far from the median.
     """
-    known = sorted(paces[key][0] for key in capacities if key in paces)
-    middle = known[len(known) // 2] if known else constants.DEFAULT_WORKER_LATENCY * constants.LATENCY_LOWER_HALF_RATIO
+    sorted_times = sorted(paces[key][0] for key in capacities if key in paces)
+    median = (
+        sorted_times[len(sorted_times) // 2]
+        if sorted_times
+        else constants.DEFAULT_WORKER_LATENCY * constants.LATENCY_LOWER_HALF_RATIO
+    )
     able = {}
     for key, capacity in capacities.items():
-        pace, count = paces.get(key, (middle, 0))
-        pace = (pace * count + middle * constants.LATENCY_PRIOR_SAMPLES) / (count + constants.LATENCY_PRIOR_SAMPLES)
-        pace = min(max(pace, middle / constants.LATENCY_MAX_RATIO), middle * constants.LATENCY_MAX_RATIO)
+        pace, count = paces.get(key, (median, 0))
+        pace = (pace * count + median * constants.LATENCY_PRIOR_SAMPLES) / (count + constants.LATENCY_PRIOR_SAMPLES)
+        pace = min(max(pace, median / constants.LATENCY_MAX_RATIO), median * constants.LATENCY_MAX_RATIO)
         able[key] = capacity * constants.LATENCY_LOWER_HALF_RATIO / pace
     return able
 
@@ -147,38 +154,40 @@
         )
 
 
-def _parts_of(*, spans: list[Span], able: dict, loads: dict) -> Parts:
+def _load_shares(*, spans: list[Span], able: dict, loads: dict) -> Parts:
     spread, total_capacity, assigned = Spread(loads=loads), sum(able.values()), dict.fromkeys(able, 0.0)
     for span in spans:
         if span.owner in assigned:
             assigned[span.owner] += spread.of(span=span)
     even = {name: weight / total_capacity for name, weight in able.items()}
-    return Parts(able=able, spread=spread, even=even, assigned=assigned, fair=_share(able=able, total=spread.total))
+    return Parts(
+        able=able, spread=spread, even=even, assigned=assigned, fair=_target_shares(able=able, total=spread.total)
+    )
 
 
-def _share(*, able: dict, total: float) -> dict:
+def _target_shares(*, able: dict, total: float) -> dict:
     """The target share of each worker.
 
     The lower the total load, the larger the share of the fast workers.
     """
     total_capacity = sum(able.values())
-    lean = (
+    exponent = (
         1
         + constants.REBALANCE_SKEW_EXPONENT
         * max(0.0, 1 - total / total_capacity / constants.REBALANCE_SATURATION_RATIO)
         if total
         else 1.0
     )
-    leaning = {name: weight**lean for name, weight in able.items()}
-    return {name: weight / sum(leaning.values()) for name, weight in leaning.items()}
+    weighted = {name: weight**exponent for name, weight in able.items()}
+    return {name: weight / sum(weighted.values()) for name, weight in weighted.items()}
 
 
 def _divide(*, spread: Spread, fair: dict) -> list[Span]:
-    spans, start, sum_of = [], 0, 0.0
+    spans, start, cumulative = [], 0, 0.0
     names = sorted(fair)
     for name in names:
-        sum_of += fair[name]
-        end = KEYS if name == names[-1] else spread.split_point(start=0, part=sum_of)
+        cumulative += fair[name]
+        end = KEYS if name == names[-1] else spread.split_point(start=0, part=cumulative)
         if end > start:
             spans.append(Span(start=start, end=end - 1, owner=name))
             start = end
@@ -187,18 +196,18 @@
 
 def _assign(*, span: Span, spread: Spread, fair: dict, assigned: dict) -> list[Span]:
     least = constants.REBALANCE_MIN_PIECE_RATIO / len(fair)
-    given, start = [], span.start
+    assigned_spans, start = [], span.start
     while start <= span.end:
         taker = max(sorted(fair), key=lambda name: fair[name] - assigned[name])
-        lack = max(fair[taker] - assigned[taker], least)
+        deficit = max(fair[taker] - assigned[taker], least)
         rest = Span(start=start, end=span.end, owner=taker)
-        end = spread.split_point(start=start, part=lack) - 1
-        if spread.of(span=rest) > lack + least and start <= end < span.end:
+        end = spread.split_point(start=start, part=deficit) - 1
+        if spread.of(span=rest) > deficit + least and start <= end < span.end:
             rest = replace(rest, end=end)
         assigned[taker] += spread.of(span=rest)
-        given.append(rest)
+        assigned_spans.append(rest)
         start = rest.end + 1
-    return given
+    return assigned_spans
 
 
 def _balance(*, spans: list[Span], parts: Parts) -> list[Span] | None:
@@ -225,13 +234,13 @@
             part = min(
                 max(part, constants.REBALANCE_MIN_PIECE_RATIO * fair[taker]), assigned[giver] - 0.7 * fair[giver]
             )
-        fresh = (
+        moved = (
             _move(spans=spans, spread=parts.spread, giver=giver, taker=taker, part=part, assigned=assigned)
             if part >= 0.1 / len(fair)
             else None
         )
-        if fresh is not None:
-            return fresh
+        if moved is not None:
+            return moved
     return None
 
 
@@ -241,16 +250,16 @@
     """Move a chunk with about this fraction of the load: the one with the fewest keys per load."""
     best = None
     for span in spans:
-        for chunk in _edges(span=span, spread=spread, part=part) if span.owner == giver else ():
-            mass = spread.of(span=chunk)
-            price = (chunk.end - chunk.start + 1) / mass
-            if 0.3 * part <= mass <= 1.2 * part and (best is None or price < best[0]):
-                best = price, span, chunk, mass
+        for chunk in _end_chunks(span=span, spread=spread, part=part) if span.owner == giver else ():
+            load = spread.of(span=chunk)
+            cost = (chunk.end - chunk.start + 1) / load
+            if 0.3 * part <= load <= 1.2 * part and (best is None or cost < best[0]):
+                best = cost, span, chunk, load
     if best is None:
         return None
-    _, span, chunk, mass = best
-    assigned[giver] -= mass
-    assigned[taker] += mass
+    _, span, chunk, load = best
+    assigned[giver] -= load
+    assigned[taker] += load
     at = spans.index(span)
     parts = [
         Span(start=span.start, end=chunk.start - 1, owner=giver),
@@ -260,19 +269,19 @@
     return [*spans[:at], *(span_part for span_part in parts if span_part.start <= span_part.end), *spans[at + 1 :]]
 
 
-def _edges(*, span: Span, spread: Spread, part: float) -> list[Span]:
-    mass = spread.of(span=span)
-    if mass <= part:
+def _end_chunks(*, span: Span, spread: Spread, part: float) -> list[Span]:
+    load = spread.of(span=span)
+    if load <= part:
         return [span]
     left = spread.split_point(start=span.start, part=part)
-    right = spread.split_point(start=span.start, part=mass - part)
+    right = spread.split_point(start=span.start, part=load - part)
     return [
         replace(span, end=min(max(left - 1, span.start), span.end)),
         replace(span, start=min(max(right, span.start), span.end)),
     ]
 
 
-def _join(*, spans: list[Span]) -> list[Span]:
+def _merge_adjacent(*, spans: list[Span]) -> list[Span]:
     joined: list[Span] = []
     for span in spans:
         if joined and joined[-1].owner == span.owner:
--- a/simulation/hosted/sabotage.py
+++ b/simulation/hosted/sabotage.py
@@ -152,7 +152,7 @@
 
 SABOTAGE: dict[str, Callable] = {
     "fence-wait": _all(
-        _patch(granting.Granting, "_is_free", lambda old: lambda self, *, now, shard: True),
+        _patch(granting.Granting, "_is_relinquished", lambda old: lambda self, *, now, shard: True),
         _patch(granting.Granting, "_release", lambda old: lambda self, *, now, context: []),
     ),
     "lease": _all(_patch(shard_leases.Freshness, "until", lambda old: lambda self, *, now, **fields: now + 9.0)),
--- a/simulation/sim/sabotage.py
+++ b/simulation/sim/sabotage.py
@@ -145,7 +145,7 @@
 
 def _opens_at_once(old):
     def judge(self, *, service, space, slot, old, context, **more):
-        best = self._best(service=service, space=space, slot=slot, context=context)
+        best = self._best_owner(service=service, space=space, slot=slot, context=context)
         return old if best in ("", old.owner) else dataclasses.replace(old, owner=best, term=old.term + 1)
 
     return judge
@@ -230,7 +230,7 @@
     "last-resort": _method(load_balancer, "share_zones", _no_last_resort),
     "copy": _method(copying.Copying, "slots", lambda old: lambda self, *, now, own=None: {}),
     "repair": _constant("VOTER_REPLACEMENT_DELAY", 1e9),
-    "closing": _method(shard_assignment.ShardAssignment, "_judge", _opens_at_once),
+    "closing": _method(shard_assignment.ShardAssignment, "_next_state", _opens_at_once),
     "witness": _method(quiescence.Quiescence, "check", lambda old: lambda self, *, closing, slot: None),
     "refit": _method(proxied_requests, "refit_exchange", lambda old: lambda *, exchange, plan: None),
     "lower-start": _method(
