--- a/tests/granting_fixture.py
+++ b/tests/granting_fixture.py
@@ -1,4 +1,4 @@
-"""Granters, voters and workers on virtual time, for the tests of granting: every hold is checked against all others."""
+"""Granters, voters and workers in virtual time for the tests of granting; each hold is checked against all others."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 
 @dataclass(kw_only=True)
 class FakeWorker:
-    """A worker's process: holds by a slow clock, refuses lower fences, ends what runs before it answers a release."""
+    """A worker's process: times holds by a slow clock, rejects lower fences, finishes requests before a release."""
 
     key: str
     address: str
@@ -73,7 +73,7 @@
 
     @property
     def fault(self) -> str:
-        """How a call to its address fails, or ""."""
+        """The fault of a call to its address, or ""."""
         if not self.alive or self.is_refusing:
             return "refused"
         return "no-connection" if self.is_unreachable else ""
@@ -106,7 +106,7 @@
 
 @dataclass(kw_only=True)
 class Granter:
-    """One life of one controller: what it holds of the register, and how fresh that is."""
+    """One incarnation of a controller, with its copy of the register and the read leases on it."""
 
     name: str
     life: int
@@ -156,7 +156,7 @@
         return self.rng.uniform(0.0, self.slowest) if self.rng.random() < 0.2 else self.rng.uniform(0.001, 0.03)
 
     def run(self, *, seconds: float) -> None:
-        """Go on with a tick each 0.05 s and what falls between the ticks."""
+        """Advance the time tick by tick, and run the events due between the ticks."""
         until = self.now + seconds
         while self.now < until:
             tick = self.now + constants.TICK_INTERVAL
@@ -285,14 +285,14 @@
             self.serve(worker=worker, call=call, answer=answer)
 
     def flight(self, *, call: StartCall) -> float:
-        """How long a call is under way; a late grant arrives as late as it may."""
+        """The time that a call is in transit; a delayed grant may arrive at the latest permitted time."""
         flight = self.delay()
         if flight > 0.4 and self.slowest >= 0.5 and call.path == "/hold":
             return self.rng.uniform(0.0, call.timeout + constants.GRANT_IN_FLIGHT_LIMIT - 0.01)
         return flight
 
     def worker_at(self, *, address: str) -> FakeWorker:
-        """The worker that answers at the address, the last one that did where none is alive."""
+        """The worker alive at the address, or the last one that was if none is."""
         here = [worker for worker in self.workers if worker.address == address]
         alive = [one for one in here if one.alive]
         return alive[-1] if alive else here[-1]
@@ -310,7 +310,7 @@
             worker.drop(start=body["start"], end=body["end"])
             answer(worker=worker, code=200, headers={"passed-on": f"from {worker.key}"})
 
-        # what runs still counts as held until the answer
+        # the keys of running requests count as held until the answer
         self.at(delay=self.rng.choice((0.0, 0.02, 0.3)), act=done)
 
     def check(self, *, worker: FakeWorker) -> None:
@@ -324,7 +324,7 @@
                     ]
 
     def held_keys(self) -> int:
-        """How many keys some living worker holds (never two, or `overlaps` tells)."""
+        """The number of keys held by live workers (a key held twice is recorded in `overlaps`)."""
         return sum(one.end - one.start + 1 for worker in self.workers for one in worker.held(now=self.now))
 
     def run_until_whole(self, *, within: float) -> float:
@@ -346,7 +346,7 @@
 
 
 def fine(*, loads: dict) -> dict:
-    """Loads by bucket from those by 256th parts of all keys."""
+    """Loads by bucket, from loads by 256ths of the key space."""
     width = constants.KEY_LOAD_BUCKETS // 256
     return {at * width + rest: rate / width for at, rate in loads.items() for rest in range(width)}
 
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -1,4 +1,4 @@
-"""Read leases of controllers that grant keys: nothing newer can have been chosen while one lasts."""
+"""Read leases of controllers that grant keys: no newer value can have been chosen while one lasts."""
 
 from __future__ import annotations
 
@@ -118,9 +118,9 @@
 
 @pytest.mark.parametrize("size", [1, 2, 3, 4, 5])
 def test_while_a_lease_lasts_no_majority_can_have_voted_for_anything_newer(size: int) -> None:
-    """Over every way in which voters stand at an older or a newer vote.
+    """Over all combinations of older and newer votes.
 
-    A lease and a majority for the newer exclude each other.
+    A read lease on the older value and a majority for the newer one exclude each other.
     """
     members = {f"v{at}": f"post{at}" for at in range(size)}
     for votes in itertools.product((3, 4), repeat=size):
--- a/tests/test_granting.py
+++ b/tests/test_granting.py
@@ -1,4 +1,4 @@
-"""Grants of key ranges in virtual time: never two holders, and every key back in bounds."""
+"""Grants of key ranges in virtual time: no key has two holders, and every key is held again within a time limit."""
 
 from __future__ import annotations
 
@@ -164,7 +164,7 @@
 
 
 def stir(*, world: World) -> None:
-    """One fault, change of view or repair, by chance."""
+    """Inject one random fault, change of a controller's view, or repair."""
     rng = world.rng
     granter = rng.choice(world.granters)
     living = [one for one in world.workers if one.alive and one.listed]
@@ -196,7 +196,7 @@
 
 
 def settle(*, world: World) -> None:
-    """All faults end; one controller acts."""
+    """End all faults; one controller acts."""
     world.emptied = frozenset()
     for granter in world.granters:
         granter.is_cut, granter.is_acting, granter.blind, granter.down = False, granter.name == "c0", frozenset(), {}
@@ -229,9 +229,9 @@
 
 
 def run_late_grant(*, wait: float) -> World:
-    """A granter is followed by another while its last grants fly for as long as they may.
+    """Replace a granter while its last grants are in transit for the longest permitted time.
 
-    Their worker's keys go elsewhere.
+    Their worker's keys move to other workers meanwhile.
     """
     world = make_settled()
     first, second = world.granters[:2]
--- a/tests/test_granting_surplus.py
+++ b/tests/test_granting_surplus.py
@@ -1,4 +1,4 @@
-"""Grants beside workers that send surplus answers: bytes on a kept connection that no call of ours has asked for."""
+"""Grants to workers that send surplus responses: bytes on a kept-alive connection that answer no request."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from tests.test_granting import KEYS, Granter, World
 
 AT_ONCE = 0.0005
-"""s: the surplus answer lay on the connection before the call that it is taken for was sent."""
+"""s. The surplus response was on the connection before the call that it is taken to answer was sent."""
 
 
 class SurplusWorld(World):
-    """Each worker sends a second answer behind each grant.
+    """Each worker sends a second response after each grant.
 
-    It is read where the next answer on that connection is due.
+    It is read as the response to the next call on that connection.
     """
 
     def call(self, *, granter: Granter, call: StartCall) -> None:
@@ -26,7 +26,7 @@
 
 
 def drain_beside_surplus_answers(*, seed: int) -> SurplusWorld:
-    """Workers leave one after the other while all send surplus answers."""
+    """Workers leave one after the other while all send surplus responses."""
     world = SurplusWorld(seed=seed, slowest=0.03)
     world.run(seconds=5.0)
     for worker in world.workers[:2]:
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -1,6 +1,6 @@
-"""What a controller and a proxy remember does not grow with the number of changes.
+"""The state of a controller and of a proxy does not grow with the number of changes.
 
-Nor with the daemons that came and went.
+Nor does it grow with the number of daemons that were once present.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 def count_remembered(*, owner: object) -> Counter:
-    """How many items the containers hold that an owner reaches, by the path to each; texts count by their length."""
+    """The number of items in all containers reachable from `owner`, by path; strings count by their length."""
     counts: Counter = Counter()
     seen: set = set()
     line = [("", owner)]
@@ -41,7 +41,7 @@
 
 
 def find_growth(*, before: Counter, after: Counter, slack: int = 3) -> dict:
-    """Where more is remembered than before, beyond what may vary from moment to moment."""
+    """The paths at which the count has grown by more than `slack`, which allows for normal variation."""
     return {path: (before[path], count) for path, count in after.items() if count > before[path] + slack}
 
 
@@ -61,7 +61,7 @@
 
 
 class Reader:
-    """Stands for the words of a platform's list; no answer ever comes."""
+    """A stand-in for the reader of a platform's list; no answer ever arrives."""
 
     def path(self, *, token: str) -> str:
         """Any path."""
@@ -87,7 +87,7 @@
 
 
 def meet_daemons(*, controller: Controller, first: int, count: int, now: float) -> float:
-    """Proxies and controllers that each say something once, and are never heard of again."""
+    """Proxies and controllers that each send messages once and are never heard from again."""
     for number in range(first, first + count):
         now += 0.1
         entry = {"id": f"p{number}", "kind": "proxy", "hall": "z", "region": "r", "http": f"10.1.{number}.1:1"}
@@ -135,7 +135,7 @@
 
 
 def run_proxy(*, proxy: Proxy, first: int, count: int, now: float) -> float:
-    """Configurations, lists of workers that are each new, and fleets that are each other, half a second apart."""
+    """A new configuration, list of workers and fleet every half second."""
     for number in range(first, first + count):
         now += 0.5
         grant = {"kind": "grant", "seq": number, "newest": {}, "identity": "c", "voting": True, "proxies": 1}
--- a/tests/test_key_loads.py
+++ b/tests/test_key_loads.py
@@ -1,4 +1,4 @@
-"""How busy keys are: counted, told in few numbers, and told soon when it is news; and how quick their workers are."""
+"""Loads of keys: counted, encoded compactly and sent soon when they change; and the service times of workers."""
 
 from __future__ import annotations
 
--- a/tests/test_proxy_registry.py
+++ b/tests/test_proxy_registry.py
@@ -1,4 +1,4 @@
-"""The fleet as controllers tell it to each other and to proxies: who is there, what is down, how busy keys are."""
+"""The fleet that controllers send to each other and to proxies: proxies, unreachable workers and loads of keys."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class Pair:
-    """Two controllers, the proxies that ask each, and the words between them, which may be lost."""
+    """Two controllers, the proxies that poll each, and the messages between them, which may be lost."""
 
     def __init__(self) -> None:
         self.now = 100.0
--- a/tests/test_shards.py
+++ b/tests/test_shards.py
@@ -1,4 +1,4 @@
-"""Key ranges as proxies find them, and the plan of who should own them."""
+"""Look-up of key ranges by proxies, and the placement of ranges on workers."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def fine(*, loads: dict) -> dict:
-    """Loads by bucket from those by 256th parts of all keys."""
+    """Loads by bucket, from loads by 256ths of the key space."""
     width = constants.KEY_LOAD_BUCKETS // 256
     return {at * width + rest: rate / width for at, rate in loads.items() for rest in range(width)}
 
