--- a/tests/granting_fixture.py
+++ b/tests/granting_fixture.py
@@ -14,12 +14,12 @@
 from sailward.events import CallFinished, StartCall
 from sailward.routing.shards import KEYS
 
-SLOW = 1 / 0.98
+CLOCK_SLOWNESS = 1 / 0.98
 SERVICE = "cart"
 
 
 @dataclass(frozen=True, kw_only=True)
-class Listed:
+class ListedWorker:
     name: str
     service: str
     address: str
@@ -60,34 +60,36 @@
     key: str
     address: str
     zone: str
-    alive: bool = True
+    is_alive: bool = True
     is_leaving: bool = False
     slow_start: float = 0.0
-    listed: bool = True
+    is_listed: bool = True
     is_unreachable: bool = False
     is_refusing: bool = False
     silent_to: set = field(default_factory=set)
     holds: list = field(default_factory=list)
-    seen: list = field(default_factory=list)
+    known_fences: list = field(default_factory=list)
     handovers: list = field(default_factory=list)
 
     @property
     def fault(self) -> str:
         """The fault of a call to its address, or ""."""
-        if not self.alive or self.is_refusing:
+        if not self.is_alive or self.is_refusing:
             return "refused"
         return "no-connection" if self.is_unreachable else ""
 
-    def held(self, *, now: float) -> list[Hold]:
-        return [hold for hold in self.holds if hold.until > now] if self.alive else []
+    def current_holds(self, *, now: float) -> list[Hold]:
+        return [hold for hold in self.holds if hold.until > now] if self.is_alive else []
 
-    def take(self, *, now: float, body: dict) -> int:
+    def handle_grant(self, *, now: float, body: dict) -> int:
         start, end, fencing_token = body["start"], body["end"], body["fence"]
-        if any(a <= end and start <= b and f > fencing_token for a, b, f in self.seen):
+        if any(first <= end and start <= last and fence > fencing_token for first, last, fence in self.known_fences):
             return 409
-        self.seen.append((start, end, fencing_token))
+        self.known_fences.append((start, end, fencing_token))
         self.drop(start=start, end=end)
-        self.holds.append(Hold(start=start, end=end, until=now + body["hold"] * SLOW, fencing_token=fencing_token))
+        self.holds.append(
+            Hold(start=start, end=end, until=now + body["hold"] * CLOCK_SLOWNESS, fencing_token=fencing_token)
+        )
         self.handovers.append(body["handover"])
         return 200
 
@@ -109,7 +111,7 @@
     """One incarnation of a controller, with its copy of the register and the read leases on it."""
 
     name: str
-    life: int
+    incarnation: int
     granting: Granting
     value: dict = field(default_factory=lambda: {"number": 0, "text": ""})
     fresh: dict = field(default_factory=dict)
@@ -141,8 +143,12 @@
         self.calls: list = []
 
     def start_granter(self, *, name: str) -> Granter:
-        life = next(self.ids)
-        return Granter(name=name, life=life, granting=Granting(service=SERVICE, own=f"{name}#{life}", codec=Codec()))
+        incarnation = next(self.ids)
+        return Granter(
+            name=name,
+            incarnation=incarnation,
+            granting=Granting(service=SERVICE, own=f"{name}#{incarnation}", codec=Codec()),
+        )
 
     def start_worker(self, *, address: str, zone: str) -> FakeWorker:
         worker = FakeWorker(key=f"{address}/{next(self.ids)}", address=address, zone=zone)
@@ -171,7 +177,7 @@
                     self.step(granter=granter, event=None)
 
     def ask(self, *, granter: Granter) -> None:
-        asked = self.now
+        requested_at = self.now
         if granter.is_cut:
             return
 
@@ -180,21 +186,21 @@
             if not granter.is_cut:
                 self.at(
                     delay=self.delay(),
-                    act=lambda: self.confirm(granter=granter, asked=asked, number=number, value=value),
+                    act=lambda: self.confirm(granter=granter, requested_at=requested_at, number=number, value=value),
                 )
 
         self.at(delay=self.delay(), act=arrive)
 
-    def confirm(self, *, granter: Granter, asked: float, number: int, value: dict) -> None:
+    def confirm(self, *, granter: Granter, requested_at: float, number: int, value: dict) -> None:
         if granter.is_cut:
             return
-        granter.fresh[number] = max(granter.fresh.get(number, -1e9), asked + constants.GRANT_CONFIRMATION_TTL)
+        granter.fresh[number] = max(granter.fresh.get(number, -1e9), requested_at + constants.GRANT_CONFIRMATION_TTL)
         if number > granter.value["number"] and self.rng.random() < 0.7:
             granter.value = value
 
     def step(self, *, granter: Granter, event: CallFinished | None) -> None:
-        listed = {
-            worker.key: Listed(
+        listed_workers = {
+            worker.key: ListedWorker(
                 name=worker.key,
                 service=SERVICE,
                 address=worker.address,
@@ -203,11 +209,11 @@
                 slow_start=worker.slow_start,
             )
             for worker in self.workers
-            if worker.listed and worker.key not in granter.blind
+            if worker.is_listed and worker.key not in granter.blind
         }
         context = GrantContext(
             value=granter.value,
-            workers=listed,
+            workers=listed_workers,
             fresh_until=granter.fresh.get(granter.value["number"], -1e9),
             is_acting=granter.is_acting,
             emptied=self.emptied,
@@ -230,16 +236,19 @@
         if self.register["number"] != number:
             return
         value = self.register = {"number": number + 1, "text": text}
-        asked = self.now
+        chosen_at = self.now
         for other in self.granters:
             if not other.is_cut and (other is granter or self.rng.random() < 0.8):
-                self.at(delay=self.delay(), act=lambda other=other: self.learn(granter=other, value=value, asked=asked))
+                self.at(
+                    delay=self.delay(),
+                    act=lambda other=other: self.learn(granter=other, value=value, chosen_at=chosen_at),
+                )
 
-    def learn(self, *, granter: Granter, value: dict, asked: float) -> None:
+    def learn(self, *, granter: Granter, value: dict, chosen_at: float) -> None:
         if not granter.is_cut and value["number"] > granter.value["number"]:
             granter.value = value
             granter.fresh[value["number"]] = max(
-                granter.fresh.get(value["number"], -1e9), asked + constants.GRANT_CONFIRMATION_TTL
+                granter.fresh.get(value["number"], -1e9), chosen_at + constants.GRANT_CONFIRMATION_TTL
             )
 
     def call(self, *, granter: Granter, call: StartCall) -> None:
@@ -294,13 +303,13 @@
     def worker_at(self, *, address: str) -> FakeWorker:
         """The worker alive at the address, or the last one that was if none is."""
         here = [worker for worker in self.workers if worker.address == address]
-        alive = [one for one in here if one.alive]
+        alive = [worker for worker in here if worker.is_alive]
         return alive[-1] if alive else here[-1]
 
     def serve(self, *, worker: FakeWorker, call: StartCall, answer: object) -> None:
         body = json.loads(call.body)
         if call.path == "/hold":
-            code = worker.take(now=self.now, body=body)
+            code = worker.handle_grant(now=self.now, body=body)
             if code == 200:
                 self.check(worker=worker)
             answer(worker=worker, code=code)
@@ -316,18 +325,18 @@
     def check(self, *, worker: FakeWorker) -> None:
         for other in self.workers:
             if other is not worker:
-                for one in worker.held(now=self.now):
+                for hold in worker.current_holds(now=self.now):
                     self.overlaps += [
-                        (self.now, worker.key, other.key, one, two)
-                        for two in other.held(now=self.now)
-                        if one.start <= two.end and two.start <= one.end
+                        (self.now, worker.key, other.key, hold, other_hold)
+                        for other_hold in other.current_holds(now=self.now)
+                        if hold.start <= other_hold.end and other_hold.start <= hold.end
                     ]
 
     def held_keys(self) -> int:
         """The number of keys held by live workers (a key held twice is recorded in `overlaps`)."""
-        return sum(one.end - one.start + 1 for worker in self.workers for one in worker.held(now=self.now))
+        return sum(hold.end - hold.start + 1 for worker in self.workers for hold in worker.current_holds(now=self.now))
 
-    def run_until_whole(self, *, within: float) -> float:
+    def run_until_all_held(self, *, within: float) -> float:
         """Seconds until every key is held."""
         start = self.now
         while self.held_keys() < KEYS and self.now - start <= within:
@@ -335,7 +344,7 @@
         return self.now - start
 
     def keys_of(self, *, worker: FakeWorker) -> int:
-        return sum(one.end - one.start + 1 for one in worker.held(now=self.now))
+        return sum(hold.end - hold.start + 1 for hold in worker.current_holds(now=self.now))
 
 
 def make_settled(**settings: object) -> World:
@@ -345,17 +354,17 @@
     return world
 
 
-def fine(*, loads: dict) -> dict:
+def loads_by_bucket(*, loads: dict) -> dict:
     """Loads by bucket, from loads by 256ths of the key space."""
     width = constants.KEY_LOAD_BUCKETS // 256
     return {at * width + rest: rate / width for at, rate in loads.items() for rest in range(width)}
 
 
 def crash(*, world: World, worker: FakeWorker, unlist_after: float = 1.0, again_after: float = 1.5) -> None:
-    worker.alive = False
+    worker.is_alive = False
 
     def vanish() -> None:
-        worker.listed = False
+        worker.is_listed = False
 
     world.at(delay=unlist_after, act=vanish)
     world.at(delay=again_after, act=lambda: world.start_worker(address=worker.address, zone=worker.zone))
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -29,10 +29,10 @@
     return slots
 
 
-def make_held(number: int) -> Learner:
-    held = Learner()
-    held.step(name=REGISTER, ballot=[number, "x"], value=make_value(number))
-    return held
+def make_learner(number: int) -> Learner:
+    learner = Learner()
+    learner.step(name=REGISTER, ballot=[number, "x"], value=make_value(number))
+    return learner
 
 
 def ask(fresh: Freshness, *, now: float, members: dict = MEMBERS) -> list[SendMessage]:
@@ -51,20 +51,20 @@
     )
 
 
-def until(fresh: Freshness, *, now: float, held: int = 3, own: int = 3, members: dict = MEMBERS) -> float:
+def until(fresh: Freshness, *, now: float, learned: int = 3, own: int = 3, members: dict = MEMBERS) -> float:
     return fresh.until(
-        now=now, register=REGISTER, learner=make_held(held), members=members, own="v0", slots=make_slots(own)
+        now=now, register=REGISTER, learner=make_learner(learned), members=members, own="v0", slots=make_slots(own)
     )
 
 
-def test_all_other_voters_are_asked_in_turn() -> None:
+def test_all_other_voters_are_asked_at_each_interval() -> None:
     fresh = Freshness()
     first = ask(fresh, now=10.0)
-    assert sorted(one.to for one in first) == ["post1", "post2"] and not ask(
+    assert sorted(message.to for message in first) == ["post1", "post2"] and not ask(
         fresh, now=10.0 + constants.GRANT_CONFIRMATION_INTERVAL / 2
     )
     second = ask(fresh, now=10.0 + constants.GRANT_CONFIRMATION_INTERVAL)
-    assert {one.body["seq"] for one in first} != {one.body["seq"] for one in second}
+    assert {message.body["seq"] for message in first} != {message.body["seq"] for message in second}
 
 
 def test_without_registers_or_voters_there_is_no_lease() -> None:
@@ -73,32 +73,32 @@
     assert until(fresh, now=1.0, members={}) < 0 and until(fresh, now=1.0) < 1.0
 
 
-def test_the_lease_runs_from_the_asking_not_from_the_answer() -> None:
+def test_lease_runs_from_the_request_not_from_the_answer() -> None:
     fresh = Freshness()
-    [seq] = {one.body["seq"] for one in ask(fresh, now=10.0)}
+    [seq] = {message.body["seq"] for message in ask(fresh, now=10.0)}
     deliver(fresh, now=10.6, voter="v1", seq=seq, number=3)
     assert until(fresh, now=10.6) == pytest.approx(10.0 + constants.GRANT_CONFIRMATION_TTL)
 
 
 def test_a_voter_that_voted_for_something_newer_confirms_nothing() -> None:
     fresh = Freshness()
-    [seq] = {one.body["seq"] for one in ask(fresh, now=10.0)}
+    [seq] = {message.body["seq"] for message in ask(fresh, now=10.0)}
     deliver(fresh, now=10.1, voter="v1", seq=seq, number=4)
     assert until(fresh, now=10.1) < 10.0
     deliver(fresh, now=10.1, voter="v2", seq=seq, number=3)
     assert until(fresh, now=10.1) > 10.0
 
 
-def test_its_own_newer_vote_counts_against_it() -> None:
+def test_own_newer_vote_prevents_the_lease() -> None:
     fresh = Freshness()
-    [seq] = {one.body["seq"] for one in ask(fresh, now=10.0)}
+    [seq] = {message.body["seq"] for message in ask(fresh, now=10.0)}
     deliver(fresh, now=10.1, voter="v1", seq=seq, number=3)
     assert until(fresh, now=10.1, own=4) < 10.0
 
 
-def test_answers_to_what_was_never_asked_or_is_long_past_count_nothing() -> None:
+def test_answers_to_unknown_or_expired_requests_are_ignored() -> None:
     fresh = Freshness()
-    [seq] = {one.body["seq"] for one in ask(fresh, now=10.0)}
+    [seq] = {message.body["seq"] for message in ask(fresh, now=10.0)}
     deliver(fresh, now=10.1, voter="v1", seq=seq + 7, number=3)
     assert until(fresh, now=10.1) < 10.0
     for at in range(1, 9):
@@ -109,8 +109,8 @@
 
 def test_an_older_answer_does_not_replace_a_newer() -> None:
     fresh = Freshness()
-    [old] = {one.body["seq"] for one in ask(fresh, now=10.0)}
-    [new] = {one.body["seq"] for one in ask(fresh, now=10.5)}
+    [old] = {message.body["seq"] for message in ask(fresh, now=10.0)}
+    [new] = {message.body["seq"] for message in ask(fresh, now=10.5)}
     deliver(fresh, now=10.6, voter="v1", seq=new, number=4)
     deliver(fresh, now=10.7, voter="v1", seq=old, number=3)
     assert until(fresh, now=10.7) < 10.0
@@ -125,7 +125,7 @@
     members = {f"v{at}": f"post{at}" for at in range(size)}
     for votes in itertools.product((3, 4), repeat=size):
         fresh = Freshness()
-        seqs = {one.body["seq"] for one in ask(fresh, now=10.0, members=members)}
+        seqs = {message.body["seq"] for message in ask(fresh, now=10.0, members=members)}
         for voter, number in zip(members, votes, strict=True):
             if voter != "v0":
                 for seq in seqs:
--- a/tests/test_fuzz_edges.py
+++ b/tests/test_fuzz_edges.py
@@ -30,7 +30,7 @@
 from sailward.transport.message_transport import MessageTransport
 from tests.core_net import FOLDER, WORKERS
 from tests.fuzz_kit import ANYTHING, BOUNDED, near
-from tests.granting_fixture import Codec, Listed
+from tests.granting_fixture import Codec, ListedWorker
 from tests.test_settings import GIVEN
 
 SETTINGS = load_part(folder=FOLDER, name="settings")
@@ -229,7 +229,7 @@
 )
 def test_any_answers_to_grants_and_releases_are_taken(results: list) -> None:
     granting = Granting(service="cart", own="c1#1", codec=Codec())
-    listed = {name: Listed(name=name, service="cart", address="10.0.0.1:80", zone="z") for name in ("w1", "w2")}
+    listed = {name: ListedWorker(name=name, service="cart", address="10.0.0.1:80", zone="z") for name in ("w1", "w2")}
     value, now = {"number": 0, "text": ""}, 100.0
     for code, headers, body, is_sent in results:
         workers = {name: _as_worker(listed=one) for name, one in listed.items()}
@@ -254,7 +254,7 @@
     assert value["number"]
 
 
-def _as_worker(*, listed: Listed) -> Worker:
+def _as_worker(*, listed: ListedWorker) -> Worker:
     return Worker(
         name=listed.name,
         generation=0,
--- a/tests/test_granting_surplus.py
+++ b/tests/test_granting_surplus.py
@@ -8,7 +8,7 @@
 from sailward.events import CallFinished, StartCall
 from tests.test_granting import KEYS, Granter, World
 
-AT_ONCE = 0.0005
+SURPLUS_DELAY = 0.0005
 """s. The surplus response was on the connection before the call that it is taken to answer was sent."""
 
 
@@ -22,7 +22,7 @@
         super().call(granter=granter, call=call)
         if not call.fresh and any(earlier.owner == call.owner for _, earlier in self.calls[:-1]):
             surplus = CallFinished(token=call.token, code=200, headers={}, body=b"", fault="", sent=True)
-            self.at(delay=AT_ONCE, act=lambda: self.step(granter=granter, event=surplus))
+            self.at(delay=SURPLUS_DELAY, act=lambda: self.step(granter=granter, event=surplus))
 
 
 def drain_beside_surplus_answers(*, seed: int) -> SurplusWorld:
@@ -36,18 +36,18 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_surplus_answer_is_not_taken_for_the_end_of_a_release(seed: int) -> None:
+def test_surplus_response_is_not_taken_for_the_end_of_a_release(seed: int) -> None:
     world = drain_beside_surplus_answers(seed=seed)
     assert world.overlaps == []
     assert world.held_keys() == KEYS and not any(world.keys_of(worker=worker) for worker in world.workers[:2])
 
 
-def test_without_a_connection_of_its_own_a_release_is_believed_too_soon(monkeypatch: pytest.MonkeyPatch) -> None:
-    def call_on_kept(self, **given: object) -> str:
-        token = old(self, **given)
-        object.__setattr__(given["commands"][-1], "fresh", False)
+def test_release_on_a_kept_alive_connection_is_confirmed_too_soon(monkeypatch: pytest.MonkeyPatch) -> None:
+    def call_on_kept_alive(self, **arguments: object) -> str:
+        token = original(self, **arguments)
+        object.__setattr__(arguments["commands"][-1], "fresh", False)
         return token
 
-    old = GrantCalls._call
-    monkeypatch.setattr(GrantCalls, "_call", call_on_kept)
+    original = GrantCalls._call
+    monkeypatch.setattr(GrantCalls, "_call", call_on_kept_alive)
     assert any(drain_beside_surplus_answers(seed=seed).overlaps for seed in range(3))
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -19,24 +19,24 @@
 CONTAINERS = (dict, list, set, frozenset, tuple, deque)
 
 
-def count_remembered(*, owner: object) -> Counter:
+def count_state(*, owner: object) -> Counter:
     """The number of items in all containers reachable from `owner`, by path; strings count by their length."""
     counts: Counter = Counter()
     seen: set = set()
-    line = [("", owner)]
-    while line:
-        path, given = line.pop()
-        if id(given) in seen or isinstance(given, (type, random.Random)) or callable(given):
+    pending = [("", owner)]
+    while pending:
+        path, value = pending.pop()
+        if id(value) in seen or isinstance(value, (type, random.Random)) or callable(value):
             continue
-        seen.add(id(given))
-        if isinstance(given, str):
-            counts[path] += len(given) // 1000
-        elif isinstance(given, CONTAINERS):
-            counts[path] += len(given)
-            items = given.values() if isinstance(given, dict) else given
-            line += [(f"{path}[]", item) for item in items]
-        elif hasattr(given, "__dict__"):
-            line += [(f"{path}.{name}", item) for name, item in vars(given).items()]
+        seen.add(id(value))
+        if isinstance(value, str):
+            counts[path] += len(value) // 1000
+        elif isinstance(value, CONTAINERS):
+            counts[path] += len(value)
+            items = value.values() if isinstance(value, dict) else value
+            pending += [(f"{path}[]", item) for item in items]
+        elif hasattr(value, "__dict__"):
+            pending += [(f"{path}.{name}", item) for name, item in vars(value).items()]
     return counts
 
 
@@ -45,7 +45,7 @@
     return {path: (before[path], count) for path, count in after.items() if count > before[path] + slack}
 
 
-def test_a_group_remembers_no_more_after_400_changes_than_after_100() -> None:
+def test_group_state_is_no_larger_after_400_changes_than_after_100() -> None:
     group = CoreGroup(folder=None, size=4)
     for at, member in enumerate(group.members):
         group.start(member=member, is_first=at < 3)
@@ -55,7 +55,7 @@
         for number in range((100, 300)[round_]):
             assert group.change(text=json.dumps({"written": {}, "label": 1000 + number}), at=group.members[number % 3])
         group.run(seconds=8.0)
-        counts.append([count_remembered(owner=member.controller) for member in group.members])
+        counts.append([count_state(owner=member.controller) for member in group.members])
     for before, after in zip(*counts, strict=True):
         assert find_growth(before=before, after=after) == {}
 
@@ -122,9 +122,9 @@
 def test_a_controller_forgets_the_daemons_that_are_gone() -> None:
     controller = make_hosted_controller()
     now = meet_daemons(controller=controller, first=1, count=100, now=0.0)
-    before = count_remembered(owner=controller)
+    before = count_state(owner=controller)
     meet_daemons(controller=controller, first=1000, count=150, now=now)
-    assert find_growth(before=before, after=count_remembered(owner=controller)) == {}
+    assert find_growth(before=before, after=count_state(owner=controller)) == {}
 
 
 def push(*, proxy: Proxy, now: float, name: str, number: int, text: str) -> None:
@@ -156,7 +156,7 @@
     return now
 
 
-def test_a_proxy_remembers_no_more_after_400_changes_and_400_workers_than_after_100() -> None:
+def test_proxy_state_is_no_larger_after_400_changes_and_workers_than_after_100() -> None:
     post = "10.1.0.1:7621"
     location = Location(name="p0", kind="proxy", zone="z", region="r", post=post, http=post, seeds=("10.0.0.1:7620",))
     proxy = Proxy(
@@ -166,7 +166,7 @@
         options=ProxyOptions(regions=(("z", "r"),), expand=lambda written: EMPTY_FULL),
     )
     now = run_proxy(proxy=proxy, first=1, count=100, now=0.0)
-    before = count_remembered(owner=proxy)
+    before = count_state(owner=proxy)
     run_proxy(proxy=proxy, first=1000, count=300, now=now)
     assert proxy.learner.number(name="config") == 1299 and len(proxy.endpoint_table.workers) == 1
-    assert find_growth(before=before, after=count_remembered(owner=proxy)) == {}
+    assert find_growth(before=before, after=count_state(owner=proxy)) == {}
--- a/tests/test_key_loads.py
+++ b/tests/test_key_loads.py
@@ -28,7 +28,7 @@
     return fleet.step(now=now, event=None, proxies=[proxy], controllers=controllers)
 
 
-def test_a_new_load_is_known_in_its_full_size_at_once() -> None:
+def test_new_load_is_reported_at_its_full_rate_at_once() -> None:
     loads = KeyLoads()
     for at in range(4):
         loads.step(now=10.0 + at * 0.5, service="red", buckets={"5": 20, "90": 5})
@@ -36,7 +36,7 @@
         assert 30 < rates[5] < 50 and rates[90] == pytest.approx(rates[5] / 4)
 
 
-def test_a_load_that_ends_fades_and_is_forgotten() -> None:
+def test_load_that_ends_decays_and_is_forgotten() -> None:
     loads = KeyLoads()
     for at in range(20):
         loads.step(now=at * 0.5, service="red", buckets={"5": 20})
@@ -45,34 +45,32 @@
     assert set(loads.rates(now=10.0 + 20 * constants.KEY_LOAD_WINDOW)["red"]) == {7}
 
 
-def test_what_is_told_is_small_and_shows_where_the_load_lies() -> None:
+def test_encoded_rates_are_small_and_preserve_the_distribution() -> None:
     rng = random.Random(3)
     rates: dict = {}
     for _ in range(2000):
         bucket = min(constants.KEY_LOAD_BUCKETS - 1, int(300 + rng.paretovariate(0.7)))
         rates[bucket] = rates.get(bucket, 0.0) + 0.1
     rates[3000] = 80.0
-    told = write_rates(rates=rates)
+    row = write_rates(rates=rates)
     assert (
-        len(
-            pack_message(body={"kind": "fleet", "number": 1, "rows": [], "down": {}, "loads": {"rates": {"red": told}}})
-        )
+        len(pack_message(body={"kind": "fleet", "number": 1, "rows": [], "down": {}, "loads": {"rates": {"red": row}}}))
         < 400
     )
-    read = read_rates(row=told)
+    read = read_rates(row=row)
     assert sum(read.values()) == pytest.approx(sum(rates.values()), rel=0.01)
     assert read[3000] == pytest.approx(80.0, rel=0.15)
     for end in (301, 305, 330, 400, 2999, 3000):
-        parts = [sum(rate for bucket, rate in one.items() if bucket <= end) for one in (rates, read)]
+        parts = [sum(rate for bucket, rate in given.items() if bucket <= end) for given in (rates, read)]
         assert parts[0] == pytest.approx(parts[1], abs=2.5 * sum(rates.values()) / constants.KEY_LOAD_QUANTILES)
 
 
-def test_nothing_is_told_of_nothing() -> None:
+def test_empty_rates_are_encoded_as_an_empty_row() -> None:
     assert write_rates(rates={}) == [] and read_rates(row=[]) == {}
     assert read_rates(row=write_rates(rates={9: 4.0})) == {9: pytest.approx(4.0)}
 
 
-def test_chance_is_no_shift_but_a_new_hot_key_is() -> None:
+def test_random_variation_is_no_shift_but_a_new_hot_key_is() -> None:
     even = {at * 16: 1.0 for at in range(200)}
     assert not has_shifted(before=even, after={at + 1: rate * 1.1 for at, rate in even.items()})
     assert has_shifted(before=even, after=even | {3000: 150.0})
@@ -81,8 +79,8 @@
     )
 
 
-def test_a_new_load_is_told_at_once_to_those_who_place_keys_and_rarely_when_at_rest() -> None:
-    fleet, now, told = ProxyRegistry(post=HERE, zone="north-a", region="north"), 100.0, []
+def test_new_load_is_sent_at_once_to_readers_and_rarely_when_steady() -> None:
+    fleet, now, sent = ProxyRegistry(post=HERE, zone="north-a", region="north"), 100.0, []
     fleet.readers = frozenset({READER})
     proxy = make_proxy(loads={}, turn=0)
     for _ in range(60):
@@ -92,10 +90,12 @@
     for turn in range(1, 41):
         proxy.report = make_proxy(loads={"red": {"7": 10, "500": 4}}, turn=turn).report
         for _ in range(10):
-            told += [(now - start, one.to, one.body["loads"]) for one in tick(fleet=fleet, now=now, proxy=proxy)]
+            sent += [
+                (now - start, message.to, message.body["loads"]) for message in tick(fleet=fleet, now=now, proxy=proxy)
+            ]
             now += constants.TICK_INTERVAL
-    with_loads = [(at, to) for at, to, loads in told if loads]
-    assert {to for _, to in with_loads} == {READER} and {to for _, to, _ in told} == {READER, OTHER}
+    with_loads = [(at, to) for at, to, loads in sent if loads]
+    assert {to for _, to in with_loads} == {READER} and {to for _, to, _ in sent} == {READER, OTHER}
     assert with_loads[0][0] <= constants.KEY_LOAD_REPORT_MIN_INTERVAL
     assert (
         len([at for at, _ in with_loads if at > 5.0])
@@ -103,7 +103,7 @@
     )
 
 
-def test_a_queue_hardly_changes_what_is_taken_for_a_workers_pace() -> None:
+def test_queueing_hardly_changes_the_measured_service_time() -> None:
     paces, rng = WorkerPaces(), random.Random(5)
     for _ in range(100):
         work = rng.lognormvariate(0.0, 0.7)
@@ -115,13 +115,13 @@
                 "queueing": [round(100 * work) + (400 if rng.random() < 0.3 else 0)],
             },
         )
-    told = {key: pace for key, (pace, _) in paces.paces(now=2.0).items()}
-    assert told["slow"] / told["quick"] == pytest.approx(2.5, rel=0.05)
-    assert told["queueing"] < 1.7 * told["quick"]
+    means = {key: pace for key, (pace, _) in paces.paces(now=2.0).items()}
+    assert means["slow"] / means["quick"] == pytest.approx(2.5, rel=0.05)
+    assert means["queueing"] < 1.7 * means["quick"]
     assert paces.paces(now=3.0 + constants.LATENCY_TTL) == {}
 
 
-def test_paces_of_several_controllers_are_weighted_by_their_times() -> None:
+def test_service_times_of_controllers_are_weighted_by_sample_count() -> None:
     fleet = ProxyRegistry(post=HERE, zone="north-a", region="north")
     proxy = make_proxy(loads={"red": {"7": 4}}, turn=1, paces={"w0": [100, 100], "w1": [50]})
     [deliver, _] = tick(fleet=fleet, now=100.0, proxy=proxy)
--- a/tests/test_proxy_registry.py
+++ b/tests/test_proxy_registry.py
@@ -38,7 +38,7 @@
     return Subscriber(entry=entry, first=now, last_seen_at=now, report=report)
 
 
-class Pair:
+class ControllerPair:
     """Two controllers, the proxies that poll each, and the messages between them, which may be lost."""
 
     def __init__(self) -> None:
@@ -73,14 +73,14 @@
             self.deliver(sender=command.to, command=reply)
 
     def names(self, post: str) -> list:
-        return [row[0] for row in self.told(post)["proxies"]]
+        return [row[0] for row in self.fleet_of(post)["proxies"]]
 
-    def told(self, post: str) -> dict:
+    def fleet_of(self, post: str) -> dict:
         return json.loads(self.fleets[post].value()["text"])
 
 
-def make_pair() -> Pair:
-    pair = Pair()
+def make_pair() -> ControllerPair:
+    pair = ControllerPair()
     pair.proxies = {
         "c0": [make_proxy("p0", now=pair.now), make_proxy("p1", now=pair.now)],
         "c1": [make_proxy("p2", now=pair.now, zone="south-a")],
@@ -89,44 +89,44 @@
     return pair
 
 
-def test_every_controller_tells_the_whole_fleet() -> None:
+def test_every_controller_publishes_the_whole_fleet() -> None:
     pair = make_pair()
     assert pair.names("c0") == pair.names("c1") == ["p0", "p1", "p2"]
-    assert pair.told("c0")["cellars"] == [["c0", "north-a", "north"], ["c1", "south-a", "south"]]
+    assert pair.fleet_of("c0")["cellars"] == [["c0", "north-a", "north"], ["c1", "south-a", "south"]]
 
 
-def test_the_number_rises_only_with_news() -> None:
+def test_the_number_rises_only_with_changes() -> None:
     pair = make_pair()
     before = pair.fleets["c0"].value()["number"]
     pair.run(5.0)
     assert pair.fleets["c0"].value()["number"] == before
     pair.proxies["c1"][0].entry = {**pair.proxies["c1"][0].entry, "fit": False}
     pair.run(3.0)
-    assert pair.fleets["c0"].value()["number"] == before + 1 and pair.told("c0")["proxies"][2][4] is False
+    assert pair.fleets["c0"].value()["number"] == before + 1 and pair.fleet_of("c0")["proxies"][2][4] is False
 
 
-def test_a_proxy_that_is_silent_or_gone_is_not_told_of() -> None:
+def test_silent_or_gone_proxy_is_not_published() -> None:
     pair = make_pair()
     pair.proxies["c1"] = []
     pair.run(constants.PROXY_TIMEOUT + 3.0)
     assert pair.names("c0") == ["p0", "p1"]
 
 
-def test_a_proxy_that_moves_to_another_controller_is_told_of_once() -> None:
+def test_proxy_that_moves_to_another_controller_is_published_once() -> None:
     pair = make_pair()
     pair.proxies["c1"].append(make_proxy("p0", now=pair.now))
     pair.run(3.0)
     assert pair.names("c0") == pair.names("c1") == ["p0", "p1", "p2"]
 
 
-def test_a_controller_that_is_lost_takes_its_word_along_after_a_while() -> None:
+def test_reports_of_a_lost_controller_expire() -> None:
     pair = make_pair()
     pair.is_cut = True
     pair.run(constants.PROXY_REPORT_TTL + 1.0)
     assert pair.names("c0") == ["p0", "p1"]
 
 
-def test_after_a_cut_without_news_the_whole_fleet_is_told_again() -> None:
+def test_whole_fleet_is_published_again_after_a_partition() -> None:
     pair = make_pair()
     pair.is_cut = True
     pair.run(constants.PROXY_REPORT_TTL + 1.0)
@@ -135,7 +135,7 @@
     assert pair.names("c0") == pair.names("c1") == ["p0", "p1", "p2"]
 
 
-def test_a_controller_that_starts_anew_is_told_all() -> None:
+def test_restarted_controller_receives_the_whole_fleet() -> None:
     pair = make_pair()
     pair.fleets["c1"] = ProxyRegistry(post="c1", zone="south-a", region="south")
     pair.starts["c1"] = 2
@@ -143,21 +143,21 @@
     assert pair.names("c1") == ["p0", "p1", "p2"]
 
 
-def test_what_is_down_is_counted_with_its_voices() -> None:
+def test_unreachable_workers_are_counted_with_the_number_of_reporters() -> None:
     pair = make_pair()
-    for one in pair.proxies["c0"]:
-        one.report = {"down": ["w1"]}
+    for proxy in pair.proxies["c0"]:
+        proxy.report = {"down": ["w1"]}
     pair.run(3.0)
     for post in ZONES:
         assert pair.fleets[post].down(now=pair.now, proxies=pair.proxies[post]) == {"w1": (2, 3)}
 
 
-def test_loads_of_keys_add_up_over_the_fleet_and_fade() -> None:
+def test_key_loads_add_up_over_the_fleet_and_decay() -> None:
     pair = make_pair()
     for turn in range(int(3 * constants.KEY_LOAD_WINDOW)):
         for post, proxies in pair.proxies.items():
-            for one in proxies:
-                one.report = {"turn": turn, "lead": post, "loads": {"red": {"7": 30, "8": 1}}}
+            for proxy in proxies:
+                proxy.report = {"turn": turn, "lead": post, "loads": {"red": {"7": 30, "8": 1}}}
         pair.run(1.0)
     for post in ZONES:
         loads = pair.fleets[post].loads(now=pair.now, service="red")
@@ -169,7 +169,7 @@
     assert sum(pair.fleets["c0"].loads(now=pair.now, service="red").values()) == pytest.approx(0.0, abs=3.0)
 
 
-def test_a_lost_telling_does_not_make_proxies_vanish() -> None:
+def test_lost_report_does_not_remove_proxies() -> None:
     pair = make_pair()
     pair.is_cut = True
     pair.proxies["c1"].append(make_proxy("p3", now=pair.now, zone="south-a"))
