--- a/sailward/control/administration/status_report.py
+++ b/sailward/control/administration/status_report.py
@@ -36,7 +36,7 @@
         "list": {"epoch": sources.endpoint_list.epoch, "revision": sources.endpoint_list.revision},
         "slots": len(voter.acceptor.slots),
         "rates": _sum_rates(proxies=subscribers.proxies()),
-        "well": sorted(sources.aggregated_health.warm),
+        "well": sorted(sources.aggregated_health.healthy_durations),
         "metrics": show_metrics(sources=sources, now=now),
         "unexpected_events": dict(sources.unexpected.counts),
         "refused_input": dict(sources.refused.counts),
--- a/sailward/control/controller.py
+++ b/sailward/control/controller.py
@@ -342,7 +342,7 @@
     def _describe_itself(self, *, now: float) -> None:
         """What the peer table tells others of this process."""
         self.peer_table.fit = self.voting
-        self.peer_table.asks = "" if self.options.is_mesh else self.subscribers.asks(now=now)
+        self.peer_table.asks = "" if self.options.is_mesh else self.subscribers.active_proxy_names(now=now)
         if self.options.bootstrap:
             # one that waits and can't write is not brought in
             may_act = (self.write_ahead.usable and self.options.has_disk) or self.voter.is_member
--- a/sailward/control/proxies/aggregated_health.py
+++ b/sailward/control/proxies/aggregated_health.py
@@ -18,7 +18,7 @@
     """Aggregates zone health. `step` takes the reports of the proxies heard from within HEALTH_REPORT_TTL."""
 
     table: ZoneHealthTable = field(default_factory=ZoneHealthTable)
-    warm: dict = field(default_factory=dict)
+    healthy_durations: dict = field(default_factory=dict)
 
     def step(self, *, now: float, proxies: list[Subscriber]) -> list[Command]:
         """Aggregate the reports; one of a proxy that suspects itself counts only if there are no others."""
@@ -30,14 +30,14 @@
         counted_reports = [report for report in recent_reports if not report.get("suspect")] or recent_reports
         fractions_by_zone: dict = {}
         drained_flags: dict = {}
-        self.warm = {}
+        self.healthy_durations = {}
         for report in counted_reports:
             for name, (listed, healthy, state) in report["halls"].items():
                 if listed:
                     fractions_by_zone.setdefault(name, []).append(healthy / listed)
                     drained_flags.setdefault(name, []).append(state in ("drained", "holding"))
             for key, age in report.get("warm", {}).items():
-                self.warm[key] = max(age, self.warm.get(key, 0.0))
+                self.healthy_durations[key] = max(age, self.healthy_durations.get(key, 0.0))
         counts = {}
         for name, fractions in fractions_by_zone.items():
             if 2 * len(fractions) <= len(counted_reports):
@@ -54,7 +54,7 @@
     def view(self, *, with_slow_start: bool) -> dict:
         """The view as sent in a grant."""
         drained = [f"{service}|{zone}" for (service, zone), state in self.table.zones.items() if state.drained]
-        return {"drained": drained, **({"warm": self.warm} if with_slow_start else {})}
+        return {"drained": drained, **({"warm": self.healthy_durations} if with_slow_start else {})}
 
     def _current_counts(self) -> dict:
         return {location: (zone.listed, zone.healthy, zone.listed) for location, zone in self.table.zones.items()}
--- a/sailward/control/proxies/key_loads.py
+++ b/sailward/control/proxies/key_loads.py
@@ -12,11 +12,11 @@
 
 from sailward import constants
 
-COARSE = 16
+COARSE_RANGES = 16
 
 
 @dataclass(kw_only=True)
-class Counts:
+class DecayedCounts:
     """Exponentially decayed request counts by bucket.
 
     A request's weight grows by a factor of e for each KEY_LOAD_WINDOW between `base` and its arrival, so earlier counts
@@ -24,8 +24,8 @@
     """
 
     base: float
-    since: float
-    masses: dict = field(default_factory=dict)
+    started_at: float
+    weighted: dict = field(default_factory=dict)
 
 
 class KeyLoads:
@@ -35,41 +35,41 @@
     """
 
     def __init__(self) -> None:
-        self._counts: dict[str, Counts] = {}
+        self._counts: dict[str, DecayedCounts] = {}
 
     def step(self, *, now: float, service: str, buckets: dict) -> None:
         """Add one report."""
         counts = self._counts.get(service)
         if counts is None:
-            counts = self._counts[service] = Counts(base=now, since=now)
+            counts = self._counts[service] = DecayedCounts(base=now, started_at=now)
         if now - counts.base > constants.KEY_LOAD_WINDOW:
             self._rebase(now=now, counts=counts)
-        if not counts.masses:
-            counts.since = now
+        if not counts.weighted:
+            counts.started_at = now
         weight = math.exp((now - counts.base) / constants.KEY_LOAD_WINDOW)
         for bucket, count in buckets.items():
-            counts.masses[int(bucket)] = counts.masses.get(int(bucket), 0.0) + count * weight
+            counts.weighted[int(bucket)] = counts.weighted.get(int(bucket), 0.0) + count * weight
 
     def rates(self, *, now: float) -> dict:
         """{service: {bucket: requests/s}}, corrected for services that have been counted for only a short time."""
         rates = {}
         for service, counts in self._counts.items():
-            total = 1.0 - math.exp(-(now - counts.since + constants.POLL_INTERVAL) / constants.KEY_LOAD_WINDOW)
+            total = 1.0 - math.exp(-(now - counts.started_at + constants.POLL_INTERVAL) / constants.KEY_LOAD_WINDOW)
             scale = math.exp(-(now - counts.base) / constants.KEY_LOAD_WINDOW) / constants.KEY_LOAD_WINDOW / total
-            rates[service] = {bucket: count * scale for bucket, count in counts.masses.items()}
+            rates[service] = {bucket: count * scale for bucket, count in counts.weighted.items()}
         return rates
 
-    def _rebase(self, *, now: float, counts: Counts) -> None:
+    def _rebase(self, *, now: float, counts: DecayedCounts) -> None:
         scale = math.exp(-(now - counts.base) / constants.KEY_LOAD_WINDOW)
         counts.base = now
-        counts.masses = {
+        counts.weighted = {
             bucket: count * scale
-            for bucket, count in counts.masses.items()
+            for bucket, count in counts.weighted.items()
             if count * scale >= constants.KEY_LOAD_MIN_COUNT
         }
 
 
-class WorkerPaces:
+class WorkerLatencies:
     """The service times of the workers of one region.
 
     A worker's service time is the mean of the lower half of its samples: requests that queued are in the upper half.
@@ -85,15 +85,15 @@
             self._times.setdefault(key, deque(maxlen=constants.LATENCY_SAMPLES_KEPT)).extend(durations)
             self._updated_at[key] = now
 
-    def paces(self, *, now: float) -> dict:
+    def latencies(self, *, now: float) -> dict:
         """{worker: [ms, number of samples]}."""
         for key in [key for key, at in self._updated_at.items() if now - at > constants.LATENCY_TTL]:
             del self._times[key], self._updated_at[key]
-        paces = {}
+        latencies = {}
         for key, times in self._times.items():
             lower = sorted(times)[: (len(times) + 1) // 2]
-            paces[key] = [round(sum(lower) / len(lower)), len(times)]
-        return paces
+            latencies[key] = [round(sum(lower) / len(lower)), len(times)]
+        return latencies
 
 
 def write_rates(*, rates: dict) -> list:
@@ -130,8 +130,8 @@
 
 def has_shifted(*, before: dict, after: dict) -> bool:
     """Has a large part of the load appeared, gone or moved? Compared by coarse ranges, as buckets always fluctuate."""
-    parts = [0.0] * COARSE
+    parts = [0.0] * COARSE_RANGES
     for rates, sign in ((before, -1), (after, 1)):
         for bucket, rate in rates.items():
-            parts[bucket * COARSE // constants.KEY_LOAD_BUCKETS] += sign * rate
+            parts[bucket * COARSE_RANGES // constants.KEY_LOAD_BUCKETS] += sign * rate
     return sum(map(abs, parts)) > constants.KEY_LOAD_SHIFT_RATIO * max(sum(before.values()), sum(after.values()))
--- a/sailward/control/proxies/proxy_registry.py
+++ b/sailward/control/proxies/proxy_registry.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from sailward import constants
-from sailward.control.proxies.key_loads import KeyLoads, WorkerPaces, has_shifted, read_rates, write_rates
+from sailward.control.proxies.key_loads import KeyLoads, WorkerLatencies, has_shifted, read_rates, write_rates
 from sailward.control.proxies.subscribers import Subscriber
 from sailward.events import Command, SendMessage
 from sailward.wire_types import PeerEntry
@@ -40,22 +40,22 @@
     post: str
     zone: str
     region: str
-    others: dict = field(default_factory=dict)
+    snapshots: dict = field(default_factory=dict)
     last: dict = field(default_factory=dict)
-    last_seen_at: dict = field(default_factory=dict)
+    last_turns: dict = field(default_factory=dict)
     number: int = 0
     text: str = ""
     sent_at: float = -1e9
-    own: list = field(default_factory=list)
-    own_number: int = 0
-    own_down: dict = field(default_factory=dict)
+    sent_rows: list = field(default_factory=list)
+    rows_number: int = 0
+    sent_down: dict = field(default_factory=dict)
     sent_to: dict = field(default_factory=dict)
     readers: frozenset | None = None
     key_loads: KeyLoads = field(default_factory=KeyLoads)
-    worker_paces: WorkerPaces = field(default_factory=WorkerPaces)
+    worker_latencies: WorkerLatencies = field(default_factory=WorkerLatencies)
     rates: dict = field(default_factory=dict)
-    rates_sent: dict = field(default_factory=dict)
-    loads_at: float = -1e9
+    sent_rates: dict = field(default_factory=dict)
+    loads_sent_at: float = -1e9
 
     def step(
         self, *, now: float, event: tuple | None, proxies: list[Subscriber], controllers: list[PeerEntry]
@@ -68,11 +68,11 @@
             sender, body = event
             if body["kind"] == "want":
                 return self._resend(now=now, to=sender)
-            old = self.others.get(sender)
+            old = self.snapshots.get(sender)
             is_same, is_known = body["rows"] == SAME, old is not None and old.number == body["number"]
             rows = body["rows"] if not is_same else old.rows if old is not None else []
             number = body["number"] if is_known or not is_same else -1
-            self.others[sender] = PeerSnapshot(
+            self.snapshots[sender] = PeerSnapshot(
                 at=now, number=number, rows=rows, down=body["down"], loads=read_loads(report=body["loads"])
             )
             # an earlier report was lost: request the rows, and keep the old ones until they arrive
@@ -87,13 +87,13 @@
         own = self._own_rows(now=now, proxies=proxies)
         self._compose(now=now, own=own, controllers=controllers, down=self._confirmed_down(now=now, proxies=proxies))
         down = self._own_down(proxies=proxies)
-        changed = own != self.own or down != self.own_down
+        changed = own != self.sent_rows or down != self.sent_down
         others = [controller for controller in controllers if controller["post"] != self.post]
         if now - self.sent_at < (constants.PROXY_REPORT_MIN_INTERVAL if changed else constants.PROXY_REPORT_INTERVAL):
             readers = [other for other in others if self._is_reader(to=other)]
             return self._send_to_all(now=now, to=readers) if readers and self._is_load_due(now=now) else []
-        self.own_number += own != self.own
-        self.sent_at, self.own, self.own_down = now, own, down
+        self.rows_number += own != self.sent_rows
+        self.sent_at, self.sent_rows, self.sent_down = now, own, down
         return self._send_to_all(now=now, to=others)
 
     def _forget_gone(self, *, now: float, posts: set) -> None:
@@ -101,8 +101,8 @@
 
         As machines are replaced, it would otherwise grow without bound.
         """
-        self.others = {
-            post: snapshot for post, snapshot in self.others.items() if now - snapshot.at < constants.PEER_TTL
+        self.snapshots = {
+            post: snapshot for post, snapshot in self.snapshots.items() if now - snapshot.at < constants.PEER_TTL
         }
         # a controller that returns is sent all rows again
         self.sent_to = {post: version for post, version in self.sent_to.items() if post in posts}
@@ -111,35 +111,35 @@
         return self.readers is None or to["post"] in self.readers
 
     def _is_load_due(self, *, now: float) -> bool:
-        since = now - self.loads_at
-        if since < constants.KEY_LOAD_REPORT_MIN_INTERVAL or not (self.rates or self.rates_sent):
+        since = now - self.loads_sent_at
+        if since < constants.KEY_LOAD_REPORT_MIN_INTERVAL or not (self.rates or self.sent_rates):
             return False
         return since >= constants.KEY_LOAD_REPORT_INTERVAL or any(
-            has_shifted(before=self.rates_sent.get(service, {}), after=rates)
+            has_shifted(before=self.sent_rates.get(service, {}), after=rates)
             for service, rates in self.rates.items()
-            if self.rates is not self.rates_sent
+            if self.rates is not self.sent_rates
         )
 
     def _send_to_all(self, *, now: float, to: list[dict]) -> list[Command]:
         loads = self._own_loads(now=now)
-        self.loads_at, self.rates_sent = now, self.rates
+        self.loads_sent_at, self.sent_rates = now, self.rates
         return [
             self._send_snapshot(to=controller, loads=loads if self._is_reader(to=controller) else {})
             for controller in to
         ]
 
     def _send_snapshot(self, *, to: dict, loads: dict) -> SendMessage:
-        version = (to["start"], self.own_number)
+        version = (to["start"], self.rows_number)
         is_known = self.sent_to.get(to["post"]) == version
         self.sent_to[to["post"]] = version
         return SendMessage(
             to=to["post"],
             body={
                 "kind": "fleet",
-                "number": self.own_number,
-                "rows": SAME if is_known else self.own,
+                "number": self.rows_number,
+                "rows": SAME if is_known else self.sent_rows,
                 "loads": loads,
-                "down": self.own_down,
+                "down": self.sent_down,
             },
         )
 
@@ -152,10 +152,10 @@
                 to=to,
                 body={
                     "kind": "fleet",
-                    "number": self.own_number,
-                    "rows": self.own,
+                    "number": self.rows_number,
+                    "rows": self.sent_rows,
                     "loads": loads,
-                    "down": self.own_down,
+                    "down": self.sent_down,
                 },
             )
         ]
@@ -182,20 +182,20 @@
                 total[bucket] = total.get(bucket, 0.0) + rate
         return total
 
-    def paces(self, *, now: float) -> dict:
+    def latencies(self, *, now: float) -> dict:
         """{worker: (service time in s, number of samples)} of the workers of divided services, over the fleet."""
         total: dict = {}
-        for paces in [
-            self.worker_paces.paces(now=now),
+        for latencies in [
+            self.worker_latencies.latencies(now=now),
             *(snapshot.loads.get("paces", {}) for snapshot in self._recent_snapshots(now=now)),
         ]:
-            for key, (pace, count) in paces.items():
+            for key, (latency, count) in latencies.items():
                 before, counted = total.get(key, (0.0, 0))
-                total[key] = (before * counted + pace / 1000 * count) / (counted + count), counted + count
+                total[key] = (before * counted + latency / 1000 * count) / (counted + count), counted + count
         return total
 
     def _recent_snapshots(self, *, now: float) -> list[PeerSnapshot]:
-        return [snapshot for snapshot in self.others.values() if now - snapshot.at < constants.PROXY_REPORT_TTL]
+        return [snapshot for snapshot in self.snapshots.values() if now - snapshot.at < constants.PROXY_REPORT_TTL]
 
     def _own_rows(self, *, now: float, proxies: list[Subscriber]) -> list:
         return sorted(
@@ -222,24 +222,24 @@
             return {}
         return {
             "rates": {service: write_rates(rates=rates) for service, rates in self.rates.items()},
-            "paces": self.worker_paces.paces(now=now),
+            "paces": self.worker_latencies.latencies(now=now),
         }
 
     def _record_loads(self, *, now: float, proxies: list[Subscriber]) -> None:
         is_new = False
         names = {proxy.entry["id"] for proxy in proxies}
-        self.last_seen_at = {name: turn for name, turn in self.last_seen_at.items() if name in names}
+        self.last_turns = {name: turn for name, turn in self.last_turns.items() if name in names}
         for proxy in proxies:
             turn = proxy.report.get("turn")
-            if turn is None or self.last_seen_at.get(proxy.entry["id"]) == turn:
+            if turn is None or self.last_turns.get(proxy.entry["id"]) == turn:
                 continue
-            self.last_seen_at[proxy.entry["id"]] = turn
+            self.last_turns[proxy.entry["id"]] = turn
             if proxy.report.get("lead") != self.post:
                 continue
             is_new = True
             for service, buckets in proxy.report.get("loads", {}).items():
                 self.key_loads.step(now=now, service=service, buckets=buckets)
-            self.worker_paces.step(now=now, times=proxy.report.get("paces", {}))
+            self.worker_latencies.step(now=now, times=proxy.report.get("paces", {}))
         if is_new or now - self.last.get("rates", now) >= constants.KEY_LOAD_REPORT_INTERVAL:
             self.rates = self.key_loads.rates(now=now)
             self.last["rates"] = now
@@ -256,7 +256,7 @@
     def _compose(self, *, now: float, own: list, controllers: list[PeerEntry], down: list) -> None:
         rows = {
             row[0]: row
-            for snapshot in self.others.values()
+            for snapshot in self.snapshots.values()
             if now - snapshot.at < constants.PROXY_REPORT_TTL
             for row in snapshot.rows
         }
--- a/sailward/control/proxies/serving.py
+++ b/sailward/control/proxies/serving.py
@@ -133,7 +133,7 @@
         return SendMessage(to=sender, body=grant)
 
     def _grant(self, *, now: float, sender: str, body: Message, newest: dict) -> SendMessage:
-        is_new_subscriber = now - self._subscribers.members[sender].first < constants.SLOW_START_REPORT_DURATION
+        is_new_subscriber = now - self._subscribers.members[sender].first_seen_at < constants.SLOW_START_REPORT_DURATION
         return SendMessage(
             to=sender,
             body={
--- a/sailward/control/proxies/subscribers.py
+++ b/sailward/control/proxies/subscribers.py
@@ -9,11 +9,11 @@
 from sailward.events import SendMessage
 from sailward.wire_types import Ballot, Message, PeerEntry, RegisterValue
 
-OWN_LIST = "workers"
+ENDPOINT_LIST = "workers"
 """The name under which the list of workers is pushed."""
-OWN_LISTS = (OWN_LIST, "fleet")
+LOCALLY_NUMBERED = (ENDPOINT_LIST, "fleet")
 """Values that each controller numbers by itself."""
-LARGE = "config"
+LARGE_VALUE = "config"
 """The register whose value is large."""
 
 
@@ -22,7 +22,7 @@
     """One daemon that polls this controller."""
 
     entry: PeerEntry
-    first: float
+    first_seen_at: float
     last_seen_at: float
     have: dict = field(default_factory=dict)
     report: dict = field(default_factory=dict)
@@ -71,13 +71,13 @@
 
     def has_followers(self) -> bool:
         """Does any proxy follow this controller's list of workers, or no list yet?"""
-        return any((proxy.have.get(OWN_LIST) or [-1, ""])[1] in ("", self.post) for proxy in self.proxies())
+        return any((proxy.have.get(ENDPOINT_LIST) or [-1, ""])[1] in ("", self.post) for proxy in self.proxies())
 
     def proxies(self) -> list[Subscriber]:
         """The proxies that have asked recently."""
         return [member for member in self.members.values() if kind_of(entry=member.entry) == "proxy"]
 
-    def asks(self, *, now: float) -> str:
+    def active_proxy_names(self, *, now: float) -> str:
         """The incarnations of proxies whose forwarded requests may still run: those that asked recently enough."""
         self._forget_inactive(now=now)
         return ",".join(sorted(self.active_proxies))
@@ -95,7 +95,7 @@
             return
         start = body["daemon"].get("start")
         if member is None or member.entry.get("start") != start:
-            member = self.members[sender] = Subscriber(entry=body["daemon"], first=now, last_seen_at=now)
+            member = self.members[sender] = Subscriber(entry=body["daemon"], first_seen_at=now, last_seen_at=now)
             self._forget_inactive(now=now)
         member.entry, member.last_seen_at = body["daemon"], now
         if kind_of(entry=member.entry) == "proxy":
@@ -115,14 +115,14 @@
         is_requested: bool = False,
     ) -> list[SendMessage]:
         held_version = member.have.get(name)
-        if self.post and kind_of(entry=member.entry) == "controller" and name in OWN_LISTS:
+        if self.post and kind_of(entry=member.entry) == "controller" and name in LOCALLY_NUMBERED:
             # a controller follows no other controller's lists
             return []
-        if self.post and not is_requested and name == LARGE and member.report.get("lead", self.post) != self.post:
+        if self.post and not is_requested and name == LARGE_VALUE and member.report.get("lead", self.post) != self.post:
             # only the controller that the proxy follows pushes the large value; small ones come from both controllers
             # that it polls, as one may be gone
             return []
-        if self.post and name in OWN_LISTS:
+        if self.post and name in LOCALLY_NUMBERED:
             return self._push_own(
                 now=now,
                 address=address,
--- a/sailward/control/shards/freshness.py
+++ b/sailward/control/shards/freshness.py
@@ -30,8 +30,8 @@
 class Freshness:
     """Collects the voters' confirmations and derives read leases from them.
 
-    `step` records one confirmation, or requests new ones from all other voters when they are due; `until` returns the
-    end of a register's lease.
+    `step` records one confirmation, or requests new ones from all other voters when they are due; `lease_until`
+    returns the end of a register's lease.
 
     A newer value can only be chosen by a majority, which shares a voter with every blocking set. If every voter of a
     blocking set states, after some moment, that it has voted for nothing newer than the value learned here, then
@@ -45,9 +45,16 @@
     next_at: float = NEVER
 
     def step(
-        self, *, now: float, body: Message | None, members: Mapping[str, str], number: int, own: str, registers: list
+        self,
+        *,
+        now: float,
+        body: Message | None,
+        members: Mapping[str, str],
+        number: int,
+        own_identity: str,
+        registers: list,
     ) -> list[Command]:
-        """`members` are the voters, `number` is that of the voters register, `own` is this controller's identity."""
+        """`members` are the voters, `number` is that of the voters register, `own_identity` this controller's."""
         if body is not None:
             requested_at = self.requested_at.get(body["seq"])
             known = self.confirmations.get(body["identity"])
@@ -64,18 +71,25 @@
         return [
             SendMessage(to=post, body={"kind": "confirm", "seq": self.seq, "voters": number, "registers": registers})
             for name, post in sorted(members.items())
-            if name != own
+            if name != own_identity
         ]
 
-    def until(
-        self, *, now: float, register: str, learner: Learner, members: Mapping[str, str], own: str, slots: Slots
+    def lease_until(
+        self,
+        *,
+        now: float,
+        register: str,
+        learner: Learner,
+        members: Mapping[str, str],
+        own_identity: str,
+        slots: Slots,
     ) -> float:
         """The time until which the local value of this register may be acted on as the newest."""
         if not members:
             return NEVER
         lease_ends = []
         for name in members:
-            if name == own:
+            if name == own_identity:
                 slot = slots.get(register)
                 if (
                     slot is None
--- a/sailward/control/shards/grant_calls.py
+++ b/sailward/control/shards/grant_calls.py
@@ -15,34 +15,34 @@
 
 
 @dataclass(kw_only=True)
-class Renewing:
+class Renewal:
     """The state of the repeated grants of one open shard."""
 
-    due: float = NEVER
+    due_at: float = NEVER
     token: str = ""
     handover: str = ""
 
 
 @dataclass(kw_only=True)
-class Releasing:
+class PendingRelease:
     """The state of one moving shard: since when it has been seen moving, and whether its owner has released it."""
 
     shard: Shard
-    since: float
-    due: float = NEVER
+    moving_since: float
+    due_at: float = NEVER
     token: str = ""
     is_released: bool = False
     handover: str = ""
 
 
 @dataclass(frozen=True, kw_only=True)
-class Sent:
-    """A call in flight; none of its bytes are sent after `until`."""
+class CallInFlight:
+    """A call in flight; none of its bytes are sent after `send_until`."""
 
     shard: Shard
     is_grant: bool
-    since: float
-    until: float
+    sent_at: float
+    send_until: float
 
 
 @dataclass(kw_only=True)
@@ -52,12 +52,12 @@
     service: str
     codec: GrantCodec
     addresses: dict[str, str] = field(default_factory=dict)
-    ended: set[str] = field(default_factory=set)
-    outrun: set[Shard] = field(default_factory=set)
+    ended_workers: set[str] = field(default_factory=set)
+    fence_rejected: set[Shard] = field(default_factory=set)
     handovers: dict[Shard, str] = field(default_factory=dict)
-    _renewals: dict[Shard, Renewing] = field(default_factory=dict)
-    _releases: list[Releasing] = field(default_factory=list)
-    _in_flight: dict[str, Sent] = field(default_factory=dict)
+    _renewals: dict[Shard, Renewal] = field(default_factory=dict)
+    _releases: list[PendingRelease] = field(default_factory=list)
+    _in_flight: dict[str, CallInFlight] = field(default_factory=dict)
     _last_arrival_at: dict[str, float] = field(default_factory=dict)
     _failure_spans: dict[str, tuple[float, float]] = field(default_factory=dict)
     _call_count: int = 0
@@ -71,64 +71,66 @@
         shards = list(shards)
         known = {} if is_new_term else self._renewals
         self._renewals = {
-            shard: known.get(shard) or Renewing(handover=self.handovers.get(shard, ""))
+            shard: known.get(shard) or Renewal(handover=self.handovers.get(shard, ""))
             for shard in shards
             if shard.is_open and shard.owner
         }
         self._releases = [
-            self._release_of(shard=shard) or Releasing(shard=shard, since=now) for shard in shards if not shard.is_open
+            self._release_of(shard=shard) or PendingRelease(shard=shard, moving_since=now)
+            for shard in shards
+            if not shard.is_open
         ]
-        self.outrun &= set(self._renewals)
+        self.fence_rejected &= set(self._renewals)
 
-    def _release_of(self, *, shard: Shard) -> Releasing | None:
+    def _release_of(self, *, shard: Shard) -> PendingRelease | None:
         return next(
             (
-                replace(releasing, shard=shard)
-                for releasing in self._releases
-                if (releasing.shard.owner, releasing.shard.fencing_token) == (shard.owner, shard.fencing_token)
-                and releasing.shard.start <= shard.start
-                and shard.end <= releasing.shard.end
+                replace(pending, shard=shard)
+                for pending in self._releases
+                if (pending.shard.owner, pending.shard.fencing_token) == (shard.owner, shard.fencing_token)
+                and pending.shard.start <= shard.start
+                and shard.end <= pending.shard.end
             ),
             None,
         )
 
     def take_result(self, *, now: float, event: CallFinished) -> list[Command]:
         """Handle the result of one of these calls; returns log events."""
-        sent = self._in_flight.pop(event.token, None)
-        if sent is None:
+        call = self._in_flight.pop(event.token, None)
+        if call is None:
             return []
-        owner = sent.shard.owner
+        owner = call.shard.owner
         if event.code == 421:
-            self.ended.add(owner)
+            self.ended_workers.add(owner)
         if event.code in (200, 409):
             self._failure_spans.pop(owner, None)
         else:
-            self._failure_spans[owner] = (self._failure_spans.get(owner, (sent.since, now))[0], now)
-        if sent.is_grant:
-            return self._take_grant_result(now=now, shard=sent.shard, event=event)
-        for releasing in self._releases:
-            if releasing.token == event.token:
-                releasing.due, releasing.token = now + constants.GRANT_RETRY_INTERVAL, ""
+            self._failure_spans[owner] = (self._failure_spans.get(owner, (call.sent_at, now))[0], now)
+        if call.is_grant:
+            return self._take_grant_result(now=now, shard=call.shard, event=event)
+        for pending in self._releases:
+            if pending.token == event.token:
+                pending.due_at, pending.token = now + constants.GRANT_RETRY_INTERVAL, ""
                 if event.code == 200:
-                    releasing.is_released = True
-                    releasing.handover = self.codec.handover(headers=event.headers)
-        return [] if event.code == 200 else [self._failure_event(shard=sent.shard, event=event, name="release-failed")]
+                    pending.is_released = True
+                    pending.handover = self.codec.handover(headers=event.headers)
+        return [] if event.code == 200 else [self._failure_event(shard=call.shard, event=event, name="release-failed")]
 
     def _take_grant_result(self, *, now: float, shard: Shard, event: CallFinished) -> list[Command]:
         if event.code or event.sent:
             flight_margin = 0.0 if event.code else constants.GRANT_IN_FLIGHT_LIMIT
             self._last_arrival_at[shard.owner] = max(self._last_arrival_at.get(shard.owner, NEVER), now + flight_margin)
-        renewing = self._renewals.get(shard)
-        if renewing is None or renewing.token != event.token:
+        renewal = self._renewals.get(shard)
+        if renewal is None or renewal.token != event.token:
             return []
-        renewing.token = ""
+        renewal.token = ""
         if event.code == 200:
-            renewing.handover = ""
+            renewal.handover = ""
             self.handovers.pop(shard, None)
             return []
-        renewing.due = now + constants.GRANT_RETRY_INTERVAL
+        renewal.due_at = now + constants.GRANT_RETRY_INTERVAL
         if event.code == 409:
-            self.outrun.add(shard)
+            self.fence_rejected.add(shard)
         return [self._failure_event(shard=shard, event=event, name="grant-failed")]
 
     def _failure_event(self, *, shard: Shard, event: CallFinished, name: str) -> LogEvent:
@@ -147,19 +149,24 @@
     def grant(self, *, now: float, hold: float, fresh_until: float) -> list[Command]:
         """Grant each open shard that is due, for `hold` s; no bytes of a call are sent after `fresh_until`."""
         commands: list = []
-        for shard, renewing in self._renewals.items():
-            if renewing.token or now < renewing.due or shard.owner in self.ended or shard.owner not in self.addresses:
+        for shard, renewal in self._renewals.items():
+            if (
+                renewal.token
+                or now < renewal.due_at
+                or shard.owner in self.ended_workers
+                or shard.owner not in self.addresses
+            ):
                 continue
             request = self.codec.grant(
                 start=shard.start,
                 end=shard.end,
                 fencing_token=shard.fencing_token,
                 hold=hold,
-                handover=renewing.handover,
+                handover=renewal.handover,
                 owner=shard.owner,
             )
-            renewing.due = now + constants.GRANT_RENEWAL_INTERVAL
-            renewing.token = self._call(
+            renewal.due_at = now + constants.GRANT_RENEWAL_INTERVAL
+            renewal.token = self._call(
                 now=now,
                 kind=GRANT,
                 shard=shard,
@@ -170,16 +177,16 @@
             )
         return commands
 
-    def release(self, *, now: float, sole_at: float, fresh_until: float) -> list[Command]:
-        """Ask the owners of moving shards to release them, from `sole_at` on, when no other granter's grants arrive."""
+    def release(self, *, now: float, sole_granter_at: float, fresh_until: float) -> list[Command]:
+        """Ask the owners of moving shards for release; from `sole_granter_at` on no other granter's grants arrive."""
         commands: list = []
-        for releasing in self._releases:
-            shard = releasing.shard
+        for pending in self._releases:
+            shard = pending.shard
             if (
-                releasing.token
-                or releasing.is_released
-                or now < max(releasing.due, sole_at)
-                or shard.owner in self.ended
+                pending.token
+                or pending.is_released
+                or now < max(pending.due_at, sole_granter_at)
+                or shard.owner in self.ended_workers
                 or shard.owner not in self.addresses
                 or self._may_arrive(now=now, shard=shard)
             ):
@@ -187,7 +194,7 @@
             request = self.codec.release(
                 start=shard.start, end=shard.end, fencing_token=shard.fencing_token, owner=shard.owner
             )
-            releasing.token = self._call(
+            pending.token = self._call(
                 now=now,
                 kind=RELEASE,
                 shard=shard,
@@ -201,12 +208,12 @@
     def _may_arrive(self, *, now: float, shard: Shard) -> bool:
         """May a grant of these keys by this granter still be on its way to their owner?"""
         return self._last_arrival_at.get(shard.owner, NEVER) > now or any(
-            sent.is_grant
-            and sent.shard.owner == shard.owner
-            and sent.shard.start <= shard.end
-            and shard.start <= sent.shard.end
-            and now < sent.until + constants.GRANT_IN_FLIGHT_LIMIT
-            for sent in self._in_flight.values()
+            call.is_grant
+            and call.shard.owner == shard.owner
+            and call.shard.start <= shard.end
+            and shard.start <= call.shard.end
+            and now < call.send_until + constants.GRANT_IN_FLIGHT_LIMIT
+            for call in self._in_flight.values()
         )
 
     def _call(
@@ -232,29 +239,31 @@
                 begin_by=begin_by,
             )
         )
-        self._in_flight[token] = Sent(shard=shard, is_grant=kind == GRANT, since=now, until=begin_by + wait)
+        self._in_flight[token] = CallInFlight(
+            shard=shard, is_grant=kind == GRANT, sent_at=now, send_until=begin_by + wait
+        )
         return token
 
-    def is_free(self, *, now: float, shard: Shard, sole_at: float) -> bool:
+    def is_relinquished(self, *, now: float, shard: Shard, sole_granter_at: float) -> bool:
         """Is it certain that the owner of a moving shard no longer holds it?"""
-        releasing = self._release_of(shard=shard) or Releasing(shard=shard, since=now)
-        if releasing.is_released or shard.owner in self.ended:
+        pending = self._release_of(shard=shard) or PendingRelease(shard=shard, moving_since=now)
+        if pending.is_released or shard.owner in self.ended_workers:
             return True
         grant_ends = [
-            sent.until + constants.GRANT_IN_FLIGHT_LIMIT
-            for sent in self._in_flight.values()
-            if sent.is_grant and sent.shard.owner == shard.owner
+            call.send_until + constants.GRANT_IN_FLIGHT_LIMIT
+            for call in self._in_flight.values()
+            if call.is_grant and call.shard.owner == shard.owner
         ]
-        last = max([sole_at, self._last_arrival_at.get(shard.owner, NEVER), *grant_ends])
-        last = min(last, releasing.since + constants.GRANT_FENCE_DELAY)
+        last = max([sole_granter_at, self._last_arrival_at.get(shard.owner, NEVER), *grant_ends])
+        last = min(last, pending.moving_since + constants.GRANT_FENCE_DELAY)
         return (
             now >= last + constants.GRANT_DURATION * constants.GRANT_CLOCK_DRIFT_FACTOR + constants.GRANT_EXPIRY_MARGIN
         )
 
     def handover_of(self, *, shard: Shard) -> str:
         """The handover data that the owner of a moving shard returned, or ""."""
-        releasing = self._release_of(shard=shard)
-        return releasing.handover if releasing else ""
+        pending = self._release_of(shard=shard)
+        return pending.handover if pending else ""
 
     def is_failing(self, *, now: float, key: str) -> bool:
         """Have calls to this worker failed for some time, and was the last failure recent?"""
@@ -263,5 +272,5 @@
 
     def is_granted(self, *, shard: Shard) -> bool:
         """Has a grant of the shard been sent, with no handover data left to deliver?"""
-        renewing = self._renewals.get(shard)
-        return renewing is not None and renewing.due > NEVER and not renewing.handover
+        renewal = self._renewals.get(shard)
+        return renewal is not None and renewal.due_at > NEVER and not renewal.handover
--- a/sailward/control/shards/granting.py
+++ b/sailward/control/shards/granting.py
@@ -32,7 +32,7 @@
 from sailward.control.grant_codec import GrantCodec
 from sailward.control.shards.grant_calls import NEVER, GrantCalls
 from sailward.control.shards.grant_targets import GrantContext, GrantTargets
-from sailward.control.shards.shard_plan import Span, place
+from sailward.control.shards.shard_plan import Span, place_spans
 from sailward.events import CallFinished, Command
 from sailward.routing.shard_owners import PREFIX
 from sailward.routing.shards import KEYS, MOVING, OPEN, Shard, ShardTable, read_shards, write_shards
@@ -46,8 +46,8 @@
     this incarnation of this controller. `codec` encodes the calls.
     """
 
-    def __init__(self, *, service: str, own: str, codec: GrantCodec) -> None:
-        self._service, self._own_name = service, own
+    def __init__(self, *, service: str, own_name: str, codec: GrantCodec) -> None:
+        self._service, self._own_name = service, own_name
         self._calls = GrantCalls(service=service, codec=codec)
         self._targets = GrantTargets(service=service, calls=self._calls)
         self._table: ShardTable | None = None
@@ -80,10 +80,10 @@
         return self._calls.grant(now=now, hold=hold, fresh_until=context.fresh_until)
 
     def _release(self, *, now: float, context: GrantContext) -> list[Command]:
-        return self._calls.release(now=now, sole_at=self._sole_granter_at(), fresh_until=context.fresh_until)
+        return self._calls.release(now=now, sole_granter_at=self._sole_granter_at(), fresh_until=context.fresh_until)
 
     def _is_relinquished(self, *, now: float, shard: Shard) -> bool:
-        return self._calls.is_free(now=now, shard=shard, sole_at=self._sole_granter_at())
+        return self._calls.is_relinquished(now=now, shard=shard, sole_granter_at=self._sole_granter_at())
 
     def _is_granter(self) -> bool:
         return self._table is not None and self._table.granter == self._own_name
@@ -126,17 +126,19 @@
                 return None
             return replace(self._table, granter=self._own_name, since=self._number + 1)
         shards, fencing_token = self._next_shards(now=now, table=self._table, context=context)
-        max_shards = constants.MAX_RANGES_PER_WORKER * max(1, len(self._targets.able(now=now, context=context)))
+        max_shards = constants.MAX_RANGES_PER_WORKER * max(
+            1, len(self._targets.eligible_throughputs(now=now, context=context))
+        )
         if shards != list(self._table.shards) or len(shards) > max_shards:
             shards, fencing_token = self._merge(shards=shards, fencing_token=fencing_token)
         return replace(self._table, shards=tuple(shards), fencing_token=fencing_token)
 
     def _first_table(self, *, now: float, context: GrantContext) -> ShardTable | None:
-        able = self._targets.able(now=now, context=context)
-        if not able:
+        throughputs = self._targets.eligible_throughputs(now=now, context=context)
+        if not throughputs:
             return None
         whole_key_space = [Span(start=0, end=KEYS - 1, owner="")]
-        spans = place(spans=whole_key_space, able=able, loads=context.loads, is_balancing=False)
+        spans = place_spans(spans=whole_key_space, throughputs=throughputs, loads=context.loads, is_balancing=False)
         shards = tuple(
             Shard(start=span.start, end=span.end, owner=span.owner, fencing_token=at + 1, state=OPEN)
             for at, span in enumerate(spans)
@@ -145,21 +147,22 @@
 
     def _next_shards(self, *, now: float, table: ShardTable, context: GrantContext) -> tuple[list[Shard], int]:
         """The next state of all shards, and the next fence."""
-        shards, fencing_token, sole_at = [], table.fencing_token, self._sole_granter_at()
-        targets = self._targets.targets(now=now, shards=table.shards, sole_at=sole_at, context=context)
+        shards, fencing_token, sole_granter_at = [], table.fencing_token, self._sole_granter_at()
+        targets = self._targets.targets(now=now, shards=table.shards, sole_granter_at=sole_granter_at, context=context)
         for shard in table.shards:
             parts = [
                 replace(span, start=max(span.start, shard.start), end=min(span.end, shard.end))
                 for span in targets
                 if span.start <= shard.end and shard.start <= span.end
             ]
-            for replacement in self._replacements_of(now=now, shard=shard, parts=parts, is_sole=now >= sole_at):
+            for replacement in self._replacements_of(now=now, shard=shard, parts=parts, is_sole=now >= sole_granter_at):
                 if replacement.fencing_token != 0:
                     shards.append(replacement)
                     continue
                 # the worker knows a higher fence than the table: doubling exceeds it within a few attempts
                 with_fence = replace(
-                    replacement, fencing_token=2 * fencing_token if shard in self._calls.outrun else fencing_token
+                    replacement,
+                    fencing_token=2 * fencing_token if shard in self._calls.fence_rejected else fencing_token,
                 )
                 is_moved = with_fence.owner != shard.owner
                 self._calls.handovers[with_fence] = self._calls.handover_of(shard=shard) if is_moved else ""
@@ -177,9 +180,9 @@
                 return new_shards
             largest = max(parts, key=lambda part: part.end - part.start).owner
             return [replace(shard, next_owner=largest)]
-        if shard in self._calls.outrun and shard.owner not in self._calls.ended:
+        if shard in self._calls.fence_rejected and shard.owner not in self._calls.ended_workers:
             return [replace(shard, fencing_token=0)]
-        if shard.owner == "" or shard.owner in self._calls.ended:
+        if shard.owner == "" or shard.owner in self._calls.ended_workers:
             return new_shards if any(part.owner != shard.owner for part in parts) else [shard]
         if not is_sole or all(part.owner == shard.owner for part in parts):
             return [shard]
--- a/sailward/control/shards/quiescence.py
+++ b/sailward/control/shards/quiescence.py
@@ -13,14 +13,14 @@
 
 
 @dataclass(kw_only=True)
-class Closing:
+class ClosedSlot:
     """One closed slot: when this controller first saw it closed, the register's number, and whether it is clear."""
 
-    since: float
-    number: int
+    closed_at: float
+    register_number: int
     heartbeats: dict
-    proxy_names: set = field(default_factory=set)
-    is_clear: bool = False
+    active_proxies: set = field(default_factory=set)
+    is_drained: bool = False
 
 
 @dataclass(kw_only=True)
@@ -42,30 +42,32 @@
         """The voters' current heartbeats."""
         return {voter["identity"]: (voter["start"], voter["beat"]) for voter in self._voters()}
 
-    def check(self, *, closing: Closing, slot: str) -> None:
+    def check(self, *, closed_slot: ClosedSlot, slot: str) -> None:
         """Mark the closed slot as clear if the current state proves it."""
-        reporting = [entry for entry in self._voters() if self._has_beaten_since(entry=entry, closing=closing)]
+        reporting = [entry for entry in self._voters() if self._has_beaten_since(entry=entry, closed_slot=closed_slot)]
         for voter in self._voters():
-            closing.proxy_names |= set(filter(None, voter["asks"].split(",")))
-        if closing.is_clear or len(reporting) < majority_of(members=self.members):
+            closed_slot.active_proxies |= set(filter(None, voter["asks"].split(",")))
+        if closed_slot.is_drained or len(reporting) < majority_of(members=self.members):
             return
         known = {f"{proxy.entry.get('id')}#{proxy.entry.get('start')}": proxy for proxy in self.proxies}
-        closing.is_clear = all(
-            name in known and self._is_drained(proxy=known[name], closing=closing, slot=slot)
-            for name in closing.proxy_names
+        closed_slot.is_drained = all(
+            name in known and self._is_drained(proxy=known[name], closed_slot=closed_slot, slot=slot)
+            for name in closed_slot.active_proxies
         )
 
     def _voters(self) -> list[dict]:
         return [controller for controller in self.controllers if controller["identity"] in self.members]
 
-    def _has_beaten_since(self, *, entry: PeerEntry, closing: Closing) -> bool:
-        start, heartbeat = closing.heartbeats.get(entry["identity"], (None, 0))
+    def _has_beaten_since(self, *, entry: PeerEntry, closed_slot: ClosedSlot) -> bool:
+        start, heartbeat = closed_slot.heartbeats.get(entry["identity"], (None, 0))
         return (
             entry["start"] == start
             and entry["beat"] >= heartbeat + 2
             and entry["beat"] >= constants.PROXY_ACTIVITY_HEARTBEATS
         )
 
-    def _is_drained(self, *, proxy: Subscriber, closing: Closing, slot: str) -> bool:
+    def _is_drained(self, *, proxy: Subscriber, closed_slot: ClosedSlot, slot: str) -> bool:
         known_number = (proxy.have.get(PREFIX + self.service) or [-1])[0]
-        return known_number >= closing.number and f"{self.service}|{slot}" not in proxy.report.get("busy", ())
+        return known_number >= closed_slot.register_number and f"{self.service}|{slot}" not in proxy.report.get(
+            "busy", ()
+        )
--- a/sailward/control/shards/shard_assignment.py
+++ b/sailward/control/shards/shard_assignment.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field, replace
 
 from sailward import constants
-from sailward.control.shards.quiescence import Closing, Quiescence
+from sailward.control.shards.quiescence import ClosedSlot, Quiescence
 from sailward.discovery.endpoint_table import Worker
 from sailward.discovery.rendezvous import choose_names
 from sailward.routing.plan import Plan, Pool, Service
@@ -17,8 +17,8 @@
     """The inputs of one step of assignment."""
 
     plan: Plan
-    emptied: frozenset
-    drained: frozenset
+    emptied_zones: frozenset
+    drained_zones: frozenset
     workers: dict
     healthy: frozenset
 
@@ -33,8 +33,8 @@
     controller first saw the slot closed.
     """
 
-    closed: dict = field(default_factory=dict)
-    missing: dict = field(default_factory=dict)
+    closed_slots: dict = field(default_factory=dict)
+    missing_since: dict = field(default_factory=dict)
 
     def step(
         self, *, now: float, service: Service, text: str, context: AssignmentContext, quiescence: Quiescence
@@ -78,13 +78,13 @@
             for slot, owned in enumerate(rows)
             if not owned.is_open
         }
-        self.closed = {
-            name: self.closed.get(name)
-            or Closing(since=now, number=quiescence.number, heartbeats=quiescence.heartbeats())
+        self.closed_slots = {
+            name: self.closed_slots.get(name)
+            or ClosedSlot(closed_at=now, register_number=quiescence.number, heartbeats=quiescence.heartbeats())
             for name in known_versions
         }
-        for (space, slot, _), closing in self.closed.items():
-            quiescence.check(closing=closing, slot=f"{space}/{slot}")
+        for (space, slot, _), closed_slot in self.closed_slots.items():
+            quiescence.check(closed_slot=closed_slot, slot=f"{space}/{slot}")
 
     def _next_state(
         self,
@@ -100,8 +100,8 @@
         best = self._best_owner(service=service, space=space, slot=slot, context=context)
         if not old.is_open:
             wait = constants.LEASE_DURATION + service.expiry + constants.SLOT_MOVE_MARGIN
-            closing = self.closed[(space, slot, old.term)]
-            if best and (closing.is_clear or now - closing.since >= wait):
+            closed_slot = self.closed_slots[(space, slot, old.term)]
+            if best and (closed_slot.is_drained or now - closed_slot.closed_at >= wait):
                 return Owned(owner=best, term=old.term + 1, is_open=True)
             return old
         if old.owner == "":
@@ -111,15 +111,15 @@
             old.owner in context.healthy
             and old.owner in context.workers
             and not context.workers[old.owner].leaving
-            and context.workers[old.owner].zone not in context.emptied
+            and context.workers[old.owner].zone not in context.emptied_zones
         ):
-            self.missing.pop(location, None)
+            self.missing_since.pop(location, None)
             return replace(old, is_open=False) if best and best != old.owner and capacity > 0 else old
-        since = self.missing.setdefault(location, now)
+        since = self.missing_since.setdefault(location, now)
         worker = context.workers.get(old.owner)
-        is_certain = worker is None or worker.leaving or worker.zone in context.emptied
+        is_certain = worker is None or worker.leaving or worker.zone in context.emptied_zones
         if is_certain or now - since >= constants.SLOT_OWNER_GRACE:
-            self.missing.pop(location, None)
+            self.missing_since.pop(location, None)
             return replace(old, is_open=False)
         return old
 
@@ -142,8 +142,8 @@
             zones = [
                 zone
                 for zone in tier
-                if zone not in context.emptied
-                and ((service.name, zone) in context.drained) == drained
+                if zone not in context.emptied_zones
+                and ((service.name, zone) in context.drained_zones) == drained
                 and (not homes or context.plan.regions.get(zone) in homes)
             ]
             candidates = {
--- a/sailward/control/shards/shard_leases.py
+++ b/sailward/control/shards/shard_leases.py
@@ -95,7 +95,7 @@
             body=body,
             members=voter.voters.members,
             number=voter.voters.number,
-            own=voter.identity,
+            own_identity=voter.identity,
             registers=[],
         )
 
@@ -115,7 +115,7 @@
         for name in services:
             granting = self.granting.get(name)
             if granting is None:
-                granting = self.granting[name] = Granting(service=name, own=self._op_prefix, codec=self._codec)
+                granting = self.granting[name] = Granting(service=name, own_name=self._op_prefix, codec=self._codec)
             context = self._grant_context(now=now, service=name, is_acting=name in acting)
             granting_commands, changes = granting.step(now=now, event=event, context=context)
             commands += granting_commands
@@ -150,7 +150,7 @@
             body=None,
             members=voter.voters.members,
             number=voter.voters.number,
-            own=voter.identity,
+            own_identity=voter.identity,
             registers=[PREFIX + name for name in acting],
         )
 
@@ -158,12 +158,12 @@
         """The current inputs of the granting of one service."""
         voter = self._voter
         learned = voter.learner.values.get(PREFIX + service)
-        fresh_until = self.freshness.until(
+        fresh_until = self.freshness.lease_until(
             now=now,
             register=PREFIX + service,
             learner=voter.learner,
             members=voter.voters.members,
-            own=voter.identity,
+            own_identity=voter.identity,
             slots=voter.acceptor.slots,
         )
         return GrantContext(
@@ -171,8 +171,8 @@
             workers=self._workers,
             fresh_until=fresh_until,
             is_acting=is_acting,
-            emptied=self._emptied_zones,
-            down=self._down_since,
+            emptied_zones=self._emptied_zones,
+            down_since=self._down_since,
             lease_max=self._lease_max,
             **self._loads_of(now=now, service=service, is_acting=is_acting),
         )
@@ -191,12 +191,12 @@
             return {}
         at, inputs = self._cached_loads.get(service, (-1e9, {}))
         if now - at >= constants.GRANT_CHECK_INTERVAL:
-            paces = {
-                key: pace
-                for key, pace in self._proxy_registry.paces(now=now).items()
+            latencies = {
+                key: latency
+                for key, latency in self._proxy_registry.latencies(now=now).items()
                 if key in self._workers and self._workers[key].service == service
             }
-            inputs = {"loads": self._proxy_registry.loads(now=now, service=service), "paces": paces}
+            inputs = {"loads": self._proxy_registry.loads(now=now, service=service), "latencies": latencies}
             self._cached_loads[service] = now, inputs
         return inputs
 
--- a/sailward/control/shards/shard_moves.py
+++ b/sailward/control/shards/shard_moves.py
@@ -25,7 +25,7 @@
 
     plan: Plan = field(default_factory=Plan)
     table: EndpointTable = field(default_factory=EndpointTable)
-    assigning: dict = field(default_factory=dict)
+    assignments: dict = field(default_factory=dict)
     last_check_at: float = -1e9
 
     def step(
@@ -56,10 +56,10 @@
             name = PREFIX + service.name
             if choose_names(key=name, names=fit_controllers, count=1) != [own]:
                 # another controller assigns the shards of this service
-                self.assigning.pop(name, None)
+                self.assignments.pop(name, None)
                 continue
             value = learner.values[name].value if name in learner.values else {"number": 0, "text": ""}
-            assigning = self.assigning.setdefault(name, ShardAssignment())
+            assignment = self.assignments.setdefault(name, ShardAssignment())
             quiescence = Quiescence(
                 service=service.name,
                 number=value["number"],
@@ -67,7 +67,7 @@
                 controllers=controllers,
                 proxies=proxies,
             )
-            text = assigning.step(now=now, service=service, text=value["text"], context=context, quiescence=quiescence)
+            text = assignment.step(now=now, service=service, text=value["text"], context=context, quiescence=quiescence)
             if text:
                 changes.append((name, value["number"], text))
         return changes
@@ -88,5 +88,5 @@
                 counts[key] = counts.get(key, 0) + 1
         healthy = frozenset(key for key, count in counts.items() if 2 * count > len(reports))
         return AssignmentContext(
-            plan=self.plan, emptied=emptied, drained=drained, workers=self.table.workers, healthy=healthy
+            plan=self.plan, emptied_zones=emptied, drained_zones=drained, workers=self.table.workers, healthy=healthy
         )
--- a/simulation/hosted/sabotage.py
+++ b/simulation/hosted/sabotage.py
@@ -155,7 +155,7 @@
         _patch(granting.Granting, "_is_relinquished", lambda old: lambda self, *, now, shard: True),
         _patch(granting.Granting, "_release", lambda old: lambda self, *, now, context: []),
     ),
-    "lease": _all(_patch(shard_leases.Freshness, "until", lambda old: lambda self, *, now, **fields: now + 9.0)),
+    "lease": _all(_patch(shard_leases.Freshness, "lease_until", lambda old: lambda self, *, now, **fields: now + 9.0)),
     "once-only": _all(lambda: mock.patch.object(plan.Match, "is_repeatable", property(lambda self: True))),
     "promise": _all(_patch(forwarding.Forwarder, "_give_up", _promises_all)),
     "promise-mark": _all(_patch(forwarding, "judge_reply", _takes_unmarked)),
--- a/simulation/sim/sabotage.py
+++ b/simulation/sim/sabotage.py
@@ -231,7 +231,7 @@
     "copy": _method(copying.Copying, "slots", lambda old: lambda self, *, now, own=None: {}),
     "repair": _constant("VOTER_REPLACEMENT_DELAY", 1e9),
     "closing": _method(shard_assignment.ShardAssignment, "_next_state", _opens_at_once),
-    "witness": _method(quiescence.Quiescence, "check", lambda old: lambda self, *, closing, slot: None),
+    "witness": _method(quiescence.Quiescence, "check", lambda old: lambda self, *, closed_slot, slot: None),
     "refit": _method(proxied_requests, "refit_exchange", lambda old: lambda *, exchange, plan: None),
     "lower-start": _method(
         peer_table,
--- a/tests/granting_fixture.py
+++ b/tests/granting_fixture.py
@@ -119,7 +119,7 @@
     is_cut: bool = False
     is_acting: bool = False
     blind: frozenset = frozenset()
-    down: dict = field(default_factory=dict)
+    down_since: dict = field(default_factory=dict)
 
 
 class World:
@@ -136,7 +136,7 @@
         self.zones = [f"h{at}" for at in range(zones)]
         for at in range(workers):
             self.start_worker(address=f"w{at}", zone=self.zones[at % zones])
-        self.emptied: frozenset = frozenset()
+        self.emptied_zones: frozenset = frozenset()
         self.loads: dict = {}
         self.overlaps: list = []
         self.changes = 0
@@ -147,7 +147,7 @@
         return Granter(
             name=name,
             incarnation=incarnation,
-            granting=Granting(service=SERVICE, own=f"{name}#{incarnation}", codec=Codec()),
+            granting=Granting(service=SERVICE, own_name=f"{name}#{incarnation}", codec=Codec()),
         )
 
     def start_worker(self, *, address: str, zone: str) -> FakeWorker:
@@ -216,8 +216,8 @@
             workers=listed_workers,
             fresh_until=granter.fresh.get(granter.value["number"], -1e9),
             is_acting=granter.is_acting,
-            emptied=self.emptied,
-            down=granter.down,
+            emptied_zones=self.emptied_zones,
+            down_since=granter.down_since,
             loads=self.loads,
         )
         commands, changes = granter.granting.step(now=self.now, event=event, context=context)
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -36,7 +36,7 @@
 
 
 def ask(fresh: Freshness, *, now: float, members: dict = MEMBERS) -> list[SendMessage]:
-    return fresh.step(now=now, body=None, members=members, number=1, own="v0", registers=[REGISTER])
+    return fresh.step(now=now, body=None, members=members, number=1, own_identity="v0", registers=[REGISTER])
 
 
 def deliver(fresh: Freshness, *, now: float, voter: str, seq: int, number: int) -> None:
@@ -46,14 +46,19 @@
         body={"seq": seq, "identity": voter, "newest": newest},
         members=MEMBERS,
         number=1,
-        own="v0",
+        own_identity="v0",
         registers=[],
     )
 
 
 def until(fresh: Freshness, *, now: float, learned: int = 3, own: int = 3, members: dict = MEMBERS) -> float:
-    return fresh.until(
-        now=now, register=REGISTER, learner=make_learner(learned), members=members, own="v0", slots=make_slots(own)
+    return fresh.lease_until(
+        now=now,
+        register=REGISTER,
+        learner=make_learner(learned),
+        members=members,
+        own_identity="v0",
+        slots=make_slots(own),
     )
 
 
@@ -69,7 +74,7 @@
 
 def test_without_registers_or_voters_there_is_no_lease() -> None:
     fresh = Freshness()
-    assert fresh.step(now=1.0, body=None, members=MEMBERS, number=1, own="v0", registers=[]) == []
+    assert fresh.step(now=1.0, body=None, members=MEMBERS, number=1, own_identity="v0", registers=[]) == []
     assert until(fresh, now=1.0, members={}) < 0 and until(fresh, now=1.0) < 1.0
 
 
--- a/tests/test_fuzz_edges.py
+++ b/tests/test_fuzz_edges.py
@@ -228,7 +228,7 @@
     )
 )
 def test_any_answers_to_grants_and_releases_are_taken(results: list) -> None:
-    granting = Granting(service="cart", own="c1#1", codec=Codec())
+    granting = Granting(service="cart", own_name="c1#1", codec=Codec())
     listed = {name: ListedWorker(name=name, service="cart", address="10.0.0.1:80", zone="z") for name in ("w1", "w2")}
     value, now = {"number": 0, "text": ""}, 100.0
     for code, headers, body, is_sent in results:
@@ -238,8 +238,8 @@
             workers=workers,
             fresh_until=now + 5.0,
             is_acting=True,
-            emptied=frozenset(),
-            down={},
+            emptied_zones=frozenset(),
+            down_since={},
             lease_max=10.0,
         )
         commands, changes = granting.step(now=now, event=None, context=context)
--- a/tests/test_key_loads.py
+++ b/tests/test_key_loads.py
@@ -8,7 +8,7 @@
 
 from sailward import constants
 from sailward.consensus.messages import pack_message
-from sailward.control.proxies.key_loads import KeyLoads, WorkerPaces, has_shifted, read_rates, write_rates
+from sailward.control.proxies.key_loads import KeyLoads, WorkerLatencies, has_shifted, read_rates, write_rates
 from sailward.control.proxies.proxy_registry import ProxyRegistry
 from sailward.control.proxies.subscribers import Subscriber
 from sailward.events import SendMessage
@@ -16,10 +16,10 @@
 HERE, READER, OTHER = "c0", "c1", "c2"
 
 
-def make_proxy(*, loads: dict, turn: int, paces: dict | None = None) -> Subscriber:
+def make_proxy(*, loads: dict, turn: int, times: dict | None = None) -> Subscriber:
     entry = {"id": "p0", "http": "p0:80", "hall": "north-a", "region": "north", "fit": True, "kind": "proxy"}
-    report = {"loads": loads, "turn": turn, "lead": HERE, "paces": paces or {}}
-    return Subscriber(entry=entry, first=0.0, last_seen_at=0.0, report=report)
+    report = {"loads": loads, "turn": turn, "lead": HERE, "paces": times or {}}
+    return Subscriber(entry=entry, first_seen_at=0.0, last_seen_at=0.0, report=report)
 
 
 def tick(*, fleet: ProxyRegistry, now: float, proxy: Subscriber) -> list[SendMessage]:
@@ -104,10 +104,10 @@
 
 
 def test_queueing_hardly_changes_the_measured_service_time() -> None:
-    paces, rng = WorkerPaces(), random.Random(5)
+    measured, rng = WorkerLatencies(), random.Random(5)
     for _ in range(100):
         work = rng.lognormvariate(0.0, 0.7)
-        paces.step(
+        measured.step(
             now=1.0,
             times={
                 "quick": [round(100 * work)],
@@ -115,19 +115,23 @@
                 "queueing": [round(100 * work) + (400 if rng.random() < 0.3 else 0)],
             },
         )
-    means = {key: pace for key, (pace, _) in paces.paces(now=2.0).items()}
+    means = {key: mean for key, (mean, _) in measured.latencies(now=2.0).items()}
     assert means["slow"] / means["quick"] == pytest.approx(2.5, rel=0.05)
     assert means["queueing"] < 1.7 * means["quick"]
-    assert paces.paces(now=3.0 + constants.LATENCY_TTL) == {}
+    assert measured.latencies(now=3.0 + constants.LATENCY_TTL) == {}
 
 
 def test_service_times_of_controllers_are_weighted_by_sample_count() -> None:
     fleet = ProxyRegistry(post=HERE, zone="north-a", region="north")
-    proxy = make_proxy(loads={"red": {"7": 4}}, turn=1, paces={"w0": [100, 100], "w1": [50]})
+    proxy = make_proxy(loads={"red": {"7": 4}}, turn=1, times={"w0": [100, 100], "w1": [50]})
     [deliver, _] = tick(fleet=fleet, now=100.0, proxy=proxy)
     other = ProxyRegistry(post=READER, zone="north-a", region="north")
-    tick(fleet=other, now=100.0, proxy=make_proxy(loads={}, turn=1, paces={"w0": [400]}))
+    tick(fleet=other, now=100.0, proxy=make_proxy(loads={}, turn=1, times={"w0": [400]}))
     other.step(now=100.1, event=(HERE, deliver.body), proxies=[], controllers=[])
-    other.worker_paces.step(now=100.1, times={"w0": [400]})
-    paces = other.paces(now=100.2)
-    assert paces["w0"][1] == 3 and paces["w0"][0] == pytest.approx(0.2) and paces["w1"] == (pytest.approx(0.05), 1)
+    other.worker_latencies.step(now=100.1, times={"w0": [400]})
+    latencies = other.latencies(now=100.2)
+    assert (
+        latencies["w0"][1] == 3
+        and latencies["w0"][0] == pytest.approx(0.2)
+        and latencies["w1"] == (pytest.approx(0.05), 1)
+    )
--- a/tests/test_proxy_registry.py
+++ b/tests/test_proxy_registry.py
@@ -35,7 +35,7 @@
         "fit": fit,
         "kind": "proxy",
     }
-    return Subscriber(entry=entry, first=now, last_seen_at=now, report=report)
+    return Subscriber(entry=entry, first_seen_at=now, last_seen_at=now, report=report)
 
 
 class ControllerPair:
--- a/tests/test_shards.py
+++ b/tests/test_shards.py
@@ -7,7 +7,7 @@
 import random
 
 from sailward import constants
-from sailward.control.shards.shard_plan import Span, place, strain, weigh
+from sailward.control.shards.shard_plan import Span, estimate_throughputs, max_load_ratio, place_spans
 from sailward.routing.shards import KEYS, MOVING, OPEN, Shard, ShardTable, ShardTables, read_shards, write_shards
 
 
@@ -78,67 +78,83 @@
 
 
 def test_first_plan_gives_contiguous_ranges_by_weight() -> None:
-    spans = place(
-        spans=[Span(start=0, end=KEYS - 1, owner="")], able={"a": 1.0, "b": 2.0, "c": 1.0}, loads={}, is_balancing=False
+    spans = place_spans(
+        spans=[Span(start=0, end=KEYS - 1, owner="")],
+        throughputs={"a": 1.0, "b": 2.0, "c": 1.0},
+        loads={},
+        is_balancing=False,
     )
     assert_covers_all_keys(spans=spans)
     assert key_counts(spans=spans) == {"a": KEYS // 4, "b": KEYS // 2, "c": KEYS // 4} and len(spans) == 3
 
 
 def test_keys_stay_unowned_without_an_eligible_worker() -> None:
-    assert place(spans=[Span(start=0, end=KEYS - 1, owner="a")], able={}, loads={}, is_balancing=True) == [
+    assert place_spans(spans=[Span(start=0, end=KEYS - 1, owner="a")], throughputs={}, loads={}, is_balancing=True) == [
         Span(start=0, end=KEYS - 1, owner="")
     ]
 
 
 def test_only_the_keys_of_a_lost_worker_move() -> None:
-    able = dict.fromkeys("abcdefgh", 1.0)
-    before = place(spans=[Span(start=0, end=KEYS - 1, owner="")], able=able, loads={}, is_balancing=False)
-    del able["c"]
-    after = place(spans=before, able=able, loads={}, is_balancing=True)
+    throughputs = dict.fromkeys("abcdefgh", 1.0)
+    before = place_spans(
+        spans=[Span(start=0, end=KEYS - 1, owner="")], throughputs=throughputs, loads={}, is_balancing=False
+    )
+    del throughputs["c"]
+    after = place_spans(spans=before, throughputs=throughputs, loads={}, is_balancing=True)
     assert_covers_all_keys(spans=after)
     assert keys_moved(before=before, after=after) == KEYS // 8 and "c" not in key_counts(spans=after)
 
 
 def test_new_worker_gets_a_share_and_then_nothing_moves() -> None:
-    able = dict.fromkeys("abcd", 1.0)
-    before = place(spans=[Span(start=0, end=KEYS - 1, owner="")], able=able, loads={}, is_balancing=False)
-    able["e"] = 1.0
-    after = place(spans=before, able=able, loads={}, is_balancing=True)
+    throughputs = dict.fromkeys("abcd", 1.0)
+    before = place_spans(
+        spans=[Span(start=0, end=KEYS - 1, owner="")], throughputs=throughputs, loads={}, is_balancing=False
+    )
+    throughputs["e"] = 1.0
+    after = place_spans(spans=before, throughputs=throughputs, loads={}, is_balancing=True)
     assert_covers_all_keys(spans=after)
     assert key_counts(spans=after)["e"] >= 0.5 * KEYS / 5 and keys_moved(before=before, after=after) <= KEYS / 5 + 2
-    assert place(spans=after, able=able, loads={}, is_balancing=True) == after
-    assert place(spans=before, able=able, loads={}, is_balancing=False) == before
+    assert place_spans(spans=after, throughputs=throughputs, loads={}, is_balancing=True) == after
+    assert place_spans(spans=before, throughputs=throughputs, loads={}, is_balancing=False) == before
 
 
 def test_hot_ranges_are_split_off_with_few_keys() -> None:
-    able = dict.fromkeys("abcd", 1.0)
-    before = place(spans=[Span(start=0, end=KEYS - 1, owner="")], able=able, loads={}, is_balancing=False)
+    throughputs = dict.fromkeys("abcd", 1.0)
+    before = place_spans(
+        spans=[Span(start=0, end=KEYS - 1, owner="")], throughputs=throughputs, loads={}, is_balancing=False
+    )
     loads = loads_by_bucket(loads={at: 100.0 if 10 <= at < 18 else 1.0 for at in range(256)})
     after = before
     for _ in range(4):
-        after = place(spans=after, able=able, loads=loads, is_balancing=True)
+        after = place_spans(spans=after, throughputs=throughputs, loads=loads, is_balancing=True)
     assert_covers_all_keys(spans=after)
     assert keys_moved(before=before, after=after) < 0.1 * KEYS
     assert len({span.owner for span in after if span.start < 18 * 256 and span.end >= 10 * 256}) >= 3
 
 
 def test_slight_load_moves_nothing() -> None:
-    able = dict.fromkeys("abcd", 1.0)
-    before = place(spans=[Span(start=0, end=KEYS - 1, owner="")], able=able, loads={}, is_balancing=False)
-    assert place(spans=before, able=able, loads={3: constants.REBALANCE_MIN_RATE / 2}, is_balancing=True) == before
+    throughputs = dict.fromkeys("abcd", 1.0)
+    before = place_spans(
+        spans=[Span(start=0, end=KEYS - 1, owner="")], throughputs=throughputs, loads={}, is_balancing=False
+    )
+    assert (
+        place_spans(
+            spans=before, throughputs=throughputs, loads={3: constants.REBALANCE_MIN_RATE / 2}, is_balancing=True
+        )
+        == before
+    )
 
 
 def test_random_plans_cover_all_keys_and_converge() -> None:
     rng = random.Random(5)
     for _ in range(40):
-        able = {f"w{at}": rng.choice((1.0, 1.0, 2.0, 4.0)) for at in range(rng.randint(1, 20))}
+        throughputs = {f"w{at}": rng.choice((1.0, 1.0, 2.0, 4.0)) for at in range(rng.randint(1, 20))}
         spans = [Span(start=0, end=KEYS - 1, owner="")]
         for _ in range(8):
-            if len(able) > 1 and rng.random() < 0.5:
-                del able[rng.choice(sorted(able))]
+            if len(throughputs) > 1 and rng.random() < 0.5:
+                del throughputs[rng.choice(sorted(throughputs))]
             elif rng.random() < 0.5:
-                able[f"w{rng.randint(100, 999)}"] = 1.0
+                throughputs[f"w{rng.randint(100, 999)}"] = 1.0
             start = rng.randint(0, 250)
             loads = (
                 {at: rng.choice((1.0, 80.0)) if start <= at < start + 5 else 1.0 for at in range(256)}
@@ -150,37 +166,41 @@
             for _ in range(30):
                 if before == spans:
                     break
-                before, spans = spans, place(spans=spans, able=able, loads=loads, is_balancing=True)
+                before, spans = spans, place_spans(spans=spans, throughputs=throughputs, loads=loads, is_balancing=True)
                 assert_covers_all_keys(spans=spans)
-                assert {span.owner for span in spans} <= set(able)
+                assert {span.owner for span in spans} <= set(throughputs)
             assert before == spans
 
 
 def test_single_hot_key_stays_and_its_owner_gives_other_keys_away() -> None:
-    able = dict.fromkeys("abcd", 10.0)
-    spans = place(spans=[Span(start=0, end=KEYS - 1, owner="")], able=able, loads={}, is_balancing=False)
+    throughputs = dict.fromkeys("abcd", 10.0)
+    spans = place_spans(
+        spans=[Span(start=0, end=KEYS - 1, owner="")], throughputs=throughputs, loads={}, is_balancing=False
+    )
     loads = dict.fromkeys(range(constants.KEY_LOAD_BUCKETS), 0.01) | {100: 30.0}
     hot = 100 * constants.KEYS_PER_BUCKET
     owner = next(span.owner for span in spans if span.start <= hot <= span.end)
     for _ in range(10):
-        spans = place(spans=spans, able=able, loads=loads, is_balancing=True)
+        spans = place_spans(spans=spans, throughputs=throughputs, loads=loads, is_balancing=True)
     assert next(span.owner for span in spans if span.start <= hot <= span.end) == owner
     assert key_counts(spans=spans)[owner] < 0.05 * KEYS
-    assert place(spans=spans, able=able, loads=loads, is_balancing=True) == spans
+    assert place_spans(spans=spans, throughputs=throughputs, loads=loads, is_balancing=True) == spans
 
 
 def test_uneven_load_without_queueing_moves_nothing() -> None:
-    able = dict.fromkeys("abcd", 100.0)
-    spans = place(spans=[Span(start=0, end=KEYS - 1, owner="")], able=able, loads={}, is_balancing=False)
+    throughputs = dict.fromkeys("abcd", 100.0)
+    spans = place_spans(
+        spans=[Span(start=0, end=KEYS - 1, owner="")], throughputs=throughputs, loads={}, is_balancing=False
+    )
     quarter = constants.KEY_LOAD_BUCKETS // 4
     loads = {at: 0.015 if at < quarter else 0.01 for at in range(constants.KEY_LOAD_BUCKETS)}
-    assert strain(spans=spans, able=able, loads=loads) > 1.2
-    assert place(spans=spans, able=able, loads=loads, is_balancing=True) == spans
+    assert max_load_ratio(spans=spans, throughputs=throughputs, loads=loads) > 1.2
+    assert place_spans(spans=spans, throughputs=throughputs, loads=loads, is_balancing=True) == spans
     busy = {at: rate * 10 for at, rate in loads.items()}
     assert (
-        place(
+        place_spans(
             spans=spans,
-            able=dict.fromkeys("abcd", 110.0),
+            throughputs=dict.fromkeys("abcd", 110.0),
             loads=busy | dict.fromkeys(range(quarter), 0.3),
             is_balancing=True,
         )
@@ -189,25 +209,30 @@
 
 
 def test_slow_workers_own_less_at_lower_total_load() -> None:
-    able = weigh(
+    throughputs = estimate_throughputs(
         capacities=dict.fromkeys("abcd", 4),
-        paces={"a": (0.15, 500), "b": (0.07, 500), "c": (0.07, 500), "d": (0.05, 500)},
+        latencies={"a": (0.15, 500), "b": (0.07, 500), "c": (0.07, 500), "d": (0.05, 500)},
     )
-    assert able["a"] < able["b"] == able["c"] < able["d"]
+    assert throughputs["a"] < throughputs["b"] == throughputs["c"] < throughputs["d"]
     spans = [Span(start=0, end=KEYS - 1, owner="")]
     counts = {}
     for name, rate in (("calm", 0.2), ("busy", 0.9)):
-        loads = {at: sum(able.values()) * rate / constants.KEY_LOAD_BUCKETS for at in range(constants.KEY_LOAD_BUCKETS)}
-        counts[name] = key_counts(spans=place(spans=spans, able=able, loads=loads, is_balancing=False))
+        loads = {
+            at: sum(throughputs.values()) * rate / constants.KEY_LOAD_BUCKETS
+            for at in range(constants.KEY_LOAD_BUCKETS)
+        }
+        counts[name] = key_counts(
+            spans=place_spans(spans=spans, throughputs=throughputs, loads=loads, is_balancing=False)
+        )
     assert counts["calm"]["a"] < 0.6 * counts["busy"]["a"]
-    assert counts["busy"]["a"] / KEYS > 0.9 * able["a"] / sum(able.values())
+    assert counts["busy"]["a"] / KEYS > 0.9 * throughputs["a"] / sum(throughputs.values())
 
 
 def test_service_time_of_few_samples_counts_little_and_is_bounded() -> None:
-    paces = {"a": (0.01, 500), "b": (0.1, 500), "c": (0.1, 500), "d": (5.0, 500), "e": (1.0, 1)}
-    able = weigh(capacities=dict.fromkeys("abcdef", 4), paces=paces)
-    assert able["f"] == able["b"] and able["e"] > 0.6 * able["b"]
+    latencies = {"a": (0.01, 500), "b": (0.1, 500), "c": (0.1, 500), "d": (5.0, 500), "e": (1.0, 1)}
+    throughputs = estimate_throughputs(capacities=dict.fromkeys("abcdef", 4), latencies=latencies)
+    assert throughputs["f"] == throughputs["b"] and throughputs["e"] > 0.6 * throughputs["b"]
     assert (
-        able["a"] <= constants.LATENCY_MAX_RATIO * able["b"] * 1.01
-        and able["d"] >= able["b"] / constants.LATENCY_MAX_RATIO * 0.99
+        throughputs["a"] <= constants.LATENCY_MAX_RATIO * throughputs["b"] * 1.01
+        and throughputs["d"] >= throughputs["b"] / constants.LATENCY_MAX_RATIO * 0.99
     )
