--- a/sailward/control/proxies/key_loads.py
+++ b/sailward/control/proxies/key_loads.py
@@ -1,4 +1,4 @@
-"""Request rates of the keys of divided services, and service times of their workers.
+"""Request rates of the keys of divided services, and latencies of their workers.
 
 Each controller counts those of its own proxies and sends them to others in a compact encoding; receivers add them up.
 """
@@ -70,9 +70,9 @@
 
 
 class WorkerLatencies:
-    """The service times of the workers of one region.
+    """The latencies of the workers of one region.
 
-    A worker's service time is the mean of the lower half of its samples: requests that queued are in the upper half.
+    A worker's latency is the mean of the lower half of its samples: requests that queued are in the upper half.
     """
 
     def __init__(self) -> None:
--- a/sailward/control/proxies/proxy_registry.py
+++ b/sailward/control/proxies/proxy_registry.py
@@ -183,7 +183,7 @@
         return total
 
     def latencies(self, *, now: float) -> dict:
-        """{worker: (service time in s, number of samples)} of the workers of divided services, over the fleet."""
+        """{worker: (latency in s, number of samples)} of the workers of divided services, over the fleet."""
         total: dict = {}
         for latencies in [
             self.worker_latencies.latencies(now=now),
@@ -246,7 +246,7 @@
         self.last.setdefault("rates", now)
 
     def _confirmed_down(self, *, now: float, proxies: list[Subscriber]) -> list:
-        """The workers that so many proxies report unreachable that one faulty proxy can't decide alone for all."""
+        """The workers that enough proxies report unreachable: a single faulty proxy must not decide for all."""
         return sorted(
             key
             for key, (count, voices) in self.down(now=now, proxies=proxies).items()
@@ -273,7 +273,7 @@
 
 
 def read_loads(*, report: dict) -> dict:
-    """Decode another controller's report of key loads and of workers' service times."""
+    """Decode another controller's report of key loads and of workers' latencies."""
     return {
         "rates": {service: read_rates(row=rates) for service, rates in report.get("rates", {}).items()},
         "paces": report.get("paces", {}),
--- a/sailward/control/shards/granting.py
+++ b/sailward/control/shards/granting.py
@@ -42,8 +42,8 @@
 class Granting:
     """Grants the shards of one service in a controller's process. `step` returns (commands, changes).
 
-    A change is (register, expected number, text); it has taken effect once the register's value shows it. `own` names
-    this incarnation of this controller. `codec` encodes the calls.
+    A change is (register, expected number, text); it has taken effect once the register's value shows it. `own_name`
+    names this incarnation of this controller. `codec` encodes the calls.
     """
 
     def __init__(self, *, service: str, own_name: str, codec: GrantCodec) -> None:
--- a/sailward/control/shards/shard_leases.py
+++ b/sailward/control/shards/shard_leases.py
@@ -185,7 +185,7 @@
         )
 
     def _loads_of(self, *, now: float, service: str, is_acting: bool) -> dict:
-        """Loads and service times for the acting controller, recomputed at intervals."""
+        """Loads and latencies for the acting controller, recomputed at intervals."""
         if not is_acting:
             self._cached_loads.pop(service, None)
             return {}
--- a/sailward/control/shards/shard_plan.py
+++ b/sailward/control/shards/shard_plan.py
@@ -135,7 +135,7 @@
     assigned: dict
 
     def load_ratio(self, *, name: str) -> float:
-        """The assigned load as a multiple of the share; a slow worker with a small target may keep its even share."""
+        """The assigned load as a multiple of the share; a slow worker may keep its proportional share."""
         return self.assigned[name] / max(self.target[name], self.proportional[name])
 
     def is_overloaded(self, *, name: str) -> bool:
@@ -155,7 +155,7 @@
         )
 
     def is_underloaded(self, *, name: str) -> bool:
-        """Is the worker idle although its share says it should not be?"""
+        """Is the worker nearly idle although its target share is not small?"""
         return (
             self.assigned[name] < constants.REBALANCE_LOW_RATIO * min(self.target[name], self.proportional[name])
             and self.target[name] > 0.5 * self.proportional[name]
@@ -274,7 +274,7 @@
 def _move(
     *, spans: list[Span], distribution: LoadDistribution, giver: str, taker: str, fraction: float, assigned: dict
 ) -> list[Span] | None:
-    """Move a chunk with about this fraction of the load: the one with the fewest keys per load."""
+    """Move a chunk with about this fraction of the load, chosen for the fewest keys per unit of load."""
     best = None
     for span in spans:
         for chunk in (
--- a/tests/granting_fixture.py
+++ b/tests/granting_fixture.py
@@ -301,7 +301,7 @@
         return flight
 
     def worker_at(self, *, address: str) -> FakeWorker:
-        """The worker alive at the address, or the last one that was if none is."""
+        """The live worker at the address, or the most recent one if none is alive."""
         here = [worker for worker in self.workers if worker.address == address]
         alive = [worker for worker in here if worker.is_alive]
         return alive[-1] if alive else here[-1]
--- a/tests/test_key_loads.py
+++ b/tests/test_key_loads.py
@@ -1,4 +1,4 @@
-"""Loads of keys: counted, encoded compactly and sent soon when they change; and the service times of workers."""
+"""Loads of keys: counted, encoded compactly and sent soon when they change; and the latencies of workers."""
 
 from __future__ import annotations
 
