--- a/sailward/control/proxies/proxy_registry.py
+++ b/sailward/control/proxies/proxy_registry.py
@@ -111,10 +111,10 @@
         return self.readers is None or to["post"] in self.readers
 
     def _is_load_due(self, *, now: float) -> bool:
-        since = now - self.loads_sent_at
-        if since < constants.KEY_LOAD_REPORT_MIN_INTERVAL or not (self.rates or self.sent_rates):
+        elapsed = now - self.loads_sent_at
+        if elapsed < constants.KEY_LOAD_REPORT_MIN_INTERVAL or not (self.rates or self.sent_rates):
             return False
-        return since >= constants.KEY_LOAD_REPORT_INTERVAL or any(
+        return elapsed >= constants.KEY_LOAD_REPORT_INTERVAL or any(
             has_shifted(before=self.sent_rates.get(service, {}), after=rates)
             for service, rates in self.rates.items()
             if self.rates is not self.sent_rates
@@ -167,12 +167,12 @@
     def down(self, *, now: float, proxies: list[Subscriber]) -> dict:
         """{worker: (proxies that report it unreachable, proxies that report at all)}."""
         counts = self._own_down(proxies=proxies)
-        voices = len(proxies)
+        reporting = len(proxies)
         for snapshot in self._recent_snapshots(now=now):
             for key, count in snapshot.down.items():
                 counts[key] = counts.get(key, 0) + count
-            voices += len(snapshot.rows)
-        return {key: (count, voices) for key, count in counts.items()}
+            reporting += len(snapshot.rows)
+        return {key: (count, reporting) for key, count in counts.items()}
 
     def loads(self, *, now: float, service: str) -> dict:
         """Requests/s by bucket of a divided service, over the whole fleet."""
@@ -249,8 +249,8 @@
         """The workers that enough proxies report unreachable: a single faulty proxy must not decide for all."""
         return sorted(
             key
-            for key, (count, voices) in self.down(now=now, proxies=proxies).items()
-            if count >= max(constants.UNREACHABLE_MIN_REPORTS, constants.UNREACHABLE_MIN_RATIO * voices)
+            for key, (count, reporting) in self.down(now=now, proxies=proxies).items()
+            if count >= max(constants.UNREACHABLE_MIN_REPORTS, constants.UNREACHABLE_MIN_RATIO * reporting)
         )
 
     def _compose(self, *, now: float, own: list, controllers: list[PeerEntry], down: list) -> None:
--- a/sailward/control/shards/shard_leases.py
+++ b/sailward/control/shards/shard_leases.py
@@ -236,5 +236,5 @@
             for key, worker in self._workers.items()
         }
         reports = self._proxy_registry.down(now=now, proxies=self._subscribers.proxies())
-        down = {key for key, (count, voices) in reports.items() if 2 * count > voices}
+        down = {key for key, (count, reporting) in reports.items() if 2 * count > reporting}
         self._down_since = {key: self._down_since.get(key, now) for key in down}
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -51,7 +51,7 @@
     )
 
 
-def until(fresh: Freshness, *, now: float, learned: int = 3, own: int = 3, members: dict = MEMBERS) -> float:
+def lease_until(fresh: Freshness, *, now: float, learned: int = 3, own: int = 3, members: dict = MEMBERS) -> float:
     return fresh.lease_until(
         now=now,
         register=REGISTER,
@@ -75,41 +75,41 @@
 def test_without_registers_or_voters_there_is_no_lease() -> None:
     fresh = Freshness()
     assert fresh.step(now=1.0, body=None, members=MEMBERS, number=1, own_identity="v0", registers=[]) == []
-    assert until(fresh, now=1.0, members={}) < 0 and until(fresh, now=1.0) < 1.0
+    assert lease_until(fresh, now=1.0, members={}) < 0 and lease_until(fresh, now=1.0) < 1.0
 
 
 def test_lease_runs_from_the_request_not_from_the_answer() -> None:
     fresh = Freshness()
     [seq] = {message.body["seq"] for message in ask(fresh, now=10.0)}
     deliver(fresh, now=10.6, voter="v1", seq=seq, number=3)
-    assert until(fresh, now=10.6) == pytest.approx(10.0 + constants.GRANT_CONFIRMATION_TTL)
+    assert lease_until(fresh, now=10.6) == pytest.approx(10.0 + constants.GRANT_CONFIRMATION_TTL)
 
 
 def test_a_voter_that_voted_for_something_newer_confirms_nothing() -> None:
     fresh = Freshness()
     [seq] = {message.body["seq"] for message in ask(fresh, now=10.0)}
     deliver(fresh, now=10.1, voter="v1", seq=seq, number=4)
-    assert until(fresh, now=10.1) < 10.0
+    assert lease_until(fresh, now=10.1) < 10.0
     deliver(fresh, now=10.1, voter="v2", seq=seq, number=3)
-    assert until(fresh, now=10.1) > 10.0
+    assert lease_until(fresh, now=10.1) > 10.0
 
 
 def test_own_newer_vote_prevents_the_lease() -> None:
     fresh = Freshness()
     [seq] = {message.body["seq"] for message in ask(fresh, now=10.0)}
     deliver(fresh, now=10.1, voter="v1", seq=seq, number=3)
-    assert until(fresh, now=10.1, own=4) < 10.0
+    assert lease_until(fresh, now=10.1, own=4) < 10.0
 
 
 def test_answers_to_unknown_or_expired_requests_are_ignored() -> None:
     fresh = Freshness()
     [seq] = {message.body["seq"] for message in ask(fresh, now=10.0)}
     deliver(fresh, now=10.1, voter="v1", seq=seq + 7, number=3)
-    assert until(fresh, now=10.1) < 10.0
+    assert lease_until(fresh, now=10.1) < 10.0
     for at in range(1, 9):
         ask(fresh, now=10.0 + at)
     deliver(fresh, now=19.0, voter="v1", seq=seq, number=3)
-    assert until(fresh, now=19.0) < 19.0
+    assert lease_until(fresh, now=19.0) < 19.0
 
 
 def test_an_older_answer_does_not_replace_a_newer() -> None:
@@ -118,7 +118,7 @@
     [new] = {message.body["seq"] for message in ask(fresh, now=10.5)}
     deliver(fresh, now=10.6, voter="v1", seq=new, number=4)
     deliver(fresh, now=10.7, voter="v1", seq=old, number=3)
-    assert until(fresh, now=10.7) < 10.0
+    assert lease_until(fresh, now=10.7) < 10.0
 
 
 @pytest.mark.parametrize("size", [1, 2, 3, 4, 5])
@@ -135,7 +135,7 @@
             if voter != "v0":
                 for seq in seqs:
                     deliver(fresh, now=10.1, voter=voter, seq=seq, number=number)
-        has_lease = until(fresh, now=10.1, own=votes[0], members=members) > 10.1
+        has_lease = lease_until(fresh, now=10.1, own=votes[0], members=members) > 10.1
         newer_chosen = 2 * sum(number == 4 for number in votes) > size
         assert not (has_lease and newer_chosen), votes
         if all(number == 3 for number in votes):
--- a/tests/test_key_loads.py
+++ b/tests/test_key_loads.py
@@ -61,7 +61,7 @@
     assert sum(read.values()) == pytest.approx(sum(rates.values()), rel=0.01)
     assert read[3000] == pytest.approx(80.0, rel=0.15)
     for end in (301, 305, 330, 400, 2999, 3000):
-        parts = [sum(rate for bucket, rate in given.items() if bucket <= end) for given in (rates, read)]
+        parts = [sum(rate for bucket, rate in distribution.items() if bucket <= end) for distribution in (rates, read)]
         assert parts[0] == pytest.approx(parts[1], abs=2.5 * sum(rates.values()) / constants.KEY_LOAD_QUANTILES)
 
 
@@ -103,7 +103,7 @@
     )
 
 
-def test_queueing_hardly_changes_the_measured_service_time() -> None:
+def test_queueing_hardly_changes_the_measured_latency() -> None:
     measured, rng = WorkerLatencies(), random.Random(5)
     for _ in range(100):
         work = rng.lognormvariate(0.0, 0.7)
@@ -121,7 +121,7 @@
     assert measured.latencies(now=3.0 + constants.LATENCY_TTL) == {}
 
 
-def test_service_times_of_controllers_are_weighted_by_sample_count() -> None:
+def test_latencies_of_controllers_are_weighted_by_sample_count() -> None:
     fleet = ProxyRegistry(post=HERE, zone="north-a", region="north")
     proxy = make_proxy(loads={"red": {"7": 4}}, turn=1, times={"w0": [100, 100], "w1": [50]})
     [deliver, _] = tick(fleet=fleet, now=100.0, proxy=proxy)
--- a/tests/test_shards.py
+++ b/tests/test_shards.py
@@ -228,7 +228,7 @@
     assert counts["busy"]["a"] / KEYS > 0.9 * throughputs["a"] / sum(throughputs.values())
 
 
-def test_service_time_of_few_samples_counts_little_and_is_bounded() -> None:
+def test_latency_of_few_samples_counts_little_and_is_bounded() -> None:
     latencies = {"a": (0.01, 500), "b": (0.1, 500), "c": (0.1, 500), "d": (5.0, 500), "e": (1.0, 1)}
     throughputs = estimate_throughputs(capacities=dict.fromkeys("abcdef", 4), latencies=latencies)
     assert throughputs["f"] == throughputs["b"] and throughputs["e"] > 0.6 * throughputs["b"]
