--- a/sailward/control/shards/shard_plan.py
+++ b/sailward/control/shards/shard_plan.py
@@ -11,6 +11,7 @@
 BUCKETS = constants.KEY_LOAD_BUCKETS
 BUCKET_WIDTH = KEYS // BUCKETS
 UNIFORM_FRACTION = 0.2
+"""of the load that is taken to be spread evenly over all keys."""
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -124,8 +125,7 @@
 class LoadShares:
     """The workers' shares of the load, as fractions of the total.
 
-    `proportional` follows what each worker can serve, `target` is what it should have, `assigned` is
-    what it has.
+    `proportional` follows what each worker can serve, `target` is what it should have, `assigned` is what it has.
     """
 
     throughputs: dict
@@ -135,7 +135,7 @@
     assigned: dict
 
     def load_ratio(self, *, name: str) -> float:
-        """The assigned load as a multiple of the share; a slow worker may keep its proportional share."""
+        """The assigned load as a multiple of the share; a slow worker with a low target may keep `proportional`."""
         return self.assigned[name] / max(self.target[name], self.proportional[name])
 
     def is_overloaded(self, *, name: str) -> bool:
