--- a/sailward/control/proxies/key_loads.py
+++ b/sailward/control/proxies/key_loads.py
@@ -1,6 +1,6 @@
-"""How busy the keys of divided services are, and how quick their workers.
+"""Request rates of the keys of divided services, and latencies of their workers.
 
-Counted by one controller, told in few bytes, added up.
+Each controller counts those of its own proxies and sends them to others in a compact encoding; receivers add them up.
 """
 
 from __future__ import annotations
@@ -12,93 +12,95 @@
 
 from sailward import constants
 
-COARSE = 16
+COARSE_RANGES = 16
 
 
 @dataclass(kw_only=True)
-class Counts:
-    """Requests by bucket.
+class DecayedCounts:
+    """Exponentially decayed request counts by bucket.
 
-    Those of later moments are weighted by e to the time since `base`, so that nothing has to be aged.
+    A request's weight grows by a factor of e for each KEY_LOAD_WINDOW between `base` and its arrival, so earlier counts
+    need no update when time passes.
     """
 
     base: float
-    since: float
-    masses: dict = field(default_factory=dict)
+    started_at: float
+    weighted: dict = field(default_factory=dict)
 
 
 class KeyLoads:
-    """Owner of one controller's counts.
+    """The request counts of one controller's proxies.
 
-    `step` folds the {bucket: requests} that a proxy reports; the rates are of those of late.
+    `step` adds the {bucket: requests} that a proxy reports; `rates` returns the recent rates.
     """
 
     def __init__(self) -> None:
-        self._counts: dict[str, Counts] = {}
+        self._counts: dict[str, DecayedCounts] = {}
 
     def step(self, *, now: float, service: str, buckets: dict) -> None:
-        """Fold one report."""
+        """Add one report."""
         counts = self._counts.get(service)
         if counts is None:
-            counts = self._counts[service] = Counts(base=now, since=now)
+            counts = self._counts[service] = DecayedCounts(base=now, started_at=now)
         if now - counts.base > constants.KEY_LOAD_WINDOW:
-            self._age(now=now, counts=counts)
-        if not counts.masses:
-            counts.since = now
+            self._rebase(now=now, counts=counts)
+        if not counts.weighted:
+            counts.started_at = now
         weight = math.exp((now - counts.base) / constants.KEY_LOAD_WINDOW)
         for bucket, count in buckets.items():
-            counts.masses[int(bucket)] = counts.masses.get(int(bucket), 0.0) + count * weight
+            counts.weighted[int(bucket)] = counts.weighted.get(int(bucket), 0.0) + count * weight
 
     def rates(self, *, now: float) -> dict:
-        """{service: {bucket: requests/s}}; a short time of counting is taken for what it is, not for a slight load."""
+        """{service: {bucket: requests/s}}, corrected for services that have been counted for only a short time."""
         rates = {}
         for service, counts in self._counts.items():
-            total = 1.0 - math.exp(-(now - counts.since + constants.POLL_INTERVAL) / constants.KEY_LOAD_WINDOW)
+            total = 1.0 - math.exp(-(now - counts.started_at + constants.POLL_INTERVAL) / constants.KEY_LOAD_WINDOW)
             scale = math.exp(-(now - counts.base) / constants.KEY_LOAD_WINDOW) / constants.KEY_LOAD_WINDOW / total
-            rates[service] = {bucket: mass * scale for bucket, mass in counts.masses.items()}
+            rates[service] = {bucket: count * scale for bucket, count in counts.weighted.items()}
         return rates
 
-    def _age(self, *, now: float, counts: Counts) -> None:
+    def _rebase(self, *, now: float, counts: DecayedCounts) -> None:
         scale = math.exp(-(now - counts.base) / constants.KEY_LOAD_WINDOW)
         counts.base = now
-        counts.masses = {
-            bucket: mass * scale
-            for bucket, mass in counts.masses.items()
-            if mass * scale >= constants.KEY_LOAD_MIN_COUNT
+        counts.weighted = {
+            bucket: count * scale
+            for bucket, count in counts.weighted.items()
+            if count * scale >= constants.KEY_LOAD_MIN_COUNT
         }
 
 
-class WorkerPaces:
-    """Owner of the times that workers of one region took.
+class WorkerLatencies:
+    """The latencies of the workers of one region.
 
-    A pace is the mean of the lower half: what queued is in the upper one.
+    A worker's latency is the mean of the lower half of its samples: requests that queued are in the upper half.
     """
 
     def __init__(self) -> None:
         self._times: dict[str, deque] = {}
-        self._at: dict[str, float] = {}
+        self._updated_at: dict[str, float] = {}
 
     def step(self, *, now: float, times: dict) -> None:
-        """Fold one proxy's {worker: [ms, ...]}."""
-        for key, took in times.items():
-            self._times.setdefault(key, deque(maxlen=constants.LATENCY_SAMPLES_KEPT)).extend(took)
-            self._at[key] = now
-
-    def paces(self, *, now: float) -> dict:
-        """{worker: [ms, number of times]}."""
-        for key in [key for key, at in self._at.items() if now - at > constants.LATENCY_TTL]:
-            del self._times[key], self._at[key]
-        paces = {}
+        """Add one proxy's {worker: [ms, ...]}."""
+        for key, durations in times.items():
+            self._times.setdefault(key, deque(maxlen=constants.LATENCY_SAMPLES_KEPT)).extend(durations)
+            self._updated_at[key] = now
+
+    def latencies(self, *, now: float) -> dict:
+        """{worker: [ms, number of samples]}."""
+        for key in [key for key, at in self._updated_at.items() if now - at > constants.LATENCY_TTL]:
+            del self._times[key], self._updated_at[key]
+        latencies = {}
         for key, times in self._times.items():
             lower = sorted(times)[: (len(times) + 1) // 2]
-            paces[key] = [round(sum(lower) / len(lower)), len(times)]
-        return paces
+            latencies[key] = [round(sum(lower) / len(lower)), len(times)]
+        return latencies
 
 
 def write_rates(*, rates: dict) -> list:
-    """Rates in few numbers.
+    """Encode rates compactly.
 
-    The whole in tenths, the first bucket, and the buckets in which each further part of the load ends.
+    The total in tenths, the first bucket, and the buckets in which each of KEY_LOAD_QUANTILES equal parts of the load
+    ends.
     """
     total = sum(rates.values())
     if total < 0.1:
@@ -114,7 +116,7 @@
 
 
 def read_rates(*, row: list) -> dict:
-    """{bucket: requests/s} of what was told; within a part the load is taken as even."""
+    """Decode rates as {bucket: requests/s}; the load within one part is assumed to be uniform."""
     rates: dict = {}
     if not row:
         return rates
@@ -127,9 +129,9 @@
 
 
 def has_shifted(*, before: dict, after: dict) -> bool:
-    """Has a third of the load come, gone or moved? Looked at in coarse parts, as each bucket alone is never at rest."""
-    parts = [0.0] * COARSE
+    """Has a large part of the load appeared, gone or moved? Compared by coarse ranges, as buckets always fluctuate."""
+    parts = [0.0] * COARSE_RANGES
     for rates, sign in ((before, -1), (after, 1)):
         for bucket, rate in rates.items():
-            parts[bucket * COARSE // constants.KEY_LOAD_BUCKETS] += sign * rate
+            parts[bucket * COARSE_RANGES // constants.KEY_LOAD_BUCKETS] += sign * rate
     return sum(map(abs, parts)) > constants.KEY_LOAD_SHIFT_RATIO * max(sum(before.values()), sum(after.values()))
--- a/sailward/control/proxies/proxy_registry.py
+++ b/sailward/control/proxies/proxy_registry.py
@@ -1,6 +1,6 @@
-"""The fleet as the core tells it.
+"""The fleet as controllers publish it.
 
-The proxies that ask any controller, where the controllers are, and what proxies report of workers.
+The proxies that poll any controller, the addresses of the controllers, and what proxies report about workers.
 """
 
 from __future__ import annotations
@@ -9,18 +9,18 @@
 from dataclasses import dataclass, field
 
 from sailward import constants
-from sailward.control.proxies.key_loads import KeyLoads, WorkerPaces, has_shifted, read_rates, write_rates
+from sailward.control.proxies.key_loads import KeyLoads, WorkerLatencies, has_shifted, read_rates, write_rates
 from sailward.control.proxies.subscribers import Subscriber
 from sailward.events import Command, SendMessage
 from sailward.wire_types import PeerEntry
 
 SAME = ["same"]
-"""Rows that are as the receiver has them."""
+"""Sent in place of rows that the receiver already has."""
 
 
 @dataclass(kw_only=True)
 class PeerSnapshot:
-    """What one other controller said last of its own proxies."""
+    """The latest report of another controller about its own proxies."""
 
     at: float
     number: int
@@ -31,36 +31,36 @@
 
 @dataclass(kw_only=True)
 class ProxyRegistry:
-    """Owner of the fleet's view. `step` folds another controller's word, or tells the others what is new here.
+    """Maintains the view of the fleet. `step` takes another controller's report, or sends the others what is new here.
 
-    `readers` are the posts of the controllers that place keys: only these are told how busy the keys are (all, where it
-    is None).
+    `readers` are the addresses of the controllers that place keys: only these are sent the loads of keys (all
+    controllers if it is None).
     """
 
     post: str
     zone: str
     region: str
-    others: dict = field(default_factory=dict)
+    snapshots: dict = field(default_factory=dict)
     last: dict = field(default_factory=dict)
-    last_seen_at: dict = field(default_factory=dict)
+    last_turns: dict = field(default_factory=dict)
     number: int = 0
     text: str = ""
     sent_at: float = -1e9
-    own: list = field(default_factory=list)
-    own_number: int = 0
-    own_down: dict = field(default_factory=dict)
+    sent_rows: list = field(default_factory=list)
+    rows_number: int = 0
+    sent_down: dict = field(default_factory=dict)
     sent_to: dict = field(default_factory=dict)
     readers: frozenset | None = None
     key_loads: KeyLoads = field(default_factory=KeyLoads)
-    worker_paces: WorkerPaces = field(default_factory=WorkerPaces)
+    worker_latencies: WorkerLatencies = field(default_factory=WorkerLatencies)
     rates: dict = field(default_factory=dict)
-    rates_sent: dict = field(default_factory=dict)
-    loads_at: float = -1e9
+    sent_rates: dict = field(default_factory=dict)
+    loads_sent_at: float = -1e9
 
     def step(
         self, *, now: float, event: tuple | None, proxies: list[Subscriber], controllers: list[PeerEntry]
     ) -> list[Command]:
-        """A (sender, body) of kind fleet or want, or None for time going on.
+        """Handle a (sender, body) of kind fleet or want, or the passing of time if `event` is None.
 
         `controllers` are those of the peer table that are not lost.
         """
@@ -68,14 +68,14 @@
             sender, body = event
             if body["kind"] == "want":
                 return self._resend(now=now, to=sender)
-            old = self.others.get(sender)
+            old = self.snapshots.get(sender)
             is_same, is_known = body["rows"] == SAME, old is not None and old.number == body["number"]
             rows = body["rows"] if not is_same else old.rows if old is not None else []
             number = body["number"] if is_known or not is_same else -1
-            self.others[sender] = PeerSnapshot(
-                at=now, number=number, rows=rows, down=body["down"], loads=read_loads(told=body["loads"])
+            self.snapshots[sender] = PeerSnapshot(
+                at=now, number=number, rows=rows, down=body["down"], loads=read_loads(report=body["loads"])
             )
-            # a telling was lost: the rows are wanted, and the old ones stand until they come
+            # an earlier report was lost: request the rows, and keep the old ones until they arrive
             return (
                 [SendMessage(to=sender, body={"kind": "want", "register": "fleet"})] if is_same and not is_known else []
             )
@@ -85,114 +85,117 @@
         self.last["looked"] = now
         self._forget_gone(now=now, posts={controller["post"] for controller in controllers})
         own = self._own_rows(now=now, proxies=proxies)
-        self._compose(now=now, own=own, controllers=controllers, down=self._agreed(now=now, proxies=proxies))
+        self._compose(now=now, own=own, controllers=controllers, down=self._confirmed_down(now=now, proxies=proxies))
         down = self._own_down(proxies=proxies)
-        changed = own != self.own or down != self.own_down
+        changed = own != self.sent_rows or down != self.sent_down
         others = [controller for controller in controllers if controller["post"] != self.post]
         if now - self.sent_at < (constants.PROXY_REPORT_MIN_INTERVAL if changed else constants.PROXY_REPORT_INTERVAL):
-            readers = [other for other in others if self._reads(to=other)]
+            readers = [other for other in others if self._is_reader(to=other)]
             return self._send_to_all(now=now, to=readers) if readers and self._is_load_due(now=now) else []
-        self.own_number += own != self.own
-        self.sent_at, self.own, self.own_down = now, own, down
+        self.rows_number += own != self.sent_rows
+        self.sent_at, self.sent_rows, self.sent_down = now, own, down
         return self._send_to_all(now=now, to=others)
 
     def _forget_gone(self, *, now: float, posts: set) -> None:
-        """Drop what was told by and to controllers that are gone.
+        """Drop the state kept for controllers that are gone.
 
-        As machines are replaced, there are ever more of them.
+        As machines are replaced, it would otherwise grow without bound.
         """
-        self.others = {post: told for post, told in self.others.items() if now - told.at < constants.PEER_TTL}
-        # one that comes back is told all rows again
+        self.snapshots = {
+            post: snapshot for post, snapshot in self.snapshots.items() if now - snapshot.at < constants.PEER_TTL
+        }
+        # a controller that returns is sent all rows again
         self.sent_to = {post: version for post, version in self.sent_to.items() if post in posts}
 
-    def _reads(self, *, to: dict) -> bool:
+    def _is_reader(self, *, to: dict) -> bool:
         return self.readers is None or to["post"] in self.readers
 
     def _is_load_due(self, *, now: float) -> bool:
-        since = now - self.loads_at
-        if since < constants.KEY_LOAD_REPORT_MIN_INTERVAL or not (self.rates or self.rates_sent):
+        elapsed = now - self.loads_sent_at
+        if elapsed < constants.KEY_LOAD_REPORT_MIN_INTERVAL or not (self.rates or self.sent_rates):
             return False
-        return since >= constants.KEY_LOAD_REPORT_INTERVAL or any(
-            has_shifted(before=self.rates_sent.get(service, {}), after=rates)
+        return elapsed >= constants.KEY_LOAD_REPORT_INTERVAL or any(
+            has_shifted(before=self.sent_rates.get(service, {}), after=rates)
             for service, rates in self.rates.items()
-            if self.rates is not self.rates_sent
+            if self.rates is not self.sent_rates
         )
 
     def _send_to_all(self, *, now: float, to: list[dict]) -> list[Command]:
         loads = self._own_loads(now=now)
-        self.loads_at, self.rates_sent = now, self.rates
+        self.loads_sent_at, self.sent_rates = now, self.rates
         return [
-            self._send_snapshot(to=controller, loads=loads if self._reads(to=controller) else {}) for controller in to
+            self._send_snapshot(to=controller, loads=loads if self._is_reader(to=controller) else {})
+            for controller in to
         ]
 
     def _send_snapshot(self, *, to: dict, loads: dict) -> SendMessage:
-        version = (to["start"], self.own_number)
+        version = (to["start"], self.rows_number)
         is_known = self.sent_to.get(to["post"]) == version
         self.sent_to[to["post"]] = version
         return SendMessage(
             to=to["post"],
             body={
                 "kind": "fleet",
-                "number": self.own_number,
-                "rows": SAME if is_known else self.own,
+                "number": self.rows_number,
+                "rows": SAME if is_known else self.sent_rows,
                 "loads": loads,
-                "down": self.own_down,
+                "down": self.sent_down,
             },
         )
 
     def _resend(self, *, now: float, to: str) -> list:
-        """Tell the rows to a controller that lacks them."""
+        """Send all rows to a controller that lacks them."""
         self.sent_to.pop(to, None)
-        loads = self._own_loads(now=now) if self._reads(to={"post": to}) else {}
+        loads = self._own_loads(now=now) if self._is_reader(to={"post": to}) else {}
         return [
             SendMessage(
                 to=to,
                 body={
                     "kind": "fleet",
-                    "number": self.own_number,
-                    "rows": self.own,
+                    "number": self.rows_number,
+                    "rows": self.sent_rows,
                     "loads": loads,
-                    "down": self.own_down,
+                    "down": self.sent_down,
                 },
             )
         ]
 
     def value(self) -> dict | None:
-        """The fleet as a push carries it."""
+        """The fleet as sent in a push."""
         return {"number": self.number, "mark": self.post, "trail": [], "text": self.text} if self.text else None
 
     def down(self, *, now: float, proxies: list[Subscriber]) -> dict:
-        """{worker: (proxies that call it unreachable, proxies that report)}."""
+        """{worker: (proxies that report it unreachable, proxies that report at all)}."""
         counts = self._own_down(proxies=proxies)
-        voices = len(proxies)
-        for told in self._fresh(now=now):
-            for key, count in told.down.items():
+        reporting = len(proxies)
+        for snapshot in self._recent_snapshots(now=now):
+            for key, count in snapshot.down.items():
                 counts[key] = counts.get(key, 0) + count
-            voices += len(told.rows)
-        return {key: (count, voices) for key, count in counts.items()}
+            reporting += len(snapshot.rows)
+        return {key: (count, reporting) for key, count in counts.items()}
 
     def loads(self, *, now: float, service: str) -> dict:
         """Requests/s by bucket of a divided service, over the whole fleet."""
         total = dict(self.rates.get(service, {}))
-        for told in self._fresh(now=now):
-            for bucket, rate in told.loads.get("rates", {}).get(service, {}).items():
+        for snapshot in self._recent_snapshots(now=now):
+            for bucket, rate in snapshot.loads.get("rates", {}).get(service, {}).items():
                 total[bucket] = total.get(bucket, 0.0) + rate
         return total
 
-    def paces(self, *, now: float) -> dict:
-        """{worker: (pace in s, number of times behind it)} of the workers of divided services, over the whole fleet."""
+    def latencies(self, *, now: float) -> dict:
+        """{worker: (latency in s, number of samples)} of the workers of divided services, over the fleet."""
         total: dict = {}
-        for paces in [
-            self.worker_paces.paces(now=now),
-            *(told.loads.get("paces", {}) for told in self._fresh(now=now)),
+        for latencies in [
+            self.worker_latencies.latencies(now=now),
+            *(snapshot.loads.get("paces", {}) for snapshot in self._recent_snapshots(now=now)),
         ]:
-            for key, (pace, count) in paces.items():
+            for key, (latency, count) in latencies.items():
                 before, counted = total.get(key, (0.0, 0))
-                total[key] = (before * counted + pace / 1000 * count) / (counted + count), counted + count
+                total[key] = (before * counted + latency / 1000 * count) / (counted + count), counted + count
         return total
 
-    def _fresh(self, *, now: float) -> list[PeerSnapshot]:
-        return [told for told in self.others.values() if now - told.at < constants.PROXY_REPORT_TTL]
+    def _recent_snapshots(self, *, now: float) -> list[PeerSnapshot]:
+        return [snapshot for snapshot in self.snapshots.values() if now - snapshot.at < constants.PROXY_REPORT_TTL]
 
     def _own_rows(self, *, now: float, proxies: list[Subscriber]) -> list:
         return sorted(
@@ -219,59 +222,59 @@
             return {}
         return {
             "rates": {service: write_rates(rates=rates) for service, rates in self.rates.items()},
-            "paces": self.worker_paces.paces(now=now),
+            "paces": self.worker_latencies.latencies(now=now),
         }
 
     def _record_loads(self, *, now: float, proxies: list[Subscriber]) -> None:
         is_new = False
         names = {proxy.entry["id"] for proxy in proxies}
-        self.last_seen_at = {name: turn for name, turn in self.last_seen_at.items() if name in names}
+        self.last_turns = {name: turn for name, turn in self.last_turns.items() if name in names}
         for proxy in proxies:
             turn = proxy.report.get("turn")
-            if turn is None or self.last_seen_at.get(proxy.entry["id"]) == turn:
+            if turn is None or self.last_turns.get(proxy.entry["id"]) == turn:
                 continue
-            self.last_seen_at[proxy.entry["id"]] = turn
+            self.last_turns[proxy.entry["id"]] = turn
             if proxy.report.get("lead") != self.post:
                 continue
             is_new = True
             for service, buckets in proxy.report.get("loads", {}).items():
                 self.key_loads.step(now=now, service=service, buckets=buckets)
-            self.worker_paces.step(now=now, times=proxy.report.get("paces", {}))
+            self.worker_latencies.step(now=now, times=proxy.report.get("paces", {}))
         if is_new or now - self.last.get("rates", now) >= constants.KEY_LOAD_REPORT_INTERVAL:
             self.rates = self.key_loads.rates(now=now)
             self.last["rates"] = now
         self.last.setdefault("rates", now)
 
-    def _agreed(self, *, now: float, proxies: list[Subscriber]) -> list:
-        """The workers that several proxies call unreachable, and so many that one alone can't be wrong for all."""
+    def _confirmed_down(self, *, now: float, proxies: list[Subscriber]) -> list:
+        """The workers that enough proxies report unreachable: a single faulty proxy must not decide for all."""
         return sorted(
             key
-            for key, (count, voices) in self.down(now=now, proxies=proxies).items()
-            if count >= max(constants.UNREACHABLE_MIN_REPORTS, constants.UNREACHABLE_MIN_RATIO * voices)
+            for key, (count, reporting) in self.down(now=now, proxies=proxies).items()
+            if count >= max(constants.UNREACHABLE_MIN_REPORTS, constants.UNREACHABLE_MIN_RATIO * reporting)
         )
 
     def _compose(self, *, now: float, own: list, controllers: list[PeerEntry], down: list) -> None:
         rows = {
             row[0]: row
-            for told in self.others.values()
-            if now - told.at < constants.PROXY_REPORT_TTL
-            for row in told.rows
+            for snapshot in self.snapshots.values()
+            if now - snapshot.at < constants.PROXY_REPORT_TTL
+            for row in snapshot.rows
         }
         rows |= {row[0]: row for row in own}
         posts = sorted([controller["post"], controller["hall"], controller["region"]] for controller in controllers)
         text = json.dumps(
             {"proxies": [rows[name] for name in sorted(rows)], "cellars": posts, "down": down}, separators=(",", ":")
         )
-        # what is down is told again while it lasts, as it is believed for a moment only
+        # unreachable workers are published again while they remain so, as the hints expire at receivers
         is_due = bool(down) and now - self.last.get("composed", now) >= constants.UNREACHABLE_HINT_TTL / 2
         if text != self.text or is_due:
             self.last["composed"] = now
             self.text, self.number = text, self.number + 1
 
 
-def read_loads(*, told: dict) -> dict:
-    """What another controller told of the loads of keys, and of the paces of workers."""
+def read_loads(*, report: dict) -> dict:
+    """Decode another controller's report of key loads and of workers' latencies."""
     return {
-        "rates": {service: read_rates(row=rates) for service, rates in told.get("rates", {}).items()},
-        "paces": told.get("paces", {}),
+        "rates": {service: read_rates(row=rates) for service, rates in report.get("rates", {}).items()},
+        "paces": report.get("paces", {}),
     }
--- a/sailward/control/proxies/subscribers.py
+++ b/sailward/control/proxies/subscribers.py
@@ -9,20 +9,20 @@
 from sailward.events import SendMessage
 from sailward.wire_types import Ballot, Message, PeerEntry, RegisterValue
 
-OWN_LIST = "workers"
+ENDPOINT_LIST = "workers"
 """The name under which the list of workers is pushed."""
-OWN_LISTS = (OWN_LIST, "fleet")
-"""What has numbers of each controller's own."""
-LARGE = "config"
+LOCALLY_NUMBERED = (ENDPOINT_LIST, "fleet")
+"""Values that each controller numbers by itself."""
+LARGE_VALUE = "config"
 """The register whose value is large."""
 
 
 @dataclass(kw_only=True)
 class Subscriber:
-    """One daemon that asks this controller for its lease."""
+    """One daemon that polls this controller."""
 
     entry: PeerEntry
-    first: float
+    first_seen_at: float
     last_seen_at: float
     have: dict = field(default_factory=dict)
     report: dict = field(default_factory=dict)
@@ -32,10 +32,10 @@
 
 @dataclass(kw_only=True)
 class Subscribers:
-    """Owner of the pushes. `step` folds an asking or an acknowledgement, or pushes what is due.
+    """Pushes values to subscribers. `step` handles an ask or an acknowledgement, or pushes what is due.
 
-    With a `post` the lists of this controller have numbers of its own: they are pushed only to those that name this
-    post, or none, as the teller of the list that they follow.
+    With a `post` (its own address), this controller numbers its lists by itself: they are pushed only to subscribers
+    that name it, or no controller, as the source of the list that they follow.
     """
 
     members: dict[str, Subscriber] = field(default_factory=dict)
@@ -44,15 +44,15 @@
     post: str = ""
 
     def step(self, *, now: float, event: tuple | None, updates: dict) -> list[SendMessage]:
-        """`updates` is {name: (number, ballot, value)}; the event a (sender, ask or ack) or None."""
+        """`updates` is {name: (number, ballot, value)}; `event` is a (sender, ask or ack) or None."""
         if event is not None:
-            self._fold(now=now, sender=event[0], body=event[1])
+            self._record(now=now, sender=event[0], body=event[1])
         for address, member in list(self.members.items()):
             if now - member.last_seen_at > constants.SUBSCRIBER_TTL:
                 del self.members[address]
         commands = []
-        # one that asks is pushed what it lacks, whoever leads it; when news come here, only those that this controller
-        # leads
+        # a subscriber that asks is pushed the values that it lacks, whichever controller it follows; new values here
+        # are pushed only to subscribers that follow this controller
         asker = event[0] if event is not None else ""
         for address, member in self.members.items():
             if not (self.post and event is not None and address != asker):
@@ -70,15 +70,15 @@
         return commands
 
     def has_followers(self) -> bool:
-        """Is there a proxy that follows this controller's list of workers, or none yet?"""
-        return any((proxy.have.get(OWN_LIST) or [-1, ""])[1] in ("", self.post) for proxy in self.proxies())
+        """Does any proxy follow this controller's list of workers, or no list yet?"""
+        return any((proxy.have.get(ENDPOINT_LIST) or [-1, ""])[1] in ("", self.post) for proxy in self.proxies())
 
     def proxies(self) -> list[Subscriber]:
-        """The proxies that have asked of late."""
+        """The proxies that have asked recently."""
         return [member for member in self.members.values() if kind_of(entry=member.entry) == "proxy"]
 
-    def asks(self, *, now: float) -> str:
-        """Every proxy start that asked within the longest time that what it sent on may run."""
+    def active_proxy_names(self, *, now: float) -> str:
+        """The incarnations of proxies whose forwarded requests may still run: those that asked recently enough."""
         self._forget_inactive(now=now)
         return ",".join(sorted(self.active_proxies))
 
@@ -87,7 +87,7 @@
             name: at for name, at in self.active_proxies.items() if now - at < constants.PROXY_ACTIVITY_TTL
         }
 
-    def _fold(self, *, now: float, sender: str, body: Message) -> None:
+    def _record(self, *, now: float, sender: str, body: Message) -> None:
         member = self.members.get(sender)
         if body["kind"] == "ack":
             if member is not None:
@@ -95,7 +95,7 @@
             return
         start = body["daemon"].get("start")
         if member is None or member.entry.get("start") != start:
-            member = self.members[sender] = Subscriber(entry=body["daemon"], first=now, last_seen_at=now)
+            member = self.members[sender] = Subscriber(entry=body["daemon"], first_seen_at=now, last_seen_at=now)
             self._forget_inactive(now=now)
         member.entry, member.last_seen_at = body["daemon"], now
         if kind_of(entry=member.entry) == "proxy":
@@ -114,23 +114,30 @@
         value: RegisterValue,
         is_requested: bool = False,
     ) -> list[SendMessage]:
-        given = member.have.get(name)
-        if self.post and kind_of(entry=member.entry) == "controller" and name in OWN_LISTS:
-            # a controller follows nobody's lists
+        held_version = member.have.get(name)
+        if self.post and kind_of(entry=member.entry) == "controller" and name in LOCALLY_NUMBERED:
+            # a controller follows no other controller's lists
             return []
-        if self.post and not is_requested and name == LARGE and member.report.get("lead", self.post) != self.post:
-            # the one that leads it pushes this; what is small comes from both it asks, as one may be gone
+        if self.post and not is_requested and name == LARGE_VALUE and member.report.get("lead", self.post) != self.post:
+            # only the controller that the proxy follows pushes the large value; small ones come from both controllers
+            # that it polls, as one may be gone
             return []
-        if self.post and name in OWN_LISTS:
+        if self.post and name in LOCALLY_NUMBERED:
             return self._push_own(
-                now=now, address=address, member=member, name=name, given=given, number=number, value=value
+                now=now,
+                address=address,
+                member=member,
+                name=name,
+                held_version=held_version,
+                number=number,
+                value=value,
             )
-        had = (_epoch_of(given=given), given[0] if given else -1)
+        held_at = (_epoch_of(held_version=held_version), held_version[0] if held_version else -1)
         if name != "workers":
-            had = (0, had[1])
+            held_at = (0, held_at[1])
         at = (ballot[0], number) if name == "workers" else (0, number)
         acked = name != "workers" and member.acked.get(name, -1) >= number
-        if had >= at or acked:
+        if held_at >= at or acked:
             return []
         return self._send(now=now, address=address, member=member, name=name, at=at, ballot=ballot, value=value)
 
@@ -141,16 +148,16 @@
         address: str,
         member: Subscriber,
         name: str,
-        given: list | None,
+        held_version: list | None,
         number: int,
         value: RegisterValue,
     ) -> list[SendMessage]:
-        teller = given[1] if given else ""
-        if teller not in ("", self.post) or (teller == self.post and given[0] == number):
+        source = held_version[1] if held_version else ""
+        if source not in ("", self.post) or (source == self.post and held_version[0] == number):
             return []
         pushed = member.pushed.get(name)
         if pushed and pushed[0] == (0, number) and member.last_seen_at - pushed[1] < constants.PUSH_RETRY_INTERVAL:
-            # no asking since then has shown that it was lost
+            # the subscriber has not asked since then, so nothing shows that the push was lost
             return []
         return self._send(
             now=now, address=address, member=member, name=name, at=(0, number), ballot=[0, ""], value=value
@@ -176,6 +183,6 @@
         return [SendMessage(to=address, body=body)]
 
 
-def _epoch_of(*, given: list | None) -> int:
-    """The epoch in [number, mark, ballot] as an asker tells it; 0 where it tells less."""
-    return given[2][0] if given is not None and len(given) > 2 else 0
+def _epoch_of(*, held_version: list | None) -> int:
+    """The epoch in the [number, mark, ballot] of an ask; 0 if it holds fewer items."""
+    return held_version[2][0] if held_version is not None and len(held_version) > 2 else 0
--- a/sailward/control/shards/grant_calls.py
+++ b/sailward/control/shards/grant_calls.py
@@ -1,4 +1,4 @@
-"""Calls that grant key ranges to workers and take them back: which are under way, and what their answers say."""
+"""Calls that grant key ranges to workers and release them: those in flight, and what their results show."""
 
 from __future__ import annotations
 
@@ -15,125 +15,125 @@
 
 
 @dataclass(kw_only=True)
-class Renewing:
-    """The grants of one open shard."""
+class Renewal:
+    """The state of the repeated grants of one open shard."""
 
-    due: float = NEVER
+    due_at: float = NEVER
     token: str = ""
     handover: str = ""
 
 
 @dataclass(kw_only=True)
-class Releasing:
-    """What is known of one moving shard: since when it is seen moving, and whether its owner has let go."""
+class PendingRelease:
+    """The state of one moving shard: since when it has been seen moving, and whether its owner has released it."""
 
     shard: Shard
-    since: float
-    due: float = NEVER
+    moving_since: float
+    due_at: float = NEVER
     token: str = ""
     is_released: bool = False
     handover: str = ""
 
 
 @dataclass(frozen=True, kw_only=True)
-class Sent:
-    """A call under way; none of its bytes leave after `until`."""
+class CallInFlight:
+    """A call in flight; none of its bytes are sent after `send_until`."""
 
     shard: Shard
     is_grant: bool
-    since: float
-    until: float
+    sent_at: float
+    send_until: float
 
 
 @dataclass(kw_only=True)
 class GrantCalls:
-    """The calls of one service. What moves and what is open follows from the table that `take_table` is given."""
+    """The calls of one service. The table passed to `take_table` determines which shards are open and which move."""
 
     service: str
     codec: GrantCodec
     addresses: dict[str, str] = field(default_factory=dict)
-    ended: set[str] = field(default_factory=set)
-    outrun: set[Shard] = field(default_factory=set)
+    ended_workers: set[str] = field(default_factory=set)
+    fence_rejected: set[Shard] = field(default_factory=set)
     handovers: dict[Shard, str] = field(default_factory=dict)
-    _renewing: dict[Shard, Renewing] = field(default_factory=dict)
-    _moving: list[Releasing] = field(default_factory=list)
-    _sent: dict[str, Sent] = field(default_factory=dict)
-    _arrived: dict[str, float] = field(default_factory=dict)
-    _failing: dict[str, tuple[float, float]] = field(default_factory=dict)
-    _count: int = 0
+    _renewals: dict[Shard, Renewal] = field(default_factory=dict)
+    _releases: list[PendingRelease] = field(default_factory=list)
+    _in_flight: dict[str, CallInFlight] = field(default_factory=dict)
+    _last_arrival_at: dict[str, float] = field(default_factory=dict)
+    _failure_spans: dict[str, tuple[float, float]] = field(default_factory=dict)
+    _call_count: int = 0
 
     def is_own(self, *, token: str) -> bool:
-        """Is this the token of a call that is under way?"""
-        return token in self._sent
+        """Is this the token of a call in flight?"""
+        return token in self._in_flight
 
     def take_table(self, *, now: float, shards: Iterable[Shard], is_new_term: bool) -> None:
-        """Follow a table's shards: open ones are renewed, all of them anew in a new term; moving ones are released."""
+        """Adopt a new table: open shards are granted and renewed, moving ones released. A new term grants all again."""
         shards = list(shards)
-        known = {} if is_new_term else self._renewing
-        self._renewing = {
-            shard: known.get(shard) or Renewing(handover=self.handovers.get(shard, ""))
+        known = {} if is_new_term else self._renewals
+        self._renewals = {
+            shard: known.get(shard) or Renewal(handover=self.handovers.get(shard, ""))
             for shard in shards
             if shard.is_open and shard.owner
         }
-        self._moving = [
-            self._releasing_of(shard=shard) or Releasing(shard=shard, since=now)
+        self._releases = [
+            self._release_of(shard=shard) or PendingRelease(shard=shard, moving_since=now)
             for shard in shards
             if not shard.is_open
         ]
-        self.outrun &= set(self._renewing)
+        self.fence_rejected &= set(self._renewals)
 
-    def _releasing_of(self, *, shard: Shard) -> Releasing | None:
+    def _release_of(self, *, shard: Shard) -> PendingRelease | None:
         return next(
             (
-                replace(releasing, shard=shard)
-                for releasing in self._moving
-                if (releasing.shard.owner, releasing.shard.fencing_token) == (shard.owner, shard.fencing_token)
-                and releasing.shard.start <= shard.start
-                and shard.end <= releasing.shard.end
+                replace(pending, shard=shard)
+                for pending in self._releases
+                if (pending.shard.owner, pending.shard.fencing_token) == (shard.owner, shard.fencing_token)
+                and pending.shard.start <= shard.start
+                and shard.end <= pending.shard.end
             ),
             None,
         )
 
     def take_result(self, *, now: float, event: CallFinished) -> list[Command]:
-        """Fold the result of a call of ours; gives what is to be logged."""
-        sent = self._sent.pop(event.token, None)
-        if sent is None:
+        """Handle the result of one of these calls; returns log events."""
+        call = self._in_flight.pop(event.token, None)
+        if call is None:
             return []
-        owner = sent.shard.owner
+        owner = call.shard.owner
         if event.code == 421:
-            self.ended.add(owner)
+            self.ended_workers.add(owner)
         if event.code in (200, 409):
-            self._failing.pop(owner, None)
+            self._failure_spans.pop(owner, None)
         else:
-            self._failing[owner] = (self._failing.get(owner, (sent.since, now))[0], now)
-        if sent.is_grant:
-            return self._take_grant(now=now, shard=sent.shard, event=event)
-        for releasing in self._moving:
-            if releasing.token == event.token:
-                releasing.due, releasing.token = now + constants.GRANT_RETRY_INTERVAL, ""
+            self._failure_spans[owner] = (self._failure_spans.get(owner, (call.sent_at, now))[0], now)
+        if call.is_grant:
+            return self._take_grant_result(now=now, shard=call.shard, event=event)
+        for pending in self._releases:
+            if pending.token == event.token:
+                pending.due_at, pending.token = now + constants.GRANT_RETRY_INTERVAL, ""
                 if event.code == 200:
-                    releasing.is_released = True
-                    releasing.handover = self.codec.handover(headers=event.headers)
-        return [] if event.code == 200 else [self._complain(shard=sent.shard, event=event, name="release-failed")]
+                    pending.is_released = True
+                    pending.handover = self.codec.handover(headers=event.headers)
+        return [] if event.code == 200 else [self._failure_event(shard=call.shard, event=event, name="release-failed")]
 
-    def _take_grant(self, *, now: float, shard: Shard, event: CallFinished) -> list[Command]:
+    def _take_grant_result(self, *, now: float, shard: Shard, event: CallFinished) -> list[Command]:
         if event.code or event.sent:
-            late = 0.0 if event.code else constants.GRANT_IN_FLIGHT_LIMIT
-            self._arrived[shard.owner] = max(self._arrived.get(shard.owner, NEVER), now + late)
-        renewing = self._renewing.get(shard)
-        if renewing is None or renewing.token != event.token:
+            flight_margin = 0.0 if event.code else constants.GRANT_IN_FLIGHT_LIMIT
+            self._last_arrival_at[shard.owner] = max(self._last_arrival_at.get(shard.owner, NEVER), now + flight_margin)
+        renewal = self._renewals.get(shard)
+        if renewal is None or renewal.token != event.token:
             return []
-        renewing.token = ""
+        renewal.token = ""
         if event.code == 200:
-            renewing.handover = ""
+            renewal.handover = ""
             self.handovers.pop(shard, None)
             return []
-        renewing.due = now + constants.GRANT_RETRY_INTERVAL
+        renewal.due_at = now + constants.GRANT_RETRY_INTERVAL
         if event.code == 409:
-            self.outrun.add(shard)
-        return [self._complain(shard=shard, event=event, name="grant-failed")]
+            self.fence_rejected.add(shard)
+        return [self._failure_event(shard=shard, event=event, name="grant-failed")]
 
-    def _complain(self, *, shard: Shard, event: CallFinished, name: str) -> LogEvent:
+    def _failure_event(self, *, shard: Shard, event: CallFinished, name: str) -> LogEvent:
         return LogEvent(
             event=name,
             fields={
@@ -147,53 +147,58 @@
         )
 
     def grant(self, *, now: float, hold: float, fresh_until: float) -> list[Command]:
-        """Grant each open shard that is due, for `hold` s; none of a call's bytes leave after `fresh_until`."""
+        """Grant each open shard that is due, for `hold` s; no bytes of a call are sent after `fresh_until`."""
         commands: list = []
-        for shard, renewing in self._renewing.items():
-            if renewing.token or now < renewing.due or shard.owner in self.ended or shard.owner not in self.addresses:
+        for shard, renewal in self._renewals.items():
+            if (
+                renewal.token
+                or now < renewal.due_at
+                or shard.owner in self.ended_workers
+                or shard.owner not in self.addresses
+            ):
                 continue
-            made = self.codec.grant(
+            request = self.codec.grant(
                 start=shard.start,
                 end=shard.end,
                 fencing_token=shard.fencing_token,
                 hold=hold,
-                handover=renewing.handover,
+                handover=renewal.handover,
                 owner=shard.owner,
             )
-            renewing.due = now + constants.GRANT_RENEWAL_INTERVAL
-            renewing.token = self._call(
+            renewal.due_at = now + constants.GRANT_RENEWAL_INTERVAL
+            renewal.token = self._call(
                 now=now,
                 kind=GRANT,
                 shard=shard,
-                made=made,
+                request=request,
                 wait=constants.GRANT_TIMEOUT,
                 begin_by=fresh_until,
                 commands=commands,
             )
         return commands
 
-    def release(self, *, now: float, sole_at: float, fresh_until: float) -> list[Command]:
-        """Ask the owners of moving shards to let go; not before `sole_at`, when no other granter's grants arrive."""
+    def release(self, *, now: float, sole_granter_at: float, fresh_until: float) -> list[Command]:
+        """Ask the owners of moving shards for release; from `sole_granter_at` on no other granter's grants arrive."""
         commands: list = []
-        for releasing in self._moving:
-            shard = releasing.shard
+        for pending in self._releases:
+            shard = pending.shard
             if (
-                releasing.token
-                or releasing.is_released
-                or now < max(releasing.due, sole_at)
-                or shard.owner in self.ended
+                pending.token
+                or pending.is_released
+                or now < max(pending.due_at, sole_granter_at)
+                or shard.owner in self.ended_workers
                 or shard.owner not in self.addresses
                 or self._may_arrive(now=now, shard=shard)
             ):
                 continue
-            made = self.codec.release(
+            request = self.codec.release(
                 start=shard.start, end=shard.end, fencing_token=shard.fencing_token, owner=shard.owner
             )
-            releasing.token = self._call(
+            pending.token = self._call(
                 now=now,
                 kind=RELEASE,
                 shard=shard,
-                made=made,
+                request=request,
                 wait=constants.GRANT_RELEASE_TIMEOUT,
                 begin_by=fresh_until,
                 commands=commands,
@@ -201,22 +206,22 @@
         return commands
 
     def _may_arrive(self, *, now: float, shard: Shard) -> bool:
-        """May a grant of ours of these keys still be under way to their owner?"""
-        return self._arrived.get(shard.owner, NEVER) > now or any(
-            sent.is_grant
-            and sent.shard.owner == shard.owner
-            and sent.shard.start <= shard.end
-            and shard.start <= sent.shard.end
-            and now < sent.until + constants.GRANT_IN_FLIGHT_LIMIT
-            for sent in self._sent.values()
+        """May a grant of these keys by this granter still be on its way to their owner?"""
+        return self._last_arrival_at.get(shard.owner, NEVER) > now or any(
+            call.is_grant
+            and call.shard.owner == shard.owner
+            and call.shard.start <= shard.end
+            and shard.start <= call.shard.end
+            and now < call.send_until + constants.GRANT_IN_FLIGHT_LIMIT
+            for call in self._in_flight.values()
         )
 
     def _call(
-        self, *, now: float, kind: str, shard: Shard, made: tuple, wait: float, begin_by: float, commands: list
+        self, *, now: float, kind: str, shard: Shard, request: tuple, wait: float, begin_by: float, commands: list
     ) -> str:
-        self._count += 1
-        token = f"{kind} {self.service} {self._count}"
-        method, path, headers, body = made
+        self._call_count += 1
+        token = f"{kind} {self.service} {self._call_count}"
+        method, path, headers, body = request
         commands.append(
             StartCall(
                 token=token,
@@ -227,42 +232,45 @@
                 headers=headers,
                 body=body,
                 timeout=wait,
-                # its answer bears no id: only on a connection of its own is the first one surely its own, and a surplus
-                # one that passed for the end of a release would give the keys to a second holder
+                # the response carries no request id, so only on a new connection is the first response certain to
+                # belong to this call; a surplus response taken for the end of a release would let a second worker
+                # hold the keys
                 fresh=kind == RELEASE,
                 begin_by=begin_by,
             )
         )
-        self._sent[token] = Sent(shard=shard, is_grant=kind == GRANT, since=now, until=begin_by + wait)
+        self._in_flight[token] = CallInFlight(
+            shard=shard, is_grant=kind == GRANT, sent_at=now, send_until=begin_by + wait
+        )
         return token
 
-    def is_free(self, *, now: float, shard: Shard, sole_at: float) -> bool:
-        """Has the owner of a moving shard certainly let go?"""
-        releasing = self._releasing_of(shard=shard) or Releasing(shard=shard, since=now)
-        if releasing.is_released or shard.owner in self.ended:
+    def is_relinquished(self, *, now: float, shard: Shard, sole_granter_at: float) -> bool:
+        """Is it certain that the owner of a moving shard no longer holds it?"""
+        pending = self._release_of(shard=shard) or PendingRelease(shard=shard, moving_since=now)
+        if pending.is_released or shard.owner in self.ended_workers:
             return True
-        ends = [
-            sent.until + constants.GRANT_IN_FLIGHT_LIMIT
-            for sent in self._sent.values()
-            if sent.is_grant and sent.shard.owner == shard.owner
+        grant_ends = [
+            call.send_until + constants.GRANT_IN_FLIGHT_LIMIT
+            for call in self._in_flight.values()
+            if call.is_grant and call.shard.owner == shard.owner
         ]
-        last = max([sole_at, self._arrived.get(shard.owner, NEVER), *ends])
-        last = min(last, releasing.since + constants.GRANT_FENCE_DELAY)
+        last = max([sole_granter_at, self._last_arrival_at.get(shard.owner, NEVER), *grant_ends])
+        last = min(last, pending.moving_since + constants.GRANT_FENCE_DELAY)
         return (
             now >= last + constants.GRANT_DURATION * constants.GRANT_CLOCK_DRIFT_FACTOR + constants.GRANT_EXPIRY_MARGIN
         )
 
     def handover_of(self, *, shard: Shard) -> str:
-        """What the owner of a moving shard handed over, or ""."""
-        releasing = self._releasing_of(shard=shard)
-        return releasing.handover if releasing else ""
+        """The handover data that the owner of a moving shard returned, or ""."""
+        pending = self._release_of(shard=shard)
+        return pending.handover if pending else ""
 
     def is_failing(self, *, now: float, key: str) -> bool:
-        """Have calls to this worker failed for a while, and lately?"""
-        since, last = self._failing.get(key, (now, now))
+        """Have calls to this worker failed for some time, and was the last failure recent?"""
+        since, last = self._failure_spans.get(key, (now, now))
         return last - since >= constants.GRANT_FAILURE_TIMEOUT and now - last < constants.GRANT_FAILURE_BACKOFF
 
     def is_granted(self, *, shard: Shard) -> bool:
-        """Was the shard granted, with nothing left to hand over?"""
-        renewing = self._renewing.get(shard)
-        return renewing is not None and renewing.due > NEVER and not renewing.handover
+        """Has a grant of the shard been sent, with no handover data left to deliver?"""
+        renewal = self._renewals.get(shard)
+        return renewal is not None and renewal.due_at > NEVER and not renewal.handover
--- a/sailward/control/shards/shard_assignment.py
+++ b/sailward/control/shards/shard_assignment.py
@@ -1,11 +1,11 @@
-"""Who owns which slot: close for all, wait until nothing can be under way, open for the new owner."""
+"""Ownership of slots: close for all, wait until no request can be in flight, open for the new owner."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field, replace
 
 from sailward import constants
-from sailward.control.shards.quiescence import Closing, Quiescence
+from sailward.control.shards.quiescence import ClosedSlot, Quiescence
 from sailward.discovery.endpoint_table import Worker
 from sailward.discovery.rendezvous import choose_names
 from sailward.routing.plan import Plan, Pool, Service
@@ -14,33 +14,34 @@
 
 @dataclass(frozen=True, kw_only=True)
 class AssignmentContext:
-    """What the assigning looks at in one moment."""
+    """The inputs of one step of assignment."""
 
     plan: Plan
-    emptied: frozenset
-    drained: frozenset
+    emptied_zones: frozenset
+    drained_zones: frozenset
     workers: dict
     healthy: frozenset
 
 
 @dataclass(kw_only=True)
 class ShardAssignment:
-    """Owner of one service's slot moves, on the controller that hashing names. `step` gives the next text or "".
+    """Moves the slots of one service, on the controller chosen by hashing. `step` returns the next text or "".
 
-    A closed slot opens when every proxy that could act is witnessed to know it closed and to have nothing
-    open in it; else after LEASE_DURATION, by when no proxy can act without knowing it closed, and the service's
-    expiry, by when what was sent before has ended, counted from when this controller first held the closing.
+    A closed slot opens once every proxy that could act has reported that it knows the slot is closed and has no
+    request in flight in it. Otherwise it opens after LEASE_DURATION, by when no proxy can act without knowing that it
+    is closed, plus the service's expiry, by when all requests sent before have ended; both count from when this
+    controller first saw the slot closed.
     """
 
-    closed: dict = field(default_factory=dict)
-    missing: dict = field(default_factory=dict)
+    closed_slots: dict = field(default_factory=dict)
+    missing_since: dict = field(default_factory=dict)
 
     def step(
         self, *, now: float, service: Service, text: str, context: AssignmentContext, quiescence: Quiescence
     ) -> str:
-        """Judge all slots of a service against the moment."""
+        """Check all slots of a service against the current state."""
         spaces = read_table(text=text)
-        fresh = {}
+        next_spaces = {}
         changed = False
         moving = sum(not row.is_open for rows in spaces.values() for row in rows)
         self._record_closed(now=now, spaces=spaces, quiescence=quiescence)
@@ -52,9 +53,9 @@
                     for at in range(service.slots)
                 ]
                 changed = True
-            fresh[space] = []
+            next_spaces[space] = []
             for slot, old in enumerate(rows):
-                new = self._judge(
+                new = self._next_state(
                     now=now,
                     service=service,
                     space=space,
@@ -65,8 +66,8 @@
                 )
                 moving += old.is_open and not new.is_open
                 changed = changed or new != old
-                fresh[space].append(new)
-        return write_table(spaces=fresh) if changed else ""
+                next_spaces[space].append(new)
+        return write_table(spaces=next_spaces) if changed else ""
 
     def _spaces(self, *, plan: Plan, service: Service) -> list[str]:
         return sorted({space_of(homes=tenant.homes, service=service) for tenant in plan.tenants.values()} | {""})
@@ -78,15 +79,15 @@
             for slot, owned in enumerate(rows)
             if not owned.is_open
         }
-        self.closed = {
-            name: self.closed.get(name)
-            or Closing(since=now, number=quiescence.number, heartbeats=quiescence.heartbeats())
+        self.closed_slots = {
+            name: self.closed_slots.get(name)
+            or ClosedSlot(closed_at=now, register_number=quiescence.number, heartbeats=quiescence.heartbeats())
             for name in known_versions
         }
-        for (space, slot, _), closing in self.closed.items():
-            quiescence.check(closing=closing, slot=f"{space}/{slot}")
+        for (space, slot, _), closed_slot in self.closed_slots.items():
+            quiescence.check(closed_slot=closed_slot, slot=f"{space}/{slot}")
 
-    def _judge(
+    def _next_state(
         self,
         *,
         now: float,
@@ -96,13 +97,13 @@
         old: SlotOwner,
         context: AssignmentContext,
         capacity: int,
-    ) -> SlotOwner:
-        best = self._best(service=service, space=space, slot=slot, context=context)
+    ) -> Owned:
+        best = self._best_owner(service=service, space=space, slot=slot, context=context)
         if not old.is_open:
             wait = constants.LEASE_DURATION + service.expiry + constants.SLOT_MOVE_MARGIN
-            closing = self.closed[(space, slot, old.term)]
-            if best and (closing.is_clear or now - closing.since >= wait):
-                return SlotOwner(owner=best, term=old.term + 1, is_open=True)
+            closed_slot = self.closed_slots[(space, slot, old.term)]
+            if best and (closed_slot.is_drained or now - closed_slot.closed_at >= wait):
+                return Owned(owner=best, term=old.term + 1, is_open=True)
             return old
         if old.owner == "":
             return SlotOwner(owner=best, term=old.term + 1, is_open=True) if best else old
@@ -111,19 +112,19 @@
             old.owner in context.healthy
             and old.owner in context.workers
             and not context.workers[old.owner].leaving
-            and context.workers[old.owner].zone not in context.emptied
+            and context.workers[old.owner].zone not in context.emptied_zones
         ):
-            self.missing.pop(location, None)
+            self.missing_since.pop(location, None)
             return replace(old, is_open=False) if best and best != old.owner and capacity > 0 else old
-        since = self.missing.setdefault(location, now)
+        since = self.missing_since.setdefault(location, now)
         worker = context.workers.get(old.owner)
-        certain = worker is None or worker.leaving or worker.zone in context.emptied
-        if certain or now - since >= constants.SLOT_OWNER_GRACE:
-            self.missing.pop(location, None)
+        is_certain = worker is None or worker.leaving or worker.zone in context.emptied_zones
+        if is_certain or now - since >= constants.SLOT_OWNER_GRACE:
+            self.missing_since.pop(location, None)
             return replace(old, is_open=False)
         return old
 
-    def _best(self, *, service: Service, space: str, slot: int, context: AssignmentContext) -> str:
+    def _best_owner(self, *, service: Service, space: str, slot: int, context: AssignmentContext) -> str:
         shares = next(
             (
                 match.shares
@@ -142,24 +143,24 @@
             zones = [
                 zone
                 for zone in tier
-                if zone not in context.emptied
-                and ((service.name, zone) in context.drained) == drained
+                if zone not in context.emptied_zones
+                and ((service.name, zone) in context.drained_zones) == drained
                 and (not homes or context.plan.regions.get(zone) in homes)
             ]
-            able = {
+            candidates = {
                 worker.name: key
                 for key, worker in context.workers.items()
-                if _is_able(worker=worker, key=key, service=service, zones=zones, context=context)
+                if _is_eligible(worker=worker, key=key, service=service, zones=zones, context=context)
             }
-            if able:
-                name = choose_names(key=f"{service.name}/{space}/{slot}", names=able, count=1)[0]
-                return able[name]
+            if candidates:
+                name = choose_names(key=f"{service.name}/{space}/{slot}", names=candidates, count=1)[0]
+                return candidates[name]
         return ""
 
     def _tiers(self, *, pool: Pool) -> list[tuple[bool, tuple]]:
-        """(drained zones or the others, tier) in the order of choice: where only drained zones could serve, they do."""
+        """(is drained, tier) in order of preference: drained zones serve only if no others can."""
         return [(drained, tier) for drained in (False, True) for tier in (pool.preferred, pool.fallback)]
 
 
-def _is_able(*, worker: Worker, key: str, service: Service, zones: list, context: AssignmentContext) -> bool:
+def _is_eligible(*, worker: Worker, key: str, service: Service, zones: list, context: AssignmentContext) -> bool:
     return worker.service == service.name and worker.zone in zones and not worker.leaving and key in context.healthy
--- a/sailward/control/shards/shard_leases.py
+++ b/sailward/control/shards/shard_leases.py
@@ -1,6 +1,6 @@
-"""A controller's part in the keys of services that are divided by number.
+"""A controller's part in the leases of services whose keys are divided into ranges.
 
-Who acts, how fresh it is, and what it grants from.
+Determines which controller acts, how fresh its view is, and what it grants from.
 """
 
 from __future__ import annotations
@@ -30,9 +30,9 @@
 
 
 class ShardLeases:
-    """Owner of the grants of one controller.
+    """Runs the grants of one controller.
 
-    `step` takes a call's end, or None for time going on; `receive` a message.
+    `step` takes the result of a call, or None for the passing of time; `receive` takes a message.
     """
 
     def __init__(
@@ -54,16 +54,16 @@
         self._codec, self._lease_max, self._op_prefix = codec, lease_max, op_prefix
         self.freshness = Freshness()
         self.granting: dict[str, Granting] = {}
-        self._listed: RegisterValue | None = None
+        self._adopted_list: RegisterValue | None = None
         self._workers: dict[str, Worker] = {}
-        self._slow_start: dict[str, float] = {}
-        self._emptied: frozenset = frozenset()
-        self._down: dict[str, float] = {}
-        self._loads: dict[str, tuple[float, dict]] = {}
-        self._ops = 0
+        self._slow_start_until: dict[str, float] = {}
+        self._emptied_zones: frozenset = frozenset()
+        self._down_since: dict[str, float] = {}
+        self._cached_loads: dict[str, tuple[float, dict]] = {}
+        self._operation_count = 0
 
     def receive(self, *, now: float, sender: str, body: Message) -> list[Command]:
-        """Answer another controller's asking, or fold an answer."""
+        """Answer another controller's request for a confirmation, or record an answer."""
         voter = self._voter
         if body["kind"] == "confirm":
             known, learned = voter.voters.number, voter.learner.values.get("voters")
@@ -84,24 +84,24 @@
             reply = SendMessage(
                 to=sender, body={"kind": "confirmed", "seq": body["seq"], "identity": voter.identity, "newest": newest}
             )
-            # a vote that is not synced yet may be lost: it is told behind the disk
+            # a vote that is not yet synced may be lost: the reply is sent after the disk sync
             return voter.write_ahead.step(records=[], replies=[reply])
         for name, newest in body["newest"].items():
             if isinstance(newest, list) and newest and newest[0] > voter.learner.number(name=name):
-                # chosen or not, it is newer than what would be granted from
+                # chosen or not, it is newer than the value that grants would be based on
                 self._catch_up.record_behind(now=now, name=name)
         return self.freshness.step(
             now=now,
             body=body,
             members=voter.voters.members,
             number=voter.voters.number,
-            own=voter.identity,
+            own_identity=voter.identity,
             registers=[],
         )
 
     def step(self, *, now: float, event: CallFinished | None) -> StepResult:
-        """Step the grants of each divided service: (commands, operations to begin)."""
-        services = sorted(name for name, service in self._shard_moves.plan.services.items() if service.is_ranged)
+        """Step the grants of each divided service; returns (commands, operations to start)."""
+        services = sorted(name for name, service in self._shard_moves.plan.services.items() if service.ranged)
         if event is not None:
             services = [
                 name for name in services if name in self.granting and self.granting[name].is_own(token=event.token)
@@ -111,31 +111,37 @@
         self._follow_endpoints(now=now)
         acting = self._choose_acting(services=services, may_set_readers=event is None)
         commands = self._step_freshness(now=now, acting=acting) if event is None else []
-        begins: list[StartOperation] = []
+        operations: list[StartOperation] = []
         for name in services:
             granting = self.granting.get(name)
             if granting is None:
-                granting = self.granting[name] = Granting(service=name, own=self._op_prefix, codec=self._codec)
+                granting = self.granting[name] = Granting(service=name, own_name=self._op_prefix, codec=self._codec)
             context = self._grant_context(now=now, service=name, is_acting=name in acting)
-            more, changes = granting.step(now=now, event=event, context=context)
-            commands += more
-            begins += [
+            granting_commands, changes = granting.step(now=now, event=event, context=context)
+            commands += granting_commands
+            operations += [
                 self._change(register=register, expected=number, text=text) for register, number, text in changes
             ]
-        return StepResult(commands, begins)
+        return StepResult(commands, operations)
 
     def _choose_acting(self, *, services: list[str], may_set_readers: bool) -> list[str]:
-        """The services whose leases this controller grants: for each one voter is chosen by hashing."""
+        """The services whose leases this controller grants: hashing chooses one voter for each."""
         controllers = [*self._peer_table.alive(kind="controller"), self._peer_table.own_entry()]
-        well = {peer["identity"]: peer["post"] for peer in controllers if peer["fit"]}
-        leads = (
-            {name: choose_names(key=SHARD_REGISTER_PREFIX + name, names=set(well), count=1)[0] for name in services}
-            if well
+        fit_controllers = {peer["identity"]: peer["post"] for peer in controllers if peer["fit"]}
+        chosen_voters = (
+            {name: choose_names(key=PREFIX + name, names=set(fit_controllers), count=1)[0] for name in services}
+            if fit_controllers
             else {}
         )
         if may_set_readers:
-            self._proxy_registry.readers = frozenset(well[lead] for lead in leads.values())
-        return [name for name, lead in leads.items() if self._voter.voting and lead == self._voter.identity]
+            self._proxy_registry.readers = frozenset(
+                fit_controllers[voter_identity] for voter_identity in chosen_voters.values()
+            )
+        return [
+            name
+            for name, voter_identity in chosen_voters.items()
+            if self._voter.voting and voter_identity == self._voter.identity
+        ]
 
     def _step_freshness(self, *, now: float, acting: list[str]) -> list[Command]:
         voter = self._voter
@@ -144,20 +150,20 @@
             body=None,
             members=voter.voters.members,
             number=voter.voters.number,
-            own=voter.identity,
-            registers=[SHARD_REGISTER_PREFIX + name for name in acting],
+            own_identity=voter.identity,
+            registers=[PREFIX + name for name in acting],
         )
 
     def _grant_context(self, *, now: float, service: str, is_acting: bool) -> GrantContext:
-        """What the granting of one service looks at in this moment."""
+        """The current inputs of the granting of one service."""
         voter = self._voter
-        learned = voter.learner.values.get(SHARD_REGISTER_PREFIX + service)
-        fresh_until = self.freshness.until(
+        learned = voter.learner.values.get(PREFIX + service)
+        fresh_until = self.freshness.lease_until(
             now=now,
             register=SHARD_REGISTER_PREFIX + service,
             learner=voter.learner,
             members=voter.voters.members,
-            own=voter.identity,
+            own_identity=voter.identity,
             slots=voter.acceptor.slots,
         )
         return GrantContext(
@@ -165,42 +171,42 @@
             workers=self._workers,
             fresh_until=fresh_until,
             is_acting=is_acting,
-            emptied=self._emptied,
-            down=self._down,
+            emptied_zones=self._emptied_zones,
+            down_since=self._down_since,
             lease_max=self._lease_max,
             **self._loads_of(now=now, service=service, is_acting=is_acting),
         )
 
     def _change(self, *, register: str, expected: int, text: str) -> StartOperation:
-        self._ops += 1
-        op = f"{self._op_prefix}/grant{self._ops}"
+        self._operation_count += 1
+        op = f"{self._op_prefix}/grant{self._operation_count}"
         return StartOperation(
             op=op, register=register, expected=expected, text=text, timeout=constants.GRANT_CONFIRMATION_TTL
         )
 
     def _loads_of(self, *, now: float, service: str, is_acting: bool) -> dict:
-        """Loads and paces for the one that acts, added up anew now and then."""
+        """Loads and latencies for the acting controller, recomputed at intervals."""
         if not is_acting:
-            self._loads.pop(service, None)
+            self._cached_loads.pop(service, None)
             return {}
-        at, found = self._loads.get(service, (-1e9, {}))
+        at, inputs = self._cached_loads.get(service, (-1e9, {}))
         if now - at >= constants.GRANT_CHECK_INTERVAL:
-            paces = {
-                key: pace
-                for key, pace in self._proxy_registry.paces(now=now).items()
+            latencies = {
+                key: latency
+                for key, latency in self._proxy_registry.latencies(now=now).items()
                 if key in self._workers and self._workers[key].service == service
             }
-            found = {"loads": self._proxy_registry.loads(now=now, service=service), "paces": paces}
-            self._loads[service] = now, found
-        return found
+            inputs = {"loads": self._proxy_registry.loads(now=now, service=service), "latencies": latencies}
+            self._cached_loads[service] = now, inputs
+        return inputs
 
     def _follow_endpoints(self, *, now: float) -> None:
-        """Fold the list, the orders and what proxies call unreachable into what is granted from."""
+        """Update workers, emptied zones and unreachable workers from the endpoint list, orders and proxy reports."""
         voter = self._voter
         orders = voter.learner.values.get("orders")
         emptied = read_orders(value=orders.value) if orders else frozenset()
-        if self._endpoint_list.value is not self._listed:
-            self._listed = self._endpoint_list.value
+        if self._endpoint_list.value is not self._adopted_list:
+            self._adopted_list = self._endpoint_list.value
             self._workers = {}
             for row in self._endpoint_list.rows():
                 self._workers[row["id"]] = Worker(
@@ -215,20 +221,20 @@
                     is_incarnation=True,
                 )
                 if row["cold_s"] > 0:
-                    self._slow_start.setdefault(row["id"], now + row["cold_s"])
-            self._slow_start = {key: at for key, at in self._slow_start.items() if key in self._workers}
-        for zone in self._emptied - emptied:
+                    self._slow_start_until.setdefault(row["id"], now + row["cold_s"])
+            self._slow_start_until = {key: at for key, at in self._slow_start_until.items() if key in self._workers}
+        for zone in self._emptied_zones - emptied:
             for key, worker in self._workers.items():
                 service = self._shard_moves.plan.services.get(worker.service)
                 if worker.zone == zone and service is not None:
-                    self._slow_start[key] = max(
-                        self._slow_start.get(key, 0.0), now + service.slow_start + constants.SLOW_START_MARGIN
+                    self._slow_start_until[key] = max(
+                        self._slow_start_until.get(key, 0.0), now + service.slow_start + constants.SLOW_START_MARGIN
                     )
-        self._emptied = emptied
+        self._emptied_zones = emptied
         self._workers = {
-            key: replace(worker, slow_start=max(0.0, self._slow_start.get(key, now) - now))
+            key: replace(worker, slow_start=max(0.0, self._slow_start_until.get(key, now) - now))
             for key, worker in self._workers.items()
         }
         reports = self._proxy_registry.down(now=now, proxies=self._subscribers.proxies())
-        down = {key for key, (count, voices) in reports.items() if 2 * count > voices}
-        self._down = {key: self._down.get(key, now) for key in down}
+        down = {key for key, (count, reporting) in reports.items() if 2 * count > reporting}
+        self._down_since = {key: self._down_since.get(key, now) for key in down}
--- a/sailward/control/shards/shard_moves.py
+++ b/sailward/control/shards/shard_moves.py
@@ -1,4 +1,4 @@
-"""The slot moves of all divided services, each minded by the one controller that hashing names."""
+"""The slot moves of all divided services; hashing chooses the one controller responsible for each."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 
 @dataclass(kw_only=True)
 class ShardMoves:
-    """Owner of the moves. `step` gives the changes to begin as (register, expected number, text)."""
+    """Runs the moves. `step` returns the changes to start as (register, expected number, text)."""
 
     plan: Plan = field(default_factory=Plan)
     table: EndpointTable = field(default_factory=EndpointTable)
-    assigning: dict = field(default_factory=dict)
+    assignments: dict = field(default_factory=dict)
     last_check_at: float = -1e9
 
     def step(
@@ -40,7 +40,7 @@
         epoch: int,
         proxies: list[Subscriber],
     ) -> list[tuple[str, int, str]]:
-        """Look at each divided service that this controller minds; `epoch` is that of the list of workers."""
+        """Check each divided service this controller is responsible for; `epoch` is that of the list of workers."""
         if now - self.last_check_at < constants.SLOT_ASSIGNMENT_INTERVAL or workers is None:
             return []
         self.last_check_at = now
@@ -49,17 +49,17 @@
             return []
         if (epoch, workers["number"]) > self.table.revision:
             self.table.step(epoch=epoch, revision=workers["number"], workers=json.loads(workers["text"]))
-        well = {controller["identity"] for controller in controllers if controller["fit"]}
+        fit_controllers = {controller["identity"] for controller in controllers if controller["fit"]}
         context = self._context(learner=learner, aggregated_health=aggregated_health, proxies=proxies)
         changes = []
         for service in divided:
-            name = SHARD_REGISTER_PREFIX + service.name
-            if choose_names(key=name, names=well, count=1) != [own]:
+            name = PREFIX + service.name
+            if choose_names(key=name, names=fit_controllers, count=1) != [own]:
                 # another controller assigns the shards of this service
-                self.assigning.pop(name, None)
+                self.assignments.pop(name, None)
                 continue
             value = learner.values[name].value if name in learner.values else {"number": 0, "text": ""}
-            assigning = self.assigning.setdefault(name, ShardAssignment())
+            assignment = self.assignments.setdefault(name, ShardAssignment())
             quiescence = Quiescence(
                 service=service.name,
                 number=value["number"],
@@ -67,7 +67,7 @@
                 controllers=controllers,
                 proxies=proxies,
             )
-            text = assigning.step(now=now, service=service, text=value["text"], context=context, quiescence=quiescence)
+            text = assignment.step(now=now, service=service, text=value["text"], context=context, quiescence=quiescence)
             if text:
                 changes.append((name, value["number"], text))
         return changes
@@ -76,17 +76,17 @@
         self, *, learner: Learner, aggregated_health: AggregatedHealth, proxies: list[Subscriber]
     ) -> AssignmentContext:
         emptied = read_orders(value=learner.values["orders"].value) if "orders" in learner.values else frozenset()
-        drained = frozenset(location for location, zone in aggregated_health.table.zones.items() if zone.is_drained)
-        fresh = [
+        drained = frozenset(location for location, zone in aggregated_health.table.zones.items() if zone.drained)
+        reports = [
             proxy.report["warm"]
             for proxy in proxies
             if proxy.report.get("warm") is not None and not proxy.report.get("suspect")
         ]
         counts: dict[str, int] = {}
-        for warm in fresh:
-            for key in warm:
+        for healthy_workers in reports:
+            for key in healthy_workers:
                 counts[key] = counts.get(key, 0) + 1
-        healthy = frozenset(key for key, count in counts.items() if 2 * count > len(fresh))
+        healthy = frozenset(key for key, count in counts.items() if 2 * count > len(reports))
         return AssignmentContext(
-            plan=self.plan, emptied=emptied, drained=drained, workers=self.table.workers, healthy=healthy
+            plan=self.plan, emptied_zones=emptied, drained_zones=drained, workers=self.table.workers, healthy=healthy
         )
--- a/sailward/control/shards/shard_plan.py
+++ b/sailward/control/shards/shard_plan.py
@@ -1,4 +1,4 @@
-"""Which worker should own which keys: few moves, cut by load."""
+"""Placement of keys on workers: ranges are split by load, and few keys move."""
 
 from __future__ import annotations
 
@@ -9,264 +9,308 @@
 from sailward.routing.shards import KEYS
 
 BUCKETS = constants.KEY_LOAD_BUCKETS
-WIDTH = KEYS // BUCKETS
-FLOOR = 0.2
+BUCKET_WIDTH = KEYS // BUCKETS
+UNIFORM_FRACTION = 0.2
+"""of the load that is taken to be spread evenly over all keys."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Span:
-    """Keys from `start` to `end`, both inside, and their owner's key; empty if they have none."""
+    """Keys from `start` to `end`, both inclusive, and their owner's key; "" if they have no owner."""
 
     start: int
     end: int
     owner: str
 
 
-class Spread:
-    """How busy the keys are: parts of the whole, from the requests/s of each bucket. Cuts lie between buckets."""
+class LoadDistribution:
+    """The distribution of load over the keys, as fractions of the total, from the requests/s of each bucket.
+
+    Ranges are split only between buckets.
+    """
 
     def __init__(self, *, loads: dict) -> None:
         total = sum(loads.values())
         self.total = total if total >= constants.REBALANCE_MIN_RATE else 0.0
-        self._floor = FLOOR if self.total else 1.0
+        self._uniform_fraction = UNIFORM_FRACTION if self.total else 1.0
         self._buckets = sorted(loads) if self.total else []
         self._sums = [0.0]
         for bucket in self._buckets:
-            self._sums.append(self._sums[-1] + (1 - FLOOR) * loads[bucket] / total)
+            self._sums.append(self._sums[-1] + (1 - UNIFORM_FRACTION) * loads[bucket] / total)
 
-    def of(self, *, span: Span) -> float:
-        """The part of all load that these keys have."""
-        return self._below(key=span.end + 1) - self._below(key=span.start)
+    def load_of(self, *, span: Span) -> float:
+        """The fraction of the total load on these keys."""
+        return self._load_below(key=span.end + 1) - self._load_below(key=span.start)
 
-    def split_point(self, *, start: int, part: float) -> int:
-        """The key before which about this part of all load lies, counted from `start`."""
-        aim = self._below(key=start) + part
-        at = bisect.bisect_left(range(BUCKETS + 1), aim, key=lambda bucket: self._below(key=bucket * WIDTH))
-        before, after = (aim - self._below(key=max(0, at - 1) * WIDTH), self._below(key=min(BUCKETS, at) * WIDTH) - aim)
-        return min(KEYS, WIDTH * (max(0, at - 1) if before < after else at))
+    def split_point(self, *, start: int, fraction: float) -> int:
+        """The key such that about the given `fraction` of the total load lies between `start` and it."""
+        wanted = self._load_below(key=start) + fraction
+        at = bisect.bisect_left(
+            range(BUCKETS + 1), wanted, key=lambda bucket: self._load_below(key=bucket * BUCKET_WIDTH)
+        )
+        before, after = (
+            wanted - self._load_below(key=max(0, at - 1) * BUCKET_WIDTH),
+            self._load_below(key=min(BUCKETS, at) * BUCKET_WIDTH) - wanted,
+        )
+        return min(KEYS, BUCKET_WIDTH * (max(0, at - 1) if before < after else at))
 
-    def _below(self, *, key: int) -> float:
-        bucket, rest = divmod(key, WIDTH)
+    def _load_below(self, *, key: int) -> float:
+        bucket, remainder = divmod(key, BUCKET_WIDTH)
         at = bisect.bisect_left(self._buckets, bucket)
-        below = self._sums[at] + self._floor * key / KEYS
-        if rest and at < len(self._buckets) and self._buckets[at] == bucket:
-            below += (self._sums[at + 1] - self._sums[at]) * rest / WIDTH
+        below = self._sums[at] + self._uniform_fraction * key / KEYS
+        if remainder and at < len(self._buckets) and self._buckets[at] == bucket:
+            below += (self._sums[at + 1] - self._sums[at]) * remainder / BUCKET_WIDTH
         return below
 
 
-def place(*, spans: list[Span], able: dict, loads: dict, is_balancing: bool) -> list[Span]:
-    """The wanted owners of all keys.
+def place_spans(*, spans: list[Span], throughputs: dict, loads: dict, is_balancing: bool) -> list[Span]:
+    """The target owners of all keys.
 
-    `able` has the requests/s that each worker that may own can do, `loads` those by bucket.
+    `throughputs` has the requests/s that each eligible worker can serve, `loads` the requests/s of each bucket.
 
-    Spans whose owner is able stay, but for what `is_balancing` moves: from those that are well over their part and not
-    calm, or slow for what others could do, to those that are well under it. All others are given to those that lack
-    most.
+    Spans with an eligible owner stay, except for what `is_balancing` moves: from workers that are well over their share
+    and busy, or that are slower than others with capacity to spare, to workers well under their share. All other spans
+    go to the workers furthest below their share.
     """
-    if not able:
-        return _join(spans=[replace(span, owner="") for span in spans])
-    parts = _parts_of(spans=spans, able=able, loads=loads)
-    if not any(span.owner in able for span in spans):
-        return _divide(spread=parts.spread, fair=parts.fair)
+    if not throughputs:
+        return _merge_adjacent(spans=[replace(span, owner="") for span in spans])
+    shares = _load_shares(spans=spans, throughputs=throughputs, loads=loads)
+    if not any(span.owner in throughputs for span in spans):
+        return _divide(distribution=shares.distribution, target=shares.target)
     placed: list[Span] = []
     for span in spans:
         placed += (
             [span]
-            if span.owner in able
-            else _assign(span=span, spread=parts.spread, fair=parts.fair, assigned=parts.assigned)
+            if span.owner in throughputs
+            else _assign(span=span, distribution=shares.distribution, target=shares.target, assigned=shares.assigned)
         )
     if is_balancing:
         for _ in range(constants.REBALANCE_MAX_MOVES):
-            fresh = _balance(spans=placed, parts=parts)
-            if fresh is None:
+            moved = _balance(spans=placed, shares=shares)
+            if moved is None:
                 break
-            placed = fresh
-    return _join(spans=placed)
+            placed = moved
+    return _merge_adjacent(spans=placed)
 
 
-def strain(*, spans: list[Span], able: dict, loads: dict) -> float:
-    """How many times its part the busiest owner has."""
-    parts = _parts_of(spans=spans, able=able, loads=loads)
-    return max((parts.ratio(name=name) for name in able), default=0.0)
+def max_load_ratio(*, spans: list[Span], throughputs: dict, loads: dict) -> float:
+    """The load of the most loaded owner, as a multiple of its share."""
+    shares = _load_shares(spans=spans, throughputs=throughputs, loads=loads)
+    return max((shares.load_ratio(name=name) for name in throughputs), default=0.0)
 
 
-def weigh(*, capacities: dict, paces: dict) -> dict:
-    """The requests/s that each worker can do.
+def estimate_throughputs(*, capacities: dict, latencies: dict) -> dict:
+    """The requests/s that each worker can serve, from its capacity and its time per request.
 
-    A pace from few times counts less, and none is far from the middle one.
+    A time from few samples counts less, and none may be far from the median.
     """
-    known = sorted(paces[key][0] for key in capacities if key in paces)
-    middle = known[len(known) // 2] if known else constants.DEFAULT_WORKER_LATENCY * constants.LATENCY_LOWER_HALF_RATIO
-    able = {}
+    sorted_times = sorted(latencies[key][0] for key in capacities if key in latencies)
+    median = (
+        sorted_times[len(sorted_times) // 2]
+        if sorted_times
+        else constants.DEFAULT_WORKER_LATENCY * constants.LATENCY_LOWER_HALF_RATIO
+    )
+    throughputs = {}
     for key, capacity in capacities.items():
-        pace, count = paces.get(key, (middle, 0))
-        pace = (pace * count + middle * constants.LATENCY_PRIOR_SAMPLES) / (count + constants.LATENCY_PRIOR_SAMPLES)
-        pace = min(max(pace, middle / constants.LATENCY_MAX_RATIO), middle * constants.LATENCY_MAX_RATIO)
-        able[key] = capacity * constants.LATENCY_LOWER_HALF_RATIO / pace
-    return able
+        latency, count = latencies.get(key, (median, 0))
+        latency = (latency * count + median * constants.LATENCY_PRIOR_SAMPLES) / (
+            count + constants.LATENCY_PRIOR_SAMPLES
+        )
+        latency = min(max(latency, median / constants.LATENCY_MAX_RATIO), median * constants.LATENCY_MAX_RATIO)
+        throughputs[key] = capacity * constants.LATENCY_LOWER_HALF_RATIO / latency
+    return throughputs
 
 
 @dataclass(kw_only=True)
-class Parts:
-    """The parts of the load: what each worker can do of the whole, what it should have, and what it has."""
+class LoadShares:
+    """The workers' shares of the load, as fractions of the total.
+
+    `proportional` follows what each worker can serve, `target` is what it should have, `assigned` is what it has.
+    """
 
-    able: dict
-    spread: Spread
-    even: dict
-    fair: dict
+    throughputs: dict
+    distribution: LoadDistribution
+    proportional: dict
+    target: dict
     assigned: dict
 
-    def ratio(self, *, name: str) -> float:
-        """What it has, in times its part; a slow worker that should have little may have its even part in peace."""
-        return self.assigned[name] / max(self.fair[name], self.even[name])
+    def load_ratio(self, *, name: str) -> float:
+        """The assigned load as a multiple of the share; a slow worker with a low target may keep `proportional`."""
+        return self.assigned[name] / max(self.target[name], self.proportional[name])
 
-    def is_over(self, *, name: str) -> bool:
-        """Should it give keys away?"""
-        ratio, use = self.ratio(name=name), self.assigned[name] * self.spread.total / self.able[name]
+    def is_overloaded(self, *, name: str) -> bool:
+        """Is the worker overloaded enough to give keys away?"""
+        load_ratio, utilization = (
+            self.load_ratio(name=name),
+            self.assigned[name] * self.distribution.total / self.throughputs[name],
+        )
         is_slow = (
-            self.assigned[name] - self.fair[name] > constants.REBALANCE_SLOW_WORKER_RATIO * self.even[name]
-            and self.fair[name] < self.even[name]
+            self.assigned[name] - self.target[name] > constants.REBALANCE_SLOW_WORKER_RATIO * self.proportional[name]
+            and self.target[name] < self.proportional[name]
         )
         return (
-            ratio > constants.REBALANCE_URGENT_RATIO
-            or (ratio > constants.REBALANCE_HIGH_RATIO and use > constants.REBALANCE_MIN_UTILIZATION)
+            load_ratio > constants.REBALANCE_URGENT_RATIO
+            or (load_ratio > constants.REBALANCE_HIGH_RATIO and utilization > constants.REBALANCE_MIN_UTILIZATION)
             or is_slow
         )
 
-    def is_under(self, *, name: str) -> bool:
-        """Is it idle though it should not be?"""
+    def is_underloaded(self, *, name: str) -> bool:
+        """Is the worker nearly idle although its target share is not small?"""
         return (
-            self.assigned[name] < constants.REBALANCE_LOW_RATIO * min(self.fair[name], self.even[name])
-            and self.fair[name] > 0.5 * self.even[name]
+            self.assigned[name] < constants.REBALANCE_LOW_RATIO * min(self.target[name], self.proportional[name])
+            and self.target[name] > 0.5 * self.proportional[name]
         )
 
 
-def _parts_of(*, spans: list[Span], able: dict, loads: dict) -> Parts:
-    spread, total_capacity, assigned = Spread(loads=loads), sum(able.values()), dict.fromkeys(able, 0.0)
+def _load_shares(*, spans: list[Span], throughputs: dict, loads: dict) -> LoadShares:
+    distribution, total_throughput, assigned = (
+        LoadDistribution(loads=loads),
+        sum(throughputs.values()),
+        dict.fromkeys(throughputs, 0.0),
+    )
     for span in spans:
         if span.owner in assigned:
-            assigned[span.owner] += spread.of(span=span)
-    even = {name: weight / total_capacity for name, weight in able.items()}
-    return Parts(able=able, spread=spread, even=even, assigned=assigned, fair=_share(able=able, total=spread.total))
+            assigned[span.owner] += distribution.load_of(span=span)
+    proportional = {name: weight / total_throughput for name, weight in throughputs.items()}
+    return LoadShares(
+        throughputs=throughputs,
+        distribution=distribution,
+        proportional=proportional,
+        assigned=assigned,
+        target=_target_shares(throughputs=throughputs, total=distribution.total),
+    )
 
 
-def _share(*, able: dict, total: float) -> dict:
-    """The part of the load that each worker should have.
+def _target_shares(*, throughputs: dict, total: float) -> dict:
+    """The target share of each worker.
 
-    The less there is to do, the more of it goes to the quick ones.
+    The lower the total load, the larger the share of the fast workers.
     """
-    total_capacity = sum(able.values())
-    lean = (
+    total_throughput = sum(throughputs.values())
+    exponent = (
         1
         + constants.REBALANCE_SKEW_EXPONENT
-        * max(0.0, 1 - total / total_capacity / constants.REBALANCE_SATURATION_RATIO)
+        * max(0.0, 1 - total / total_throughput / constants.REBALANCE_SATURATION_RATIO)
         if total
         else 1.0
     )
-    leaning = {name: weight**lean for name, weight in able.items()}
-    return {name: weight / sum(leaning.values()) for name, weight in leaning.items()}
+    weighted = {name: weight**exponent for name, weight in throughputs.items()}
+    return {name: weight / sum(weighted.values()) for name, weight in weighted.items()}
 
 
-def _divide(*, spread: Spread, fair: dict) -> list[Span]:
-    spans, start, sum_of = [], 0, 0.0
-    names = sorted(fair)
+def _divide(*, distribution: LoadDistribution, target: dict) -> list[Span]:
+    spans, start, cumulative = [], 0, 0.0
+    names = sorted(target)
     for name in names:
-        sum_of += fair[name]
-        end = KEYS if name == names[-1] else spread.split_point(start=0, part=sum_of)
+        cumulative += target[name]
+        end = KEYS if name == names[-1] else distribution.split_point(start=0, fraction=cumulative)
         if end > start:
             spans.append(Span(start=start, end=end - 1, owner=name))
             start = end
     return spans
 
 
-def _assign(*, span: Span, spread: Spread, fair: dict, assigned: dict) -> list[Span]:
-    least = constants.REBALANCE_MIN_PIECE_RATIO / len(fair)
-    given, start = [], span.start
+def _assign(*, span: Span, distribution: LoadDistribution, target: dict, assigned: dict) -> list[Span]:
+    least = constants.REBALANCE_MIN_PIECE_RATIO / len(target)
+    assigned_spans, start = [], span.start
     while start <= span.end:
-        taker = max(sorted(fair), key=lambda name: fair[name] - assigned[name])
-        lack = max(fair[taker] - assigned[taker], least)
-        rest = Span(start=start, end=span.end, owner=taker)
-        end = spread.split_point(start=start, part=lack) - 1
-        if spread.of(span=rest) > lack + least and start <= end < span.end:
-            rest = replace(rest, end=end)
-        assigned[taker] += spread.of(span=rest)
-        given.append(rest)
-        start = rest.end + 1
-    return given
-
-
-def _balance(*, spans: list[Span], parts: Parts) -> list[Span] | None:
-    """One piece moved, from the first of the busiest that can be relieved; None if nothing needs to move."""
-    fair, assigned = parts.fair, parts.assigned
-    names = sorted(fair)
+        taker = max(sorted(target), key=lambda name: target[name] - assigned[name])
+        deficit = max(target[taker] - assigned[taker], least)
+        remainder = Span(start=start, end=span.end, owner=taker)
+        end = distribution.split_point(start=start, fraction=deficit) - 1
+        if distribution.load_of(span=remainder) > deficit + least and start <= end < span.end:
+            remainder = replace(remainder, end=end)
+        assigned[taker] += distribution.load_of(span=remainder)
+        assigned_spans.append(remainder)
+        start = remainder.end + 1
+    return assigned_spans
+
+
+def _balance(*, spans: list[Span], shares: LoadShares) -> list[Span] | None:
+    """Move one chunk from the most loaded worker that can be relieved; None if nothing needs to move."""
+    target, assigned = shares.target, shares.assigned
+    names = sorted(target)
     taker = min(
         names,
         key=lambda name: (
-            assigned[name] / fair[name]
-            if fair[name] > 0.5 * parts.even[name]
-            else assigned[name] / parts.even[name] + 0.5
+            assigned[name] / target[name]
+            if target[name] > 0.5 * shares.proportional[name]
+            else assigned[name] / shares.proportional[name] + 0.5
         ),
     )
-    is_idle = parts.is_under(name=taker)
+    is_idle = shares.is_underloaded(name=taker)
     givers = sorted(
-        names, key=lambda name: -max(parts.ratio(name=name), (assigned[name] - fair[name]) / parts.even[name])
+        names,
+        key=lambda name: (
+            -max(shares.load_ratio(name=name), (assigned[name] - target[name]) / shares.proportional[name])
+        ),
     )
     for giver in givers:
-        if giver == taker or not (is_idle or parts.is_over(name=giver)):
+        if giver == taker or not (is_idle or shares.is_overloaded(name=giver)):
             continue
-        part = min(assigned[giver] - fair[giver], fair[taker] - assigned[taker])
+        fraction = min(assigned[giver] - target[giver], target[taker] - assigned[taker])
         if is_idle:
-            part = min(
-                max(part, constants.REBALANCE_MIN_PIECE_RATIO * fair[taker]), assigned[giver] - 0.7 * fair[giver]
+            fraction = min(
+                max(fraction, constants.REBALANCE_MIN_PIECE_RATIO * target[taker]),
+                assigned[giver] - 0.7 * target[giver],
+            )
+        moved = (
+            _move(
+                spans=spans,
+                distribution=shares.distribution,
+                giver=giver,
+                taker=taker,
+                fraction=fraction,
+                assigned=assigned,
             )
-        fresh = (
-            _move(spans=spans, spread=parts.spread, giver=giver, taker=taker, part=part, assigned=assigned)
-            if part >= 0.1 / len(fair)
+            if fraction >= 0.1 / len(target)
             else None
         )
-        if fresh is not None:
-            return fresh
+        if moved is not None:
+            return moved
     return None
 
 
 def _move(
-    *, spans: list[Span], spread: Spread, giver: str, taker: str, part: float, assigned: dict
+    *, spans: list[Span], distribution: LoadDistribution, giver: str, taker: str, fraction: float, assigned: dict
 ) -> list[Span] | None:
-    """A piece of about this part of the load goes over: the one with the fewest keys for it."""
+    """Move a chunk with about this fraction of the load, chosen for the fewest keys per unit of load."""
     best = None
     for span in spans:
-        for chunk in _edges(span=span, spread=spread, part=part) if span.owner == giver else ():
-            mass = spread.of(span=chunk)
-            price = (chunk.end - chunk.start + 1) / mass
-            if 0.3 * part <= mass <= 1.2 * part and (best is None or price < best[0]):
-                best = price, span, chunk, mass
+        for chunk in (
+            _end_chunks(span=span, distribution=distribution, fraction=fraction) if span.owner == giver else ()
+        ):
+            load = distribution.load_of(span=chunk)
+            cost = (chunk.end - chunk.start + 1) / load
+            if 0.3 * fraction <= load <= 1.2 * fraction and (best is None or cost < best[0]):
+                best = cost, span, chunk, load
     if best is None:
         return None
-    _, span, chunk, mass = best
-    assigned[giver] -= mass
-    assigned[taker] += mass
+    _, span, chunk, load = best
+    assigned[giver] -= load
+    assigned[taker] += load
     at = spans.index(span)
-    parts = [
+    pieces = [
         Span(start=span.start, end=chunk.start - 1, owner=giver),
         replace(chunk, owner=taker),
         Span(start=chunk.end + 1, end=span.end, owner=giver),
     ]
-    return [*spans[:at], *(span_part for span_part in parts if span_part.start <= span_part.end), *spans[at + 1 :]]
+    return [*spans[:at], *(piece for piece in pieces if piece.start <= piece.end), *spans[at + 1 :]]
 
 
-def _edges(*, span: Span, spread: Spread, part: float) -> list[Span]:
-    mass = spread.of(span=span)
-    if mass <= part:
+def _end_chunks(*, span: Span, distribution: LoadDistribution, fraction: float) -> list[Span]:
+    load = distribution.load_of(span=span)
+    if load <= fraction:
         return [span]
-    left = spread.split_point(start=span.start, part=part)
-    right = spread.split_point(start=span.start, part=mass - part)
+    left = distribution.split_point(start=span.start, fraction=fraction)
+    right = distribution.split_point(start=span.start, fraction=load - fraction)
     return [
         replace(span, end=min(max(left - 1, span.start), span.end)),
         replace(span, start=min(max(right, span.start), span.end)),
     ]
 
 
-def _join(*, spans: list[Span]) -> list[Span]:
+def _merge_adjacent(*, spans: list[Span]) -> list[Span]:
     joined: list[Span] = []
     for span in spans:
         if joined and joined[-1].owner == span.owner:
--- a/tests/granting_fixture.py
+++ b/tests/granting_fixture.py
@@ -1,4 +1,4 @@
-"""Granters, voters and workers on virtual time, for the tests of granting: every hold is checked against all others."""
+"""Granters, voters and workers in virtual time for the tests of granting; each hold is checked against all others."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from sailward.events import CallFinished, StartCall
 from sailward.routing.shards import KEYS
 
-SLOW = 1 / 0.98
+CLOCK_SLOWNESS = 1 / 0.98
 SERVICE = "cart"
 
 
 @dataclass(frozen=True, kw_only=True)
-class Listed:
+class ListedWorker:
     name: str
     service: str
     address: str
@@ -55,39 +55,41 @@
 
 @dataclass(kw_only=True)
 class FakeWorker:
-    """A worker's process: holds by a slow clock, refuses lower fences, ends what runs before it answers a release."""
+    """A worker's process: times holds by a slow clock, rejects lower fences, finishes requests before a release."""
 
     key: str
     address: str
     zone: str
-    alive: bool = True
+    is_alive: bool = True
     is_leaving: bool = False
     slow_start: float = 0.0
-    listed: bool = True
+    is_listed: bool = True
     is_unreachable: bool = False
     is_refusing: bool = False
     silent_to: set = field(default_factory=set)
     holds: list = field(default_factory=list)
-    seen: list = field(default_factory=list)
+    known_fences: list = field(default_factory=list)
     handovers: list = field(default_factory=list)
 
     @property
     def fault(self) -> str:
-        """How a call to its address fails, or ""."""
-        if not self.alive or self.is_refusing:
+        """The fault of a call to its address, or ""."""
+        if not self.is_alive or self.is_refusing:
             return "refused"
         return "no-connection" if self.is_unreachable else ""
 
-    def held(self, *, now: float) -> list[Hold]:
-        return [hold for hold in self.holds if hold.until > now] if self.alive else []
+    def current_holds(self, *, now: float) -> list[Hold]:
+        return [hold for hold in self.holds if hold.until > now] if self.is_alive else []
 
-    def take(self, *, now: float, body: dict) -> int:
+    def handle_grant(self, *, now: float, body: dict) -> int:
         start, end, fencing_token = body["start"], body["end"], body["fence"]
-        if any(a <= end and start <= b and f > fencing_token for a, b, f in self.seen):
+        if any(first <= end and start <= last and fence > fencing_token for first, last, fence in self.known_fences):
             return 409
-        self.seen.append((start, end, fencing_token))
+        self.known_fences.append((start, end, fencing_token))
         self.drop(start=start, end=end)
-        self.holds.append(Hold(start=start, end=end, until=now + body["hold"] * SLOW, fencing_token=fencing_token))
+        self.holds.append(
+            Hold(start=start, end=end, until=now + body["hold"] * CLOCK_SLOWNESS, fencing_token=fencing_token)
+        )
         self.handovers.append(body["handover"])
         return 200
 
@@ -106,10 +108,10 @@
 
 @dataclass(kw_only=True)
 class Granter:
-    """One life of one controller: what it holds of the register, and how fresh that is."""
+    """One incarnation of a controller, with its copy of the register and the read leases on it."""
 
     name: str
-    life: int
+    incarnation: int
     granting: Granting
     value: dict = field(default_factory=lambda: {"number": 0, "text": ""})
     fresh: dict = field(default_factory=dict)
@@ -117,7 +119,7 @@
     is_cut: bool = False
     is_acting: bool = False
     blind: frozenset = frozenset()
-    down: dict = field(default_factory=dict)
+    down_since: dict = field(default_factory=dict)
 
 
 class World:
@@ -134,15 +136,19 @@
         self.zones = [f"h{at}" for at in range(zones)]
         for at in range(workers):
             self.start_worker(address=f"w{at}", zone=self.zones[at % zones])
-        self.emptied: frozenset = frozenset()
+        self.emptied_zones: frozenset = frozenset()
         self.loads: dict = {}
         self.overlaps: list = []
         self.changes = 0
         self.calls: list = []
 
     def start_granter(self, *, name: str) -> Granter:
-        life = next(self.ids)
-        return Granter(name=name, life=life, granting=Granting(service=SERVICE, own=f"{name}#{life}", codec=Codec()))
+        incarnation = next(self.ids)
+        return Granter(
+            name=name,
+            incarnation=incarnation,
+            granting=Granting(service=SERVICE, own_name=f"{name}#{incarnation}", codec=Codec()),
+        )
 
     def start_worker(self, *, address: str, zone: str) -> FakeWorker:
         worker = FakeWorker(key=f"{address}/{next(self.ids)}", address=address, zone=zone)
@@ -156,7 +162,7 @@
         return self.rng.uniform(0.0, self.slowest) if self.rng.random() < 0.2 else self.rng.uniform(0.001, 0.03)
 
     def run(self, *, seconds: float) -> None:
-        """Go on with a tick each 0.05 s and what falls between the ticks."""
+        """Advance the time tick by tick, and run the events due between the ticks."""
         until = self.now + seconds
         while self.now < until:
             tick = self.now + constants.TICK_INTERVAL
@@ -171,7 +177,7 @@
                     self.step(granter=granter, event=None)
 
     def ask(self, *, granter: Granter) -> None:
-        asked = self.now
+        requested_at = self.now
         if granter.is_cut:
             return
 
@@ -180,21 +186,21 @@
             if not granter.is_cut:
                 self.at(
                     delay=self.delay(),
-                    act=lambda: self.confirm(granter=granter, asked=asked, number=number, value=value),
+                    act=lambda: self.confirm(granter=granter, requested_at=requested_at, number=number, value=value),
                 )
 
         self.at(delay=self.delay(), act=arrive)
 
-    def confirm(self, *, granter: Granter, asked: float, number: int, value: dict) -> None:
+    def confirm(self, *, granter: Granter, requested_at: float, number: int, value: dict) -> None:
         if granter.is_cut:
             return
-        granter.fresh[number] = max(granter.fresh.get(number, -1e9), asked + constants.GRANT_CONFIRMATION_TTL)
+        granter.fresh[number] = max(granter.fresh.get(number, -1e9), requested_at + constants.GRANT_CONFIRMATION_TTL)
         if number > granter.value["number"] and self.rng.random() < 0.7:
             granter.value = value
 
     def step(self, *, granter: Granter, event: CallFinished | None) -> None:
-        listed = {
-            worker.key: Listed(
+        listed_workers = {
+            worker.key: ListedWorker(
                 name=worker.key,
                 service=SERVICE,
                 address=worker.address,
@@ -203,15 +209,15 @@
                 slow_start=worker.slow_start,
             )
             for worker in self.workers
-            if worker.listed and worker.key not in granter.blind
+            if worker.is_listed and worker.key not in granter.blind
         }
         context = GrantContext(
             value=granter.value,
-            workers=listed,
+            workers=listed_workers,
             fresh_until=granter.fresh.get(granter.value["number"], -1e9),
             is_acting=granter.is_acting,
-            emptied=self.emptied,
-            down=granter.down,
+            emptied_zones=self.emptied_zones,
+            down_since=granter.down_since,
             loads=self.loads,
         )
         commands, changes = granter.granting.step(now=self.now, event=event, context=context)
@@ -230,16 +236,19 @@
         if self.register["number"] != number:
             return
         value = self.register = {"number": number + 1, "text": text}
-        asked = self.now
+        chosen_at = self.now
         for other in self.granters:
             if not other.is_cut and (other is granter or self.rng.random() < 0.8):
-                self.at(delay=self.delay(), act=lambda other=other: self.learn(granter=other, value=value, asked=asked))
+                self.at(
+                    delay=self.delay(),
+                    act=lambda other=other: self.learn(granter=other, value=value, chosen_at=chosen_at),
+                )
 
-    def learn(self, *, granter: Granter, value: dict, asked: float) -> None:
+    def learn(self, *, granter: Granter, value: dict, chosen_at: float) -> None:
         if not granter.is_cut and value["number"] > granter.value["number"]:
             granter.value = value
             granter.fresh[value["number"]] = max(
-                granter.fresh.get(value["number"], -1e9), asked + constants.GRANT_CONFIRMATION_TTL
+                granter.fresh.get(value["number"], -1e9), chosen_at + constants.GRANT_CONFIRMATION_TTL
             )
 
     def call(self, *, granter: Granter, call: StartCall) -> None:
@@ -285,22 +294,22 @@
             self.serve(worker=worker, call=call, answer=answer)
 
     def flight(self, *, call: StartCall) -> float:
-        """How long a call is under way; a late grant arrives as late as it may."""
+        """The time that a call is in transit; a delayed grant may arrive at the latest permitted time."""
         flight = self.delay()
         if flight > 0.4 and self.slowest >= 0.5 and call.path == "/hold":
             return self.rng.uniform(0.0, call.timeout + constants.GRANT_IN_FLIGHT_LIMIT - 0.01)
         return flight
 
     def worker_at(self, *, address: str) -> FakeWorker:
-        """The worker that answers at the address, the last one that did where none is alive."""
+        """The live worker at the address, or the most recent one if none is alive."""
         here = [worker for worker in self.workers if worker.address == address]
-        alive = [one for one in here if one.alive]
+        alive = [worker for worker in here if worker.is_alive]
         return alive[-1] if alive else here[-1]
 
     def serve(self, *, worker: FakeWorker, call: StartCall, answer: object) -> None:
         body = json.loads(call.body)
         if call.path == "/hold":
-            code = worker.take(now=self.now, body=body)
+            code = worker.handle_grant(now=self.now, body=body)
             if code == 200:
                 self.check(worker=worker)
             answer(worker=worker, code=code)
@@ -310,24 +319,24 @@
             worker.drop(start=body["start"], end=body["end"])
             answer(worker=worker, code=200, headers={"passed-on": f"from {worker.key}"})
 
-        # what runs still counts as held until the answer
+        # the keys of running requests count as held until the answer
         self.at(delay=self.rng.choice((0.0, 0.02, 0.3)), act=done)
 
     def check(self, *, worker: FakeWorker) -> None:
         for other in self.workers:
             if other is not worker:
-                for one in worker.held(now=self.now):
+                for hold in worker.current_holds(now=self.now):
                     self.overlaps += [
-                        (self.now, worker.key, other.key, one, two)
-                        for two in other.held(now=self.now)
-                        if one.start <= two.end and two.start <= one.end
+                        (self.now, worker.key, other.key, hold, other_hold)
+                        for other_hold in other.current_holds(now=self.now)
+                        if hold.start <= other_hold.end and other_hold.start <= hold.end
                     ]
 
     def held_keys(self) -> int:
-        """How many keys some living worker holds (never two, or `overlaps` tells)."""
-        return sum(one.end - one.start + 1 for worker in self.workers for one in worker.held(now=self.now))
+        """The number of keys held by live workers (a key held twice is recorded in `overlaps`)."""
+        return sum(hold.end - hold.start + 1 for worker in self.workers for hold in worker.current_holds(now=self.now))
 
-    def run_until_whole(self, *, within: float) -> float:
+    def run_until_all_held(self, *, within: float) -> float:
         """Seconds until every key is held."""
         start = self.now
         while self.held_keys() < KEYS and self.now - start <= within:
@@ -335,7 +344,7 @@
         return self.now - start
 
     def keys_of(self, *, worker: FakeWorker) -> int:
-        return sum(one.end - one.start + 1 for one in worker.held(now=self.now))
+        return sum(hold.end - hold.start + 1 for hold in worker.current_holds(now=self.now))
 
 
 def make_settled(**settings: object) -> World:
@@ -345,17 +354,17 @@
     return world
 
 
-def fine(*, loads: dict) -> dict:
-    """Loads by bucket from those by 256th parts of all keys."""
+def loads_by_bucket(*, loads: dict) -> dict:
+    """Loads by bucket, from loads by 256ths of the key space."""
     width = constants.KEY_LOAD_BUCKETS // 256
     return {at * width + rest: rate / width for at, rate in loads.items() for rest in range(width)}
 
 
 def crash(*, world: World, worker: FakeWorker, unlist_after: float = 1.0, again_after: float = 1.5) -> None:
-    worker.alive = False
+    worker.is_alive = False
 
     def vanish() -> None:
-        worker.listed = False
+        worker.is_listed = False
 
     world.at(delay=unlist_after, act=vanish)
     world.at(delay=again_after, act=lambda: world.start_worker(address=worker.address, zone=worker.zone))
