--- a/sailward/control/proxies/aggregated_health.py
+++ b/sailward/control/proxies/aggregated_health.py
@@ -53,7 +53,7 @@
 
     def view(self, *, with_slow_start: bool) -> dict:
         """The view as sent in a grant."""
-        drained = [f"{service}|{zone}" for (service, zone), state in self.table.zones.items() if state.drained]
+        drained = [f"{service}|{zone}" for (service, zone), state in self.table.zones.items() if state.is_drained]
         return {"drained": drained, **({"warm": self.healthy_durations} if with_slow_start else {})}
 
     def _current_counts(self) -> dict:
--- a/sailward/control/shards/granting.py
+++ b/sailward/control/shards/granting.py
@@ -116,7 +116,7 @@
         if table is None or table == self._table:
             return []
         self._last_request = (self._number, now)
-        return [(PREFIX + self._service, self._number, write_shards(table=table))]
+        return [(SHARD_REGISTER_PREFIX + self._service, self._number, write_shards(table=table))]
 
     def _next_table(self, *, now: float, context: GrantContext) -> ShardTable | None:
         if self._table is None:
@@ -124,7 +124,7 @@
         if not self._is_granter():
             if now - self._granter_changed_at < constants.GRANT_TAKEOVER_MIN_INTERVAL:
                 return None
-            return replace(self._table, granter=self._own_name, since=self._number + 1)
+            return replace(self._table, granter=self._own_name, takeover_number=self._number + 1)
         shards, fencing_token = self._next_shards(now=now, table=self._table, context=context)
         max_shards = constants.MAX_RANGES_PER_WORKER * max(
             1, len(self._targets.eligible_throughputs(now=now, context=context))
@@ -143,7 +143,9 @@
             Shard(start=span.start, end=span.end, owner=span.owner, fencing_token=at + 1, state=OPEN)
             for at, span in enumerate(spans)
         )
-        return ShardTable(granter=self._own_name, since=self._number + 1, fencing_token=len(shards) + 1, shards=shards)
+        return ShardTable(
+            granter=self._own_name, takeover_number=self._number + 1, fencing_token=len(shards) + 1, shards=shards
+        )
 
     def _next_shards(self, *, now: float, table: ShardTable, context: GrantContext) -> tuple[list[Shard], int]:
         """The next state of all shards, and the next fence."""
--- a/sailward/control/shards/quiescence.py
+++ b/sailward/control/shards/quiescence.py
@@ -67,7 +67,7 @@
         )
 
     def _is_drained(self, *, proxy: Subscriber, closed_slot: ClosedSlot, slot: str) -> bool:
-        known_number = (proxy.have.get(PREFIX + self.service) or [-1])[0]
+        known_number = (proxy.have.get(SHARD_REGISTER_PREFIX + self.service) or [-1])[0]
         return known_number >= closed_slot.register_number and f"{self.service}|{slot}" not in proxy.report.get(
             "busy", ()
         )
--- a/sailward/control/shards/shard_assignment.py
+++ b/sailward/control/shards/shard_assignment.py
@@ -97,13 +97,13 @@
         old: SlotOwner,
         context: AssignmentContext,
         capacity: int,
-    ) -> Owned:
+    ) -> SlotOwner:
         best = self._best_owner(service=service, space=space, slot=slot, context=context)
         if not old.is_open:
             wait = constants.LEASE_DURATION + service.expiry + constants.SLOT_MOVE_MARGIN
             closed_slot = self.closed_slots[(space, slot, old.term)]
             if best and (closed_slot.is_drained or now - closed_slot.closed_at >= wait):
-                return Owned(owner=best, term=old.term + 1, is_open=True)
+                return SlotOwner(owner=best, term=old.term + 1, is_open=True)
             return old
         if old.owner == "":
             return SlotOwner(owner=best, term=old.term + 1, is_open=True) if best else old
--- a/sailward/control/shards/shard_leases.py
+++ b/sailward/control/shards/shard_leases.py
@@ -129,7 +129,10 @@
         controllers = [*self._peer_table.alive(kind="controller"), self._peer_table.own_entry()]
         fit_controllers = {peer["identity"]: peer["post"] for peer in controllers if peer["fit"]}
         chosen_voters = (
-            {name: choose_names(key=PREFIX + name, names=set(fit_controllers), count=1)[0] for name in services}
+            {
+                name: choose_names(key=SHARD_REGISTER_PREFIX + name, names=set(fit_controllers), count=1)[0]
+                for name in services
+            }
             if fit_controllers
             else {}
         )
@@ -151,13 +154,13 @@
             members=voter.voters.members,
             number=voter.voters.number,
             own_identity=voter.identity,
-            registers=[PREFIX + name for name in acting],
+            registers=[SHARD_REGISTER_PREFIX + name for name in acting],
         )
 
     def _grant_context(self, *, now: float, service: str, is_acting: bool) -> GrantContext:
         """The current inputs of the granting of one service."""
         voter = self._voter
-        learned = voter.learner.values.get(PREFIX + service)
+        learned = voter.learner.values.get(SHARD_REGISTER_PREFIX + service)
         fresh_until = self.freshness.lease_until(
             now=now,
             register=SHARD_REGISTER_PREFIX + service,
--- a/sailward/control/shards/shard_moves.py
+++ b/sailward/control/shards/shard_moves.py
@@ -53,7 +53,7 @@
         context = self._context(learner=learner, aggregated_health=aggregated_health, proxies=proxies)
         changes = []
         for service in divided:
-            name = PREFIX + service.name
+            name = SHARD_REGISTER_PREFIX + service.name
             if choose_names(key=name, names=fit_controllers, count=1) != [own]:
                 # another controller assigns the shards of this service
                 self.assignments.pop(name, None)
@@ -76,7 +76,7 @@
         self, *, learner: Learner, aggregated_health: AggregatedHealth, proxies: list[Subscriber]
     ) -> AssignmentContext:
         emptied = read_orders(value=learner.values["orders"].value) if "orders" in learner.values else frozenset()
-        drained = frozenset(location for location, zone in aggregated_health.table.zones.items() if zone.drained)
+        drained = frozenset(location for location, zone in aggregated_health.table.zones.items() if zone.is_drained)
         reports = [
             proxy.report["warm"]
             for proxy in proxies
