--- a/sailward/routing/attempt_budget.py
+++ b/sailward/routing/attempt_budget.py
@@ -1,4 +1,4 @@
-"""The budget of attempts: a share of first attempts in a sliding window."""
+"""The budget for further attempts: a share of the first attempts in a sliding window."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class AttemptBudget:
-    """Owner of the counts. `step` pays for one sending-on, or gives "" if nothing is left.
+    """Owns the counts. `step` charges one attempt and returns the source of payment, or "" if nothing is left.
 
-    A first try always pays for itself. A caller's repeat pays with the credit of a first try that was
-    refused here and sent to no worker, as it swells nothing; else, like the proxy's own second attempts,
-    from a share of the first ones.
+    A first try is always allowed. A client's retry uses the credit of a first try that was refused here and
+    sent to no worker, as it adds no load; else, like the proxy's own retries, it is charged to a share of the
+    first tries.
     """
 
     def __init__(self) -> None:
@@ -24,7 +24,7 @@
         self._looks: deque = deque()
 
     def step(self, *, now: float, first: bool, caller: bool = False) -> str:
-        """What this sending-on was paid with."""
+        """The source that this attempt was charged to."""
         for line, life in (
             (self._firsts, constants.RETRY_BUDGET_WINDOW),
             (self._mores, constants.RETRY_BUDGET_WINDOW),
@@ -45,7 +45,7 @@
         return BUDGET
 
     def lookup(self, *, now: float) -> str:
-        """May a repeat look up its claim? It pays like any other when it must be sent on."""
+        """May a retry look up its claim? It is charged like any other if it has to be forwarded."""
         while self._looks and self._looks[0] <= now - constants.RETRY_BUDGET_WINDOW:
             self._looks.popleft()
         if len(self._looks) >= max(constants.RETRY_BUDGET_MINIMUM, constants.CLAIM_LOOKUP_RATIO * len(self._firsts)):
@@ -54,7 +54,7 @@
         return LOOKUP
 
     def refund(self, *, now: float, paid: str, swells: bool) -> None:
-        """What was paid for was refused and sent to no worker. `swells`: an earlier sending did reach one."""
+        """Refund a request that was refused and sent to no worker. `swells`: an earlier try did reach one."""
         if paid == LOOKUP:
             return
         line = self._mores if paid == BUDGET else self._firsts
@@ -64,5 +64,5 @@
             self._credits.append(now)
 
     def credit(self, *, now: float) -> None:
-        """A first try was refused before it was counted."""
+        """Credit a first try that was refused before it was counted."""
         self._credits.append(now)
--- a/sailward/routing/fair_queues.py
+++ b/sailward/routing/fair_queues.py
@@ -1,4 +1,4 @@
-"""One bounded queue for each tenant and service, served in turn (weighted round robin)."""
+"""One bounded queue for each tenant and service, served by weighted round robin."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(kw_only=True)
 class Queue:
-    """Those that wait, and how many of them go before the next queue's turn."""
+    """Waiting items, and how many of them are served before the next queue's turn."""
 
     share: int
     items: deque = field(default_factory=deque)
@@ -18,13 +18,13 @@
 
 
 class FairQueues:
-    """Owner of the waiting. `step` adds one if its queue has room; `take` gives the next in turn."""
+    """Owns the queues. `step` enqueues an item if its queue has room; `take` dequeues the next one."""
 
     def __init__(self) -> None:
         self._queues: OrderedDict[str, Queue] = OrderedDict()
 
     def step(self, *, name: str, item: str, share: int = 1) -> bool:
-        """May it wait?"""
+        """Enqueue an item; False if its queue is full."""
         queue = self._queues.setdefault(name, Queue(share=share, left=share))
         if len(queue.items) >= constants.TENANT_QUEUE_LENGTH:
             return False
@@ -33,7 +33,7 @@
         return True
 
     def take(self, *, blocked: set[str]) -> tuple[str, str] | None:
-        """(queue, item) whose turn it is, passing over the blocked queues."""
+        """Dequeue the next (queue, item), skipping blocked queues."""
         for name in list(self._queues):
             queue = self._queues[name]
             if not queue.items:
@@ -50,18 +50,18 @@
         return None
 
     def put_back(self, *, name: str, item: str) -> None:
-        """It could not go: it stays the first of its queue."""
+        """Return an item that could not be dispatched to the front of its queue."""
         queue = self._queues.setdefault(name, Queue(share=1))
         queue.items.appendleft(item)
         queue.left += 1
 
     def drop(self, *, item: str) -> None:
-        """Take one out that has been given up."""
+        """Remove an item that has been given up."""
         for queue in self._queues.values():
             if item in queue.items:
                 queue.items.remove(item)
                 return
 
     def waits(self, *, name: str) -> bool:
-        """Does anyone wait in this queue?"""
+        """Does this queue hold any item?"""
         return name in self._queues and bool(self._queues[name].items)
--- a/sailward/routing/forwarding.py
+++ b/sailward/routing/forwarding.py
@@ -1,4 +1,4 @@
-"""The requests under way in a proxy: place, send on, retry within the budget, or give up at once."""
+"""Requests in flight in a proxy: selects a worker, forwards, retries and hedges within the budget, or gives up."""
 
 from __future__ import annotations
 
@@ -28,17 +28,17 @@
 from sailward.wire_names import WireNames
 
 SHORT = frozenset({"no-room", "key-moving", "key-unowned", "owner-lost", "owner-cold", "no-worker"})
-"""Refusals that may be over in a moment: the request waits for that long."""
+"""Refusals whose cause may clear within moments: the request waits for a short while before it is refused."""
 
 OUR_OWN_FAULTS = frozenset({"too-late", "withdrawn"})
-"""Ends of a call that tell nothing of its worker."""
+"""Call faults that say nothing about the health of the worker."""
 
 
 @dataclass(kw_only=True)
 class Forwarder:
-    """Owner of the requests of this proxy.
+    """Owns the requests in flight in this proxy.
 
-    `step` takes RequestReceived, CallFinished, ClientDisconnected, or None for time going on.
+    `step` takes RequestReceived, CallFinished, ClientDisconnected, or None for a timer tick.
     """
 
     endpoint_selector: EndpointSelector
@@ -53,7 +53,7 @@
     count: int = 0
 
     def step(self, *, now: float, event: RequestReceived | CallFinished | ClientDisconnected | None) -> list[Command]:
-        """Answer one event with commands."""
+        """Process one event and return the resulting commands."""
         match event:
             case RequestReceived():
                 return self._arrive(now=now, event=event)
@@ -65,14 +65,14 @@
                 return self._on_timer(now=now)
 
     def take_loads(self) -> dict:
-        """{service: {bucket: requests}} for divided services since it was asked last."""
+        """Return {service: {bucket: requests}} of range-sharded services since the last call, and reset the counts."""
         loads, self.loads = self.loads, {}
         return {
             service: {str(bucket): count for bucket, count in buckets.items()} for service, buckets in loads.items()
         }
 
     def end_all(self, *, now: float) -> list[Command]:
-        """Give up everything under way, as the process ends."""
+        """Fail all requests in flight because the process is stopping."""
         return [
             command
             for request in list(self.live.values())
@@ -93,7 +93,7 @@
         return self._select_and_forward(now=now, request=taken)
 
     def _select_and_forward(self, *, now: float, request: Request) -> list[Command]:
-        """Send it on now, let it wait for a moment, or refuse it."""
+        """Forward the request now, let it wait for a short while, or refuse it."""
         choice = self.endpoint_selector.step(now=now, request=request)
         if not isinstance(choice, Refusal):
             self.waiting.pop(request.token, None)
@@ -108,9 +108,9 @@
         return self._give_up(now=now, request=request, refusal=choice)
 
     def _patience(self, *, request: Request, reason: str) -> float:
-        """Seconds that a request may wait.
+        """Maximum time in s that a request may wait.
 
-        For room a small part of what its answer may take, for a key on its way somewhat more.
+        A share of the target response time: small when it waits for capacity, larger when its key has no owner yet.
         """
         share = (
             constants.KEY_WAIT_RATIO
@@ -120,7 +120,7 @@
         return min(constants.QUEUE_TIMEOUT, share * (request.match.target or constants.QUEUE_TIMEOUT))
 
     def _forward(self, *, now: float, request: Request, worker: Worker) -> list[Command]:
-        """Send it on, if it has the time left and the retry budget bears it; give it up otherwise."""
+        """Forward the request if enough time is left and the retry budget allows it; give up otherwise."""
         if request.expiry - now <= constants.MIN_REMAINING_TIME:
             code = 504 if request.sent else 503
             return self._give_up(now=now, request=request, refusal=Refusal(code=code, reason="expired"))
@@ -139,7 +139,7 @@
         )
 
     def _call(self, *, now: float, request: Request, worker: Worker) -> list[Command]:
-        """One attempt: the call to this worker, and all that is noted of it."""
+        """Start one attempt at this worker, and record it."""
         violation = check(invariant=Invariant.DEPARTED_NOT_SERVED, holds=not request.is_left, route=request.match.path)
         self.count += 1
         token = f"x {self.count}"
@@ -165,15 +165,15 @@
                 headers=headers_to_worker(request=request, worker=worker.key, within=left, names=self.names),
                 body=request.body,
                 timeout=left,
-                # a kept connection may hold a late answer, or end under the request: never for one that may not run
-                # twice
+                # a reused connection may carry a late response, or be closed during the request: not used for a
+                # request that must not run twice
                 fresh=not request.match.is_repeatable,
                 dial=constants.REGIONAL_CONNECT_TIMEOUT if context.regions.get(worker.zone) == context.region else 0.0,
             ),
         ]
 
     def _hedge_after(self, *, request: Request) -> float:
-        # a key has one owner: it is asked again only when its answer has most likely been lost
+        # a key has a single owner, so a hedge goes to the same worker: only when the response is most likely lost
         share = constants.KEY_OWNER_RETRY_RATIO if request.service.ranged else constants.HEDGE_DELAY_RATIO
         return max(constants.HEDGE_MIN_DELAY, share * (request.match.target or constants.HEDGE_MIN_DELAY))
 
@@ -222,9 +222,9 @@
         return not (isinstance(verdict, WorkerRejected) and verdict.why == "refused")
 
     def _record_overtaken(self, *, now: float, attempt: Attempt) -> None:
-        """Requests that were sent to this worker before the one that it answered.
+        """Count the completed attempt as having overtaken each earlier attempt that this worker has not answered.
 
-        One that many overtake is likely lost there.
+        An attempt that was overtaken LOST_REQUEST_LATER_RESPONSES times is most likely lost at the worker.
         """
         shown = self.endpoint_selector.context.passive_health.shown.get(attempt.worker)
         for token in self.by_worker.get(attempt.worker, ()):
@@ -275,7 +275,7 @@
         commands = self._end(request=request)
         code = refusal.code
         if request.ran and code in (503, 429, 408, 421):
-            # it may have run: no promise may be made
+            # the request may have run: these codes would promise that it did not
             code = 502
         self.tally[f"refused-{refusal.reason}"] += 1
         log = LogEvent(
@@ -290,9 +290,10 @@
         return [self._refusal(token=request.token, refusal=Refusal(code=code, reason=refusal.reason)), log, *commands]
 
     def _end(self, *, request: Request) -> list[Command]:
-        """It has its answer.
+        """Remove a request that has its final response.
 
-        What is still under way for it is given up, unless it may not run twice and so goes on unheard.
+        Attempts still in flight are canceled, except those of a request that must not run twice: these run on, and
+        their responses are discarded.
         """
         self.live.pop(request.token, None)
         self.waiting.pop(request.token, None)
@@ -306,10 +307,10 @@
         return commands
 
     def _leave(self, *, now: float, token: str) -> list[Command]:
-        """Its caller has closed the connection, or at least its own side of that: nothing more is begun for it.
+        """The client closed the connection, or at least its sending side: no further attempt is started.
 
-        What may run only once goes on if a byte of it has been sent. Anything else is given up, with a final answer for
-        a caller that still reads.
+        A request that must not run twice continues if any byte of it has been sent. Any other is given up, with a
+        final response for a client that still reads.
         """
         request = self.live.get(token)
         if request is None:
@@ -344,7 +345,7 @@
         return commands
 
     def _check_departed(self) -> list[Command]:
-        """Check that nothing repeatable runs for requests that are over or whose callers have left."""
+        """Check that no repeatable attempt runs for a finished request or one whose client has disconnected."""
         running = [
             request
             for request in self.calls.values()
@@ -363,9 +364,9 @@
         return commands
 
     def _hedge(self, *, now: float, request: Request) -> list[Command]:
-        """Ask a second worker, as the first is silent for long; the first good answer counts.
+        """Start a second attempt because the first has not been answered for long; the first good response wins.
 
-        The first goes on either way.
+        The first attempt continues in any case.
         """
         request.hedge_at = float("inf")
         if request.expiry - now <= constants.MIN_REMAINING_TIME:
--- a/sailward/routing/idempotency.py
+++ b/sailward/routing/idempotency.py
@@ -1,4 +1,4 @@
-"""The claim on an unsafe exchange: won at a majority before a byte is sent on."""
+"""Idempotency claims: the claim on an unsafe request is won at a majority of voters before a byte is forwarded."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Won:
-    """The claim is this exchange's: it may be sent on, once."""
+    """The request holds the claim: it may be forwarded, once."""
 
     exchange: ProxiedRequest
 
 
 @dataclass(frozen=True, kw_only=True)
 class Lost:
-    """It may not be sent on."""
+    """The request may not be forwarded."""
 
     exchange: ProxiedRequest
     refusal: Refusal
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Replayed:
-    """It ran already: this is its kept result."""
+    """The request has already run: this is its stored result."""
 
     exchange: ProxiedRequest
     code: int
@@ -42,7 +42,7 @@
 
 @dataclass(kw_only=True)
 class Peeking:
-    """Waiting for the owner of an earlier claim to tell what became of it."""
+    """A query to other proxies, the owner of an earlier claim among them, about what became of that claim."""
 
     exchange: ProxiedRequest
     number: int
@@ -54,7 +54,7 @@
 
 @dataclass(kw_only=True)
 class Claims:
-    """Owner of the claims under way. `step` gives (commands, proposer's begins, verdicts)."""
+    """Owns the claims in progress. `step` returns (commands, operations for the proposer to start, verdicts)."""
 
     identity: str
     post: str
@@ -70,7 +70,7 @@
     def step(
         self, *, now: float, event: ProxiedRequest | OperationFinished | tuple[str, Message] | None
     ) -> tuple[list, list[StartOperation], list]:
-        """Take a request to claim, the end of an operation, a (sender, peek or peeked), or None."""
+        """Process a request to claim, a finished operation, a (sender, message) of a peer, or None for a timer tick."""
         if isinstance(event, ProxiedRequest):
             return self._begin(now=now, exchange=event)
         if isinstance(event, OperationFinished):
@@ -88,7 +88,7 @@
         return self._take_peeked(now=now, sender=sender, body=body)
 
     def finish(self, *, exchange: ProxiedRequest, code: int, headers: dict, body: bytes) -> list:
-        """Keep the result for repeats, here if this place may, and with one proxy more."""
+        """Store the result for retries: here, if the tenant's home regions allow it, and at one other proxy."""
         memory = self.memory.by_digest.get(exchange.digest)
         self.memory.finish(
             digest=exchange.digest,
@@ -112,7 +112,7 @@
         )
 
     def remembers(self, *, exchange: ProxiedRequest) -> bool:
-        """Is the key known here as sent on before, so that no worker is needed?"""
+        """Is a claim on the key cached here that may have been used, so that no worker needs to be selected?"""
         memory = self.memory.by_digest.get(exchange.digest) if exchange.unsafe else None
         return memory is not None and memory.state != "unsent" and not exchange.claim
 
@@ -173,7 +173,7 @@
     ) -> tuple[list, list[StartOperation], list]:
         claim = json.loads(value["text"])
         if claim["i"] == self.identity:
-            # ours: unsent if it is no older than what is remembered, else it may have run
+            # this proxy's own claim: unsent if it is no older than the cached ones, else the request may have run
             known = memory is not None and claim["n"] >= memory.first and claim["f"] == exchange.fingerprint
             return self._judge_state(
                 now=now, exchange=exchange, state="unsent" if known else "unknown", number=value["number"]
@@ -212,8 +212,8 @@
         peeking.pending_peers.discard(sender)
         if sender == peeking.owner:
             peeking.state = body["state"]
-        # the claim's own proxy knows; one that only lost its memory, or may not keep the result, leaves it to the
-        # others
+        # the proxy that made the claim decides, unless it has lost the claim or may not store the result: then the
+        # other peers are waited for
         if (
             not body["code"]
             and peeking.pending_peers
--- a/sailward/routing/idempotency_cache.py
+++ b/sailward/routing/idempotency_cache.py
@@ -1,4 +1,4 @@
-"""What a proxy remembers of the unsafe exchanges that it claimed."""
+"""A proxy's cache of its claims on unsafe requests and of their results."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(kw_only=True)
 class Memory:
-    """One claim of this proxy: claiming, unsent, running, done or unknown."""
+    """One claim of this proxy; its `state` is claiming, unsent, running, done or unknown."""
 
     state: str
     fingerprint: str
@@ -25,14 +25,14 @@
 
 
 class ClaimMemory:
-    """Owner of what is remembered, by the digest of its key, bounded by age and bytes. `step` lets old ones go."""
+    """Owns the cached claims by the digest of their key, bounded by age and bytes. `step` evicts old ones."""
 
     def __init__(self) -> None:
         self.by_digest: OrderedDict[str, Memory] = OrderedDict()
         self._bytes = 0
 
     def step(self, *, now: float) -> None:
-        """Forget what is older than a claim's life; drop the oldest results over the bound."""
+        """Evict claims older than CLAIM_TTL, and the oldest results while they exceed RESULT_CACHE_BYTES."""
         while self.by_digest:
             digest, memory = next(iter(self.by_digest.items()))
             if now - memory.at < constants.CLAIM_TTL:
@@ -46,7 +46,7 @@
             memory.body, memory.headers = b"", None
 
     def begin(self, *, now: float, digest: str, fingerprint: str, homes: frozenset, count: int) -> Memory:
-        """Remember that the claim with this count is being made here; `first` is the first one remembered."""
+        """Record a claim in progress, with its count; `first` is the count of the key's first cached claim."""
         old = self.by_digest.pop(digest, None)
         memory = Memory(
             state="claiming", fingerprint=fingerprint, at=now, homes=homes, first=old.first if old else count
@@ -57,7 +57,7 @@
         return memory
 
     def finish(self, *, digest: str, code: int, headers: dict, body: bytes, store: bool) -> None:
-        """Remember the result; its content only if this place may `store` it."""
+        """Record the result; headers and body only if this region may `store` them."""
         memory = self.by_digest.get(digest)
         if memory is None:
             return
@@ -67,7 +67,7 @@
             self._bytes += len(body)
 
     def peeked(self, *, token: str, digest: str, region: str, copy: Copy | None) -> dict:
-        """The answer to another proxy in this region: of an own claim, or by a copy."""
+        """The reply to a peek of a proxy in this `region`, from an own claim or else from `copy`."""
         memory = self.by_digest.get(digest)
         state = memory.state if memory else "unknown"
         body = {
--- a/sailward/routing/idempotency_key_time.py
+++ b/sailward/routing/idempotency_key_time.py
@@ -1,4 +1,4 @@
-"""Keys that carry their time (UUIDv7, RFC 9562): a repeat that comes after its claim's life is known as one."""
+"""Idempotency keys with a timestamp (UUIDv7, RFC 9562): a retry after its claim has expired is recognized."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 
 def read_time(*, key: str) -> float | None:
-    """When the key was made, in s of wall time; None if it does not tell."""
+    """When the key was made, in s of wall-clock time; None if it has no timestamp."""
     found = UUID7.fullmatch(key)
     return int(found[1] + found[2], 16) / 1000 if found else None
 
 
 def judge_key(*, key: str, clock: float | None, is_required: bool) -> tuple[int, str, str] | None:
-    """(code, reason, detail) if the key can't be taken at this time. `clock` is None while it is not known."""
+    """(code, reason, detail) if the key can't be accepted now. `clock` is None while the wall time is unknown."""
     made = read_time(key=key)
     if made is None:
         return (400, "key-untimed", "this service needs keys that tell their time: UUIDv7") if is_required else None
--- a/sailward/routing/lease.py
+++ b/sailward/routing/lease.py
@@ -1,4 +1,4 @@
-"""The lease of a proxy on the control state that it holds."""
+"""A proxy's lease on its copy of the control state."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(kw_only=True)
 class Grant:
-    """The last thing one voter said, and until when its consent holds."""
+    """The latest grant of one voter, and until when it is valid."""
 
     requested_at: float
     newest: dict
@@ -24,7 +24,7 @@
 
 
 class Lease:
-    """Owner of the lease. `step` takes a grant (sender, body), or None for time going on."""
+    """Owns the lease. `step` takes a grant (sender, body), or None for a timer tick."""
 
     def __init__(self, *, learner: Learner) -> None:
         self._learner = learner
@@ -46,7 +46,7 @@
         daemon: dict,
         have: dict,
     ) -> list[Command]:
-        """Fold what came, judge the lease, ask again when it is time."""
+        """Record a grant, update the state of the lease, and request a new one when that is due."""
         if event is not None:
             self._take_grant(body=event[1], voters=voters)
         commands = self._judge(now=now, voters=voters)
@@ -55,12 +55,12 @@
         return commands
 
     def review(self) -> None:
-        """Judge the grants again after a newer value is held."""
+        """Reevaluate the grants after a newer value has been learned."""
         for grant in self._grants.values():
             grant.until = max(grant.until, self._end_of(grant=grant))
 
     def until(self, *, voters: VoterSet) -> float:
-        """When the lease runs out."""
+        """When the lease expires."""
         members = voters.members
         ends = sorted((grant.until for name, grant in self._grants.items() if name in members), reverse=True)
         need = blocking_of(members=members)
--- a/sailward/routing/proxied_request.py
+++ b/sailward/routing/proxied_request.py
@@ -1,4 +1,4 @@
-"""One caller's exchange: taking it in, and refusing it with a word that holds."""
+"""One tenant request: how it is read, refused without a false promise that it did not run, and forwarded."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Refusal:
-    """Why an exchange is not served. `state` tells a repeat what became of the first."""
+    """Why a request is not served. `state` tells a retry what became of the first try."""
 
     code: int
     reason: str
@@ -44,7 +44,7 @@
 
 @dataclass(kw_only=True)
 class ProxiedRequest:
-    """One exchange under way."""
+    """One request in flight."""
 
     token: str
     name: str
@@ -80,35 +80,35 @@
 
     @property
     def unsafe(self) -> bool:
-        """Does running it twice do harm?"""
+        """May running it twice do harm?"""
         return self.method not in SAFE
 
     @property
     def queue_name(self) -> str:
-        """The queue that it waits in."""
+        """Name of the queue in which it waits for capacity."""
         return f"{self.tenant.name}|{self.service.name}"
 
     @property
     def digest(self) -> str:
-        """What the claim is written under: no tenant's data can be read from it."""
+        """Key under which the claim is stored: a hash, so that it reveals no tenant data."""
         return digest_key(tenant=self.tenant.name, key=self.key)
 
     @property
     def fingerprint(self) -> str:
-        """The same for the same method, path and body."""
+        """Hash of the method, path and body."""
         mix = f"{self.method} {self.path}\0".encode() + self.body
         return hashlib.blake2b(mix, digest_size=12).hexdigest()
 
 
 def digest_key(*, tenant: str, key: str) -> str:
-    """The digest of a tenant's key."""
+    """Hash of a tenant's idempotency key."""
     return hashlib.blake2b(f"{tenant}\0{key}".encode(), digest_size=16).hexdigest()
 
 
 def take_exchange(
     *, event: RequestReceived, plan: Plan, now: float, name: str, clock: float | None = None
 ) -> ProxiedRequest | Refusal:
-    """The exchange that a caller asked for, or why it can't be one."""
+    """Build the request that a client sent, or the refusal if it can't be accepted."""
     if event.body is None:
         return Refusal(code=413, reason="too-large", detail=f"at most {constants.MAX_BODY_BYTES} bytes")
     head = _read_head(event=event, plan=plan)
@@ -145,7 +145,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class _Head:
-    """What the head of a request says: whose it is, how often it was sent, its idempotency key and its route."""
+    """What the head of a request says: tenant, number of the client's try, idempotency key and route."""
 
     tenant: Tenant
     turn: int
@@ -154,7 +154,7 @@
 
 
 def _read_head(*, event: RequestReceived, plan: Plan) -> _Head | Refusal:
-    """Tenant, turn, idempotency key and route of a request, or why it has none."""
+    """Read the tenant, number of the try, idempotency key and route; a refusal if one is missing or invalid."""
     if event.method not in KNOWN:
         return Refusal(code=405, reason="method-unknown", detail=event.method[:40])
     tenant = plan.tenants.get(event.headers.get("sailward-tenant", ""))
@@ -175,12 +175,12 @@
 
 
 def part_of(*, path: str, match: Match) -> str:
-    """The key of a divided service in a path: its first part behind the matched one."""
+    """The key of a sharded service in a path: the first segment after the matched prefix."""
     return path[len(match.path.rstrip("/")) :].strip("/").split("/")[0]
 
 
 def refit_exchange(*, exchange: ProxiedRequest, plan: Plan) -> Refusal | None:
-    """Match again under the configuration in force: a later one may be since the exchange was taken."""
+    """Match again under the configuration in force, which may have changed since the request was received."""
     if exchange.plan == plan.number:
         return None
     tenant = plan.tenants.get(exchange.tenant.name)
@@ -197,10 +197,10 @@
 
 
 def is_promise_safe(*, event: RequestReceived) -> bool:
-    """May `not-run` be said of an exchange that this proxy did not send on?
+    """May the client be told `not-run` for a request that this proxy did not forward?
 
-    Of a safe one always. Of an unsafe one only if the caller says that it is the first sending:
-    an earlier one may run, or have run, elsewhere.
+    Always for a safe request, or one without an idempotency key. For another one only if the client states that it is
+    the first try: an earlier try may be running, or have run, through another proxy.
     """
     return (
         event.method in SAFE
@@ -210,7 +210,7 @@
 
 
 def answer_refusal(*, token: str, refusal: Refusal, not_run: bool) -> Respond:
-    """The final result of an exchange that is given up: whether it ran, and when to come back."""
+    """The final response to a request that is given up: whether it ran, and when to retry."""
     body = {"error": refusal.reason, "detail": refusal.detail, "ran": "not-run" if not_run else "unknown"}
     if refusal.state:
         body["state"] = refusal.state
@@ -221,7 +221,7 @@
 
 
 def answer_json(*, token: str, code: int, body: object, headers: dict | None = None) -> Respond:
-    """A result in JSON."""
+    """A JSON response."""
     return Respond(
         token=token,
         code=code,
@@ -231,7 +231,7 @@
 
 
 def headers_onward(*, exchange: ProxiedRequest, worker: str, timeout: float) -> dict:
-    """The headers that go to the worker, which has `timeout` seconds to begin and end."""
+    """The headers sent to the worker, which has `timeout` seconds to start and finish."""
     headers = {
         name: value for name, value in exchange.headers.items() if name not in HOP and not name.startswith("sailward-")
     }
--- a/sailward/routing/proxied_requests.py
+++ b/sailward/routing/proxied_requests.py
@@ -1,4 +1,4 @@
-"""The exchanges under way in a proxy: allow, claim, send on, retry or give up at once."""
+"""Tenant requests in flight in a proxy: admits, claims, forwards, retries, or gives up at once."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @dataclass(kw_only=True)
 class ProxiedRequests:
-    """Owner of all exchanges of this proxy. `step` gives (commands, proposer's begins)."""
+    """Owns all tenant requests of this proxy. `step` returns (commands, operations for the proposer to start)."""
 
     identity: str
     load_balancer: LoadBalancer
@@ -52,7 +52,7 @@
         event: RequestReceived | CallFinished | OperationFinished | tuple[str, Message] | None,
         acting: bool,
     ) -> tuple[list, list]:
-        """Take an event, the end of an operation, a peek, or None; `acting` says whether the lease is held."""
+        """Process an event, finished operation, peer's message or None (timer tick); `acting`: the lease is held."""
         self.now = now
         if isinstance(event, RequestReceived):
             return self._arrive(now=now, event=event, acting=acting)
@@ -69,20 +69,20 @@
         return commands + more, begins + others
 
     def rates(self, *, now: float) -> dict[str, float]:
-        """Exchanges a second sent on for each service, over the last RETRY_BUDGET_WINDOW."""
+        """Requests per s forwarded for each service, averaged over the last RETRY_BUDGET_WINDOW."""
         while self.loads and self.loads[0][0] < now - constants.RETRY_BUDGET_WINDOW:
             self.loads.popleft()
         counts = Counter(service for _, service in self.loads)
         return {service: round(count / constants.RETRY_BUDGET_WINDOW, 1) for service, count in counts.items()}
 
     def busy(self, *, now: float) -> list[str]:
-        """The slots in which something sent on from here may still run."""
+        """Labels of the slots in which a request forwarded by this proxy may still run."""
         return self.shards_in_use.labels(now=now, sent=self.sent.values())
 
     def leave(self, *, now: float, token: str) -> list[Command]:
-        """Its caller has closed the connection: what is safe, or was not sent, is given up with a final answer.
+        """The client closed the connection: a request that is safe or was not sent is given up with a final response.
 
-        What is unsafe and was sent goes on: its result is kept for the caller's repeat.
+        An unsafe request that was sent continues, and its result is kept for the client's retry.
         """
         self.now = now
         exchange = self.live.get(token)
@@ -108,7 +108,7 @@
         )
         promise = is_promise_safe(event=event)
         if not acting and not (isinstance(taken, Refusal) and taken.code == 413):
-            # without a lease even "no such tenant" could be stale news
+            # without a lease the configuration may be stale, so that even "no such tenant" could be wrong
             taken = Refusal(code=503, reason="no-lease", detail="this proxy is cut off from the core")
         if isinstance(taken, Refusal):
             self._count_refusal(reason=taken.reason)
@@ -135,12 +135,12 @@
     def _charge(
         self, *, now: float, exchange: ProxiedRequest, memory: Memory | None, is_replay: bool
     ) -> Respond | None:
-        """Charge the request to the budget of attempts; the refusal if it is spent, or its claim may be lost."""
+        """Charge the request to the attempt budget; the refusal if that is spent or the claim may have been lost."""
         is_repeat = exchange.turn > 1 or (memory is not None and memory.state == "unsent")
         if is_replay:
             exchange.paid = ""
         elif exchange.unsafe and is_repeat and memory is None:
-            # a repeat whose claim is not known here swells nothing until it is sent on
+            # a retry whose claim is not known here adds no load on workers until it is forwarded
             exchange.paid = self.attempt_budget.lookup(now=now)
         else:
             exchange.paid = self.attempt_budget.step(now=now, first=not is_repeat, caller=True)
@@ -157,7 +157,7 @@
         return None
 
     def _dispatch(self, *, now: float, exchange: ProxiedRequest) -> tuple[list, list] | None:
-        """Choose, claim if it must be, send on; None if it must wait for room at a worker."""
+        """Select a worker, claim the key if the request is unsafe, and forward; None to wait for worker capacity."""
         if not self.claims.remembers(exchange=exchange):
             choice = self._choose(now=now, exchange=exchange)
             if isinstance(choice, Refusal):
@@ -279,7 +279,7 @@
         return [*commands, self._refuse(exchange=exchange, refusal=refusal)], []
 
     def _record_verdict(self, *, exchange: ProxiedRequest, verdict: object) -> bool:
-        """Keep what the verdict says of the exchange; True if it is unsafe and may have run without a whole answer."""
+        """Record the outcome of an attempt; True if the request is unsafe and may have run without a full response."""
         ran = exchange.unsafe and isinstance(verdict, Bad)
         exchange.may_have_run = exchange.may_have_run or isinstance(verdict, (Bad, Good))
         if isinstance(verdict, Bad):
@@ -390,7 +390,7 @@
                 commands.append(self._refuse(exchange=exchange, refusal=refusal))
         for token, end in list(self.calls.items()):
             if now >= end:
-                # its end was lost on the way; what came of it is not known
+                # the end of the call was never reported; whether the request ran is unknown
                 lost = CallFinished(token=token, code=0, headers={}, body=b"", fault="timed-out", sent=True)
                 commands += self._return(now=now, event=lost, acting=False)[0]
         return commands
--- a/sailward/routing/request.py
+++ b/sailward/routing/request.py
@@ -1,4 +1,4 @@
-"""One request of a caller on its way through a proxy, by the route that it matched."""
+"""One client request on its way through a proxy, with the route that it matched."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 @dataclass(kw_only=True)
 class Attempt:
-    """One sending-on of a request."""
+    """One attempt to run a request at a worker."""
 
     worker: str
     at: float
@@ -39,7 +39,7 @@
 
 @dataclass(kw_only=True)
 class Request:
-    """One request under way; all times in s of the owner's clock."""
+    """One request in flight; all times in s of the owner's clock."""
 
     token: str
     name: str
@@ -65,12 +65,12 @@
 
     @property
     def max_attempts(self) -> int:
-        """Workers to which it may be sent at the most."""
+        """Maximum number of workers to which it may be sent."""
         return self.match.max_attempts or constants.MAX_ATTEMPTS
 
 
 def take_request(*, event: RequestReceived, plan: Plan, now: float, names: WireNames) -> Request | Refusal:
-    """The request that a caller made, or why it can't be one."""
+    """Build the request that a client sent, or the refusal if it can't be accepted."""
     if not plan.number:
         return Refusal(code=503, reason="no-configuration")
     host = event.headers.get("host", "").rsplit(":", 1)[0].lower()
@@ -104,11 +104,11 @@
 
 
 def headers_to_worker(*, request: Request, worker: str, within: float, names: WireNames) -> dict:
-    """The caller's headers but those of one connection, with the time left and the worker that is meant."""
+    """The client's headers without the hop-by-hop ones, plus the time left and the intended worker."""
     headers = {name: value for name, value in request.headers.items() if name not in HOP}
     return {**headers, names.within: str(max(1, int(within * 1000))), names.expect: worker}
 
 
 def headers_to_caller(*, headers: dict) -> dict:
-    """The worker's headers but those of one connection."""
+    """The worker's headers without the hop-by-hop ones."""
     return {name: value for name, value in headers.items() if name not in HOP}
--- a/sailward/routing/response_check.py
+++ b/sailward/routing/response_check.py
@@ -1,4 +1,4 @@
-"""Is a worker's result whole, its own, and this exchange's?"""
+"""Checks that a response is complete, from the intended worker, and to this request."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Good:
-    """The worker's own result, whole."""
+    """A complete response of the intended worker."""
 
     code: int
     headers: dict
@@ -22,28 +22,28 @@
 
 @dataclass(frozen=True, kw_only=True)
 class WorkerRefused:
-    """The worker itself says that it did not run the exchange."""
+    """The worker states that it did not run the request."""
 
     reason: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class Unsent:
-    """No byte of the exchange left this process."""
+    """No byte of the request left this process."""
 
     reason: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class Bad:
-    """Nothing that may be given to a caller; it may have run."""
+    """No response that may be returned to the client; the request may have run."""
 
     reason: str
     stranger: bool = False
 
 
 def judge_result(*, exchange: ProxiedRequest, event: CallFinished) -> Good | WorkerRefused | Unsent | Bad:
-    """Judge the end of one sending-on."""
+    """Judge the outcome of one attempt."""
     if event.code == 0:
         return Bad(reason=event.fault) if event.sent else Unsent(reason=event.fault)
     headers = event.headers
--- a/sailward/routing/result_replicas.py
+++ b/sailward/routing/result_replicas.py
@@ -1,4 +1,4 @@
-"""Copies of results that other proxies gave: a patient caller learns of its order though its proxy is gone."""
+"""Replicas of other proxies' results: a client that retries gets its result even if the first proxy is gone."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Peer:
-    """Another proxy that is fit."""
+    """Another proxy that is healthy."""
 
     name: str
     post: str
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Copy:
-    """One result of another proxy, by the number of its claim."""
+    """One result of another proxy, with the number of its claim."""
 
     at: float
     number: int
@@ -36,14 +36,14 @@
 
 @dataclass(kw_only=True)
 class ResultReplicas:
-    """Owner of the copies, bounded by age and bytes. `step` takes a copy, or None for time going on."""
+    """Owns the replicas, bounded by age and bytes. `step` takes a replica's message, or None for a timer tick."""
 
     region: str
     replicas: OrderedDict = field(default_factory=OrderedDict)
     size: int = 0
 
     def step(self, *, now: float, event: dict | None) -> None:
-        """Keep one if this place may, let old ones go."""
+        """Store a replica if this region may, and evict old ones."""
         if event is not None and may_keep(region=self.region, homes=frozenset(event["homes"])):
             self._drop(digest=event["key"])
             self.replicas[event["key"]] = Copy(
@@ -63,7 +63,7 @@
             self._drop(digest=digest)
 
     def find(self, *, digest: str, number: int) -> Copy | None:
-        """The result of this very claim, if it is kept here."""
+        """The result of exactly this claim, if it is stored here."""
         copy = self.replicas.get(digest)
         return copy if copy is not None and copy.number == number else None
 
@@ -73,14 +73,14 @@
 
 
 def may_keep(*, region: str, homes: frozenset) -> bool:
-    """May a result of a tenant with these homes be kept in this region?"""
+    """May results of a tenant with these home regions be stored in this region?"""
     return not homes or region in homes
 
 
 def spread_copy(
     *, exchange: ProxiedRequest, number: int, code: int, headers: dict, body: bytes, zone: str, peers: list[Peer]
 ) -> list[Command]:
-    """Give the result to the one proxy that hashing names, at home, in another zone if there is one."""
+    """Send the result to one proxy by rendezvous hashing, in a home region and if possible in another zone."""
     homes = exchange.tenant.homes
     able = [peer for peer in peers if may_keep(region=peer.region, homes=homes)]
     able = [peer for peer in able if peer.zone != zone] or able
--- a/sailward/routing/retry_budget.py
+++ b/sailward/routing/retry_budget.py
@@ -1,6 +1,6 @@
-"""The retry budget of a service, of which each proxy has its part.
+"""The retry budget of a service, of which each proxy has a share.
 
-A share of first attempts in a sliding window, and a small floor.
+A ratio of the first attempts in a sliding window, plus a small floor.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 @dataclass(kw_only=True)
 class Account:
-    """What one service was sent in the window."""
+    """Times of the attempts for one service within the window."""
 
     firsts: deque = field(default_factory=deque)
     mores: deque = field(default_factory=deque)
@@ -21,10 +21,10 @@
 
 @dataclass(kw_only=True)
 class RetryBudget:
-    """Owner of the counts. `step` counts one sending-on; a further one is allowed or not.
+    """Owns the counts. `step` counts a first attempt, and counts or denies a further one.
 
-    `ratio` and `slack` are the fleet's, over `window` seconds; this proxy has its own firsts times the ratio, and the
-    slack divided by the number of proxies.
+    `ratio` and `slack` apply to the whole fleet, over `window` seconds; this proxy may make as many further attempts as
+    its own first attempts times the ratio, plus the slack divided by the number of proxies.
     """
 
     ratio: float = constants.RETRY_BUDGET_RATIO
@@ -33,7 +33,7 @@
     accounts: dict = field(default_factory=dict)
 
     def step(self, *, now: float, service: str, first: bool, proxies: int, is_hedge: bool = False) -> bool:
-        """May it be sent on? What may be is counted; a hedge may take only a small part of what retries may."""
+        """May the attempt be made? If so, it is counted. Hedges may use only a small part of the retry budget."""
         account = self.accounts.setdefault(service, Account())
         self._forget_old(now=now, account=account)
         if first:
--- a/sailward/routing/worker_response.py
+++ b/sailward/routing/worker_response.py
@@ -1,4 +1,4 @@
-"""Is a worker's answer whole, its own, and this request's? By what the edge and the headers tell."""
+"""Checks by connection state and headers that a response is complete, from the intended worker, to this request."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from sailward.wire_names import WireNames, names_another
 
 PROMISES = frozenset({408, 421, 429, 503})
-"""Codes that tell a caller: it did not run and never will."""
+"""Status codes that tell a client that the request did not run and never will."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class CompleteResponse:
-    """The worker's own answer, whole; it may be given to the caller. `is_failure`: another worker may do better."""
+    """A complete response that may be returned to the client. `is_failure`: another worker may succeed."""
 
     code: int
     headers: dict
@@ -24,9 +24,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class WorkerRejected:
-    """The worker says that it did not run it.
+    """The worker states that it did not run the request.
 
-    `full`, `stranger` (not the worker that was meant), `not-owner`, `refused`.
+    `why` is `full`, `stranger` (not the intended worker), `not-owner` or `refused`.
     """
 
     code: int
@@ -35,14 +35,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class NotSent:
-    """No byte of it left."""
+    """No byte of the request was sent."""
 
     reason: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class Broken:
-    """Nothing that may be given to a caller; it may have run."""
+    """No response that may be returned to the client; the request may have run."""
 
     reason: str
 
@@ -50,7 +50,7 @@
 def judge_reply(
     *, request: Request, worker: str, event: CallFinished, names: WireNames
 ) -> CompleteResponse | WorkerRejected | NotSent | Broken:
-    """Judge the end of one sending-on."""
+    """Judge the outcome of one attempt."""
     if event.code == 0:
         return Broken(reason=event.fault) if event.sent else NotSent(reason=event.fault)
     headers = event.headers
@@ -64,11 +64,11 @@
     if event.code == 421 and headers.get(names.answered_by, worker) != worker:
         return WorkerRejected(code=421, why="stranger")
     if headers.get(names.exchange, "") != request.name:
-        # it names no request: only what says that nothing ran is believed without that
+        # the response names no request: only the statement that nothing ran is accepted without that
         return Broken(reason="another-exchange")
     if 200 <= event.code < 300 and names.seal and names.seal not in headers:
         return Broken(reason="unsealed")
     if event.code in PROMISES:
-        # without its mark the worker promises nothing, so neither may we
+        # without the not-run header the worker makes no such promise, so the proxy must not make it either
         return Broken(reason=f"code:{event.code}")
     return CompleteResponse(code=event.code, headers=headers, body=event.body, is_failure=event.code >= 500)
