--- a/sailward/routing/idempotency.py
+++ b/sailward/routing/idempotency.py
@@ -165,7 +165,7 @@
             memory.state = "unsent"
         if isinstance(outcome, Refused) and outcome.reason == "number" and outcome.value["number"]:
             return self._take_other(now=now, exchange=exchange, value=outcome.value, memory=memory)
-        refusal = Refusal(code=503, reason="claim-uncertain", detail="no majority of the core answered in time")
+        refusal = Refusal(code=503, reason="claim-uncertain", detail="no majority of the controllers answered in time")
         return [], [], [Lost(exchange=exchange, refusal=refusal)]
 
     def _take_other(
@@ -249,7 +249,7 @@
         if state == "done" and headers is not None:
             return [], [], [Replayed(exchange=exchange, code=code, headers=headers, body=body)]
         shown = "running" if state == "claiming" else state
-        refusal = Refusal(code=409, reason="repeat", state=shown, detail="this key was sent on before")
+        refusal = Refusal(code=409, reason="repeat", state=shown, detail="a request with this key was forwarded before")
         return [], [], [Lost(exchange=exchange, refusal=refusal)]
 
     def _on_timer(self, *, now: float) -> list:
@@ -261,7 +261,7 @@
                     code=409,
                     reason="repeat",
                     state=peeking.state,
-                    detail="no proxy that can be reached has this key's result",
+                    detail="no reachable proxy has the result of this key",
                 )
                 verdicts.append(Lost(exchange=peeking.exchange, refusal=refusal))
         self.memory.step(now=now)
@@ -272,5 +272,5 @@
 def _lost_to_other(*, exchange: ProxiedRequest) -> Lost:
     return Lost(
         exchange=exchange,
-        refusal=Refusal(code=422, reason="key-reused", detail="this key was given with another request"),
+        refusal=Refusal(code=422, reason="key-reused", detail="this key was used with another request"),
     )
--- a/sailward/routing/idempotency_key_time.py
+++ b/sailward/routing/idempotency_key_time.py
@@ -19,11 +19,11 @@
     """(code, reason, detail) if the key can't be accepted now. `clock` is None while the wall time is unknown."""
     made = read_time(key=key)
     if made is None:
-        return (400, "key-untimed", "this service needs keys that tell their time: UUIDv7") if is_required else None
+        return (400, "key-untimed", "this service needs keys with a timestamp: UUIDv7") if is_required else None
     if clock is None:
-        return (503, "clock-unknown", "the core's clocks are not known yet") if is_required else None
+        return (503, "clock-unknown", "the controllers' clocks are not known yet") if is_required else None
     if made > clock + constants.KEY_MAX_CLOCK_SKEW:
-        return 400, "key-of-the-future", f"made {made - clock:.0f} s after now: set your clock"
+        return 400, "key-of-the-future", f"made {made - clock:.0f} s in the future: check your clock"
     if clock - made > constants.CLAIM_TTL - constants.KEY_EXPIRY_MARGIN:
-        return 410, "key-too-old", f"made {clock - made:.0f} s ago: what became of it is not remembered any more"
+        return 410, "key-too-old", f"made {clock - made:.0f} s ago: its outcome is no longer stored"
     return None
--- a/sailward/routing/proxied_request.py
+++ b/sailward/routing/proxied_request.py
@@ -121,7 +121,7 @@
         return Refusal(code=fault[0], reason=fault[1], detail=fault[2])
     part = event.headers.get("sailward-key", "") or part_of(path=event.path, match=match)
     if service.slots and not part:
-        return Refusal(code=400, reason="part-missing", detail="this service is divided: give the key in the path")
+        return Refusal(code=400, reason="part-missing", detail="this service is sharded: give the key in the path")
     query = "?" + urlencode(event.query, doseq=True) if event.query else ""
     return ProxiedRequest(
         token=event.token,
@@ -170,7 +170,7 @@
     if match is None:
         return Refusal(code=404, reason="unmatched", detail=event.path[:200])
     if event.method not in SAFE and not key:
-        return Refusal(code=428, reason="key-missing", detail="an unsafe exchange needs an Idempotency-Key")
+        return Refusal(code=428, reason="key-missing", detail="an unsafe request needs an Idempotency-Key")
     return _Head(tenant=tenant, turn=turn, key=key, match=match)
 
 
@@ -186,10 +186,10 @@
     tenant = plan.tenants.get(exchange.tenant.name)
     match = plan.match(path=exchange.raw_path, method=exchange.method, tenant=exchange.tenant.name)
     if tenant is None or match is None:
-        return Refusal(code=404, reason="unmatched", detail="the configuration changed meanwhile")
+        return Refusal(code=404, reason="unmatched", detail="the configuration changed while the request waited")
     service = plan.services[plan.pools[match.shares[0][0]].service]
     if service.slots and not exchange.part:
-        return Refusal(code=400, reason="part-missing", detail="the service is divided now")
+        return Refusal(code=400, reason="part-missing", detail="the service has become sharded")
     exchange.tenant, exchange.match, exchange.service, exchange.plan = tenant, match, service, plan.number
     if exchange.pool not in {name for name, weight in match.shares if weight}:
         exchange.pool = ""
--- a/sailward/routing/proxied_requests.py
+++ b/sailward/routing/proxied_requests.py
@@ -109,7 +109,7 @@
         promise = is_promise_safe(event=event)
         if not acting and not (isinstance(taken, Refusal) and taken.code == 413):
             # without a lease the configuration may be stale, so that even "no such tenant" could be wrong
-            taken = Refusal(code=503, reason="no-lease", detail="this proxy is cut off from the core")
+            taken = Refusal(code=503, reason="no-lease", detail="this proxy is cut off from the controllers")
         if isinstance(taken, Refusal):
             self._count_refusal(reason=taken.reason)
             if taken.code == 503 and event.headers.get("sailward-try", "1") == "1":
@@ -129,7 +129,7 @@
                 return dispatched
         taken.state = "waiting"
         if not self.queues.step(name=taken.queue_name, item=taken.token, share=taken.tenant.share):
-            return [self._refuse(exchange=taken, reason="line-full", detail="this tenant's line is full")], []
+            return [self._refuse(exchange=taken, reason="line-full", detail="this tenant's queue is full")], []
         return [], []
 
     def _charge(
@@ -145,13 +145,12 @@
         else:
             exchange.paid = self.attempt_budget.step(now=now, first=not is_repeat, caller=True)
         if not is_replay and not exchange.paid:
-            detail = "repeats are over their share of the traffic"
+            detail = "retries exceed their share of the traffic"
             return self._refuse(exchange=exchange, reason="too-many-repeats", detail=detail)
         is_unclaimed_repeat = exchange.unsafe and memory is None and exchange.turn != 1
         if is_unclaimed_repeat and self.load_balancer.routing_state.has_unknown_outcomes(now=now):
             detail = (
-                "the core lost claims: an exchange that may have been "
-                "sent before is not sent on until their life is over"
+                "claims were lost: a request that may have been sent before is not forwarded until they have expired"
             )
             return self._refuse(exchange=exchange, reason="claims-in-doubt", detail=detail)
         return None
@@ -224,7 +223,7 @@
                             self._refuse(
                                 exchange=exchange,
                                 reason="too-many-repeats",
-                                detail="repeats are over their share of the traffic",
+                                detail="retries exceed their share of the traffic",
                             )
                         )
                         continue
@@ -380,9 +379,9 @@
                     self._refuse(
                         exchange=exchange,
                         reason=reason,
-                        detail="every worker that may serve is at its bound"
+                        detail="every eligible worker is at its limit"
                         if acting
-                        else "this proxy is cut off from the core",
+                        else "this proxy is cut off from the controllers",
                     )
                 )
             elif now >= exchange.expiry:
