--- a/sailward/routing/attempt_budget.py
+++ b/sailward/routing/attempt_budget.py
@@ -18,46 +18,50 @@
     """
 
     def __init__(self) -> None:
-        self._firsts: deque = deque()
-        self._mores: deque = deque()
+        self._first_tries: deque = deque()
+        self._retries: deque = deque()
         self._credits: deque = deque()
-        self._looks: deque = deque()
+        self._lookups: deque = deque()
 
     def step(self, *, now: float, first: bool, caller: bool = False) -> str:
         """The source that this attempt was charged to."""
         for line, life in (
-            (self._firsts, constants.RETRY_BUDGET_WINDOW),
-            (self._mores, constants.RETRY_BUDGET_WINDOW),
+            (self._first_tries, constants.RETRY_BUDGET_WINDOW),
+            (self._retries, constants.RETRY_BUDGET_WINDOW),
             (self._credits, constants.RETRY_CREDIT_TTL),
         ):
             while line and line[0] <= now - life:
                 line.popleft()
         if first:
-            self._firsts.append(now)
+            self._first_tries.append(now)
             return FIRST
         if caller and self._credits:
             self._credits.popleft()
-            self._firsts.append(now)
+            self._first_tries.append(now)
             return CREDIT
-        if len(self._mores) + 1 > max(constants.RETRY_BUDGET_MINIMUM, constants.RETRY_BUDGET_RATIO * len(self._firsts)):
+        if len(self._retries) + 1 > max(
+            constants.RETRY_BUDGET_MINIMUM, constants.RETRY_BUDGET_RATIO * len(self._first_tries)
+        ):
             return ""
-        self._mores.append(now)
+        self._retries.append(now)
         return BUDGET
 
     def lookup(self, *, now: float) -> str:
         """May a retry look up its claim? It is charged like any other if it has to be forwarded."""
-        while self._looks and self._looks[0] <= now - constants.RETRY_BUDGET_WINDOW:
-            self._looks.popleft()
-        if len(self._looks) >= max(constants.RETRY_BUDGET_MINIMUM, constants.CLAIM_LOOKUP_RATIO * len(self._firsts)):
+        while self._lookups and self._lookups[0] <= now - constants.RETRY_BUDGET_WINDOW:
+            self._lookups.popleft()
+        if len(self._lookups) >= max(
+            constants.RETRY_BUDGET_MINIMUM, constants.CLAIM_LOOKUP_RATIO * len(self._first_tries)
+        ):
             return ""
-        self._looks.append(now)
+        self._lookups.append(now)
         return LOOKUP
 
     def refund(self, *, now: float, paid: str, swells: bool) -> None:
         """Refund a request that was refused and sent to no worker. `swells`: an earlier try did reach one."""
         if paid == LOOKUP:
             return
-        line = self._mores if paid == BUDGET else self._firsts
+        line = self._retries if paid == BUDGET else self._first_tries
         if line:
             line.pop()
         if paid != BUDGET and not swells:
--- a/sailward/routing/forwarding.py
+++ b/sailward/routing/forwarding.py
@@ -56,11 +56,11 @@
         """Process one event and return the resulting commands."""
         match event:
             case RequestReceived():
-                return self._arrive(now=now, event=event)
+                return self._on_request(now=now, event=event)
             case CallFinished():
-                return self._return(now=now, event=event) + self._dispatch_waiting(now=now)
+                return self._on_call_finished(now=now, event=event) + self._dispatch_waiting(now=now)
             case ClientDisconnected():
-                return self._leave(now=now, token=event.token)
+                return self._on_client_disconnected(now=now, token=event.token)
             case None:
                 return self._on_timer(now=now)
 
@@ -81,10 +81,10 @@
             )
         ]
 
-    def _arrive(self, *, now: float, event: RequestReceived) -> list[Command]:
+    def _on_request(self, *, now: float, event: RequestReceived) -> list[Command]:
         taken = take_request(event=event, plan=self.endpoint_selector.context.plan, now=now, names=self.names)
         if isinstance(taken, Refusal):
-            return [self._refusal(token=event.token, refusal=taken)]
+            return [self._refusal_response(token=event.token, refusal=taken)]
         self.live[taken.token] = taken
         self.tally["taken"] += 1
         if taken.service.ranged and taken.key >= 0:
@@ -100,14 +100,14 @@
             return self._forward(now=now, request=request, worker=choice)
         if request.waits_since < 0:
             request.waits_since = now
-        if choice.reason in SHORT and now + constants.TICK_INTERVAL - request.waits_since <= self._patience(
+        if choice.reason in SHORT and now + constants.TICK_INTERVAL - request.waits_since <= self._max_wait(
             request=request, reason=choice.reason
         ):
             self.waiting[request.token] = request
             return []
         return self._give_up(now=now, request=request, refusal=choice)
 
-    def _patience(self, *, request: Request, reason: str) -> float:
+    def _max_wait(self, *, request: Request, reason: str) -> float:
         """Maximum time in s that a request may wait.
 
         A share of the target response time: small when it waits for capacity, larger when its key has no owner yet.
@@ -127,7 +127,7 @@
         is_first = not request.sent and not request.unsent
         if (is_first or request.sent) and not self._take_budget(now=now, request=request, is_first=is_first):
             return self._give_up(now=now, request=request, refusal=Refusal(code=503, reason="budget"))
-        return self._call(now=now, request=request, worker=worker)
+        return self._start_attempt(now=now, request=request, worker=worker)
 
     def _take_budget(self, *, now: float, request: Request, is_first: bool, is_hedge: bool = False) -> bool:
         return self.budget.step(
@@ -138,7 +138,7 @@
             is_hedge=is_hedge,
         )
 
-    def _call(self, *, now: float, request: Request, worker: Worker) -> list[Command]:
+    def _start_attempt(self, *, now: float, request: Request, worker: Worker) -> list[Command]:
         """Start one attempt at this worker, and record it."""
         violation = check(invariant=Invariant.DEPARTED_NOT_SERVED, holds=not request.is_left, route=request.match.path)
         self.count += 1
@@ -177,20 +177,20 @@
         share = constants.KEY_OWNER_RETRY_RATIO if request.service.ranged else constants.HEDGE_DELAY_RATIO
         return max(constants.HEDGE_MIN_DELAY, share * (request.match.target or constants.HEDGE_MIN_DELAY))
 
-    def _return(self, *, now: float, event: CallFinished) -> list[Command]:  # noqa: C901 - one branch over the bound
+    def _on_call_finished(self, *, now: float, event: CallFinished) -> list[Command]:  # noqa: C901 - one branch over the bound
         request = self.calls.pop(event.token, None)
         if request is None:
             return []
         attempt = request.attempts.pop(event.token)
-        self._forget(token=event.token, worker=attempt.worker)
+        self._release_call(token=event.token, worker=attempt.worker)
         verdict = judge_reply(request=request, worker=attempt.worker, event=event, names=self.names)
-        commands = self._record(now=now, attempt=attempt, verdict=verdict)
+        commands = self._record_outcome(now=now, attempt=attempt, verdict=verdict)
         if isinstance(verdict, CompleteResponse):
             self._record_overtaken(now=now, attempt=attempt)
         if request.token not in self.live:
             return commands
         if isinstance(verdict, CompleteResponse) and not verdict.is_failure:
-            return commands + self._answer(request=request, verdict=verdict)
+            return commands + self._respond(request=request, verdict=verdict)
         if isinstance(verdict, NotSent):
             request.sent, request.unsent = request.sent - 1, request.unsent + 1
         elif isinstance(verdict, (Broken, CompleteResponse)):
@@ -202,10 +202,10 @@
         if self._may_retry(now=now, request=request, verdict=verdict):
             return commands + self._select_and_forward(now=now, request=request)
         if isinstance(verdict, CompleteResponse):
-            return commands + self._answer(request=request, verdict=verdict)
-        return commands + self._give_up(now=now, request=request, refusal=_refusal_of(verdict=verdict))
+            return commands + self._respond(request=request, verdict=verdict)
+        return commands + self._give_up(now=now, request=request, refusal=_refusal_for(verdict=verdict))
 
-    def _forget(self, *, token: str, worker: str) -> None:
+    def _release_call(self, *, token: str, worker: str) -> None:
         self.endpoint_selector.left(key=worker)
         tokens = self.by_worker.get(worker, {})
         tokens.pop(token, None)
@@ -241,7 +241,7 @@
                         request.hedge_at, max(now, other.at + constants.LOST_REQUEST_LATENCY_RATIO * shown.calm)
                     )
 
-    def _record(self, *, now: float, attempt: Attempt, verdict: object) -> list[Command]:
+    def _record_outcome(self, *, now: float, attempt: Attempt, verdict: object) -> list[Command]:
         if isinstance(verdict, CompleteResponse):
             event = "pass"
         elif isinstance(verdict, WorkerRejected):
@@ -258,8 +258,8 @@
             else []
         )
 
-    def _answer(self, *, request: Request, verdict: CompleteResponse) -> list[Command]:
-        commands = self._end(request=request)
+    def _respond(self, *, request: Request, verdict: CompleteResponse) -> list[Command]:
+        commands = self._remove_request(request=request)
         self.tally["answered"] += 1
         return [
             Respond(
@@ -272,7 +272,7 @@
         ]
 
     def _give_up(self, *, now: float, request: Request, refusal: Refusal) -> list[Command]:
-        commands = self._end(request=request)
+        commands = self._remove_request(request=request)
         code = refusal.code
         if request.ran and code in (503, 429, 408, 421):
             # the request may have run: these codes would promise that it did not
@@ -287,9 +287,13 @@
                 "took": round(now - request.arrived, 3),
             },
         )
-        return [self._refusal(token=request.token, refusal=Refusal(code=code, reason=refusal.reason)), log, *commands]
+        return [
+            self._refusal_response(token=request.token, refusal=Refusal(code=code, reason=refusal.reason)),
+            log,
+            *commands,
+        ]
 
-    def _end(self, *, request: Request) -> list[Command]:
+    def _remove_request(self, *, request: Request) -> list[Command]:
         """Remove a request that has its final response.
 
         Attempts still in flight are canceled, except those of a request that must not run twice: these run on, and
@@ -302,11 +306,11 @@
             if request.match.is_repeatable:
                 del request.attempts[token]
                 self.calls.pop(token, None)
-                self._forget(token=token, worker=attempt.worker)
+                self._release_call(token=token, worker=attempt.worker)
                 commands.append(CancelCall(token=token))
         return commands
 
-    def _leave(self, *, now: float, token: str) -> list[Command]:
+    def _on_client_disconnected(self, *, now: float, token: str) -> list[Command]:
         """The client closed the connection, or at least its sending side: no further attempt is started.
 
         A request that must not run twice continues if any byte of it has been sent. Any other is given up, with a
@@ -323,7 +327,7 @@
         code = 502 if request.sent else 503
         return self._give_up(now=now, request=request, refusal=Refusal(code=code, reason="caller-left"))
 
-    def _refusal(self, *, token: str, refusal: Refusal) -> Respond:
+    def _refusal_response(self, *, token: str, refusal: Refusal) -> Respond:
         headers = (
             {
                 "Retry-After": str(
@@ -377,10 +381,10 @@
         ):
             return []
         self.tally["hedged"] += 1
-        return self._call(now=now, request=request, worker=choice)
+        return self._start_attempt(now=now, request=request, worker=choice)
 
 
-def _refusal_of(*, verdict: object) -> Refusal:
+def _refusal_for(*, verdict: object) -> Refusal:
     if isinstance(verdict, WorkerRejected):
         return Refusal(code=verdict.code if verdict.why == "refused" else 503, reason=f"worker-{verdict.why}")
     if isinstance(verdict, NotSent):
--- a/sailward/routing/idempotency.py
+++ b/sailward/routing/idempotency.py
@@ -72,7 +72,7 @@
     ) -> tuple[list, list[StartOperation], list]:
         """Process a request to claim, a finished operation, a (sender, message) of a peer, or None for a timer tick."""
         if isinstance(event, ProxiedRequest):
-            return self._begin(now=now, exchange=event)
+            return self._on_request(now=now, exchange=event)
         if isinstance(event, OperationFinished):
             return self._on_operation_finished(now=now, event=event)
         if event is None:
@@ -85,7 +85,7 @@
             copy = self.replicas.find(digest=body["key"], number=body["number"])
             reply = self.memory.peeked(token=body["token"], digest=body["key"], region=body["region"], copy=copy)
             return [SendMessage(to=sender, body=reply)], [], []
-        return self._take_peeked(now=now, sender=sender, body=body)
+        return self._on_peek_reply(now=now, sender=sender, body=body)
 
     def finish(self, *, exchange: ProxiedRequest, code: int, headers: dict, body: bytes) -> list:
         """Store the result for retries: here, if the tenant's home regions allow it, and at one other proxy."""
@@ -116,13 +116,13 @@
         memory = self.memory.by_digest.get(exchange.digest) if exchange.unsafe else None
         return memory is not None and memory.state != "unsent" and not exchange.claim
 
-    def _begin(self, *, now: float, exchange: ProxiedRequest) -> tuple[list, list[StartOperation], list]:
+    def _on_request(self, *, now: float, exchange: ProxiedRequest) -> tuple[list, list[StartOperation], list]:
         memory = self.memory.by_digest.get(exchange.digest)
         if memory is None:
-            return [], [self._claim(now=now, exchange=exchange, expected=0)], []
+            return [], [self._start_claim(now=now, exchange=exchange, expected=0)], []
         if memory.fingerprint != exchange.fingerprint:
-            return [], [], [_lost_to_other(exchange=exchange)]
-        return self._judge_state(
+            return [], [], [_key_reused(exchange=exchange)]
+        return self._decide_by_state(
             now=now,
             exchange=exchange,
             state=memory.state,
@@ -132,7 +132,7 @@
             body=memory.body,
         )
 
-    def _claim(self, *, now: float, exchange: ProxiedRequest, expected: int) -> StartOperation:
+    def _start_claim(self, *, now: float, exchange: ProxiedRequest, expected: int) -> StartOperation:
         self.count += 1
         self.memory.begin(
             now=now,
@@ -164,23 +164,23 @@
         if memory is not None:
             memory.state = "unsent"
         if isinstance(outcome, Refused) and outcome.reason == "number" and outcome.value["number"]:
-            return self._take_other(now=now, exchange=exchange, value=outcome.value, memory=memory)
+            return self._on_claimed_by_other(now=now, exchange=exchange, value=outcome.value, memory=memory)
         refusal = Refusal(code=503, reason="claim-uncertain", detail="no majority of the controllers answered in time")
         return [], [], [Lost(exchange=exchange, refusal=refusal)]
 
-    def _take_other(
+    def _on_claimed_by_other(
         self, *, now: float, exchange: ProxiedRequest, value: RegisterValue, memory: Memory | None
     ) -> tuple[list, list[StartOperation], list]:
         claim = json.loads(value["text"])
         if claim["i"] == self.identity:
             # this proxy's own claim: unsent if it is no older than the cached ones, else the request may have run
             known = memory is not None and claim["n"] >= memory.first and claim["f"] == exchange.fingerprint
-            return self._judge_state(
+            return self._decide_by_state(
                 now=now, exchange=exchange, state="unsent" if known else "unknown", number=value["number"]
             )
         self.memory.by_digest.pop(exchange.digest, None)
         if claim["f"] != exchange.fingerprint:
-            return [], [], [_lost_to_other(exchange=exchange)]
+            return [], [], [_key_reused(exchange=exchange)]
         copy = self.replicas.find(digest=exchange.digest, number=value["number"])
         if copy is not None:
             return [], [], [Replayed(exchange=exchange, code=copy.code, headers=copy.headers, body=copy.body)]
@@ -205,7 +205,7 @@
         }
         return [SendMessage(to=address, body=body) for address in sorted(pending_peers)], [], []
 
-    def _take_peeked(self, *, now: float, sender: str, body: dict) -> tuple[list, list[StartOperation], list]:
+    def _on_peek_reply(self, *, now: float, sender: str, body: dict) -> tuple[list, list[StartOperation], list]:
         peeking = self.peeking.get(body["token"])
         if peeking is None:
             return [], [], []
@@ -223,7 +223,7 @@
         del self.peeking[body["token"]]
         headers = body["headers"] if body["code"] else None
         body = body if headers is not None else {**body, "state": peeking.state}
-        return self._judge_state(
+        return self._decide_by_state(
             now=now,
             exchange=peeking.exchange,
             state=body["state"],
@@ -233,7 +233,7 @@
             body=bytes(body["body"]),
         )
 
-    def _judge_state(
+    def _decide_by_state(
         self,
         *,
         now: float,
@@ -245,7 +245,7 @@
         body: bytes = b"",
     ) -> tuple[list, list[StartOperation], list]:
         if state == "unsent":
-            return [], [self._claim(now=now, exchange=exchange, expected=number)], []
+            return [], [self._start_claim(now=now, exchange=exchange, expected=number)], []
         if state == "done" and headers is not None:
             return [], [], [Replayed(exchange=exchange, code=code, headers=headers, body=body)]
         shown = "running" if state == "claiming" else state
@@ -269,7 +269,7 @@
         return verdicts
 
 
-def _lost_to_other(*, exchange: ProxiedRequest) -> Lost:
+def _key_reused(*, exchange: ProxiedRequest) -> Lost:
     return Lost(
         exchange=exchange,
         refusal=Refusal(code=422, reason="key-reused", detail="this key was used with another request"),
--- a/sailward/routing/lease.py
+++ b/sailward/routing/lease.py
@@ -33,7 +33,7 @@
         self._requested_at: dict[int, float] = {}
         self._grants: dict[str, Grant] = {}
         self._seq = 0
-        self._next = -1e9
+        self._next_request_at = -1e9
 
     def step(
         self,
@@ -48,16 +48,16 @@
     ) -> list[Command]:
         """Record a grant, update the state of the lease, and request a new one when that is due."""
         if event is not None:
-            self._take_grant(body=event[1], voters=voters)
-        commands = self._judge(now=now, voters=voters)
-        if event is None and now >= self._next:
+            self._record_grant(body=event[1], voters=voters)
+        commands = self._update_state(now=now, voters=voters)
+        if event is None and now >= self._next_request_at:
             commands += self._request_lease(now=now, addresses=addresses, report=report, daemon=daemon, have=have)
         return commands
 
     def review(self) -> None:
         """Reevaluate the grants after a newer value has been learned."""
         for grant in self._grants.values():
-            grant.until = max(grant.until, self._end_of(grant=grant))
+            grant.until = max(grant.until, self._valid_until(grant=grant))
 
     def until(self, *, voters: VoterSet) -> float:
         """When the lease expires."""
@@ -71,13 +71,13 @@
         return now < self.until(voters=voters) and all(self._learner.number(name=name) for name in ("config", "voters"))
 
     def _request_lease(self, *, now: float, addresses: list, report: dict, daemon: dict, have: dict) -> list[Command]:
-        self._seq, self._next = self._seq + 1, now + constants.LEASE_REQUEST_INTERVAL
+        self._seq, self._next_request_at = self._seq + 1, now + constants.LEASE_REQUEST_INTERVAL
         self._requested_at[self._seq] = now
         self._requested_at.pop(self._seq - 50, None)
         body = {"kind": "ask", "seq": self._seq, "have": have, "report": report, "daemon": daemon}
         return [SendMessage(to=address, body=body) for address in addresses]
 
-    def _take_grant(self, *, body: dict, voters: VoterSet) -> None:
+    def _record_grant(self, *, body: dict, voters: VoterSet) -> None:
         requested_at = self._requested_at.get(body["seq"])
         if requested_at is None or not body["voting"] or body["identity"] not in voters.members:
             return
@@ -85,17 +85,17 @@
         if requested_at < grant.requested_at:
             return
         grant.requested_at, grant.newest = requested_at, body["newest"]
-        grant.until = max(grant.until, self._end_of(grant=grant))
+        grant.until = max(grant.until, self._valid_until(grant=grant))
 
-    def _behind_in(self, *, grant: Grant) -> list[str]:
+    def _outdated_names(self, *, grant: Grant) -> list[str]:
         return [name for name, newest in grant.newest.items() if not self._learner.covers(name=name, newest=newest)]
 
-    def _end_of(self, *, grant: Grant) -> float:
-        return -1e9 if self._behind_in(grant=grant) else grant.requested_at + constants.LEASE_DURATION
+    def _valid_until(self, *, grant: Grant) -> float:
+        return -1e9 if self._outdated_names(grant=grant) else grant.requested_at + constants.LEASE_DURATION
 
-    def _judge(self, *, now: float, voters: VoterSet) -> list[Command]:
+    def _update_state(self, *, now: float, voters: VoterSet) -> list[Command]:
         live = [grant for grant in self._grants.values() if now - grant.requested_at < constants.LEASE_DURATION]
-        names = {name for grant in live for name in self._behind_in(grant=grant)}
+        names = {name for grant in live for name in self._outdated_names(grant=grant)}
         self.behind = {name: self.behind.get(name, now) for name in names}
         before = self.state
         self.state = CHART.step(state=before, event="granted" if self.is_valid(now=now, voters=voters) else "run_out")
--- a/sailward/routing/proxied_request.py
+++ b/sailward/routing/proxied_request.py
@@ -144,7 +144,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Head:
+class _RequestHead:
     """What the head of a request says: tenant, number of the client's try, idempotency key and route."""
 
     tenant: Tenant
@@ -153,14 +153,14 @@
     match: Match
 
 
-def _read_head(*, event: RequestReceived, plan: Plan) -> _Head | Refusal:
+def _read_head(*, event: RequestReceived, plan: Plan) -> _RequestHead | Refusal:
     """Read the tenant, number of the try, idempotency key and route; a refusal if one is missing or invalid."""
     if event.method not in KNOWN:
         return Refusal(code=405, reason="method-unknown", detail=event.method[:40])
     tenant = plan.tenants.get(event.headers.get("sailward-tenant", ""))
     if tenant is None:
         return Refusal(code=400, reason="tenant-unknown", detail="give Sailward-Tenant, a tenant's name")
-    turn = _read_turn(text=event.headers.get("sailward-try", ""))
+    turn = _read_try_number(text=event.headers.get("sailward-try", ""))
     if turn is None:
         return Refusal(code=400, reason="try-ill-formed", detail="Sailward-Try is a number from 1")
     key = event.headers.get("idempotency-key", "")
@@ -171,7 +171,7 @@
         return Refusal(code=404, reason="unmatched", detail=event.path[:200])
     if event.method not in SAFE and not key:
         return Refusal(code=428, reason="key-missing", detail="an unsafe request needs an Idempotency-Key")
-    return _Head(tenant=tenant, turn=turn, key=key, match=match)
+    return _RequestHead(tenant=tenant, turn=turn, key=key, match=match)
 
 
 def part_of(*, path: str, match: Match) -> str:
@@ -251,7 +251,7 @@
     return headers
 
 
-def _read_turn(*, text: str) -> int | None:
+def _read_try_number(*, text: str) -> int | None:
     if text == "":
         return 0
     return int(text) if text.isascii() and text.isdigit() and int(text[:9]) > 0 and len(text) < 9 else None
--- a/sailward/routing/proxied_requests.py
+++ b/sailward/routing/proxied_requests.py
@@ -55,9 +55,9 @@
         """Process an event, finished operation, peer's message or None (timer tick); `acting`: the lease is held."""
         self.now = now
         if isinstance(event, RequestReceived):
-            return self._arrive(now=now, event=event, acting=acting)
+            return self._on_request(now=now, event=event, acting=acting)
         if isinstance(event, CallFinished):
-            commands, begins = self._return(now=now, event=event, acting=acting)
+            commands, begins = self._on_call_finished(now=now, event=event, acting=acting)
         elif event is None:
             commands, begins = self._on_timer(now=now, acting=acting), []
             verdicts = self.claims.step(now=now, event=None)[2]
@@ -97,7 +97,7 @@
         refusal = self._refuse(exchange=exchange, reason="caller-left", detail="its connection was closed")
         return [*(CancelCall(token=call) for call in under_way), refusal]
 
-    def _arrive(self, *, now: float, event: RequestReceived, acting: bool) -> tuple[list, list]:
+    def _on_request(self, *, now: float, event: RequestReceived, acting: bool) -> tuple[list, list]:
         self.count += 1
         taken = take_exchange(
             event=event,
@@ -117,7 +117,7 @@
             return [answer_refusal(token=event.token, refusal=taken, not_run=promise)], []
         memory = self.claims.memory.by_digest.get(taken.digest) if taken.key else None
         is_replay = memory is not None and memory.state != "unsent"
-        refusal = self._charge(now=now, exchange=taken, memory=memory, is_replay=is_replay)
+        refusal = self._charge_budget(now=now, exchange=taken, memory=memory, is_replay=is_replay)
         if refusal is not None:
             return [refusal], []
         self.live[taken.token] = taken
@@ -132,7 +132,7 @@
             return [self._refuse(exchange=taken, reason="line-full", detail="this tenant's queue is full")], []
         return [], []
 
-    def _charge(
+    def _charge_budget(
         self, *, now: float, exchange: ProxiedRequest, memory: Memory | None, is_replay: bool
     ) -> Respond | None:
         """Charge the request to the attempt budget; the refusal if that is spent or the claim may have been lost."""
@@ -158,7 +158,7 @@
     def _dispatch(self, *, now: float, exchange: ProxiedRequest) -> tuple[list, list] | None:
         """Select a worker, claim the key if the request is unsafe, and forward; None to wait for worker capacity."""
         if not self.claims.remembers(exchange=exchange):
-            choice = self._choose(now=now, exchange=exchange)
+            choice = self._select_worker(now=now, exchange=exchange)
             if isinstance(choice, Refusal):
                 return None if choice.reason == "no-room" else ([self._refuse(exchange=exchange, refusal=choice)], [])
         if exchange.unsafe and not exchange.claim:
@@ -167,7 +167,7 @@
             return commands + self._on_verdicts(now=now, verdicts=verdicts, acting=True), begins
         return self._forward(now=now, exchange=exchange), []
 
-    def _choose(self, *, now: float, exchange: ProxiedRequest) -> Refusal | None:
+    def _select_worker(self, *, now: float, exchange: ProxiedRequest) -> Refusal | None:
         refusal = refit_exchange(exchange=exchange, plan=self.load_balancer.routing_state.plan)
         choice = refusal or self.load_balancer.step(now=now, exchange=exchange)
         if isinstance(choice, Refusal):
@@ -178,7 +178,7 @@
     def _forward(self, *, now: float, exchange: ProxiedRequest) -> list[Command]:
         plan_moved = exchange.plan != self.load_balancer.routing_state.plan.number
         if exchange.chosen is None or plan_moved or not self.load_balancer.stands(exchange=exchange):
-            refusal = self._choose(now=now, exchange=exchange)
+            refusal = self._select_worker(now=now, exchange=exchange)
             if refusal is not None:
                 return [self._refuse(exchange=exchange, refusal=refusal)]
         worker, exchange.chosen = exchange.chosen, None
@@ -228,7 +228,7 @@
                         )
                         continue
                 if exchange.answered or not acting or now >= exchange.expiry:
-                    self._unsend(exchange=exchange)
+                    self._mark_unsent(exchange=exchange)
                     if not exchange.answered:
                         commands.append(
                             self._refuse(exchange=exchange, reason="no-lease", detail="lost while claiming")
@@ -239,7 +239,7 @@
                 continue
             elif isinstance(verdict, Replayed):
                 commands.append(
-                    self._answer(
+                    self._respond(
                         exchange=exchange,
                         code=verdict.code,
                         body=verdict.body,
@@ -250,7 +250,7 @@
                 commands.append(self._refuse(exchange=exchange, refusal=verdict.refusal))
         return commands
 
-    def _return(self, *, now: float, event: CallFinished, acting: bool) -> tuple[list, list]:
+    def _on_call_finished(self, *, now: float, event: CallFinished, acting: bool) -> tuple[list, list]:
         exchange = self.sent.pop(event.token, None)
         self.calls.pop(event.token, None)
         if exchange is None:
@@ -265,7 +265,7 @@
         ran = self._record_verdict(exchange=exchange, verdict=verdict)
         if exchange.answered:
             if exchange.unsafe and not ran:
-                self._unsend(exchange=exchange)
+                self._mark_unsent(exchange=exchange)
             return commands, []
         may_retry = not ran and acting and exchange.attempts < constants.MAX_ATTEMPTS and now < exchange.expiry
         if may_retry and self.attempt_budget.step(now=now, first=False):
@@ -319,10 +319,10 @@
             return commands
         return [
             *commands,
-            self._answer(exchange=exchange, code=verdict.code, headers=verdict.headers, body=verdict.body),
+            self._respond(exchange=exchange, code=verdict.code, headers=verdict.headers, body=verdict.body),
         ]
 
-    def _answer(self, *, exchange: ProxiedRequest, code: int, headers: dict, body: bytes) -> Respond:
+    def _respond(self, *, exchange: ProxiedRequest, code: int, headers: dict, body: bytes) -> Respond:
         self.tally["answered"] += 1
         exchange.answered = True
         self.live.pop(exchange.token, None)
@@ -339,13 +339,13 @@
         if exchange.state == "waiting":
             self.queues.drop(item=exchange.token)
         if exchange.claim and not exchange.sent:
-            self._unsend(exchange=exchange)
+            self._mark_unsent(exchange=exchange)
         exchange.answered = True
         self.live.pop(exchange.token, None)
         promise = not exchange.sent and (not exchange.unsafe or exchange.turn == 1) and not refusal.state
         return answer_refusal(token=exchange.token, refusal=refusal, not_run=promise)
 
-    def _unsend(self, *, exchange: ProxiedRequest) -> None:
+    def _mark_unsent(self, *, exchange: ProxiedRequest) -> None:
         memory = self.claims.memory.by_digest.get(exchange.digest)
         if memory is not None and memory.state == "running":
             memory.state = "unsent"
@@ -391,5 +391,5 @@
             if now >= end:
                 # the end of the call was never reported; whether the request ran is unknown
                 lost = CallFinished(token=token, code=0, headers={}, body=b"", fault="timed-out", sent=True)
-                commands += self._return(now=now, event=lost, acting=False)[0]
+                commands += self._on_call_finished(now=now, event=lost, acting=False)[0]
         return commands
--- a/sailward/routing/retry_budget.py
+++ b/sailward/routing/retry_budget.py
@@ -35,7 +35,7 @@
     def step(self, *, now: float, service: str, first: bool, proxies: int, is_hedge: bool = False) -> bool:
         """May the attempt be made? If so, it is counted. Hedges may use only a small part of the retry budget."""
         account = self.accounts.setdefault(service, Account())
-        self._forget_old(now=now, account=account)
+        self._evict_old(now=now, account=account)
         if first:
             account.firsts.append(now)
             return True
@@ -49,7 +49,7 @@
         account.mores.append(now)
         return True
 
-    def _forget_old(self, *, now: float, account: Account) -> None:
+    def _evict_old(self, *, now: float, account: Account) -> None:
         for moments in (account.firsts, account.mores):
             while moments and moments[0] <= now - self.window:
                 moments.popleft()
--- a/simulation/hosted/sabotage.py
+++ b/simulation/hosted/sabotage.py
@@ -160,7 +160,9 @@
     "promise": _all(_patch(forwarding.Forwarder, "_give_up", _promises_all)),
     "promise-mark": _all(_patch(forwarding, "judge_reply", _takes_unmarked)),
     "drain-mark": _all(_patch(endpoint_table.EndpointTable, "replace", _never_leaving)),
-    "departures": _all(_patch(forwarding.Forwarder, "_leave", lambda old: lambda self, *, now, token: [])),
+    "departures": _all(
+        _patch(forwarding.Forwarder, "_on_client_disconnected", lambda old: lambda self, *, now, token: [])
+    ),
     "homes": _all(
         _patch(
             endpoint_selection.EndpointSelector,
@@ -202,7 +204,7 @@
         lambda: mock.patch.object(hosted_calls, "names_another", lambda *, asked, echoed: False),
         _patch(forwarding, "judge_reply", _by_order_alone),
     ),
-    "fresh": _all(_patch(forwarding.Forwarder, "_call", _on_kept_connections)),
+    "fresh": _all(_patch(forwarding.Forwarder, "_start_attempt", _on_kept_connections)),
     "hang-up": _all(_patch(hosted_calls.Calls, "may_keep", lambda old: lambda self, *, code, is_named: True)),
     "sync": _all(_patch(write_ahead.WriteAhead, "step", _told_unsynced)),
     "majority": _all(_patch(proposer, "majority_of", lambda old: lambda *, members: 1)),
--- a/simulation/sim/sabotage.py
+++ b/simulation/sim/sabotage.py
@@ -181,7 +181,7 @@
     "hold": _constant("ZONE_HOLD_DOWN", 0.0),
     "grace": _constant("STOP_GRACE", 0.0),
     "sync": _method(write_ahead.WriteAhead, "step", _told_unsynced),
-    "claim": _method(idempotency.Claims, "_begin", _always_won),
+    "claim": _method(idempotency.Claims, "_on_request", _always_won),
     "sticky": _method(endpoint_table.EndpointTable, "step", _forgetful),
     "homes": _method(routing_state.RoutingState, "views_of", _no_homes),
     "draw-first": _method(load_balancer.LoadBalancer, "step", _by_status),
--- a/tests/test_forwarding_model.py
+++ b/tests/test_forwarding_model.py
@@ -74,7 +74,7 @@
     [
         (forwarding.Forwarder, "_may_retry", always_again, "TWICE"),
         (forwarding.Forwarder, "_give_up", promise_always, "REFUSED"),
-        (forwarding.Forwarder, "_end", break_off_all, "a once-only sending was broken off"),
+        (forwarding.Forwarder, "_remove_request", break_off_all, "a once-only sending was broken off"),
         (forwarding, "judge_reply", believe_unmarked, "TWICE|REFUSED"),
         (forwarding, "judge_reply", hand_all_on, "MIXED"),
         (forwarding, "judge_reply", never_sent, "TWICE|REFUSED"),
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -87,7 +87,7 @@
 def test_a_run_that_is_not_ended_violates() -> None:
     bench = make()
     bench.ask()
-    with mock.patch.object(Forwarder, "_end", lambda self, *, request: []):
+    with mock.patch.object(Forwarder, "_remove_request", lambda self, *, request: []):
         leave(bench, "front 1")
     [log] = logs(bench.wait(constants.TICK_INTERVAL), event="invariant-violated")
     assert log.fields == {"invariant": "departed-not-running", "attempts": 1}
