--- a/tests/forwarding_model.py
+++ b/tests/forwarding_model.py
@@ -1,7 +1,4 @@
-"""A bounded model of the forwarding owner.
-
-All orders of its events, and what the workers really did with each sending.
-"""
+"""A bounded model of the forwarder: all orders of its events, and what the workers did with each attempt."""
 
 from __future__ import annotations
 
@@ -12,147 +9,149 @@
 from sailward.routing.retry_budget import RetryBudget
 from tests.proxy_kit import NAMES, Bench, make_plan, make_worker
 
-PROMISES = (408, 421, 429, 503)
+NOT_RUN_CODES = (408, 421, 429, 503)
 RAN = {"served", "failed", "lost", "silent", "misnamed", "unmarked"}
-"""Ends of a sending after which the worker has run the request, though not all of them show it."""
+"""Outcomes of an attempt with which the worker has run the request, although not every outcome shows that."""
 NOT_RUN = {"full", "stranger", "unsent"}
-"""Ends of a sending that prove that the worker did not run it."""
+"""Outcomes of an attempt that prove that the worker did not run the request."""
 
 
 class Breach(AssertionError):
-    """A rule is broken; `trace` is the shortest way to it."""
+    """An invariant is violated; `trace` is a shortest sequence of events that leads there."""
 
     def __init__(self, *, what: str, trace: tuple) -> None:
-        super().__init__(f"{what} after {' '.join(':'.join(map(str, one)) for one in trace)}")
+        super().__init__(f"{what} after {' '.join(':'.join(map(str, event)) for event in trace)}")
 
 
 @dataclass(kw_only=True)
-class Sending:
-    """One call for a request and, once known, what became of it."""
+class Attempt:
+    """One call for a request and, once known, its outcome."""
 
     call: StartCall
     end: str = ""
 
     @property
     def may_run(self) -> bool:
-        """Has it run, or may it still?"""
+        """May the worker have run the request, or still run it?"""
         return self.end not in NOT_RUN
 
 
 @dataclass(kw_only=True)
-class Told:
-    """What one request of a caller brought about; `is_lost` if the process died under it."""
+class RequestRecord:
+    """Responses and attempts of one client request; `is_proxy_gone`: the proxy was killed before it responded."""
 
-    is_left: bool = False
-    is_lost: bool = False
+    is_client_gone: bool = False
+    is_proxy_gone: bool = False
     answers: list = field(default_factory=list)
-    sendings: list[Sending] = field(default_factory=list)
+    attempts: list[Attempt] = field(default_factory=list)
 
 
 class Model:
-    """One history: the owner, its requests, and the checks after each event."""
+    """One history: the forwarder, its requests, and the checks after each event."""
 
-    def __init__(self, *, kind: str, attempts: int, workers: int) -> None:
-        self.kind, self.attempts = kind, attempts
+    def __init__(self, *, kind: str, max_attempts: int, workers: int) -> None:
+        self.kind, self.max_attempts = kind, max_attempts
         self.bench = Bench(
-            workers=[make_worker(f"w{at}") for at in range(workers)], plan=make_plan(kind=kind, tries=attempts)
+            workers=[make_worker(f"w{index}") for index in range(workers)],
+            plan=make_plan(kind=kind, tries=max_attempts),
         )
-        self.asked: list[Told] = []
+        self.records: list[RequestRecord] = []
         self.incarnations = 1
         self.is_stopped = False
         self.trace: tuple = ()
 
     def events(self, *, requests: int) -> list[tuple]:
-        """What may happen next."""
-        found: list[tuple] = [("wait", 0.31), ("wait", 4.0)]
-        if len(self.asked) < requests and not self.is_stopped:
-            found.append(("ask",))
-        for at, told in enumerate(self.asked):
-            for number, sending in enumerate(told.sendings):
-                if not sending.end:
-                    found += [("end", at, number, end) for end in sorted(RAN | NOT_RUN)]
-            if not told.answers and not told.is_left:
-                found.append(("leave", at))
-        if self.asked and not self.is_stopped:
-            found.append(("stop",))
+        """The events that may come next."""
+        events: list[tuple] = [("wait", 0.31), ("wait", 4.0)]
+        if len(self.records) < requests and not self.is_stopped:
+            events.append(("ask",))
+        for index, record in enumerate(self.records):
+            for attempt_index, attempt in enumerate(record.attempts):
+                if not attempt.end:
+                    events += [("end", index, attempt_index, end) for end in sorted(RAN | NOT_RUN)]
+            if not record.answers and not record.is_client_gone:
+                events.append(("disconnect", index))
+        if self.records and not self.is_stopped:
+            events.append(("stop",))
             if self.incarnations < 2:
-                found.append(("kill",))
-        return found
+                events.append(("kill",))
+        return events
 
     def step(self, *, event: tuple) -> None:
-        """Let it happen, and check."""
+        """Apply the event, and check the invariants."""
         self.trace += (event,)
-        self._take(commands=getattr(self, f"_do_{event[0]}")(*event[1:]))
+        self._apply(commands=getattr(self, f"_do_{event[0]}")(*event[1:]))
 
     def state(self) -> tuple:
-        """What distinguishes this history's future from another's."""
+        """Whatever the further course of this history depends on."""
         requests = tuple(
             (
-                told.is_left,
-                tuple(answer.code for answer in told.answers),
-                tuple(sending.end for sending in told.sendings),
-                self._owner_state(at=at),
+                record.is_client_gone,
+                tuple(answer.code for answer in record.answers),
+                tuple(attempt.end for attempt in record.attempts),
+                self._owner_state(index=index),
             )
-            for at, told in enumerate(self.asked)
+            for index, record in enumerate(self.records)
         )
         workers = tuple(
             sorted(
-                (shown.state, shown.busy_until > self.bench.now) for shown in self.bench.passive_health.shown.values()
+                (health.state, health.busy_until > self.bench.now)
+                for health in self.bench.passive_health.shown.values()
             )
         )
         return requests, workers, self.incarnations, self.is_stopped, round(self.bench.now, 2)
 
-    def _owner_state(self, *, at: int) -> tuple:
-        request = self.bench.forwarder.live.get(f"front {at + 1}")
+    def _owner_state(self, *, index: int) -> tuple:
+        request = self.bench.forwarder.live.get(f"front {index + 1}")
         return (request.sent, request.unsent, request.ran, len(request.attempts)) if request else ()
 
     def _do_ask(self) -> list:
-        self.asked.append(Told())
+        self.records.append(RequestRecord())
         return self.bench.ask(method="POST" if self.kind == "once" else "GET")
 
     def _do_wait(self, seconds: float) -> list:
         return self.bench.wait(seconds)
 
-    def _do_leave(self, at: int) -> list:
-        self.asked[at].is_left = True
-        commands = self.bench.forwarder.step(now=self.bench.now, event=ClientDisconnected(token=f"front {at + 1}"))
-        self._check_leave(at=at, commands=commands)
+    def _do_disconnect(self, index: int) -> list:
+        self.records[index].is_client_gone = True
+        commands = self.bench.forwarder.step(now=self.bench.now, event=ClientDisconnected(token=f"front {index + 1}"))
+        self._check_disconnect(index=index, commands=commands)
         return commands
 
-    def _check_leave(self, *, at: int, commands: list) -> None:
-        """What may be repeated ends at once, with a final answer; what may not goes on if it is under way."""
+    def _check_disconnect(self, *, index: int, commands: list) -> None:
+        """A repeatable request ends at once, with a final response; any other continues if in flight."""
         cancelled = {command.token for command in commands if isinstance(command, CancelCall)}
-        open_calls = {sending.call.token for sending in self.asked[at].sendings if not sending.end}
-        goes_on = open_calls if self.kind == "once" else set()
-        if cancelled != open_calls - goes_on:
-            self._break(what="GONE: runs on, or is broken off, after its caller left")
+        open_calls = {attempt.call.token for attempt in self.records[index].attempts if not attempt.end}
+        continues = open_calls if self.kind == "once" else set()
+        if cancelled != open_calls - continues:
+            self._fail(what="GONE: an attempt runs on, or was canceled, after its client disconnected")
         has_answer = any(isinstance(command, Respond) for command in commands)
-        if has_answer == bool(goes_on):
-            self._break(what="no final answer when its caller left, or one although it goes on")
+        if has_answer == bool(continues):
+            self._fail(what="no final response when its client disconnected, or one although the request continues")
 
     def _do_stop(self) -> list:
         self.is_stopped = True
         return self.bench.forwarder.end_all(now=self.bench.now)
 
     def _do_kill(self) -> list:
-        """The process is killed and started.
+        """The process is killed and restarted.
 
-        Its callers' connections end, and no end of a call is told to the new one.
+        Its clients' connections end, and the new process learns no outcome of the old one's calls.
         """
         self.incarnations += 1
         old = self.bench.forwarder
         budget = RetryBudget(ratio=0.2, slack=60.0, window=10.0)
         self.bench.forwarder = Forwarder(endpoint_selector=old.endpoint_selector, names=NAMES, budget=budget)
-        for told in self.asked:
-            told.is_left = told.is_left or not told.answers
-            told.is_lost = told.is_lost or not told.answers
-            for sending in told.sendings:
-                sending.end = sending.end or "lost"
+        for record in self.records:
+            record.is_client_gone = record.is_client_gone or not record.answers
+            record.is_proxy_gone = record.is_proxy_gone or not record.answers
+            for attempt in record.attempts:
+                attempt.end = attempt.end or "lost"
         return []
 
-    def _do_end(self, at: int, number: int, end: str) -> list:
-        sending = self.asked[at].sendings[number]
-        sending.end, call = end, sending.call
+    def _do_end(self, index: int, attempt_index: int, end: str) -> list:
+        attempt = self.records[index].attempts[attempt_index]
+        attempt.end, call = end, attempt.call
         if end == "served":
             return self.bench.back(call=call, body=call.headers["x-id"].encode())
         if end == "failed":
@@ -168,80 +167,82 @@
         fault = {"lost": "connection-lost", "silent": "timed-out", "unsent": "refused"}[end]
         return self.bench.fail(call=call, fault=fault, sent=end != "unsent")
 
-    def _take(self, *, commands: list) -> None:
+    def _apply(self, *, commands: list) -> None:
         for command in commands:
             if isinstance(command, StartCall):
-                told = self.asked[int(command.headers["x-id"].removeprefix("id")) - 1]
-                self._check_sending(told=told)
-                told.sendings.append(Sending(call=command))
+                record = self.records[int(command.headers["x-id"].removeprefix("id")) - 1]
+                self._check_attempt(record=record)
+                record.attempts.append(Attempt(call=command))
             elif isinstance(command, CancelCall):
                 self._check_cancel(token=command.token)
             elif isinstance(command, Respond):
-                at = int(command.token.removeprefix("front ")) - 1
-                self.asked[at].answers.append(command)
-                self._check_answer(told=self.asked[at], name=f"id{at + 1}")
-        for told in self.asked:
-            if told.answers and self.kind == "once":
-                self._check_promise(told=told)
-
-    def _check_sending(self, *, told: Told) -> None:
-        if told.answers or told.is_left:
-            self._break(what="sent after its end")
-        if self.kind == "once" and any(sending.may_run for sending in told.sendings):
-            self._break(what="TWICE: sent although an earlier sending may run")
-        if sum(sending.end != "unsent" for sending in told.sendings) + 1 > self.attempts:
-            self._break(what="BUDGET: sent to more workers than its route allows")
+                index = int(command.token.removeprefix("front ")) - 1
+                self.records[index].answers.append(command)
+                self._check_answer(record=self.records[index], name=f"id{index + 1}")
+        for record in self.records:
+            if record.answers and self.kind == "once":
+                self._check_not_run(record=record)
+
+    def _check_attempt(self, *, record: RequestRecord) -> None:
+        if record.answers or record.is_client_gone:
+            self._fail(what="an attempt was started after the end of its request")
+        if self.kind == "once" and any(attempt.may_run for attempt in record.attempts):
+            self._fail(what="TWICE: an attempt was started although an earlier one may run")
+        if sum(attempt.end != "unsent" for attempt in record.attempts) + 1 > self.max_attempts:
+            self._fail(what="BUDGET: sent to more workers than the route allows")
 
     def _check_cancel(self, *, token: str) -> None:
-        for told in self.asked:
-            for sending in told.sendings:
-                if sending.call.token == token:
-                    sending.end = "lost"
+        for record in self.records:
+            for attempt in record.attempts:
+                if attempt.call.token == token:
+                    attempt.end = "lost"
                     if self.kind == "once":
-                        self._break(what="a once-only sending was broken off")
-
-    def _check_answer(self, *, told: Told, name: str) -> None:
-        answer = told.answers[-1]
-        if len(told.answers) > 1 or told.is_lost:
-            self._break(what="answered twice, or by a process that never had it")
-        if told.is_left and self.kind != "once" and answer.code not in (502, 503):
-            self._break(what="served after its caller left")
+                        self._fail(what="a non-repeatable attempt was canceled")
+
+    def _check_answer(self, *, record: RequestRecord, name: str) -> None:
+        answer = record.answers[-1]
+        if len(record.answers) > 1 or record.is_proxy_gone:
+            self._fail(what="answered twice, or by a process that never received the request")
+        if record.is_client_gone and self.kind != "once" and answer.code not in (502, 503):
+            self._fail(what="served after its client disconnected")
         seal = answer.headers.get("x-seal")
         if 200 <= answer.code < 300 and answer.body != name.encode():
-            self._break(what="MIXED: another's body")
+            self._fail(what="MIXED: the body of another request")
         if 200 <= answer.code < 300 and seal != "s":
-            self._break(what="MIXED: a success without a seal")
+            self._fail(what="MIXED: a success without a seal")
         if seal is not None and (answer.code, seal) not in ((200, "s"), (500, "sealed-500")):
-            self._break(what="MIXED: a seal with another status than its worker gave")
+            self._fail(what="MIXED: a seal with another status than the worker sent")
 
-    def _check_promise(self, *, told: Told) -> None:
-        if told.answers[0].code in PROMISES and any(sending.may_run for sending in told.sendings):
-            self._break(what=f"REFUSED: {told.answers[0].code} although it ran, or may run")
+    def _check_not_run(self, *, record: RequestRecord) -> None:
+        if record.answers[0].code in NOT_RUN_CODES and any(attempt.may_run for attempt in record.attempts):
+            self._fail(what=f"REFUSED: {record.answers[0].code} although the request ran, or may run")
 
-    def _break(self, *, what: str) -> None:
+    def _fail(self, *, what: str) -> None:
         raise Breach(what=what, trace=self.trace)
 
 
-def explore(*, kind: str, attempts: int, requests: int, depth: int, workers: int = 3) -> int:
-    """Play all orders of events up to a depth, breadth first; the number of distinct states. Raises Breach."""
+def explore(*, kind: str, max_attempts: int, requests: int, depth: int, workers: int = 3) -> int:
+    """Run all orders of events up to a depth, breadth first; returns the number of distinct states. Raises Breach."""
     seen: set = set()
-    front: list[tuple] = [()]
+    frontier: list[tuple] = [()]
     for _ in range(depth):
-        later = []
-        for trace in front:
-            for event in _replay(kind=kind, attempts=attempts, workers=workers, trace=trace).events(requests=requests):
-                model = _replay(kind=kind, attempts=attempts, workers=workers, trace=trace)
+        next_frontier = []
+        for trace in frontier:
+            for event in _replay(kind=kind, max_attempts=max_attempts, workers=workers, trace=trace).events(
+                requests=requests
+            ):
+                model = _replay(kind=kind, max_attempts=max_attempts, workers=workers, trace=trace)
                 model.step(event=event)
                 state = model.state()
                 if state not in seen:
                     seen.add(state)
-                    later.append((*trace, event))
-        front = later
+                    next_frontier.append((*trace, event))
+        frontier = next_frontier
     return len(seen)
 
 
-def _replay(*, kind: str, attempts: int, workers: int, trace: tuple) -> Model:
-    model = Model(kind=kind, attempts=attempts, workers=workers)
+def _replay(*, kind: str, max_attempts: int, workers: int, trace: tuple) -> Model:
+    model = Model(kind=kind, max_attempts=max_attempts, workers=workers)
     for event in trace:
         model.step(event=event)
     return model
--- a/tests/proxy_path.py
+++ b/tests/proxy_path.py
@@ -1,6 +1,6 @@
-"""The way of a request over loopback sockets: the proxy's server edge, its forwarder and its client edge, and a worker.
+"""A proxy's HTTP server, forwarder and HTTP client on loopback sockets, with workers that the test plays.
 
-The edges are opened as a hosted proxy opens them; the worker is played by the test.
+The server and the client are opened as a hosted proxy opens them.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class WorkerCall:
-    """One connection that reached the worker: what came on it, and whether it has ended."""
+    """One connection to the worker: the bytes received on it, and whether it has ended."""
 
     def __init__(self, *, sock: socket.socket) -> None:
         self.sock, self.raw, self.has_ended = sock, b"", threading.Event()
@@ -39,15 +39,15 @@
         self.has_ended.set()
 
     def path(self) -> str:
-        """The path of the request that came, once it is complete."""
-        end = time.monotonic() + PATIENCE
+        """The path of the request, once its head is complete."""
+        deadline = time.monotonic() + PATIENCE
         while b"\r\n\r\n" not in self.raw:
-            assert time.monotonic() < end, "no request came"
+            assert time.monotonic() < deadline, "no request arrived"
             time.sleep(0.002)
         return self.raw.split()[1].decode()
 
     def answer(self, *, body: bytes) -> None:
-        """Answer as the worker that was meant."""
+        """Answer as the intended worker."""
         name = next(line for line in self.raw.split(b"\r\n") if line.lower().startswith(b"x-id: "))
         self.sock.sendall(
             b"HTTP/1.1 200 OK\r\n%s\r\nx-seal: s\r\nContent-Length: %d\r\n\r\n" % (name, len(body)) + body
@@ -55,7 +55,7 @@
 
 
 class ProxyPath:
-    """A proxy's edges round a forwarder, on a thread of their own, and workers that listen at one address.
+    """A proxy's server, forwarder and client on a thread of their own, and workers that listen at one address.
 
     `end` must be called.
     """
@@ -63,7 +63,7 @@
     def __init__(self, *, workers: int = 1, **match: object) -> None:
         self._worker = socket.create_server(("127.0.0.1", 0))
         self.address = f"127.0.0.1:{self._worker.getsockname()[1]}"
-        listed = [dataclasses.replace(make_worker(f"w{at}"), address=self.address) for at in range(workers)]
+        listed = [dataclasses.replace(make_worker(f"w{index}"), address=self.address) for index in range(workers)]
         self.bench = Bench(workers=listed, plan=make_plan(**{"expiry_s": 30.0, "target_s": 20.0, **match}))
         self.reactor = Reactor()
         self.host = Host(reactor=self.reactor)
@@ -83,46 +83,46 @@
         threading.Thread(target=self._accept, daemon=True).start()
         self._thread = threading.Thread(target=self.reactor.run, daemon=True)
         self._thread.start()
-        self._callers: list[socket.socket] = []
+        self._client_sockets: list[socket.socket] = []
 
     def send(self, *requests: bytes) -> socket.socket:
-        """A caller connects and sends these."""
-        caller = socket.create_connection(("127.0.0.1", self.front.port), timeout=PATIENCE)
-        caller.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        caller.sendall(b"".join(requests))
-        self._callers.append(caller)
-        return caller
+        """Connect as a client and send these requests."""
+        client_socket = socket.create_connection(("127.0.0.1", self.front.port), timeout=PATIENCE)
+        client_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        client_socket.sendall(b"".join(requests))
+        self._client_sockets.append(client_socket)
+        return client_socket
 
     def next_call(self) -> WorkerCall:
-        """The next connection at the worker, once its request has come."""
+        """The next connection at the worker, once its request has arrived."""
         call = self.calls.get(timeout=PATIENCE)
         call.path()
         return call
 
-    def on_reactor(self, question):
-        """What this gives on the reactor's thread."""
-        given: queue.Queue = queue.Queue()
-        self.reactor.give(call=lambda: given.put(question()))
-        return given.get(timeout=PATIENCE)
-
-    def until(self, question) -> None:
-        """Wait until this holds on the reactor's thread."""
-        end = time.monotonic() + PATIENCE
-        while not self.on_reactor(question):
-            assert time.monotonic() < end, "it never came"
+    def on_reactor(self, function):
+        """Call the function on the reactor's thread and return its result."""
+        results: queue.Queue = queue.Queue()
+        self.reactor.give(call=lambda: results.put(function()))
+        return results.get(timeout=PATIENCE)
+
+    def until(self, function) -> None:
+        """Wait until the function returns true on the reactor's thread."""
+        deadline = time.monotonic() + PATIENCE
+        while not self.on_reactor(function):
+            assert time.monotonic() < deadline, "the condition never became true"
             time.sleep(0.005)
 
     def settle(self) -> None:
-        """Let the reactor pass through what has arrived, and through a few ticks."""
+        """Let the reactor process what has arrived, and run a few ticks."""
         for _ in range(4):
             time.sleep(constants.TICK_INTERVAL)
             self.on_reactor(lambda: None)
 
     def end(self) -> None:
-        """Close all that was opened."""
+        """Stop the reactor and close the sockets."""
         self.reactor.give(call=self.reactor.stop)
         self._thread.join(PATIENCE)
-        for sock in (*self._callers, self._worker):
+        for sock in (*self._client_sockets, self._worker):
             sock.close()
 
     def _accept(self) -> None:
@@ -142,5 +142,5 @@
 
 
 def request(path: str, *, method: str = "GET") -> bytes:
-    """The bytes of a caller's request that may take 20 s."""
+    """The bytes of a client's request that may take 20 s."""
     return f"{method} /a/{path} HTTP/1.1\r\nHost: shop\r\nx-id: id-{path}\r\nx-left: 20000\r\n\r\n".encode()
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -1,4 +1,4 @@
-"""A caller that has left: what ran for it ends, what had not begun never begins, and nothing of it stays behind."""
+"""Client disconnects: running attempts end, requests not yet sent are never sent, and no state is left behind."""
 
 from __future__ import annotations
 
@@ -13,47 +13,47 @@
 
 @pytest.fixture
 def make_path():
-    made: list[ProxyPath] = []
+    paths: list[ProxyPath] = []
 
     def make(**match: object) -> ProxyPath:
-        made.append(ProxyPath(**match))
-        return made[-1]
+        paths.append(ProxyPath(**match))
+        return paths[-1]
 
     yield make
-    for path in made:
+    for path in paths:
         path.end()
 
 
-def test_a_close_of_the_callers_connection_ends_a_repeatable_run(make_path) -> None:
+def test_a_client_disconnect_ends_a_repeatable_request_at_the_worker(make_path) -> None:
     path = make_path()
-    caller = path.send(request("1"))
+    client_socket = path.send(request("1"))
     call = path.next_call()
-    caller.close()
-    assert call.has_ended.wait(PATIENCE), "the worker runs on for a caller that has left"
+    client_socket.close()
+    assert call.has_ended.wait(PATIENCE), "the worker runs on for a client that has disconnected"
     path.until(lambda: path.front.connection_count() == 0)
 
 
-def test_a_close_behind_more_requests_than_are_read_ahead_ends_all_of_them(make_path) -> None:
+def test_a_disconnect_after_more_requests_than_are_read_ahead_ends_all_of_them(make_path) -> None:
     path = make_path(workers=constants.HTTP_SERVER_PIPELINE_DEPTH)
-    caller = path.send(*(request(str(number)) for number in range(2 * constants.HTTP_SERVER_PIPELINE_DEPTH)))
+    client_socket = path.send(*(request(str(number)) for number in range(2 * constants.HTTP_SERVER_PIPELINE_DEPTH)))
     calls = [path.next_call() for _ in range(constants.HTTP_SERVER_PIPELINE_DEPTH)]
-    caller.close()
+    client_socket.close()
     for call in calls:
-        assert call.has_ended.wait(PATIENCE), "the worker runs on for a caller that has left"
+        assert call.has_ended.wait(PATIENCE), "the worker runs on for a client that has disconnected"
     path.settle()
-    assert path.calls.empty(), "a request reached the worker after its caller had left"
+    assert path.calls.empty(), "a request reached the worker after its client had disconnected"
     path.until(lambda: path.front.connection_count() == 0)
 
 
 @pytest.mark.parametrize("method", ["GET", "POST"])
-def test_a_request_whose_caller_left_before_it_was_read_is_never_sent(make_path, method: str) -> None:
-    """A proxy that was held up finds the request and the close of its caller in one look."""
+def test_a_request_whose_client_disconnected_before_it_was_read_is_never_sent(make_path, method: str) -> None:
+    """A proxy that was delayed finds the request and the close of the connection in one pass."""
     path = make_path(kind="once" if method == "POST" else "repeatable")
     is_sent = threading.Event()
     path.reactor.give(call=lambda: is_sent.wait(PATIENCE))
     path.send(request("1", method=method)).close()
     is_sent.set()
     path.settle()
-    assert path.calls.empty(), "a request reached the worker though its caller had left before"
+    assert path.calls.empty(), "a request reached the worker although its client had disconnected before"
     assert not path.bench.forwarder.live
     path.until(lambda: path.front.connection_count() == 0)
--- a/tests/test_departures_tenant.py
+++ b/tests/test_departures_tenant.py
@@ -1,4 +1,4 @@
-"""Callers that leave the product's own proxies: what runs for them ends, if it may be repeated."""
+"""Client disconnects at tenant proxies: safe or unsent requests end, unsafe ones that were sent continue."""
 
 from __future__ import annotations
 
@@ -18,37 +18,37 @@
 from simulation.sim.scenario import BEGIN
 from simulation.sim.world import World
 
-WAIT = 10.0
-READY = 8.0
-"""s after which a simulated fleet serves."""
+TIMEOUT = 10.0
+READY_AFTER = 8.0
+"""s until a simulated fleet serves requests."""
 
 
-def test_a_caller_that_closes_its_connection_is_reported_once() -> None:
-    told: queue.Queue = queue.Queue()
+def test_a_client_disconnect_is_reported_once() -> None:
+    events: queue.Queue = queue.Queue()
     [address] = free_addresses(count=1)
-    web = WsgiServer(address=address, limit=1000, deliver=told.put, threads=ThreadPoolExecutor(max_workers=4))
-    threading.Thread(target=web.run, daemon=True).start()
+    server = WsgiServer(address=address, limit=1000, deliver=events.put, threads=ThreadPoolExecutor(max_workers=4))
+    threading.Thread(target=server.run, daemon=True).start()
     host, port = address.split(":")
-    caller = socket.create_connection((host, int(port)), timeout=WAIT)
-    # what waits behind the request must not hide the close
-    caller.sendall(b"GET /a HTTP/1.1\r\nHost: x\r\n\r\n" + b"GET /b HTTP/1.1\r\nHost: x\r\n\r\n")
-    asked = told.get(timeout=WAIT)
-    assert isinstance(asked, RequestReceived) and asked.path == "/a"
-    caller.close()
-    assert told.get(timeout=WAIT) == ClientDisconnected(token=asked.token)
-    web.answer(command=Respond(token=asked.token, code=200, body=b""))
-
-
-def test_a_cancelled_call_ends_its_connection_and_tells_nothing() -> None:
-    told: queue.Queue = queue.Queue()
-    client = CurlClient(deliver=told.put)
+    client_socket = socket.create_connection((host, int(port)), timeout=TIMEOUT)
+    # a pipelined request behind the first must not hide the close
+    client_socket.sendall(b"GET /a HTTP/1.1\r\nHost: x\r\n\r\n" + b"GET /b HTTP/1.1\r\nHost: x\r\n\r\n")
+    received = events.get(timeout=TIMEOUT)
+    assert isinstance(received, RequestReceived) and received.path == "/a"
+    client_socket.close()
+    assert events.get(timeout=TIMEOUT) == ClientDisconnected(token=received.token)
+    server.answer(command=Respond(token=received.token, code=200, body=b""))
+
+
+def test_a_cancelled_call_ends_its_connection_and_reports_no_outcome() -> None:
+    events: queue.Queue = queue.Queue()
+    client = CurlClient(deliver=events.put)
     threading.Thread(target=client.run, daemon=True).start()
     with socket.create_server(("127.0.0.1", 0)) as worker:
-        worker.settimeout(WAIT)
+        worker.settimeout(TIMEOUT)
         address = f"127.0.0.1:{worker.getsockname()[1]}"
         client.give(call=make_call(token="first", address=address))
         connection, _ = worker.accept()
-        connection.settimeout(WAIT)
+        connection.settimeout(TIMEOUT)
         assert connection.recv(65536).startswith(b"GET /")
         client.cancel(token="first")
         client.cancel(token="never given")
@@ -57,8 +57,8 @@
         client.give(call=make_call(token="second", address=address))
         other, _ = worker.accept()
         other.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-        called = told.get(timeout=WAIT)
-        assert (called.token, called.code) == ("second", 200) and told.empty()
+        finished = events.get(timeout=TIMEOUT)
+        assert (finished.token, finished.code) == ("second", 200) and events.empty()
 
 
 def make_call(*, token: str, address: str) -> StartCall:
@@ -68,13 +68,13 @@
 
 
 class ProxyInWorld:
-    """A proxy of a simulated fleet that serves, and the calls that its workers never answer."""
+    """A proxy of a simulated fleet that serves requests; its calls to workers are recorded and never answered."""
 
     def __init__(self) -> None:
         self.world = World(deployment=make_arriaga(), seed=1)
         faults = Faults(world=self.world)
         self.world.clock.at(BEGIN, lambda: faults.step(verb="ready", words=["0"]))
-        self.world.clock.run(until=BEGIN + READY)
+        self.world.clock.run(until=BEGIN + READY_AFTER)
         self.node = next(node for node in self.world.nodes.values() if node.location.kind == "proxy")
         self.commands: list = []
         carry_out = self.node._carry_out
@@ -87,28 +87,32 @@
         self.node._carry_out = record
 
     def ask(self, *, path: str, method: str = "GET", key: str = "") -> str:
-        """A caller's request of a tenant; its token."""
+        """Send a client's request of a tenant; returns its token."""
         token = f"http {path} {len(self.commands)}"
         headers = {"sailward-tenant": "restaurants", "sailward-try": "1"} | ({"idempotency-key": key} if key else {})
         event = RequestReceived(token=token, method=method, path=path, query={}, headers=headers, body=b"")
         self.node.ask(event=event, answer=lambda answer: None)
         return token
 
-    def leave(self, *, token: str) -> None:
-        """The caller closes its connection."""
+    def disconnect(self, *, token: str) -> None:
+        """The client closes its connection."""
         self.node.give(event=ClientDisconnected(token=token))
 
     def run(self, *, seconds: float) -> None:
-        """Time goes on."""
+        """Advance the simulated time."""
         self.world.clock.run(until=self.world.clock.now + seconds)
 
     def calls(self) -> list[str]:
-        """The calls to workers for callers' requests."""
-        return [one.token for one in self.commands if isinstance(one, StartCall) and one.token.startswith("x ")]
+        """The tokens of the calls to workers for clients' requests."""
+        return [
+            command.token
+            for command in self.commands
+            if isinstance(command, StartCall) and command.token.startswith("x ")
+        ]
 
     def answers(self, *, token: str) -> list[int]:
-        """The codes that a request was answered with."""
-        return [one.code for one in self.commands if isinstance(one, Respond) and one.token == token]
+        """The status codes with which a request was answered."""
+        return [command.code for command in self.commands if isinstance(command, Respond) and command.token == token]
 
 
 @pytest.fixture(scope="module")
@@ -116,12 +120,12 @@
     return ProxyInWorld()
 
 
-def test_a_safe_request_ends_with_its_caller(proxy: ProxyInWorld) -> None:
+def test_a_safe_request_ends_when_its_client_disconnects(proxy: ProxyInWorld) -> None:
     before = len(proxy.calls())
     token = proxy.ask(path="/stock/1")
     [call] = proxy.calls()[before:]
-    proxy.leave(token=token)
-    assert [one.token for one in proxy.commands if isinstance(one, CancelCall)][-1:] == [call]
+    proxy.disconnect(token=token)
+    assert [command.token for command in proxy.commands if isinstance(command, CancelCall)][-1:] == [call]
     assert proxy.answers(token=token) == [503]
     requests = proxy.node.owner.exchanges
     assert call not in requests.sent and call not in requests.calls and token not in requests.live
@@ -129,20 +133,20 @@
     assert proxy.answers(token=token) == [503] and len(proxy.calls()) == before + 1
 
 
-def test_an_unsafe_request_that_was_sent_goes_on(proxy: ProxyInWorld) -> None:
-    before, cancelled = len(proxy.calls()), sum(isinstance(one, CancelCall) for one in proxy.commands)
+def test_an_unsafe_request_that_was_sent_continues_after_a_disconnect(proxy: ProxyInWorld) -> None:
+    before, cancelled = len(proxy.calls()), sum(isinstance(command, CancelCall) for command in proxy.commands)
     token = proxy.ask(path="/orders/1", method="POST", key="k-goes-on")
     proxy.run(seconds=0.5)
     [call] = proxy.calls()[before:]
-    proxy.leave(token=token)
-    assert sum(isinstance(one, CancelCall) for one in proxy.commands) == cancelled
+    proxy.disconnect(token=token)
+    assert sum(isinstance(command, CancelCall) for command in proxy.commands) == cancelled
     assert call in proxy.node.owner.exchanges.sent and not proxy.answers(token=token)
 
 
-def test_an_unsafe_request_that_was_not_sent_never_is(proxy: ProxyInWorld) -> None:
+def test_an_unsafe_request_that_was_not_sent_is_never_sent_after_a_disconnect(proxy: ProxyInWorld) -> None:
     before = len(proxy.calls())
     token = proxy.ask(path="/orders/2", method="POST", key="k-never-sent")
-    assert len(proxy.calls()) == before, "its claim is under way"
-    proxy.leave(token=token)
+    assert len(proxy.calls()) == before, "its claim is still in progress"
+    proxy.disconnect(token=token)
     proxy.run(seconds=1.0)
     assert len(proxy.calls()) == before and proxy.answers(token=token) == [503]
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Requests by routes: what goes to workers, what is tried again, what may be promised, and when it is given up."""
+"""Forwarding by routes: attempts at workers, retries, hedges, not-run statuses, and when a request is given up."""
 
 from __future__ import annotations
 
@@ -8,16 +8,19 @@
 from sailward.events import ClientDisconnected, WithdrawCall
 from tests.proxy_kit import Bench, answers, calls, cancels, logs, make_plan, make_worker
 
-PROMISES = (408, 421, 429, 503)
+NOT_RUN_CODES = (408, 421, 429, 503)
 
 
 def make(*, workers: int = 3, proxies: int = 1, slack: float = 60.0, **match: object) -> Bench:
     return Bench(
-        workers=[make_worker(f"w{at}") for at in range(workers)], plan=make_plan(**match), proxies=proxies, slack=slack
+        workers=[make_worker(f"w{index}") for index in range(workers)],
+        plan=make_plan(**match),
+        proxies=proxies,
+        slack=slack,
     )
 
 
-def test_a_request_goes_on_unchanged_to_the_worker_that_is_meant() -> None:
+def test_a_request_is_forwarded_unchanged_to_the_selected_worker() -> None:
     bench = make()
     [call] = calls(
         bench.ask(method="POST", body=b"x" * 9, te="trailers", connection="close", expect="100-continue", x_tag="kept")
@@ -36,22 +39,26 @@
 
 
 @pytest.mark.parametrize(
-    ("within", "expiry", "left"), [("3000", 4.0, 3.0), ("9000", 4.0, 4.0), ("", 4.0, 4.0), ("x", 4.0, 4.0)]
+    ("within", "expiry", "time_left"), [("3000", 4.0, 3.0), ("9000", 4.0, 4.0), ("", 4.0, 4.0), ("x", 4.0, 4.0)]
 )
-def test_the_time_left_is_the_lesser_of_the_callers_and_the_routes(within: str, expiry: float, left: float) -> None:
+def test_the_time_left_is_the_lesser_of_the_clients_and_the_routes(
+    within: str, expiry: float, time_left: float
+) -> None:
     [call] = calls(make(expiry_s=expiry).ask(within=within))
-    assert call.timeout == pytest.approx(left) and int(call.headers["x-left"]) == pytest.approx(left * 1000, abs=2)
+    assert call.timeout == pytest.approx(time_left) and int(call.headers["x-left"]) == pytest.approx(
+        time_left * 1000, abs=2
+    )
 
 
-def test_what_matches_no_route_is_told_at_once() -> None:
+def test_a_request_without_a_route_is_refused_at_once() -> None:
     bench = make()
-    assert [one.code for one in answers(bench.ask(path="/other"))] == [404]
-    assert [one.code for one in answers(bench.ask(host="elsewhere"))] == [404]
+    assert [answer.code for answer in answers(bench.ask(path="/other"))] == [404]
+    assert [answer.code for answer in answers(bench.ask(host="elsewhere"))] == [404]
     assert [answer.code for answer in answers(bench.ask(host="SHOP:8080"))] == []
 
 
 @pytest.mark.parametrize("code", [200, 204, 302, 400, 404, 409, 499])
-def test_a_workers_own_answer_is_final(code: int) -> None:
+def test_a_workers_own_response_is_final(code: int) -> None:
     bench = make()
     [call] = calls(bench.ask())
     commands = bench.back(call=call, code=code)
@@ -69,7 +76,9 @@
         ("surplus", True),
     ],
 )
-def test_a_once_only_request_that_may_have_run_is_never_sent_again_nor_promised(fault: str, sent: bool) -> None:
+def test_a_non_repeatable_request_that_may_have_run_is_neither_retried_nor_reported_as_not_run(
+    fault: str, sent: bool
+) -> None:
     bench = make(kind="once", tries=3)
     [call] = calls(bench.ask(method="POST", body=b"buy"))
     assert call.fresh
@@ -80,16 +89,16 @@
 
 
 @pytest.mark.parametrize("code", [408, 429, 503, 421, 500, 502, 504])
-def test_a_promise_needs_the_workers_mark(code: int) -> None:
+def test_a_not_run_status_needs_the_workers_not_run_header(code: int) -> None:
     bench = make(kind="once", tries=3)
     [call] = calls(bench.ask(method="POST"))
     commands = bench.back(call=call, code=code)
     assert not calls(commands)
-    assert all(answer.code not in PROMISES for answer in answers(commands)) and len(answers(commands)) == 1
+    assert all(answer.code not in NOT_RUN_CODES for answer in answers(commands)) and len(answers(commands)) == 1
 
 
 @pytest.mark.parametrize("code", [429, 503, 421])
-def test_what_did_not_run_goes_to_another_worker_whatever_its_kind(code: int) -> None:
+def test_a_request_that_did_not_run_is_retried_at_another_worker_whatever_its_kind(code: int) -> None:
     bench = make(kind="once", tries=2)
     [first] = calls(bench.ask(method="POST", body=b"buy"))
     [second] = calls(bench.back(call=first, code=code, x_not_run="1"))
@@ -100,19 +109,19 @@
     assert answer.code == 503 and float(answer.headers["Retry-After"]) > 0
 
 
-def test_once_only_what_never_left_is_sent_elsewhere_and_then_promised() -> None:
+def test_a_non_repeatable_request_that_was_never_sent_is_tried_elsewhere_then_reported_as_not_run() -> None:
     bench = make(workers=9, kind="once", tries=1)
     commands = bench.ask(method="POST")
-    tried = []
+    owners = []
     while calls(commands):
         [call] = calls(commands)
-        tried.append(call.owner)
+        owners.append(call.owner)
         commands = bench.fail(call=call, fault="refused", sent=False)
-    assert len(tried) == constants.MAX_UNREACHABLE_WORKERS + 1 and len(set(tried)) == len(tried)
+    assert len(owners) == constants.MAX_UNREACHABLE_WORKERS + 1 and len(set(owners)) == len(owners)
     assert [answer.code for answer in answers(commands)] == [503]
 
 
-def test_a_repeatable_request_is_tried_again_to_its_bound() -> None:
+def test_a_repeatable_request_is_retried_up_to_its_limit() -> None:
     bench = make(workers=5, tries=3)
     commands = bench.ask()
     owners = []
@@ -125,7 +134,7 @@
     assert answer.code == 502
 
 
-def test_a_failure_of_the_worker_is_handed_on_when_nothing_better_comes() -> None:
+def test_the_last_server_error_is_returned_when_all_attempts_fail() -> None:
     bench = make(tries=2)
     [first] = calls(bench.ask())
     [second] = calls(bench.back(call=first, code=500, body=b"bad"))
@@ -140,13 +149,13 @@
 
 
 @pytest.mark.parametrize("name", ["another", None])
-def test_an_answer_to_another_request_is_not_passed_on(name: str | None) -> None:
+def test_a_response_to_another_request_is_not_passed_on(name: str | None) -> None:
     bench = make(tries=1, kind="once")
     [call] = calls(bench.ask())
     assert [answer.code for answer in answers(bench.back(call=call, x_id=name))] == [502]
 
 
-def test_a_stranger_at_the_address_is_not_asked_again() -> None:
+def test_an_address_that_has_another_worker_gets_no_further_requests() -> None:
     bench = make(workers=2, tries=4)
     [first] = calls(bench.ask())
     [second] = calls(bench.back(call=first, code=421, x_not_run="1", x_who="someone-else"))
@@ -160,27 +169,27 @@
     assert owners == {second.owner}
 
 
-def test_the_budget_bounds_further_tries() -> None:
+def test_the_retry_budget_limits_further_attempts() -> None:
     bench = make(workers=60, slack=10.0, proxies=2)
-    more = 0
+    retries = 0
     for _ in range(40):
         [call] = calls(bench.ask())
         commands = bench.fail(call=call, fault="cut-short", sent=True)
-        for again in calls(commands):
-            more += 1
-            bench.back(call=again)
-    assert 0 < more <= 0.2 * 40 + 10.0 / 2
+        for retry in calls(commands):
+            retries += 1
+            bench.back(call=retry)
+    assert 0 < retries <= 0.2 * 40 + 10.0 / 2
     assert bench.forwarder.tally["refused-budget"] > 0
 
 
-def test_after_a_run_nothing_is_promised_for_want_of_budget() -> None:
+def test_a_request_that_may_have_run_gets_502_when_the_budget_is_spent() -> None:
     bench = make(slack=0.0)
     [call] = calls(bench.ask())
     [answer] = answers(bench.fail(call=call, fault="cut-short", sent=True))
     assert answer.code == 502
 
 
-def test_without_a_worker_it_is_refused_after_a_small_part_of_the_target() -> None:
+def test_a_request_without_a_worker_is_refused_after_a_small_share_of_the_target() -> None:
     bench = make(workers=0, target_s=2.0)
     commands = bench.ask(method="POST")
     waited = 0.0
@@ -192,15 +201,15 @@
     assert answer.code == 503 and float(answer.headers["Retry-After"]) > 0
 
 
-def test_who_waits_goes_on_when_a_worker_comes_highest_rank_first() -> None:
+def test_a_waiting_request_is_forwarded_when_a_worker_appears() -> None:
     bench = make(workers=0)
-    low = bench.ask()
-    assert not calls(low) and not answers(low)
+    commands = bench.ask()
+    assert not calls(commands) and not answers(commands)
     bench.list(workers=[make_worker("w9")])
     assert [call.owner for call in calls(bench.wait(0.05))] == ["w9"]
 
 
-def test_silence_ends_only_at_the_deadline() -> None:
+def test_a_silent_worker_is_waited_for_until_the_deadline() -> None:
     bench = make(kind="once", tries=3)
     [call] = calls(bench.ask(method="POST", within="2000"))
     for _ in range(39):
@@ -210,7 +219,7 @@
     assert bench.back(call=call) == []
 
 
-def test_a_silent_worker_of_a_repeatable_request_is_hedged_within_the_budget_and_the_loser_given_up() -> None:
+def test_a_repeatable_request_at_a_silent_worker_is_hedged_within_the_budget_and_the_loser_canceled() -> None:
     bench = make(tries=2, target_s=0.5)
     for _ in range(40):
         bench.back(call=calls(bench.ask())[0])
@@ -225,19 +234,19 @@
     assert not bench.endpoint_selector.open
 
 
-def test_a_caller_that_leaves_ends_repeatable_work_with_a_final_answer() -> None:
+def test_a_client_disconnect_ends_a_repeatable_request_with_a_final_response() -> None:
     bench = make()
     [call] = calls(bench.ask())
     commands = bench.forwarder.step(now=bench.now, event=ClientDisconnected(token="front 1"))
     assert [cancel.token for cancel in cancels(commands)] == [call.token]
-    # its caller may have closed one side only; the request may have run, so nothing is promised
+    # the client may have closed its sending side only; the request may have run, so the status must not deny that
     assert [answer.code for answer in answers(commands)] == [502]
     assert "Retry-After" not in answers(commands)[0].headers
     assert not bench.back(call=call) and not bench.wait(0.5)
     assert not bench.endpoint_selector.open and not bench.forwarder.live and not bench.forwarder.calls
 
 
-def test_a_caller_that_leaves_does_not_end_once_only_work_whose_answer_it_may_still_read() -> None:
+def test_a_client_disconnect_does_not_end_a_non_repeatable_request_that_was_sent() -> None:
     bench = make(kind="once")
     [call] = calls(bench.ask(method="POST"))
     commands = bench.forwarder.step(now=bench.now, event=ClientDisconnected(token="front 1"))
@@ -247,7 +256,7 @@
     assert not bench.endpoint_selector.open and not bench.forwarder.live and not bench.forwarder.calls
 
 
-def test_once_only_work_that_did_not_run_is_not_sent_again_when_its_caller_has_left() -> None:
+def test_a_non_repeatable_request_that_did_not_run_is_not_retried_after_its_client_disconnected() -> None:
     bench = make(kind="once", tries=3)
     [call] = calls(bench.ask(method="POST"))
     bench.forwarder.step(now=bench.now, event=ClientDisconnected(token="front 1"))
@@ -256,20 +265,20 @@
     assert [answer.code for answer in answers(commands)] == [503]
 
 
-def test_once_only_work_of_which_nothing_was_sent_is_taken_back_when_its_caller_leaves() -> None:
+def test_a_non_repeatable_request_that_was_not_sent_is_withdrawn_when_its_client_disconnects() -> None:
     bench = make(kind="once", tries=3)
     [call] = calls(bench.ask(method="POST"))
     bench.forwarder.step(now=bench.now, event=ClientDisconnected(token="front 1"))
-    shown = bench.passive_health.shown[call.owner]
-    before = (shown.state, shown.window, shown.busy_until)
+    health = bench.passive_health.shown[call.owner]
+    before = (health.state, health.window, health.busy_until)
     commands = bench.fail(call=call, fault="withdrawn", sent=False)
     assert [answer.code for answer in answers(commands)] == [503] and not calls(commands)
-    assert (shown.state, shown.window, shown.busy_until) == before, "it tells nothing of the worker"
+    assert (health.state, health.window, health.busy_until) == before, "a withdrawn call says nothing about the worker"
     assert not bench.endpoint_selector.open and not bench.forwarder.live and not bench.forwarder.calls
 
 
 @pytest.mark.parametrize("kind", ["repeatable", "once"])
-def test_what_waits_when_its_caller_leaves_is_never_sent(kind: str) -> None:
+def test_a_waiting_request_is_never_sent_after_its_client_disconnected(kind: str) -> None:
     bench = make(kind=kind, workers=1)
     while len(calls(bench.ask(method="POST"))) == 1:
         pass
@@ -286,24 +295,24 @@
     assert not calls(commands) and [answer.code for answer in answers(commands)] == [503]
 
 
-def test_a_divided_service_goes_to_the_owner_and_comes_back_to_it() -> None:
+def test_a_request_of_a_range_sharded_service_goes_to_the_owner_and_is_retried_there() -> None:
     bench = Bench(workers=[make_worker("w0"), make_worker("w1")], plan=make_plan(ranged=True, tries=3))
     bench.own(owner="w1")
     [first] = calls(bench.ask(x_key="77"))
     assert first.owner == "w1"
     commands = bench.back(call=first, code=421, x_not_run="1", x_who="w1")
     assert not answers(commands)
-    again = calls(commands)
-    while not again:
-        again = calls(bench.wait(0.05))
+    retry = calls(commands)
+    while not retry:
+        retry = calls(bench.wait(0.05))
         assert bench.now < 101.0
-    assert [one.owner for one in again] == ["w1"]
+    assert [call.owner for call in retry] == ["w1"]
     bucket = str(77 // constants.KEYS_PER_BUCKET)
     assert bench.forwarder.take_loads() == {"red": {bucket: 1}} and bench.forwarder.take_loads() == {}
 
 
 @pytest.mark.parametrize("key", ["", "x", "70000", "-1"])
-def test_a_divided_service_needs_a_key(key: str) -> None:
+def test_a_range_sharded_service_needs_a_key(key: str) -> None:
     bench = Bench(workers=[make_worker("w0")], plan=make_plan(ranged=True))
     bench.own(owner="w0")
     assert [answer.code for answer in answers(bench.ask(x_key=key))] == [400]
@@ -317,7 +326,7 @@
 
 
 @pytest.mark.parametrize("phase", [0.01, 0.025, 0.029, 0.04])
-def test_a_refusal_for_want_of_a_worker_comes_within_a_quarter_of_the_aim(phase: float) -> None:
+def test_a_refusal_for_lack_of_a_worker_comes_within_a_quarter_of_the_target(phase: float) -> None:
     bench = Bench(workers=[], plan=make_plan(target_s=0.4))
     commands, waited, step = bench.ask(), 0.0, phase
     while not answers(commands):
@@ -325,8 +334,8 @@
     assert waited <= 0.25 * 0.4
 
 
-def test_a_second_asking_that_the_budget_does_not_bear_leaves_the_first_under_way() -> None:
-    """First tries leave the budget's window between a request's sending and its second asking."""
+def test_a_hedge_that_the_budget_denies_leaves_the_first_attempt_in_flight() -> None:
+    """First attempts leave the budget's window between the first attempt of a request and its hedge."""
     bench = make(proxies=200)
     for _ in range(20):
         call = calls(bench.ask())[0]
@@ -338,7 +347,7 @@
     assert answers(bench.back(call=call))[0].code == 200
 
 
-def test_a_second_asking_without_time_for_it_leaves_the_first_under_way() -> None:
+def test_a_hedge_without_enough_time_leaves_the_first_attempt_in_flight() -> None:
     bench = make()
     for _ in range(20):
         bench.back(call=calls(bench.ask())[0])
@@ -348,7 +357,7 @@
 
 
 @pytest.mark.parametrize("code", [400, 421, 429, 503])
-def test_a_promise_about_another_request_is_none_about_this(code: int) -> None:
+def test_a_not_run_status_for_another_request_is_not_accepted_for_this_one(code: int) -> None:
     bench = make(kind="once")
     call = calls(bench.ask(method="POST"))[0]
     commands = bench.back(call=call, code=code, x_not_run="1", x_id="id99")
--- a/tests/test_forwarding_model.py
+++ b/tests/test_forwarding_model.py
@@ -1,4 +1,4 @@
-"""All orders of a proxy's events within bounds: sendings are counted against what the workers did with them."""
+"""All orders of a proxy's events within bounds: each attempt is checked against what the worker did with it."""
 
 from __future__ import annotations
 
@@ -11,18 +11,20 @@
 
 
 @pytest.mark.parametrize(
-    ("kind", "attempts", "requests", "depth", "least"),
+    ("kind", "max_attempts", "requests", "depth", "min_states"),
     [("once", 2, 1, 5, 300), ("once", 3, 1, 5, 300), ("repeatable", 2, 1, 4, 300), ("once", 2, 2, 4, 300)],
 )
-def test_no_order_of_events_breaks_a_rule(kind: str, attempts: int, requests: int, depth: int, least: int) -> None:
-    assert explore(kind=kind, attempts=attempts, requests=requests, depth=depth) > least
+def test_no_order_of_events_violates_an_invariant(
+    kind: str, max_attempts: int, requests: int, depth: int, min_states: int
+) -> None:
+    assert explore(kind=kind, max_attempts=max_attempts, requests=requests, depth=depth) > min_states
 
 
-def always_again(old):
+def always_retry(old):
     return lambda self, *, now, request, verdict: True
 
 
-def promise_always(old):
+def always_report_not_run(old):
     def give_up(self, *, now, request, refusal):
         request.ran = False
         return old(self, now=now, request=request, refusal=forwarding.Refusal(code=503, reason=refusal.reason))
@@ -30,7 +32,7 @@
     return give_up
 
 
-def believe_unmarked(old):
+def accept_unmarked_not_run(old):
     def judge(*, request, worker, event, names):
         if event.code in worker_response.PROMISES:
             return worker_response.WorkerRejected(code=event.code, why="full")
@@ -39,7 +41,7 @@
     return judge
 
 
-def hand_all_on(old):
+def pass_every_response_on(old):
     def judge(*, request, worker, event, names):
         if event.code:
             code = 200 if event.code == 503 else event.code
@@ -49,7 +51,7 @@
     return judge
 
 
-def never_sent(old):
+def treat_every_fault_as_unsent(old):
     def judge(*, request, worker, event, names):
         return (
             worker_response.NotSent(reason=event.fault)
@@ -60,7 +62,7 @@
     return judge
 
 
-def break_off_all(old):
+def cancel_every_attempt(old):
     def end(self, *, request):
         commands = old(self, request=request)
         return [*commands, *(forwarding.CancelCall(token=token) for token in request.attempts)]
@@ -72,19 +74,19 @@
 @pytest.mark.parametrize(
     ("owner", "name", "make", "breach"),
     [
-        (forwarding.Forwarder, "_may_retry", always_again, "TWICE"),
-        (forwarding.Forwarder, "_give_up", promise_always, "REFUSED"),
-        (forwarding.Forwarder, "_remove_request", break_off_all, "a once-only sending was broken off"),
-        (forwarding, "judge_reply", believe_unmarked, "TWICE|REFUSED"),
-        (forwarding, "judge_reply", hand_all_on, "MIXED"),
-        (forwarding, "judge_reply", never_sent, "TWICE|REFUSED"),
-        (plan.Match, "is_repeatable", lambda old: property(lambda self: True), "TWICE|broken off"),
+        (forwarding.Forwarder, "_may_retry", always_retry, "TWICE"),
+        (forwarding.Forwarder, "_give_up", always_report_not_run, "REFUSED"),
+        (forwarding.Forwarder, "_remove_request", cancel_every_attempt, "a non-repeatable attempt was canceled"),
+        (forwarding, "judge_reply", accept_unmarked_not_run, "TWICE|REFUSED"),
+        (forwarding, "judge_reply", pass_every_response_on, "MIXED"),
+        (forwarding, "judge_reply", treat_every_fault_as_unsent, "TWICE|REFUSED"),
+        (plan.Match, "is_repeatable", lambda old: property(lambda self: True), "TWICE|canceled"),
     ],
-    ids=lambda one: getattr(one, "__name__", None),
+    ids=lambda value: getattr(value, "__name__", None),
 )
 def test_a_planted_fault_is_found(owner, name, make, breach) -> None:
     with (
         mock.patch.object(owner, name, make(getattr(owner, name))),
         pytest.raises(Breach, match=breach),
     ):
-        explore(kind="once", attempts=2, requests=1, depth=4)
+        explore(kind="once", max_attempts=2, requests=1, depth=4)
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -1,4 +1,4 @@
-"""Same seed, same history, byte by byte, in two processes whose hashes of strings differ."""
+"""The same seed gives the same history, byte for byte, in two processes with different string hash seeds."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 """
 
 
-def test_a_seed_makes_the_same_history_in_another_process() -> None:
-    told = [
+def test_a_seed_gives_the_same_history_in_another_process() -> None:
+    outputs = [
         subprocess.run(
             [sys.executable, "-c", PROGRAM, str(SCENARIO)],
             capture_output=True,
@@ -29,5 +29,5 @@
         ).stdout
         for seed in ("1", "2")
     ]
-    assert told[0] == told[1]
-    assert int(told[0].split()[0]) > 1000
+    assert outputs[0] == outputs[1]
+    assert int(outputs[0].split()[0]) > 1000
--- a/tests/test_stopping_proxy.py
+++ b/tests/test_stopping_proxy.py
@@ -1,6 +1,6 @@
-"""A planned stop of a proxy.
+"""A graceful shutdown of a proxy.
 
-What was taken gets an answer before the process ends, also what a worker never answers.
+Every accepted request is answered before the process ends, even if no worker answers it.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from sailward.proxy.proxy import Proxy, ProxyOptions
 
 CONTROLLER = "10.0.0.1:7000"
-FULL = {
+CONFIG = {
     "halls": {"gdl-a": {"region": "gdl"}},
     "tenants": {},
     "limits": {},
@@ -92,7 +92,7 @@
             body={"kind": "grant", "seq": 1, "newest": {}, "identity": "c", "voting": True, "proxies": 0, "view": view},
         ),
     )
-    for name, text in (("config", json.dumps({"full": FULL})), ("workers", json.dumps([WORKER]))):
+    for name, text in (("config", json.dumps({"full": CONFIG})), ("workers", json.dumps([WORKER]))):
         value = {"number": 1, "mark": "m", "trail": [], "text": text}
         proxy.step(
             now=0.1,
@@ -124,26 +124,26 @@
     commands, now = [], start
     while now < end:
         now += constants.TICK_INTERVAL
-        commands += [(now, one) for one in proxy.step(now=now, event=TimerFired())]
-        if any(isinstance(one, ExitProcess) for _, one in commands):
+        commands += [(now, command) for command in proxy.step(now=now, event=TimerFired())]
+        if any(isinstance(command, ExitProcess) for _, command in commands):
             break
     return commands
 
 
-def test_what_no_worker_answers_is_answered_before_the_process_ends() -> None:
+def test_a_request_that_no_worker_answers_is_answered_before_the_process_ends() -> None:
     proxy = make_proxy()
-    assert any(isinstance(one, StartCall) for one in ask(proxy=proxy, now=0.2, token="front 1"))
-    assert any(isinstance(one, DrainConnections) for one in proxy.step(now=0.3, event=ShutdownRequested()))
-    commands = [one for _, one in run_on(proxy=proxy, start=0.3, end=10.0)]
+    assert any(isinstance(command, StartCall) for command in ask(proxy=proxy, now=0.2, token="front 1"))
+    assert any(isinstance(command, DrainConnections) for command in proxy.step(now=0.3, event=ShutdownRequested()))
+    commands = [command for _, command in run_on(proxy=proxy, start=0.3, end=10.0)]
     answers = [command for command in commands if isinstance(command, Respond)]
     assert [(answer.token, answer.code) for answer in answers] == [("front 1", 504)]
     assert isinstance(commands[-1], ExitProcess) and commands.index(answers[0]) < len(commands) - 1
 
 
-def test_a_stop_with_nothing_under_way_ends_when_callers_have_had_time_to_leave() -> None:
+def test_an_idle_proxy_stops_after_clients_have_had_time_to_move_away() -> None:
     proxy = make_proxy()
     proxy.step(now=0.3, event=ShutdownRequested())
     assert not proxy.is_ready
     commands = run_on(proxy=proxy, start=0.3, end=10.0)
-    assert any(isinstance(one, DrainConnections) and one.shut for _, one in commands)
+    assert any(isinstance(command, DrainConnections) and command.shut for _, command in commands)
     assert isinstance(commands[-1][1], ExitProcess) and 3.0 < commands[-1][0] < 4.0
