--- a/sailward/routing/attempt_budget.py
+++ b/sailward/routing/attempt_budget.py
@@ -25,13 +25,13 @@
 
     def step(self, *, now: float, first: bool, caller: bool = False) -> str:
         """The source that this attempt was charged to."""
-        for line, life in (
+        for times, max_age in (
             (self._first_tries, constants.RETRY_BUDGET_WINDOW),
             (self._retries, constants.RETRY_BUDGET_WINDOW),
             (self._credits, constants.RETRY_CREDIT_TTL),
         ):
-            while line and line[0] <= now - life:
-                line.popleft()
+            while times and times[0] <= now - max_age:
+                times.popleft()
         if first:
             self._first_tries.append(now)
             return FIRST
@@ -61,9 +61,9 @@
         """Refund a request that was refused and sent to no worker. `swells`: an earlier try did reach one."""
         if paid == LOOKUP:
             return
-        line = self._retries if paid == BUDGET else self._first_tries
-        if line:
-            line.pop()
+        times = self._retries if paid == BUDGET else self._first_tries
+        if times:
+            times.pop()
         if paid != BUDGET and not swells:
             self._credits.append(now)
 
--- a/sailward/routing/forwarding.py
+++ b/sailward/routing/forwarding.py
@@ -82,15 +82,15 @@
         ]
 
     def _on_request(self, *, now: float, event: RequestReceived) -> list[Command]:
-        taken = take_request(event=event, plan=self.endpoint_selector.context.plan, now=now, names=self.names)
-        if isinstance(taken, Refusal):
-            return [self._refusal_response(token=event.token, refusal=taken)]
-        self.live[taken.token] = taken
+        request = take_request(event=event, plan=self.endpoint_selector.context.plan, now=now, names=self.names)
+        if isinstance(request, Refusal):
+            return [self._refusal_response(token=event.token, refusal=request)]
+        self.live[request.token] = request
         self.tally["taken"] += 1
-        if taken.service.ranged and taken.key >= 0:
-            buckets = self.loads.setdefault(taken.service.name, Counter())
-            buckets[taken.key // constants.KEYS_PER_BUCKET] += 1
-        return self._select_and_forward(now=now, request=taken)
+        if request.service.ranged and request.key >= 0:
+            buckets = self.loads.setdefault(request.service.name, Counter())
+            buckets[request.key // constants.KEYS_PER_BUCKET] += 1
+        return self._select_and_forward(now=now, request=request)
 
     def _select_and_forward(self, *, now: float, request: Request) -> list[Command]:
         """Forward the request now, let it wait for a short while, or refuse it."""
@@ -153,7 +153,7 @@
         self.by_worker.setdefault(worker.key, {})[token] = None
         self.endpoint_selector.took(key=worker.key)
         self.tally["sent"] += 1
-        context, left = self.endpoint_selector.context, request.expiry - now
+        context, time_left = self.endpoint_selector.context, request.expiry - now
         return [
             *violation,
             StartCall(
@@ -162,9 +162,9 @@
                 address=worker.address,
                 method=request.method,
                 path=request.target,
-                headers=headers_to_worker(request=request, worker=worker.key, within=left, names=self.names),
+                headers=headers_to_worker(request=request, worker=worker.key, within=time_left, names=self.names),
                 body=request.body,
-                timeout=left,
+                timeout=time_left,
                 # a reused connection may carry a late response, or be closed during the request: not used for a
                 # request that must not run twice
                 fresh=not request.match.is_repeatable,
@@ -226,19 +226,19 @@
 
         An attempt that was overtaken LOST_REQUEST_LATER_RESPONSES times is most likely lost at the worker.
         """
-        shown = self.endpoint_selector.context.passive_health.shown.get(attempt.worker)
+        health = self.endpoint_selector.context.passive_health.shown.get(attempt.worker)
         for token in self.by_worker.get(attempt.worker, ()):
             request = self.calls.get(token)
-            other = request.attempts.get(token) if request is not None else None
-            if other is None or other.at >= attempt.at:
+            earlier = request.attempts.get(token) if request is not None else None
+            if earlier is None or earlier.at >= attempt.at:
                 continue
-            other.overtaken += 1
-            if other.overtaken == constants.LOST_REQUEST_LATER_RESPONSES and shown is not None:
+            earlier.overtaken += 1
+            if earlier.overtaken == constants.LOST_REQUEST_LATER_RESPONSES and health is not None:
                 self.tally["overtaken"] += 1
                 self.endpoint_selector.context.passive_health.record_event(now=now, key=attempt.worker, event="lost")
                 if request.hedge_at < float("inf"):
                     request.hedge_at = min(
-                        request.hedge_at, max(now, other.at + constants.LOST_REQUEST_LATENCY_RATIO * shown.calm)
+                        request.hedge_at, max(now, earlier.at + constants.LOST_REQUEST_LATENCY_RATIO * health.calm)
                     )
 
     def _record_outcome(self, *, now: float, attempt: Attempt, verdict: object) -> list[Command]:
--- a/sailward/routing/idempotency.py
+++ b/sailward/routing/idempotency.py
@@ -174,9 +174,9 @@
         claim = json.loads(value["text"])
         if claim["i"] == self.identity:
             # this proxy's own claim: unsent if it is no older than the cached ones, else the request may have run
-            known = memory is not None and claim["n"] >= memory.first and claim["f"] == exchange.fingerprint
+            is_unsent = memory is not None and claim["n"] >= memory.first and claim["f"] == exchange.fingerprint
             return self._decide_by_state(
-                now=now, exchange=exchange, state="unsent" if known else "unknown", number=value["number"]
+                now=now, exchange=exchange, state="unsent" if is_unsent else "unknown", number=value["number"]
             )
         self.memory.by_digest.pop(exchange.digest, None)
         if claim["f"] != exchange.fingerprint:
@@ -248,8 +248,10 @@
             return [], [self._start_claim(now=now, exchange=exchange, expected=number)], []
         if state == "done" and headers is not None:
             return [], [], [Replayed(exchange=exchange, code=code, headers=headers, body=body)]
-        shown = "running" if state == "claiming" else state
-        refusal = Refusal(code=409, reason="repeat", state=shown, detail="a request with this key was forwarded before")
+        reported_state = "running" if state == "claiming" else state
+        refusal = Refusal(
+            code=409, reason="repeat", state=reported_state, detail="a request with this key was forwarded before"
+        )
         return [], [], [Lost(exchange=exchange, refusal=refusal)]
 
     def _on_timer(self, *, now: float) -> list:
--- a/sailward/routing/idempotency_cache.py
+++ b/sailward/routing/idempotency_cache.py
@@ -47,12 +47,12 @@
 
     def begin(self, *, now: float, digest: str, fingerprint: str, homes: frozenset, count: int) -> Memory:
         """Record a claim in progress, with its count; `first` is the count of the key's first cached claim."""
-        old = self.by_digest.pop(digest, None)
+        previous = self.by_digest.pop(digest, None)
         memory = Memory(
-            state="claiming", fingerprint=fingerprint, at=now, homes=homes, first=old.first if old else count
+            state="claiming", fingerprint=fingerprint, at=now, homes=homes, first=previous.first if previous else count
         )
-        if old is not None:
-            self._bytes -= len(old.body)
+        if previous is not None:
+            self._bytes -= len(previous.body)
         self.by_digest[digest] = memory
         return memory
 
@@ -78,7 +78,7 @@
             "headers": {},
             "body": b"",
         }
-        found = memory if memory and memory.headers is not None else copy
-        if found is not None and may_keep(region=region, homes=found.homes):
-            body |= {"state": "done", "code": found.code, "headers": found.headers, "body": found.body}
+        result = memory if memory and memory.headers is not None else copy
+        if result is not None and may_keep(region=region, homes=result.homes):
+            body |= {"state": "done", "code": result.code, "headers": result.headers, "body": result.body}
         return body
--- a/sailward/routing/idempotency_key_time.py
+++ b/sailward/routing/idempotency_key_time.py
@@ -11,19 +11,19 @@
 
 def read_time(*, key: str) -> float | None:
     """When the key was made, in s of wall-clock time; None if it has no timestamp."""
-    found = UUID7.fullmatch(key)
-    return int(found[1] + found[2], 16) / 1000 if found else None
+    match = UUID7.fullmatch(key)
+    return int(match[1] + match[2], 16) / 1000 if match else None
 
 
 def judge_key(*, key: str, clock: float | None, is_required: bool) -> tuple[int, str, str] | None:
     """(code, reason, detail) if the key can't be accepted now. `clock` is None while the wall time is unknown."""
-    made = read_time(key=key)
-    if made is None:
+    made_at = read_time(key=key)
+    if made_at is None:
         return (400, "key-untimed", "this service needs keys with a timestamp: UUIDv7") if is_required else None
     if clock is None:
         return (503, "clock-unknown", "the controllers' clocks are not known yet") if is_required else None
-    if made > clock + constants.KEY_MAX_CLOCK_SKEW:
-        return 400, "key-of-the-future", f"made {made - clock:.0f} s in the future: check your clock"
-    if clock - made > constants.CLAIM_TTL - constants.KEY_EXPIRY_MARGIN:
-        return 410, "key-too-old", f"made {clock - made:.0f} s ago: its outcome is no longer stored"
+    if made_at > clock + constants.KEY_MAX_CLOCK_SKEW:
+        return 400, "key-of-the-future", f"made {made_at - clock:.0f} s in the future: check your clock"
+    if clock - made_at > constants.CLAIM_TTL - constants.KEY_EXPIRY_MARGIN:
+        return 410, "key-too-old", f"made {clock - made_at:.0f} s ago: its outcome is no longer stored"
     return None
--- a/sailward/routing/lease.py
+++ b/sailward/routing/lease.py
@@ -62,9 +62,9 @@
     def until(self, *, voters: VoterSet) -> float:
         """When the lease expires."""
         members = voters.members
-        ends = sorted((grant.until for name, grant in self._grants.items() if name in members), reverse=True)
-        need = blocking_of(members=members)
-        return ends[need - 1] if members and len(ends) >= need else -1e9
+        expiries = sorted((grant.until for name, grant in self._grants.items() if name in members), reverse=True)
+        quorum = blocking_of(members=members)
+        return expiries[quorum - 1] if members and len(expiries) >= quorum else -1e9
 
     def is_valid(self, *, now: float, voters: VoterSet) -> bool:
         """May the proxy act now?"""
@@ -94,11 +94,11 @@
         return -1e9 if self._outdated_names(grant=grant) else grant.requested_at + constants.LEASE_DURATION
 
     def _update_state(self, *, now: float, voters: VoterSet) -> list[Command]:
-        live = [grant for grant in self._grants.values() if now - grant.requested_at < constants.LEASE_DURATION]
-        names = {name for grant in live for name in self._outdated_names(grant=grant)}
-        self.behind = {name: self.behind.get(name, now) for name in names}
-        before = self.state
-        self.state = CHART.step(state=before, event="granted" if self.is_valid(now=now, voters=voters) else "run_out")
-        if before == self.state:
+        recent = [grant for grant in self._grants.values() if now - grant.requested_at < constants.LEASE_DURATION]
+        outdated = {name for grant in recent for name in self._outdated_names(grant=grant)}
+        self.behind = {name: self.behind.get(name, now) for name in outdated}
+        previous = self.state
+        self.state = CHART.step(state=previous, event="granted" if self.is_valid(now=now, voters=voters) else "run_out")
+        if previous == self.state:
             return []
         return [LogEvent(event=f"lease-{self.state}", fields={"behind": ",".join(self.behind) or "none"})]
--- a/sailward/routing/proxied_request.py
+++ b/sailward/routing/proxied_request.py
@@ -96,8 +96,8 @@
     @property
     def fingerprint(self) -> str:
         """Hash of the method, path and body."""
-        mix = f"{self.method} {self.path}\0".encode() + self.body
-        return hashlib.blake2b(mix, digest_size=12).hexdigest()
+        content = f"{self.method} {self.path}\0".encode() + self.body
+        return hashlib.blake2b(content, digest_size=12).hexdigest()
 
 
 def digest_key(*, tenant: str, key: str) -> str:
@@ -116,9 +116,9 @@
         return head
     match, key = head.match, head.key
     service = plan.services[plan.pools[match.shares[0][0]].service]
-    fault = judge_key(key=key, clock=clock, is_required=service.timed_keys) if event.method not in SAFE else None
-    if fault is not None:
-        return Refusal(code=fault[0], reason=fault[1], detail=fault[2])
+    key_fault = judge_key(key=key, clock=clock, is_required=service.timed_keys) if event.method not in SAFE else None
+    if key_fault is not None:
+        return Refusal(code=key_fault[0], reason=key_fault[1], detail=key_fault[2])
     part = event.headers.get("sailward-key", "") or part_of(path=event.path, match=match)
     if service.slots and not part:
         return Refusal(code=400, reason="part-missing", detail="this service is sharded: give the key in the path")
--- a/sailward/routing/proxied_requests.py
+++ b/sailward/routing/proxied_requests.py
@@ -57,16 +57,16 @@
         if isinstance(event, RequestReceived):
             return self._on_request(now=now, event=event, acting=acting)
         if isinstance(event, CallFinished):
-            commands, begins = self._on_call_finished(now=now, event=event, acting=acting)
+            commands, operations = self._on_call_finished(now=now, event=event, acting=acting)
         elif event is None:
-            commands, begins = self._on_timer(now=now, acting=acting), []
+            commands, operations = self._on_timer(now=now, acting=acting), []
             verdicts = self.claims.step(now=now, event=None)[2]
             commands += self._on_verdicts(now=now, verdicts=verdicts, acting=acting)
         else:
-            commands, begins, verdicts = self.claims.step(now=now, event=event)
+            commands, operations, verdicts = self.claims.step(now=now, event=event)
             commands += self._on_verdicts(now=now, verdicts=verdicts, acting=acting)
-        more, others = self._dispatch_waiting(now=now, acting=acting)
-        return commands + more, begins + others
+        dispatched, started = self._dispatch_waiting(now=now, acting=acting)
+        return commands + dispatched, operations + started
 
     def rates(self, *, now: float) -> dict[str, float]:
         """Requests per s forwarded for each service, averaged over the last RETRY_BUDGET_WINDOW."""
@@ -88,48 +88,48 @@
         exchange = self.live.get(token)
         if exchange is None or (exchange.unsafe and exchange.sent):
             return []
-        under_way = [call for call, other in self.sent.items() if other is exchange]
-        for call in under_way:
+        in_flight = [call for call, other in self.sent.items() if other is exchange]
+        for call in in_flight:
             del self.sent[call]
             self.calls.pop(call, None)
             self.load_balancer.left(key=exchange.worker)
             self.shards_in_use.linger(exchange=exchange)
         refusal = self._refuse(exchange=exchange, reason="caller-left", detail="its connection was closed")
-        return [*(CancelCall(token=call) for call in under_way), refusal]
+        return [*(CancelCall(token=call) for call in in_flight), refusal]
 
     def _on_request(self, *, now: float, event: RequestReceived, acting: bool) -> tuple[list, list]:
         self.count += 1
-        taken = take_exchange(
+        exchange = take_exchange(
             event=event,
             plan=self.load_balancer.routing_state.plan,
             now=now,
             name=f"{self.identity}.{self.count}",
             clock=self.load_balancer.routing_state.clock(now=now),
         )
-        promise = is_promise_safe(event=event)
-        if not acting and not (isinstance(taken, Refusal) and taken.code == 413):
+        is_not_run = is_promise_safe(event=event)
+        if not acting and not (isinstance(exchange, Refusal) and exchange.code == 413):
             # without a lease the configuration may be stale, so that even "no such tenant" could be wrong
-            taken = Refusal(code=503, reason="no-lease", detail="this proxy is cut off from the controllers")
-        if isinstance(taken, Refusal):
-            self._count_refusal(reason=taken.reason)
-            if taken.code == 503 and event.headers.get("sailward-try", "1") == "1":
+            exchange = Refusal(code=503, reason="no-lease", detail="this proxy is cut off from the controllers")
+        if isinstance(exchange, Refusal):
+            self._count_refusal(reason=exchange.reason)
+            if exchange.code == 503 and event.headers.get("sailward-try", "1") == "1":
                 self.attempt_budget.credit(now=now)
-            return [answer_refusal(token=event.token, refusal=taken, not_run=promise)], []
-        memory = self.claims.memory.by_digest.get(taken.digest) if taken.key else None
+            return [answer_refusal(token=event.token, refusal=exchange, not_run=is_not_run)], []
+        memory = self.claims.memory.by_digest.get(exchange.digest) if exchange.key else None
         is_replay = memory is not None and memory.state != "unsent"
-        refusal = self._charge_budget(now=now, exchange=taken, memory=memory, is_replay=is_replay)
+        refusal = self._charge_budget(now=now, exchange=exchange, memory=memory, is_replay=is_replay)
         if refusal is not None:
             return [refusal], []
-        self.live[taken.token] = taken
+        self.live[exchange.token] = exchange
         if is_replay or (
-            len(self.sent) < constants.MAX_OPEN_EXCHANGES and not self.queues.waits(name=taken.queue_name)
+            len(self.sent) < constants.MAX_OPEN_EXCHANGES and not self.queues.waits(name=exchange.queue_name)
         ):
-            dispatched = self._dispatch(now=now, exchange=taken)
+            dispatched = self._dispatch(now=now, exchange=exchange)
             if dispatched is not None:
                 return dispatched
-        taken.state = "waiting"
-        if not self.queues.step(name=taken.queue_name, item=taken.token, share=taken.tenant.share):
-            return [self._refuse(exchange=taken, reason="line-full", detail="this tenant's queue is full")], []
+        exchange.state = "waiting"
+        if not self.queues.step(name=exchange.queue_name, item=exchange.token, share=exchange.tenant.share):
+            return [self._refuse(exchange=exchange, reason="line-full", detail="this tenant's queue is full")], []
         return [], []
 
     def _charge_budget(
@@ -163,8 +163,8 @@
                 return None if choice.reason == "no-room" else ([self._refuse(exchange=exchange, refusal=choice)], [])
         if exchange.unsafe and not exchange.claim:
             exchange.state = "claiming"
-            commands, begins, verdicts = self.claims.step(now=now, event=exchange)
-            return commands + self._on_verdicts(now=now, verdicts=verdicts, acting=True), begins
+            commands, operations, verdicts = self.claims.step(now=now, event=exchange)
+            return commands + self._on_verdicts(now=now, verdicts=verdicts, acting=True), operations
         return self._forward(now=now, exchange=exchange), []
 
     def _select_worker(self, *, now: float, exchange: ProxiedRequest) -> Refusal | None:
@@ -176,8 +176,8 @@
         return None
 
     def _forward(self, *, now: float, exchange: ProxiedRequest) -> list[Command]:
-        plan_moved = exchange.plan != self.load_balancer.routing_state.plan.number
-        if exchange.chosen is None or plan_moved or not self.load_balancer.stands(exchange=exchange):
+        has_plan_changed = exchange.plan != self.load_balancer.routing_state.plan.number
+        if exchange.chosen is None or has_plan_changed or not self.load_balancer.stands(exchange=exchange):
             refusal = self._select_worker(now=now, exchange=exchange)
             if refusal is not None:
                 return [self._refuse(exchange=exchange, refusal=refusal)]
@@ -190,12 +190,12 @@
         self.load_balancer.took(key=worker.key)
         token = f"x {exchange.name} {exchange.attempts}"
         self.sent[token] = exchange
-        left = max(0.05, exchange.expiry - now)
-        timeout = left if exchange.unsafe or exchange.attempts >= constants.MAX_ATTEMPTS else left / 2
+        time_left = max(0.05, exchange.expiry - now)
+        timeout = time_left if exchange.unsafe or exchange.attempts >= constants.MAX_ATTEMPTS else time_left / 2
         exchange.sent_at = now
         self.loads.append((now, exchange.service.name))
         self.calls[token] = now + timeout + constants.QUEUE_TIMEOUT
-        most = min(timeout, exchange.service.expiry)
+        worker_timeout = min(timeout, exchange.service.expiry)
         return [
             StartCall(
                 token=token,
@@ -203,9 +203,9 @@
                 address=worker.address,
                 method=exchange.method,
                 path=exchange.path,
-                headers=headers_onward(exchange=exchange, worker=worker.key, timeout=most),
+                headers=headers_onward(exchange=exchange, worker=worker.key, timeout=worker_timeout),
                 body=exchange.body,
-                timeout=most,
+                timeout=worker_timeout,
                 fresh=exchange.unsafe,
             )
         ]
@@ -262,12 +262,14 @@
         commands = (
             [] if isinstance(verdict, Good) else self._update_worker_health(now=now, exchange=exchange, verdict=verdict)
         )
-        ran = self._record_verdict(exchange=exchange, verdict=verdict)
+        must_not_rerun = self._record_verdict(exchange=exchange, verdict=verdict)
         if exchange.answered:
-            if exchange.unsafe and not ran:
+            if exchange.unsafe and not must_not_rerun:
                 self._mark_unsent(exchange=exchange)
             return commands, []
-        may_retry = not ran and acting and exchange.attempts < constants.MAX_ATTEMPTS and now < exchange.expiry
+        may_retry = (
+            not must_not_rerun and acting and exchange.attempts < constants.MAX_ATTEMPTS and now < exchange.expiry
+        )
         if may_retry and self.attempt_budget.step(now=now, first=False):
             self.tally["tried-again"] += 1
             return commands + self._forward(now=now, exchange=exchange), []
@@ -279,17 +281,17 @@
 
     def _record_verdict(self, *, exchange: ProxiedRequest, verdict: object) -> bool:
         """Record the outcome of an attempt; True if the request is unsafe and may have run without a full response."""
-        ran = exchange.unsafe and isinstance(verdict, Bad)
+        must_not_rerun = exchange.unsafe and isinstance(verdict, Bad)
         exchange.may_have_run = exchange.may_have_run or isinstance(verdict, (Bad, Good))
         if isinstance(verdict, Bad):
             self.shards_in_use.linger(exchange=exchange)
-        if ran:
+        if must_not_rerun:
             memory = self.claims.memory.by_digest.get(exchange.digest)
             if memory is not None:
                 memory.state = "unknown"
         elif isinstance(verdict, (Unsent, WorkerRefused)):
             exchange.sent = exchange.may_have_run
-        return ran
+        return must_not_rerun
 
     def _retry_elsewhere(self, *, exchange: ProxiedRequest, verdict: Good) -> bool:
         return (
@@ -342,8 +344,8 @@
             self._mark_unsent(exchange=exchange)
         exchange.answered = True
         self.live.pop(exchange.token, None)
-        promise = not exchange.sent and (not exchange.unsafe or exchange.turn == 1) and not refusal.state
-        return answer_refusal(token=exchange.token, refusal=refusal, not_run=promise)
+        is_not_run = not exchange.sent and (not exchange.unsafe or exchange.turn == 1) and not refusal.state
+        return answer_refusal(token=exchange.token, refusal=refusal, not_run=is_not_run)
 
     def _mark_unsent(self, *, exchange: ProxiedRequest) -> None:
         memory = self.claims.memory.by_digest.get(exchange.digest)
@@ -354,21 +356,21 @@
         self.tally[f"refused-{reason}"] += 1
 
     def _dispatch_waiting(self, *, now: float, acting: bool) -> tuple[list, list]:
-        commands, begins, blocked = [], [], set()
+        commands, operations, blocked = [], [], set()
         while acting and len(self.sent) < constants.MAX_OPEN_EXCHANGES:
-            turn = self.queues.take(blocked=blocked)
-            if turn is None:
+            queued = self.queues.take(blocked=blocked)
+            if queued is None:
                 break
-            exchange = self.live.get(turn[1])
+            exchange = self.live.get(queued[1])
             if exchange is None:
                 continue
             dispatched = self._dispatch(now=now, exchange=exchange)
             if dispatched is None:
-                self.queues.put_back(name=turn[0], item=turn[1])
-                blocked.add(turn[0])
+                self.queues.put_back(name=queued[0], item=queued[1])
+                blocked.add(queued[0])
                 continue
-            commands, begins = commands + dispatched[0], begins + dispatched[1]
-        return commands, begins
+            commands, operations = commands + dispatched[0], operations + dispatched[1]
+        return commands, operations
 
     def _on_timer(self, *, now: float, acting: bool) -> list[Command]:
         commands: list[Command] = []
@@ -387,9 +389,9 @@
             elif now >= exchange.expiry:
                 refusal = Refusal(code=504, reason="expired")
                 commands.append(self._refuse(exchange=exchange, refusal=refusal))
-        for token, end in list(self.calls.items()):
-            if now >= end:
+        for token, deadline in list(self.calls.items()):
+            if now >= deadline:
                 # the end of the call was never reported; whether the request ran is unknown
-                lost = CallFinished(token=token, code=0, headers={}, body=b"", fault="timed-out", sent=True)
-                commands += self._on_call_finished(now=now, event=lost, acting=False)[0]
+                timed_out = CallFinished(token=token, code=0, headers={}, body=b"", fault="timed-out", sent=True)
+                commands += self._on_call_finished(now=now, event=timed_out, acting=False)[0]
         return commands
--- a/sailward/routing/request.py
+++ b/sailward/routing/request.py
@@ -78,15 +78,17 @@
     if match is None:
         return Refusal(code=404, reason="unmatched")
     service = plan.services[plan.pools[match.shares[0][0]].service]
-    given = event.headers.get(names.within, "")
-    within = (
-        int(given) / 1000
-        if given.isascii() and given.isdigit() and len(given) < 10
+    timeout_text = event.headers.get(names.within, "")
+    timeout = (
+        int(timeout_text) / 1000
+        if timeout_text.isascii() and timeout_text.isdigit() and len(timeout_text) < 10
         else constants.DEFAULT_REQUEST_TIMEOUT
     )
-    key = event.headers.get(names.part, "")
-    number = (
-        int(key) if key.isascii() and key.isdigit() and len(key) < 6 and int(key) <= constants.MAX_SHARD_KEY else -1
+    key_text = event.headers.get(names.part, "")
+    key = (
+        int(key_text)
+        if key_text.isascii() and key_text.isdigit() and len(key_text) < 6 and int(key_text) <= constants.MAX_SHARD_KEY
+        else -1
     )
     return Request(
         token=event.token,
@@ -98,8 +100,8 @@
         match=match,
         service=service,
         arrived=now,
-        key=number,
-        expiry=now + max(0.0, min(within, match.expiry or constants.DEFAULT_REQUEST_TIMEOUT)),
+        key=key,
+        expiry=now + max(0.0, min(timeout, match.expiry or constants.DEFAULT_REQUEST_TIMEOUT)),
     )
 
 
--- a/sailward/routing/result_replicas.py
+++ b/sailward/routing/result_replicas.py
@@ -68,8 +68,8 @@
         return copy if copy is not None and copy.number == number else None
 
     def _drop(self, *, digest: str) -> None:
-        old = self.replicas.pop(digest, None)
-        self.size -= len(old.body) if old else 0
+        replica = self.replicas.pop(digest, None)
+        self.size -= len(replica.body) if replica else 0
 
 
 def may_keep(*, region: str, homes: frozenset) -> bool:
@@ -82,15 +82,15 @@
 ) -> list[Command]:
     """Send the result to one proxy by rendezvous hashing, in a home region and if possible in another zone."""
     homes = exchange.tenant.homes
-    able = [peer for peer in peers if may_keep(region=peer.region, homes=homes)]
-    able = [peer for peer in able if peer.zone != zone] or able
-    if not able or len(body) > constants.MAX_REPLICATED_RESULT_BYTES:
+    eligible = [peer for peer in peers if may_keep(region=peer.region, homes=homes)]
+    eligible = [peer for peer in eligible if peer.zone != zone] or eligible
+    if not eligible or len(body) > constants.MAX_REPLICATED_RESULT_BYTES:
         return []
-    posts = {peer.name: peer.post for peer in able}
-    name = choose_names(key=exchange.digest, names=posts, count=1)[0]
+    addresses = {peer.name: peer.post for peer in eligible}
+    name = choose_names(key=exchange.digest, names=addresses, count=1)[0]
     return [
         SendMessage(
-            to=posts[name],
+            to=addresses[name],
             body={
                 "kind": "keep",
                 "key": exchange.digest,
--- a/sailward/routing/retry_budget.py
+++ b/sailward/routing/retry_budget.py
@@ -50,6 +50,6 @@
         return True
 
     def _evict_old(self, *, now: float, account: Account) -> None:
-        for moments in (account.firsts, account.mores):
-            while moments and moments[0] <= now - self.window:
-                moments.popleft()
+        for times in (account.firsts, account.mores):
+            while times and times[0] <= now - self.window:
+                times.popleft()
