--- a/sailward/routing/idempotency.py
+++ b/sailward/routing/idempotency.py
@@ -19,14 +19,14 @@
 class Won:
     """The request holds the claim: it may be forwarded, once."""
 
-    exchange: ProxiedRequest
+    request: ProxiedRequest
 
 
 @dataclass(frozen=True, kw_only=True)
 class Lost:
     """The request may not be forwarded."""
 
-    exchange: ProxiedRequest
+    request: ProxiedRequest
     refusal: Refusal
 
 
@@ -34,7 +34,7 @@
 class Replayed:
     """The request has already run: this is its stored result."""
 
-    exchange: ProxiedRequest
+    request: ProxiedRequest
     code: int
     headers: dict
     body: bytes
@@ -44,7 +44,7 @@
 class Peeking:
     """A query to other proxies, the owner of an earlier claim among them, about what became of that claim."""
 
-    exchange: ProxiedRequest
+    request: ProxiedRequest
     number: int
     expiry: float
     owner: str
@@ -72,7 +72,7 @@
     ) -> tuple[list, list[StartOperation], list]:
         """Process a request to claim, a finished operation, a (sender, message) of a peer, or None for a timer tick."""
         if isinstance(event, ProxiedRequest):
-            return self._on_request(now=now, exchange=event)
+            return self._on_request(now=now, request=event)
         if isinstance(event, OperationFinished):
             return self._on_operation_finished(now=now, event=event)
         if event is None:
@@ -87,19 +87,19 @@
             return [SendMessage(to=sender, body=reply)], [], []
         return self._on_peek_reply(now=now, sender=sender, body=body)
 
-    def finish(self, *, exchange: ProxiedRequest, code: int, headers: dict, body: bytes) -> list:
+    def finish(self, *, request: ProxiedRequest, code: int, headers: dict, body: bytes) -> list:
         """Store the result for retries: here, if the tenant's home regions allow it, and at one other proxy."""
-        memory = self.memory.by_digest.get(exchange.digest)
+        memory = self.memory.by_digest.get(request.digest)
         self.memory.finish(
-            digest=exchange.digest,
+            digest=request.digest,
             code=code,
             headers=headers,
             body=body,
-            store=may_keep(region=self.region, homes=exchange.tenant.homes),
+            store=may_keep(region=self.region, homes=request.tenant.homes),
         )
         return (
             spread_copy(
-                exchange=exchange,
+                request=request,
                 number=memory.number,
                 code=code,
                 headers=headers,
@@ -111,20 +111,20 @@
             else []
         )
 
-    def remembers(self, *, exchange: ProxiedRequest) -> bool:
+    def remembers(self, *, request: ProxiedRequest) -> bool:
         """Is a claim on the key cached here that may have been used, so that no worker needs to be selected?"""
-        memory = self.memory.by_digest.get(exchange.digest) if exchange.unsafe else None
-        return memory is not None and memory.state != "unsent" and not exchange.claim
+        memory = self.memory.by_digest.get(request.digest) if request.unsafe else None
+        return memory is not None and memory.state != "unsent" and not request.claim
 
-    def _on_request(self, *, now: float, exchange: ProxiedRequest) -> tuple[list, list[StartOperation], list]:
-        memory = self.memory.by_digest.get(exchange.digest)
+    def _on_request(self, *, now: float, request: ProxiedRequest) -> tuple[list, list[StartOperation], list]:
+        memory = self.memory.by_digest.get(request.digest)
         if memory is None:
-            return [], [self._start_claim(now=now, exchange=exchange, expected=0)], []
-        if memory.fingerprint != exchange.fingerprint:
-            return [], [], [_key_reused(exchange=exchange)]
+            return [], [self._start_claim(now=now, request=request, expected=0)], []
+        if memory.fingerprint != request.fingerprint:
+            return [], [], [_key_reused(request=request)]
         return self._decide_by_state(
             now=now,
-            exchange=exchange,
+            request=request,
             state=memory.state,
             number=memory.number,
             code=memory.code,
@@ -132,65 +132,65 @@
             body=memory.body,
         )
 
-    def _start_claim(self, *, now: float, exchange: ProxiedRequest, expected: int) -> StartOperation:
+    def _start_claim(self, *, now: float, request: ProxiedRequest, expected: int) -> StartOperation:
         self.count += 1
         self.memory.begin(
             now=now,
-            digest=exchange.digest,
-            fingerprint=exchange.fingerprint,
-            homes=exchange.tenant.homes,
+            digest=request.digest,
+            fingerprint=request.fingerprint,
+            homes=request.tenant.homes,
             count=self.count,
         )
         op = f"{self.identity}/claim{self.count}"
-        self.claiming[op] = exchange
-        text = json.dumps({"o": self.post, "i": self.identity, "f": exchange.fingerprint, "n": self.count})
-        timeout = min(constants.CLAIM_TIMEOUT, max(0.05, exchange.expiry - now))
+        self.claiming[op] = request
+        text = json.dumps({"o": self.post, "i": self.identity, "f": request.fingerprint, "n": self.count})
+        timeout = min(constants.CLAIM_TIMEOUT, max(0.05, request.expiry - now))
         return StartOperation(
-            op=op, register=CLAIM + exchange.digest, expected=expected, text=text, first=expected == 0, timeout=timeout
+            op=op, register=CLAIM + request.digest, expected=expected, text=text, first=expected == 0, timeout=timeout
         )
 
     def _on_operation_finished(
         self, *, now: float, event: OperationFinished
     ) -> tuple[list, list[StartOperation], list]:
-        exchange = self.claiming.pop(event.op, None)
-        if exchange is None:
+        request = self.claiming.pop(event.op, None)
+        if request is None:
             return [], [], []
-        memory, outcome = self.memory.by_digest.get(exchange.digest), event.outcome
+        memory, outcome = self.memory.by_digest.get(request.digest), event.outcome
         if isinstance(outcome, Accepted):
             if memory is None or outcome.value["number"] != outcome.number:
-                return [], [], [Lost(exchange=exchange, refusal=Refusal(code=503, reason="claim-passed-on"))]
+                return [], [], [Lost(request=request, refusal=Refusal(code=503, reason="claim-passed-on"))]
             memory.state, memory.number = "running", outcome.value["number"]
-            return [], [], [Won(exchange=exchange)]
+            return [], [], [Won(request=request)]
         if memory is not None:
             memory.state = "unsent"
         if isinstance(outcome, Refused) and outcome.reason == "number" and outcome.value["number"]:
-            return self._on_claimed_by_other(now=now, exchange=exchange, value=outcome.value, memory=memory)
+            return self._on_claimed_by_other(now=now, request=request, value=outcome.value, memory=memory)
         refusal = Refusal(code=503, reason="claim-uncertain", detail="no majority of the controllers answered in time")
-        return [], [], [Lost(exchange=exchange, refusal=refusal)]
+        return [], [], [Lost(request=request, refusal=refusal)]
 
     def _on_claimed_by_other(
-        self, *, now: float, exchange: ProxiedRequest, value: RegisterValue, memory: Memory | None
+        self, *, now: float, request: ProxiedRequest, value: RegisterValue, memory: Memory | None
     ) -> tuple[list, list[StartOperation], list]:
         claim = json.loads(value["text"])
         if claim["i"] == self.identity:
             # this proxy's own claim: unsent if it is no older than the cached ones, else the request may have run
-            is_unsent = memory is not None and claim["n"] >= memory.first and claim["f"] == exchange.fingerprint
+            is_unsent = memory is not None and claim["n"] >= memory.first and claim["f"] == request.fingerprint
             return self._decide_by_state(
-                now=now, exchange=exchange, state="unsent" if is_unsent else "unknown", number=value["number"]
+                now=now, request=request, state="unsent" if is_unsent else "unknown", number=value["number"]
             )
-        self.memory.by_digest.pop(exchange.digest, None)
-        if claim["f"] != exchange.fingerprint:
-            return [], [], [_key_reused(exchange=exchange)]
-        copy = self.replicas.find(digest=exchange.digest, number=value["number"])
+        self.memory.by_digest.pop(request.digest, None)
+        if claim["f"] != request.fingerprint:
+            return [], [], [_key_reused(request=request)]
+        copy = self.replicas.find(digest=request.digest, number=value["number"])
         if copy is not None:
-            return [], [], [Replayed(exchange=exchange, code=copy.code, headers=copy.headers, body=copy.body)]
+            return [], [], [Replayed(request=request, code=copy.code, headers=copy.headers, body=copy.body)]
         self.count += 1
         token = f"{self.identity}/peek{self.count}"
         pending_peers = {
             address for address in (claim["o"], *(peer.post for peer in self.peers)) if address not in ("", self.post)
         }
         self.peeking[token] = Peeking(
-            exchange=exchange,
+            request=request,
             number=value["number"],
             owner=claim["o"],
             pending_peers=pending_peers,
@@ -199,7 +199,7 @@
         body = {
             "kind": "peek",
             "token": token,
-            "key": exchange.digest,
+            "key": request.digest,
             "number": value["number"],
             "region": self.region,
         }
@@ -225,7 +225,7 @@
         body = body if headers is not None else {**body, "state": peeking.state}
         return self._decide_by_state(
             now=now,
-            exchange=peeking.exchange,
+            request=peeking.request,
             state=body["state"],
             number=peeking.number,
             code=body["code"],
@@ -237,7 +237,7 @@
         self,
         *,
         now: float,
-        exchange: ProxiedRequest,
+        request: ProxiedRequest,
         state: str,
         number: int,
         code: int = 0,
@@ -245,14 +245,14 @@
         body: bytes = b"",
     ) -> tuple[list, list[StartOperation], list]:
         if state == "unsent":
-            return [], [self._start_claim(now=now, exchange=exchange, expected=number)], []
+            return [], [self._start_claim(now=now, request=request, expected=number)], []
         if state == "done" and headers is not None:
-            return [], [], [Replayed(exchange=exchange, code=code, headers=headers, body=body)]
+            return [], [], [Replayed(request=request, code=code, headers=headers, body=body)]
         reported_state = "running" if state == "claiming" else state
         refusal = Refusal(
             code=409, reason="repeat", state=reported_state, detail="a request with this key was forwarded before"
         )
-        return [], [], [Lost(exchange=exchange, refusal=refusal)]
+        return [], [], [Lost(request=request, refusal=refusal)]
 
     def _on_timer(self, *, now: float) -> list:
         verdicts = []
@@ -265,14 +265,14 @@
                     state=peeking.state,
                     detail="no reachable proxy has the result of this key",
                 )
-                verdicts.append(Lost(exchange=peeking.exchange, refusal=refusal))
+                verdicts.append(Lost(request=peeking.request, refusal=refusal))
         self.memory.step(now=now)
         self.replicas.step(now=now, event=None)
         return verdicts
 
 
-def _key_reused(*, exchange: ProxiedRequest) -> Lost:
+def _key_reused(*, request: ProxiedRequest) -> Lost:
     return Lost(
-        exchange=exchange,
+        request=request,
         refusal=Refusal(code=422, reason="key-reused", detail="this key was used with another request"),
     )
--- a/sailward/routing/proxied_request.py
+++ b/sailward/routing/proxied_request.py
@@ -105,7 +105,7 @@
     return hashlib.blake2b(f"{tenant}\0{key}".encode(), digest_size=16).hexdigest()
 
 
-def take_exchange(
+def build_proxied_request(
     *, event: RequestReceived, plan: Plan, now: float, name: str, clock: float | None = None
 ) -> ProxiedRequest | Refusal:
     """Build the request that a client sent, or the refusal if it can't be accepted."""
@@ -179,20 +179,20 @@
     return path[len(match.path.rstrip("/")) :].strip("/").split("/")[0]
 
 
-def refit_exchange(*, exchange: ProxiedRequest, plan: Plan) -> Refusal | None:
+def rematch_request(*, request: ProxiedRequest, plan: Plan) -> Refusal | None:
     """Match again under the configuration in force, which may have changed since the request was received."""
-    if exchange.plan == plan.number:
+    if request.plan == plan.number:
         return None
-    tenant = plan.tenants.get(exchange.tenant.name)
-    match = plan.match(path=exchange.raw_path, method=exchange.method, tenant=exchange.tenant.name)
+    tenant = plan.tenants.get(request.tenant.name)
+    match = plan.match(path=request.raw_path, method=request.method, tenant=request.tenant.name)
     if tenant is None or match is None:
         return Refusal(code=404, reason="unmatched", detail="the configuration changed while the request waited")
     service = plan.services[plan.pools[match.shares[0][0]].service]
-    if service.slots and not exchange.part:
+    if service.slots and not request.part:
         return Refusal(code=400, reason="part-missing", detail="the service has become sharded")
-    exchange.tenant, exchange.match, exchange.service, exchange.plan = tenant, match, service, plan.number
-    if exchange.pool not in {name for name, weight in match.shares if weight}:
-        exchange.pool = ""
+    request.tenant, request.match, request.service, request.plan = tenant, match, service, plan.number
+    if request.pool not in {name for name, weight in match.shares if weight}:
+        request.pool = ""
     return None
 
 
@@ -230,23 +230,23 @@
     )
 
 
-def headers_onward(*, exchange: ProxiedRequest, worker: str, timeout: float) -> dict:
+def headers_onward(*, request: ProxiedRequest, worker: str, timeout: float) -> dict:
     """The headers sent to the worker, which has `timeout` seconds to start and finish."""
     headers = {
-        name: value for name, value in exchange.headers.items() if name not in HOP and not name.startswith("sailward-")
+        name: value for name, value in request.headers.items() if name not in HOP and not name.startswith("sailward-")
     }
     headers |= {
-        "sailward-exchange": exchange.name,
+        "sailward-exchange": request.name,
         "sailward-worker": worker,
-        "sailward-tenant": exchange.tenant.name,
-        "sailward-service": exchange.service.name,
+        "sailward-tenant": request.tenant.name,
+        "sailward-service": request.service.name,
         "sailward-within": str(int(timeout * 1000)),
     }
-    if exchange.slot >= 0:
+    if request.slot >= 0:
         headers |= {
-            "sailward-key": exchange.part,
-            "sailward-slot": f"{exchange.space}/{exchange.slot}",
-            "sailward-term": str(exchange.term),
+            "sailward-key": request.part,
+            "sailward-slot": f"{request.space}/{request.slot}",
+            "sailward-term": str(request.term),
         }
     return headers
 
--- a/sailward/routing/response_check.py
+++ b/sailward/routing/response_check.py
@@ -42,18 +42,18 @@
     stranger: bool = False
 
 
-def judge_result(*, exchange: ProxiedRequest, event: CallFinished) -> Good | WorkerRefused | Unsent | Bad:
+def judge_result(*, request: ProxiedRequest, event: CallFinished) -> Good | WorkerRefused | Unsent | Bad:
     """Judge the outcome of one attempt."""
     if event.code == 0:
         return Bad(reason=event.fault) if event.sent else Unsent(reason=event.fault)
     headers = event.headers
-    if headers.get("sailward-worker") != exchange.worker:
+    if headers.get("sailward-worker") != request.worker:
         return Bad(reason="another-worker", stranger=True)
-    if headers.get("sailward-exchange") != exchange.name:
+    if headers.get("sailward-exchange") != request.name:
         return Bad(reason="another-exchange")
     if event.code in (429, 503) and headers.get("sailward-ran") == "not-run":
         return WorkerRefused(reason=f"code:{event.code}")
-    fault = _find_fault(exchange=exchange, event=event)
+    fault = _find_fault(request=request, event=event)
     if fault:
         return Bad(reason=fault)
     end_to_end_headers = {
@@ -62,20 +62,20 @@
     return Good(code=event.code, headers=end_to_end_headers, body=event.body)
 
 
-def _find_fault(*, exchange: ProxiedRequest, event: CallFinished) -> str:
+def _find_fault(*, request: ProxiedRequest, event: CallFinished) -> str:
     headers, body = event.headers, event.body
     if event.code < 200:
         return "code"
-    if exchange.method == "HEAD" or event.code in (204, 304):
+    if request.method == "HEAD" or event.code in (204, 304):
         return ""
     if "content-length" not in headers and headers.get("transfer-encoding", "").lower() != "chunked":
         return "unframed"
     if "content-length" in headers and headers["content-length"] != str(len(body)):
         return "cut-short"
-    if len(body) > exchange.service.result_bytes:
+    if len(body) > request.service.result_bytes:
         return "too-large"
     digest = headers.get("content-digest", "")
-    if digest or exchange.service.digest_required:
+    if digest or request.service.digest_required:
         expected = "sha-256=:" + base64.b64encode(hashlib.sha256(body).digest()).decode() + ":"
         if expected not in [part.strip() for part in digest.split(",")]:
             return "wrong-bytes"
--- a/sailward/routing/result_replicas.py
+++ b/sailward/routing/result_replicas.py
@@ -78,24 +78,24 @@
 
 
 def spread_copy(
-    *, exchange: ProxiedRequest, number: int, code: int, headers: dict, body: bytes, zone: str, peers: list[Peer]
+    *, request: ProxiedRequest, number: int, code: int, headers: dict, body: bytes, zone: str, peers: list[Peer]
 ) -> list[Command]:
     """Send the result to one proxy by rendezvous hashing, in a home region and if possible in another zone."""
-    homes = exchange.tenant.homes
+    homes = request.tenant.homes
     eligible = [peer for peer in peers if may_keep(region=peer.region, homes=homes)]
     eligible = [peer for peer in eligible if peer.zone != zone] or eligible
     if not eligible or len(body) > constants.MAX_REPLICATED_RESULT_BYTES:
         return []
     addresses = {peer.name: peer.post for peer in eligible}
-    name = choose_names(key=exchange.digest, names=addresses, count=1)[0]
+    name = choose_names(key=request.digest, names=addresses, count=1)[0]
     return [
         SendMessage(
             to=addresses[name],
             body={
                 "kind": "keep",
-                "key": exchange.digest,
+                "key": request.digest,
                 "number": number,
-                "print": exchange.fingerprint,
+                "print": request.fingerprint,
                 "homes": sorted(homes),
                 "code": code,
                 "headers": headers,
--- a/simulation/sim/sabotage.py
+++ b/simulation/sim/sabotage.py
@@ -52,8 +52,8 @@
 
 
 def _always_won(old):
-    def begin(self, *, now, exchange):
-        return [], [], [idempotency.Won(exchange=exchange)]
+    def begin(self, *, now, request):
+        return [], [], [idempotency.Won(request=request)]
 
     return begin
 
@@ -128,9 +128,9 @@
 
 
 def _any_identity(old):
-    def judge(*, exchange, event):
-        own = {"sailward-worker": exchange.worker, "sailward-exchange": exchange.name}
-        return old(exchange=exchange, event=dataclasses.replace(event, headers={**event.headers, **own}))
+    def judge(*, request, event):
+        own = {"sailward-worker": request.worker, "sailward-exchange": request.name}
+        return old(request=request, event=dataclasses.replace(event, headers={**event.headers, **own}))
 
     return judge
 
@@ -159,8 +159,8 @@
 
 
 def _bad_is_unsent(old):
-    def judge(*, exchange, event):
-        verdict = old(exchange=exchange, event=event)
+    def judge(*, request, event):
+        verdict = old(request=request, event=event)
         return response_check.Unsent(reason=verdict.reason) if isinstance(verdict, response_check.Bad) else verdict
 
     return judge
@@ -188,7 +188,7 @@
     "never-older": _method(learner.Learner, "step", _older_too),
     "expected": _method(proposer.Proposer, "_judge_promises", _no_expected),
     "at-most-once": _method(proxied_requests, "judge_result", _bad_is_unsent),
-    "whole-result": _method(response_check, "_find_fault", lambda old: lambda *, exchange, event: ""),
+    "whole-result": _method(response_check, "_find_fault", lambda old: lambda *, request, event: ""),
     "identity": _method(proxied_requests, "judge_result", _any_identity),
     "try-budget": _method(
         attempt_budget.AttemptBudget, "step", lambda old: lambda self, *, now, first, caller=False: "first"
@@ -232,7 +232,7 @@
     "repair": _constant("VOTER_REPLACEMENT_DELAY", 1e9),
     "closing": _method(shard_assignment.ShardAssignment, "_judge", _opens_at_once),
     "witness": _method(quiescence.Quiescence, "check", lambda old: lambda self, *, closing, slot: None),
-    "refit": _method(proxied_requests, "refit_exchange", lambda old: lambda *, exchange, plan: None),
+    "refit": _method(proxied_requests, "rematch_request", lambda old: lambda *, request, plan: None),
     "lower-start": _method(
         peer_table,
         "_is_newer",
--- a/tests/test_words.py
+++ b/tests/test_words.py
@@ -13,7 +13,7 @@
 from sailward.config.check import check_config, read_config
 from sailward.events import RequestReceived
 from sailward.routing.plan import read_plan
-from sailward.routing.proxied_request import Refusal, answer_refusal, take_exchange
+from sailward.routing.proxied_request import Refusal, answer_refusal, build_proxied_request
 from sailward.runtime.startup import COMMON, CONTROLLER, read_startup
 from simulation.deployments import make_arriaga
 from simulation.real.fleet import free_addresses
@@ -158,7 +158,7 @@
     full = check_config(config=CONFIG).full
     plan = read_plan(value={"number": 1, "text": json.dumps({"written": CONFIG, "full": full})})
     event = RequestReceived(token="t", method=method, path=path, query={}, headers=headers, body=body)
-    refusal = take_exchange(event=event, plan=plan, now=0.0, name="x")
+    refusal = build_proxied_request(event=event, plan=plan, now=0.0, name="x")
     assert isinstance(refusal, Refusal)
     answer = answer_refusal(token="t", refusal=refusal, not_run=True)
     assert (answer.code, answer.headers, json.loads(answer.body)) == snapshot
