--- a/sailward/routing/endpoint_selection.py
+++ b/sailward/routing/endpoint_selection.py
@@ -64,9 +64,9 @@
     def step(self, *, now: float, request: Request) -> Worker | Refusal:
         """The worker that is to run this request now; a refusal with `line` may be asked again shortly."""
         context = self.context
-        if not request.is_drawn:
+        if not request.is_service_drawn:
             # by weight, before any health is looked at; retries stay with it
-            request.service, request.is_drawn = self._draw_service(request=request), True
+            request.service, request.is_service_drawn = self._draw_service(request=request), True
         if request.service.ranged:
             return self._find_owner(now=now, request=request)
         pool = next(
@@ -172,7 +172,7 @@
                 shown is not None
                 and shown.is_healthy
                 and not worker.leaving
-                and worker.key not in request.tried
+                and worker.key not in request.tried_workers
                 and self._may_serve(zone=worker.zone, homes=request.match.homes)
             ):
                 able.setdefault(worker.zone, []).append(shown)
@@ -249,9 +249,9 @@
             # its keys should have moved by now: it must not be sent anything any more
             return Refusal(code=503, reason="owner-lost")
         if (
-            request.rejected
-            and worker.key in request.rejected
-            and now - request.waits_since < constants.KEY_OWNER_BACKOFF
+            request.rejected_by
+            and worker.key in request.rejected_by
+            and now - request.waiting_since < constants.KEY_OWNER_BACKOFF
         ):
             return Refusal(code=503, reason="key-moving")
         if not self._has_capacity(shown=shown) or now < shown.busy_until:
--- a/sailward/routing/forwarding.py
+++ b/sailward/routing/forwarding.py
@@ -22,15 +22,15 @@
 from sailward.routing.endpoint_selection import EndpointSelector
 from sailward.routing.passive_health import EVENTS
 from sailward.routing.proxied_request import Refusal, answer_json
-from sailward.routing.request import Attempt, Request, headers_to_caller, headers_to_worker, take_request
+from sailward.routing.request import Attempt, Request, build_request, headers_to_caller, headers_to_worker
 from sailward.routing.retry_budget import RetryBudget
 from sailward.routing.worker_response import Broken, CompleteResponse, NotSent, WorkerRejected, judge_reply
 from sailward.wire_names import WireNames
 
-SHORT = frozenset({"no-room", "key-moving", "key-unowned", "owner-lost", "owner-cold", "no-worker"})
+TRANSIENT_REFUSALS = frozenset({"no-room", "key-moving", "key-unowned", "owner-lost", "owner-cold", "no-worker"})
 """Refusals whose cause may clear within moments: the request waits for a short while before it is refused."""
 
-OUR_OWN_FAULTS = frozenset({"too-late", "withdrawn"})
+PROXY_FAULTS = frozenset({"too-late", "withdrawn"})
 """Call faults that say nothing about the health of the worker."""
 
 
@@ -46,7 +46,7 @@
     budget: RetryBudget
     live: dict = field(default_factory=dict)
     calls: dict = field(default_factory=dict)
-    by_worker: dict = field(default_factory=dict)
+    calls_by_worker: dict = field(default_factory=dict)
     waiting: dict = field(default_factory=dict)
     loads: dict = field(default_factory=dict)
     tally: Counter = field(default_factory=Counter)
@@ -77,12 +77,12 @@
             command
             for request in list(self.live.values())
             for command in self._give_up(
-                now=now, request=request, refusal=Refusal(code=504 if request.sent else 503, reason="stopping")
+                now=now, request=request, refusal=Refusal(code=504 if request.attempts_sent else 503, reason="stopping")
             )
         ]
 
     def _on_request(self, *, now: float, event: RequestReceived) -> list[Command]:
-        request = take_request(event=event, plan=self.endpoint_selector.context.plan, now=now, names=self.names)
+        request = build_request(event=event, plan=self.endpoint_selector.context.plan, now=now, names=self.names)
         if isinstance(request, Refusal):
             return [self._refusal_response(token=event.token, refusal=request)]
         self.live[request.token] = request
@@ -98,10 +98,12 @@
         if not isinstance(choice, Refusal):
             self.waiting.pop(request.token, None)
             return self._forward(now=now, request=request, worker=choice)
-        if request.waits_since < 0:
-            request.waits_since = now
-        if choice.reason in SHORT and now + constants.TICK_INTERVAL - request.waits_since <= self._max_wait(
-            request=request, reason=choice.reason
+        if request.waiting_since < 0:
+            request.waiting_since = now
+        if (
+            choice.reason in TRANSIENT_REFUSALS
+            and now + constants.TICK_INTERVAL - request.waiting_since
+            <= self._max_wait(request=request, reason=choice.reason)
         ):
             self.waiting[request.token] = request
             return []
@@ -121,11 +123,11 @@
 
     def _forward(self, *, now: float, request: Request, worker: Worker) -> list[Command]:
         """Forward the request if enough time is left and the retry budget allows it; give up otherwise."""
-        if request.expiry - now <= constants.MIN_REMAINING_TIME:
-            code = 504 if request.sent else 503
+        if request.expires_at - now <= constants.MIN_REMAINING_TIME:
+            code = 504 if request.attempts_sent else 503
             return self._give_up(now=now, request=request, refusal=Refusal(code=code, reason="expired"))
-        is_first = not request.sent and not request.unsent
-        if (is_first or request.sent) and not self._take_budget(now=now, request=request, is_first=is_first):
+        is_first = not request.attempts_sent and not request.attempts_unsent
+        if (is_first or request.attempts_sent) and not self._take_budget(now=now, request=request, is_first=is_first):
             return self._give_up(now=now, request=request, refusal=Refusal(code=503, reason="budget"))
         return self._start_attempt(now=now, request=request, worker=worker)
 
@@ -140,20 +142,22 @@
 
     def _start_attempt(self, *, now: float, request: Request, worker: Worker) -> list[Command]:
         """Start one attempt at this worker, and record it."""
-        violation = check(invariant=Invariant.DEPARTED_NOT_SERVED, holds=not request.is_left, route=request.match.path)
+        violation = check(
+            invariant=Invariant.DEPARTED_NOT_SERVED, holds=not request.is_client_gone, route=request.match.path
+        )
         self.count += 1
         token = f"x {self.count}"
-        request.sent, request.waits_since = request.sent + 1, -1.0
-        request.attempts[token] = Attempt(worker=worker.key, at=now)
+        request.attempts_sent, request.waiting_since = request.attempts_sent + 1, -1.0
+        request.attempts[token] = Attempt(worker=worker.key, started_at=now)
         if not request.service.ranged:
-            request.tried.add(worker.key)
-        may_hedge = request.match.is_repeatable and request.sent < request.max_attempts
+            request.tried_workers.add(worker.key)
+        may_hedge = request.match.is_repeatable and request.attempts_sent < request.max_attempts
         request.hedge_at = now + self._hedge_after(request=request) if may_hedge else float("inf")
         self.calls[token] = request
-        self.by_worker.setdefault(worker.key, {})[token] = None
+        self.calls_by_worker.setdefault(worker.key, {})[token] = None
         self.endpoint_selector.took(key=worker.key)
         self.tally["sent"] += 1
-        context, time_left = self.endpoint_selector.context, request.expiry - now
+        context, time_left = self.endpoint_selector.context, request.expires_at - now
         return [
             *violation,
             StartCall(
@@ -162,7 +166,7 @@
                 address=worker.address,
                 method=request.method,
                 path=request.target,
-                headers=headers_to_worker(request=request, worker=worker.key, within=time_left, names=self.names),
+                headers=headers_to_worker(request=request, worker=worker.key, time_left=time_left, names=self.names),
                 body=request.body,
                 timeout=time_left,
                 # a reused connection may carry a late response, or be closed during the request: not used for a
@@ -192,11 +196,11 @@
         if isinstance(verdict, CompleteResponse) and not verdict.is_failure:
             return commands + self._respond(request=request, verdict=verdict)
         if isinstance(verdict, NotSent):
-            request.sent, request.unsent = request.sent - 1, request.unsent + 1
+            request.attempts_sent, request.attempts_unsent = request.attempts_sent - 1, request.attempts_unsent + 1
         elif isinstance(verdict, (Broken, CompleteResponse)):
-            request.ran = True
+            request.may_have_run = True
         elif verdict.why == "not-owner":
-            request.rejected.add(attempt.worker)
+            request.rejected_by.add(attempt.worker)
         if request.attempts:
             return commands
         if self._may_retry(now=now, request=request, verdict=verdict):
@@ -207,17 +211,17 @@
 
     def _release_call(self, *, token: str, worker: str) -> None:
         self.endpoint_selector.left(key=worker)
-        tokens = self.by_worker.get(worker, {})
+        tokens = self.calls_by_worker.get(worker, {})
         tokens.pop(token, None)
         if not tokens:
-            self.by_worker.pop(worker, None)
+            self.calls_by_worker.pop(worker, None)
 
     def _may_retry(self, *, now: float, request: Request, verdict: object) -> bool:
-        if request.is_left or now >= request.expiry - constants.MIN_REMAINING_TIME:
+        if request.is_client_gone or now >= request.expires_at - constants.MIN_REMAINING_TIME:
             return False
         if isinstance(verdict, NotSent):
-            return request.unsent <= constants.MAX_UNREACHABLE_WORKERS
-        if request.sent >= request.max_attempts or (request.ran and not request.match.is_repeatable):
+            return request.attempts_unsent <= constants.MAX_UNREACHABLE_WORKERS
+        if request.attempts_sent >= request.max_attempts or (request.may_have_run and not request.match.is_repeatable):
             return False
         return not (isinstance(verdict, WorkerRejected) and verdict.why == "refused")
 
@@ -227,18 +231,19 @@
         An attempt that was overtaken LOST_REQUEST_LATER_RESPONSES times is most likely lost at the worker.
         """
         health = self.endpoint_selector.context.passive_health.shown.get(attempt.worker)
-        for token in self.by_worker.get(attempt.worker, ()):
+        for token in self.calls_by_worker.get(attempt.worker, ()):
             request = self.calls.get(token)
             earlier = request.attempts.get(token) if request is not None else None
-            if earlier is None or earlier.at >= attempt.at:
+            if earlier is None or earlier.started_at >= attempt.started_at:
                 continue
-            earlier.overtaken += 1
-            if earlier.overtaken == constants.LOST_REQUEST_LATER_RESPONSES and health is not None:
+            earlier.overtaken_count += 1
+            if earlier.overtaken_count == constants.LOST_REQUEST_LATER_RESPONSES and health is not None:
                 self.tally["overtaken"] += 1
                 self.endpoint_selector.context.passive_health.record_event(now=now, key=attempt.worker, event="lost")
                 if request.hedge_at < float("inf"):
                     request.hedge_at = min(
-                        request.hedge_at, max(now, earlier.at + constants.LOST_REQUEST_LATENCY_RATIO * health.calm)
+                        request.hedge_at,
+                        max(now, earlier.started_at + constants.LOST_REQUEST_LATENCY_RATIO * health.calm),
                     )
 
     def _record_outcome(self, *, now: float, attempt: Attempt, verdict: object) -> list[Command]:
@@ -247,12 +252,12 @@
         elif isinstance(verdict, WorkerRejected):
             event = verdict.why if verdict.why in ("full", "stranger") else ""
         else:
-            event = EVENTS.get(verdict.reason, "" if verdict.reason in OUR_OWN_FAULTS else "fail")
+            event = EVENTS.get(verdict.reason, "" if verdict.reason in PROXY_FAULTS else "fail")
         if isinstance(verdict, (Broken, NotSent, WorkerRejected)):
             self.tally[f"{type(verdict).__name__}-{getattr(verdict, 'reason', getattr(verdict, 'why', ''))}"] += 1
         return (
             self.endpoint_selector.context.passive_health.record_event(
-                now=now, key=attempt.worker, event=event, took=now - attempt.at
+                now=now, key=attempt.worker, event=event, took=now - attempt.started_at
             )
             if event
             else []
@@ -274,7 +279,7 @@
     def _give_up(self, *, now: float, request: Request, refusal: Refusal) -> list[Command]:
         commands = self._remove_request(request=request)
         code = refusal.code
-        if request.ran and code in (503, 429, 408, 421):
+        if request.may_have_run and code in (503, 429, 408, 421):
             # the request may have run: these codes would promise that it did not
             code = 502
         self.tally[f"refused-{refusal.reason}"] += 1
@@ -284,7 +289,7 @@
                 "reason": refusal.reason,
                 "code": code,
                 "route": request.match.path,
-                "took": round(now - request.arrived, 3),
+                "took": round(now - request.arrived_at, 3),
             },
         )
         return [
@@ -319,12 +324,12 @@
         request = self.live.get(token)
         if request is None:
             return []
-        request.is_left = True
+        request.is_client_gone = True
         self.tally["left"] += 1
         if request.attempts and not request.match.is_repeatable:
             self.tally["left-going-on"] += 1
             return [WithdrawCall(token=token) for token in request.attempts]
-        code = 502 if request.sent else 503
+        code = 502 if request.attempts_sent else 503
         return self._give_up(now=now, request=request, refusal=Refusal(code=code, reason="caller-left"))
 
     def _refusal_response(self, *, token: str, refusal: Refusal) -> Respond:
@@ -343,7 +348,7 @@
 
     def _dispatch_waiting(self, *, now: float) -> list[Command]:
         commands = []
-        for request in sorted(self.waiting.values(), key=lambda waiting: (waiting.match.rank, waiting.arrived)):
+        for request in sorted(self.waiting.values(), key=lambda waiting: (waiting.match.rank, waiting.arrived_at)):
             if request.token in self.waiting:
                 commands += self._select_and_forward(now=now, request=request)
         return commands
@@ -353,15 +358,15 @@
         running = [
             request
             for request in self.calls.values()
-            if request.match.is_repeatable and (request.is_left or request.token not in self.live)
+            if request.match.is_repeatable and (request.is_client_gone or request.token not in self.live)
         ]
         return [*check(invariant=Invariant.DEPARTED_NOT_RUNNING, holds=not running, attempts=len(running))]
 
     def _on_timer(self, *, now: float) -> list[Command]:
         commands = self._dispatch_waiting(now=now) + self._check_departed()
         for request in list(self.live.values()):
-            if now >= request.expiry:
-                code = 504 if request.sent else 503
+            if now >= request.expires_at:
+                code = 504 if request.attempts_sent else 503
                 commands += self._give_up(now=now, request=request, refusal=Refusal(code=code, reason="expired"))
             elif now >= request.hedge_at:
                 commands += self._hedge(now=now, request=request)
@@ -373,7 +378,7 @@
         The first attempt continues in any case.
         """
         request.hedge_at = float("inf")
-        if request.expiry - now <= constants.MIN_REMAINING_TIME:
+        if request.expires_at - now <= constants.MIN_REMAINING_TIME:
             return []
         choice = self.endpoint_selector.step(now=now, request=request)
         if isinstance(choice, Refusal) or not self._take_budget(
--- a/sailward/routing/request.py
+++ b/sailward/routing/request.py
@@ -10,7 +10,7 @@
 from sailward.routing.proxied_request import Refusal
 from sailward.wire_names import WireNames
 
-HOP = frozenset(
+HOP_BY_HOP = frozenset(
     {
         "connection",
         "keep-alive",
@@ -33,8 +33,8 @@
     """One attempt to run a request at a worker."""
 
     worker: str
-    at: float
-    overtaken: int = 0
+    started_at: float
+    overtaken_count: int = 0
 
 
 @dataclass(kw_only=True)
@@ -42,26 +42,26 @@
     """One request in flight; all times in s of the owner's clock."""
 
     token: str
-    name: str
+    exchange_id: str
     method: str
     target: str
     headers: dict
     body: bytes
     match: Match
     service: Service
-    arrived: float
-    expiry: float
+    arrived_at: float
+    expires_at: float
     key: int = -1
-    sent: int = 0
-    unsent: int = 0
-    ran: bool = False
-    is_left: bool = False
-    is_drawn: bool = False
-    waits_since: float = -1.0
+    attempts_sent: int = 0
+    attempts_unsent: int = 0
+    may_have_run: bool = False
+    is_client_gone: bool = False
+    is_service_drawn: bool = False
+    waiting_since: float = -1.0
     hedge_at: float = float("inf")
     attempts: dict = field(default_factory=dict)
-    tried: set = field(default_factory=set)
-    rejected: set = field(default_factory=set)
+    tried_workers: set = field(default_factory=set)
+    rejected_by: set = field(default_factory=set)
 
     @property
     def max_attempts(self) -> int:
@@ -69,7 +69,7 @@
         return self.match.max_attempts or constants.MAX_ATTEMPTS
 
 
-def take_request(*, event: RequestReceived, plan: Plan, now: float, names: WireNames) -> Request | Refusal:
+def build_request(*, event: RequestReceived, plan: Plan, now: float, names: WireNames) -> Request | Refusal:
     """Build the request that a client sent, or the refusal if it can't be accepted."""
     if not plan.number:
         return Refusal(code=503, reason="no-configuration")
@@ -92,25 +92,25 @@
     )
     return Request(
         token=event.token,
-        name=event.headers.get(names.exchange, ""),
+        exchange_id=event.headers.get(names.exchange, ""),
         method=event.method,
         target=event.target,
         headers=event.headers,
         body=event.body or b"",
         match=match,
         service=service,
-        arrived=now,
+        arrived_at=now,
         key=key,
-        expiry=now + max(0.0, min(timeout, match.expiry or constants.DEFAULT_REQUEST_TIMEOUT)),
+        expires_at=now + max(0.0, min(timeout, match.expiry or constants.DEFAULT_REQUEST_TIMEOUT)),
     )
 
 
-def headers_to_worker(*, request: Request, worker: str, within: float, names: WireNames) -> dict:
+def headers_to_worker(*, request: Request, worker: str, time_left: float, names: WireNames) -> dict:
     """The client's headers without the hop-by-hop ones, plus the time left and the intended worker."""
-    headers = {name: value for name, value in request.headers.items() if name not in HOP}
-    return {**headers, names.within: str(max(1, int(within * 1000))), names.expect: worker}
+    headers = {name: value for name, value in request.headers.items() if name not in HOP_BY_HOP}
+    return {**headers, names.within: str(max(1, int(time_left * 1000))), names.expect: worker}
 
 
 def headers_to_caller(*, headers: dict) -> dict:
     """The worker's headers without the hop-by-hop ones."""
-    return {name: value for name, value in headers.items() if name not in HOP}
+    return {name: value for name, value in headers.items() if name not in HOP_BY_HOP}
--- a/sailward/routing/worker_response.py
+++ b/sailward/routing/worker_response.py
@@ -8,7 +8,7 @@
 from sailward.routing.request import Request
 from sailward.wire_names import WireNames, names_another
 
-PROMISES = frozenset({408, 421, 429, 503})
+NOT_RUN_CODES = frozenset({408, 421, 429, 503})
 """Status codes that tell a client that the request did not run and never will."""
 
 
@@ -54,7 +54,7 @@
     if event.code == 0:
         return Broken(reason=event.fault) if event.sent else NotSent(reason=event.fault)
     headers = event.headers
-    if names_another(asked=request.name, echoed=headers.get(names.exchange, "")):
+    if names_another(asked=request.exchange_id, echoed=headers.get(names.exchange, "")):
         return Broken(reason="another-exchange")
     if names.not_run in headers and names.not_run_value in ("", headers[names.not_run]):
         if event.code == 421:
@@ -63,12 +63,12 @@
         return WorkerRejected(code=event.code, why="full" if event.code in (429, 503) else "refused")
     if event.code == 421 and headers.get(names.answered_by, worker) != worker:
         return WorkerRejected(code=421, why="stranger")
-    if headers.get(names.exchange, "") != request.name:
+    if headers.get(names.exchange, "") != request.exchange_id:
         # the response names no request: only the statement that nothing ran is accepted without that
         return Broken(reason="another-exchange")
     if 200 <= event.code < 300 and names.seal and names.seal not in headers:
         return Broken(reason="unsealed")
-    if event.code in PROMISES:
+    if event.code in NOT_RUN_CODES:
         # without the not-run header the worker makes no such promise, so the proxy must not make it either
         return Broken(reason=f"code:{event.code}")
     return CompleteResponse(code=event.code, headers=headers, body=event.body, is_failure=event.code >= 500)
--- a/simulation/hosted/sabotage.py
+++ b/simulation/hosted/sabotage.py
@@ -45,15 +45,15 @@
 
 def _promises_all(old):
     def give_up(self, *, now, request, refusal):
-        request.ran = False
+        request.may_have_run = False
         return old(self, now=now, request=request, refusal=forwarding.Refusal(code=503, reason=refusal.reason))
 
     return give_up
 
 
 def _without_expect(old):
-    def headers(*, request, worker, within, names):
-        found = old(request=request, worker=worker, within=within, names=names)
+    def headers(*, request, worker, time_left, names):
+        found = old(request=request, worker=worker, time_left=time_left, names=names)
         del found[names.expect]
         return found
 
@@ -80,7 +80,7 @@
 
 def _takes_unmarked(old):
     def judge_reply(*, request, worker, event, names):
-        if event.code in worker_response.PROMISES:
+        if event.code in worker_response.NOT_RUN_CODES:
             return worker_response.WorkerRejected(code=event.code, why="full")
         return old(request=request, worker=worker, event=event, names=names)
 
@@ -89,7 +89,7 @@
 
 def _by_order_alone(old):
     def judge_reply(*, request, worker, event, names):
-        named = replace(event, headers={**event.headers, names.exchange: request.name})
+        named = replace(event, headers={**event.headers, names.exchange: request.exchange_id})
         return old(request=request, worker=worker, event=named, names=names)
 
     return judge_reply
--- a/tests/forwarding_model.py
+++ b/tests/forwarding_model.py
@@ -103,7 +103,11 @@
 
     def _owner_state(self, *, index: int) -> tuple:
         request = self.bench.forwarder.live.get(f"front {index + 1}")
-        return (request.sent, request.unsent, request.ran, len(request.attempts)) if request else ()
+        return (
+            (request.attempts_sent, request.attempts_unsent, request.may_have_run, len(request.attempts))
+            if request
+            else ()
+        )
 
     def _do_ask(self) -> list:
         self.records.append(RequestRecord())
--- a/tests/http_client_script.py
+++ b/tests/http_client_script.py
@@ -309,7 +309,7 @@
             call = self.calls[token]
             assert called.sent or not any(f"x-id: id-{token}\r".encode() in sock.sent for sock in self.sockets)
             verdict = judge_reply(
-                request=SimpleNamespace(name=call.headers["x-id"], service=SimpleNamespace(ranged=False)),
+                request=SimpleNamespace(exchange_id=call.headers["x-id"], service=SimpleNamespace(ranged=False)),
                 worker=call.owner,
                 event=called,
                 names=NAMES,
--- a/tests/test_endpoint_selection.py
+++ b/tests/test_endpoint_selection.py
@@ -29,15 +29,15 @@
     match = plan.matches[0]
     request = Request(
         token="front 1",
-        name="id",
+        exchange_id="id",
         method="GET",
         target="/a/",
         headers={},
         body=b"",
         match=match,
-        arrived=bench.now,
+        arrived_at=bench.now,
         service=plan.services["red"],
-        expiry=bench.now + 3.0,
+        expires_at=bench.now + 3.0,
         **fields,
     )
     return bench.endpoint_selector.step(now=bench.now, request=request)
@@ -103,8 +103,8 @@
 
 def test_a_request_does_not_go_back_to_who_was_tried() -> None:
     bench = make(workers=[make_worker("w0"), make_worker("w1")])
-    assert {place(bench, tried={"w0"}).key for _ in range(20)} == {"w1"}
-    assert isinstance(place(bench, tried={"w0", "w1"}), Refusal)
+    assert {place(bench, tried_workers={"w0"}).key for _ in range(20)} == {"w1"}
+    assert isinstance(place(bench, tried_workers={"w0", "w1"}), Refusal)
 
 
 def test_pools_are_drawn_by_weight_though_one_has_no_worker() -> None:
@@ -121,20 +121,20 @@
     for _ in range(40):
         request = Request(
             token="front 1",
-            name="id",
+            exchange_id="id",
             method="GET",
             target="/a/",
             headers={},
             body=b"",
             match=plan.matches[0],
-            arrived=bench.now,
+            arrived_at=bench.now,
             service=plan.services["red"],
-            expiry=bench.now + 3.0,
+            expires_at=bench.now + 3.0,
         )
         services = set()
         for _ in range(3):
             worker = bench.endpoint_selector.step(now=bench.now, request=request)
-            request.tried.add(worker.key)
+            request.tried_workers.add(worker.key)
             services.add(worker.service)
         assert len(services) == 1
 
--- a/tests/test_forwarding_model.py
+++ b/tests/test_forwarding_model.py
@@ -26,7 +26,7 @@
 
 def always_report_not_run(old):
     def give_up(self, *, now, request, refusal):
-        request.ran = False
+        request.may_have_run = False
         return old(self, now=now, request=request, refusal=forwarding.Refusal(code=503, reason=refusal.reason))
 
     return give_up
@@ -34,7 +34,7 @@
 
 def accept_unmarked_not_run(old):
     def judge(*, request, worker, event, names):
-        if event.code in worker_response.PROMISES:
+        if event.code in worker_response.NOT_RUN_CODES:
             return worker_response.WorkerRejected(code=event.code, why="full")
         return old(request=request, worker=worker, event=event, names=names)
 
--- a/tests/test_http_client_properties.py
+++ b/tests/test_http_client_properties.py
@@ -71,7 +71,7 @@
         return "" if fault == "another-exchange" else fault
 
     def judge(*, request, worker, event, names):
-        event.headers.update({names.exchange: request.name} if event.code else {})
+        event.headers.update({names.exchange: request.exchange_id} if event.code else {})
         return old_judge(request=request, worker=worker, event=event, names=names)
 
     old, old_judge = http_exchange.Exchange._take_head, worker_response.judge_reply
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -77,9 +77,9 @@
     while calls(bench.ask()):
         pass
     [waiting] = bench.forwarder.waiting.values()
-    waiting.is_left = True
+    waiting.is_client_gone = True
     first = next(iter(bench.forwarder.calls))
-    call = mock.Mock(token=first, headers={"x-id": bench.forwarder.calls[first].name})
+    call = mock.Mock(token=first, headers={"x-id": bench.forwarder.calls[first].exchange_id})
     [log] = logs(bench.back(call=call), event="invariant-violated")
     assert log.fields["invariant"] == "departed-not-served" and violations == {"departed-not-served": 1}
 
