--- a/sailward/proxy/tenant_proxy.py
+++ b/sailward/proxy/tenant_proxy.py
@@ -36,7 +36,7 @@
 from sailward.routing.lease import Lease
 from sailward.routing.load_balancer import LoadBalancer
 from sailward.routing.plan import Unreadable, load_config
-from sailward.routing.proxied_request import Refusal, answer_json, answer_refusal, is_promise_safe
+from sailward.routing.proxied_request import Refusal, answer_json, answer_refusal, may_promise_not_run
 from sailward.routing.proxied_requests import ProxiedRequests
 from sailward.routing.result_replicas import Peer, ResultReplicas
 from sailward.routing.routing_state import RoutingState, read_orders
@@ -99,7 +99,7 @@
             case TimerFired():
                 return self._on_timer(now=now)
             case ClientDisconnected():
-                return self.exchanges.leave(now=now, token=event.token)
+                return self.exchanges.on_client_disconnected(now=now, token=event.token)
             case RecordsSynced() | DiskWriteFailed() | ConfigValidated():
                 # a proxy has no disk, and checks no configuration
                 return self.unexpected.add(event=event)
@@ -126,7 +126,7 @@
             return [answer_json(token=event.token, code=200, body=seen)]
         if self.stopping not in STOPPING.marks["taking"]:
             refusal = Refusal(code=503, reason="stopping", detail="this proxy is stopping: ask a directory for another")
-            return [answer_refusal(token=event.token, refusal=refusal, not_run=is_promise_safe(event=event))]
+            return [answer_refusal(token=event.token, refusal=refusal, not_run=may_promise_not_run(event=event))]
         commands, begins = self.exchanges.step(now=now, event=event, acting=self.acting(now=now))
         return commands + self._begin(now=now, begins=begins)
 
@@ -333,7 +333,7 @@
             "halls": zones,
             "workers": workers,
             "tally": dict(self.exchanges.tally),
-            "open": len(self.exchanges.sent),
+            "open": len(self.exchanges.in_flight),
             "unexpected_events": dict(self.unexpected.counts),
             "refused_input": dict(self.refused.counts),
         }
--- a/sailward/routing/explain.py
+++ b/sailward/routing/explain.py
@@ -5,7 +5,7 @@
 from sailward.routing.concurrency_limits import rate_of
 from sailward.routing.load_balancer import LoadBalancer
 from sailward.routing.plan import Match, Service, Tenant
-from sailward.routing.proxied_request import part_of
+from sailward.routing.proxied_request import shard_key_of
 from sailward.routing.routing_state import RoutingState
 from sailward.routing.shard_owners import pool_at, slot_of, space_of
 from sailward.routing.weighted_draw import ZoneView, share_zones
@@ -43,7 +43,7 @@
 def _explain_shard(
     *, routing_state: RoutingState, service: Service, tenant: Tenant, match: Match, path: str
 ) -> dict[str, str | bool | int]:
-    key = part_of(path=path, match=match)
+    key = shard_key_of(path=path, match=match)
     slot, space = slot_of(key=key, slots=service.slots), space_of(homes=tenant.homes, service=service)
     owned = routing_state.slots.find(service=service.name, space=space, slot=slot)
     return {
--- a/sailward/routing/idempotency.py
+++ b/sailward/routing/idempotency.py
@@ -113,8 +113,8 @@
 
     def remembers(self, *, request: ProxiedRequest) -> bool:
         """Is a claim on the key cached here that may have been used, so that no worker needs to be selected?"""
-        memory = self.memory.by_digest.get(request.digest) if request.unsafe else None
-        return memory is not None and memory.state != "unsent" and not request.claim
+        memory = self.memory.by_digest.get(request.digest) if request.is_unsafe else None
+        return memory is not None and memory.state != "unsent" and not request.has_claim
 
     def _on_request(self, *, now: float, request: ProxiedRequest) -> tuple[list, list[StartOperation], list]:
         memory = self.memory.by_digest.get(request.digest)
@@ -144,7 +144,7 @@
         op = f"{self.identity}/claim{self.count}"
         self.claiming[op] = request
         text = json.dumps({"o": self.post, "i": self.identity, "f": request.fingerprint, "n": self.count})
-        timeout = min(constants.CLAIM_TIMEOUT, max(0.05, request.expiry - now))
+        timeout = min(constants.CLAIM_TIMEOUT, max(0.05, request.expires_at - now))
         return StartOperation(
             op=op, register=CLAIM + request.digest, expected=expected, text=text, first=expected == 0, timeout=timeout
         )
--- a/sailward/routing/load_balancer.py
+++ b/sailward/routing/load_balancer.py
@@ -49,7 +49,7 @@
 
     def _find_owner(self, *, now: float, exchange: ProxiedRequest) -> Worker | Refusal:
         routing_state, service = self.routing_state, exchange.service
-        exchange.slot = slot_of(key=exchange.part, slots=service.slots)
+        exchange.slot = slot_of(key=exchange.shard_key, slots=service.slots)
         exchange.pool = pool_at(shares=exchange.match.shares, slot=exchange.slot, slots=service.slots)
         homes = exchange.tenant.homes
         exchange.space = space_of(homes=homes, service=service)
@@ -59,7 +59,7 @@
         if not owned.is_open:
             return Refusal(code=503, reason="key-moving", detail="this key is on its way to another worker")
         worker = routing_state.endpoint_table.workers.get(owned.owner)
-        if worker is None or owned.owner in exchange.tried or not self._may_serve(worker=worker, homes=homes):
+        if worker is None or owned.owner in exchange.tried_workers or not self._may_serve(worker=worker, homes=homes):
             return Refusal(code=503, reason="owner-lost", detail="this key's worker can't be used; it will move")
         refusal = self._refuse_over_limit(now=now, exchange=exchange, owner=owned.owner)
         if refusal is not None:
@@ -85,7 +85,7 @@
         hot = replace(service, rate=service.rate * constants.HOT_KEY_SHARE)
         if not self.bounds.step(
             now=now,
-            key=f"key {service.name} {exchange.part}",
+            key=f"key {service.name} {exchange.shard_key}",
             service=hot,
             warm=service.slow_start_ramp,
             proxies=routing_state.proxies,
@@ -103,7 +103,7 @@
 
     def stands(self, *, exchange: ProxiedRequest) -> bool:
         """May the worker chosen a moment ago still be sent this exchange?"""
-        routing_state, worker = self.routing_state, exchange.chosen
+        routing_state, worker = self.routing_state, exchange.selected_worker
         probed = routing_state.prober.probed.get(worker.key)
         if (
             worker.key not in routing_state.endpoint_table.workers
@@ -138,7 +138,7 @@
                 worker.service == service.name
                 and worker.zone == zone
                 and not worker.leaving
-                and key not in exchange.tried
+                and key not in exchange.tried_workers
             ):
                 probed = routing_state.prober.probed.get(key)
                 if probed is not None and probed.healthy:
--- a/sailward/routing/proxied_request.py
+++ b/sailward/routing/proxied_request.py
@@ -13,9 +13,9 @@
 from sailward.routing.idempotency_key_time import judge_key
 from sailward.routing.plan import Match, Plan, Service, Tenant
 
-SAFE = frozenset({"GET", "HEAD", "OPTIONS"})
-KNOWN = SAFE | {"POST", "PUT", "PATCH", "DELETE"}
-HOP = frozenset(
+SAFE_METHODS = frozenset({"GET", "HEAD", "OPTIONS"})
+KNOWN_METHODS = SAFE_METHODS | {"POST", "PUT", "PATCH", "DELETE"}
+HOP_BY_HOP = frozenset(
     {
         "connection",
         "keep-alive",
@@ -47,7 +47,7 @@
     """One request in flight."""
 
     token: str
-    name: str
+    exchange_id: str
     tenant: Tenant
     method: str
     path: str
@@ -56,32 +56,32 @@
     match: Match
     service: Service
     key: str
-    turn: int
-    arrived: float
-    expiry: float
+    try_number: int
+    arrived_at: float
+    expires_at: float
     raw_path: str = ""
-    plan: int = 0
+    plan_number: int = 0
     pool: str = ""
     state: str = "arrived"
     worker: str = ""
     attempts: int = 0
-    tried: set = field(default_factory=set)
-    sent: bool = False
+    tried_workers: set = field(default_factory=set)
+    is_sent: bool = False
     may_have_run: bool = False
     sent_at: float = 0.0
-    claim: int = 0
-    chosen: Worker | None = None
-    answered: bool = False
-    paid: str = ""
-    part: str = ""
+    has_claim: int = 0
+    selected_worker: Worker | None = None
+    is_answered: bool = False
+    charged_to: str = ""
+    shard_key: str = ""
     slot: int = -1
     space: str = ""
     term: int = 0
 
     @property
-    def unsafe(self) -> bool:
+    def is_unsafe(self) -> bool:
         """May running it twice do harm?"""
-        return self.method not in SAFE
+        return self.method not in SAFE_METHODS
 
     @property
     def queue_name(self) -> str:
@@ -116,16 +116,18 @@
         return head
     match, key = head.match, head.key
     service = plan.services[plan.pools[match.shares[0][0]].service]
-    key_fault = judge_key(key=key, clock=clock, is_required=service.timed_keys) if event.method not in SAFE else None
+    key_fault = (
+        judge_key(key=key, clock=clock, is_required=service.timed_keys) if event.method not in SAFE_METHODS else None
+    )
     if key_fault is not None:
         return Refusal(code=key_fault[0], reason=key_fault[1], detail=key_fault[2])
-    part = event.headers.get("sailward-key", "") or part_of(path=event.path, match=match)
-    if service.slots and not part:
+    shard_key = event.headers.get("sailward-key", "") or shard_key_of(path=event.path, match=match)
+    if service.slots and not shard_key:
         return Refusal(code=400, reason="part-missing", detail="this service is sharded: give the key in the path")
     query = "?" + urlencode(event.query, doseq=True) if event.query else ""
     return ProxiedRequest(
         token=event.token,
-        name=name,
+        exchange_id=name,
         tenant=head.tenant,
         method=event.method,
         path=quote(event.path, safe="/%:@!$&'()*+,;=~-._") + query,
@@ -134,12 +136,12 @@
         match=match,
         service=service,
         key=key,
-        turn=head.turn,
-        part=part if service.slots else "",
+        try_number=head.try_number,
+        shard_key=shard_key if service.slots else "",
         raw_path=event.path,
-        plan=plan.number,
-        arrived=now,
-        expiry=now + constants.QUEUE_TIMEOUT + service.expiry,
+        plan_number=plan.number,
+        arrived_at=now,
+        expires_at=now + constants.QUEUE_TIMEOUT + service.expiry,
     )
 
 
@@ -148,20 +150,20 @@
     """What the head of a request says: tenant, number of the client's try, idempotency key and route."""
 
     tenant: Tenant
-    turn: int
+    try_number: int
     key: str
     match: Match
 
 
 def _read_head(*, event: RequestReceived, plan: Plan) -> _RequestHead | Refusal:
     """Read the tenant, number of the try, idempotency key and route; a refusal if one is missing or invalid."""
-    if event.method not in KNOWN:
+    if event.method not in KNOWN_METHODS:
         return Refusal(code=405, reason="method-unknown", detail=event.method[:40])
     tenant = plan.tenants.get(event.headers.get("sailward-tenant", ""))
     if tenant is None:
         return Refusal(code=400, reason="tenant-unknown", detail="give Sailward-Tenant, a tenant's name")
-    turn = _read_try_number(text=event.headers.get("sailward-try", ""))
-    if turn is None:
+    try_number = _read_try_number(text=event.headers.get("sailward-try", ""))
+    if try_number is None:
         return Refusal(code=400, reason="try-ill-formed", detail="Sailward-Try is a number from 1")
     key = event.headers.get("idempotency-key", "")
     if len(key) > 255:
@@ -169,41 +171,41 @@
     match = plan.match(path=event.path, method=event.method, tenant=tenant.name)
     if match is None:
         return Refusal(code=404, reason="unmatched", detail=event.path[:200])
-    if event.method not in SAFE and not key:
+    if event.method not in SAFE_METHODS and not key:
         return Refusal(code=428, reason="key-missing", detail="an unsafe request needs an Idempotency-Key")
-    return _RequestHead(tenant=tenant, turn=turn, key=key, match=match)
+    return _RequestHead(tenant=tenant, try_number=try_number, key=key, match=match)
 
 
-def part_of(*, path: str, match: Match) -> str:
+def shard_key_of(*, path: str, match: Match) -> str:
     """The key of a sharded service in a path: the first segment after the matched prefix."""
     return path[len(match.path.rstrip("/")) :].strip("/").split("/")[0]
 
 
 def rematch_request(*, request: ProxiedRequest, plan: Plan) -> Refusal | None:
     """Match again under the configuration in force, which may have changed since the request was received."""
-    if request.plan == plan.number:
+    if request.plan_number == plan.number:
         return None
     tenant = plan.tenants.get(request.tenant.name)
     match = plan.match(path=request.raw_path, method=request.method, tenant=request.tenant.name)
     if tenant is None or match is None:
         return Refusal(code=404, reason="unmatched", detail="the configuration changed while the request waited")
     service = plan.services[plan.pools[match.shares[0][0]].service]
-    if service.slots and not request.part:
+    if service.slots and not request.shard_key:
         return Refusal(code=400, reason="part-missing", detail="the service has become sharded")
-    request.tenant, request.match, request.service, request.plan = tenant, match, service, plan.number
+    request.tenant, request.match, request.service, request.plan_number = tenant, match, service, plan.number
     if request.pool not in {name for name, weight in match.shares if weight}:
         request.pool = ""
     return None
 
 
-def is_promise_safe(*, event: RequestReceived) -> bool:
+def may_promise_not_run(*, event: RequestReceived) -> bool:
     """May the client be told `not-run` for a request that this proxy did not forward?
 
     Always for a safe request, or one without an idempotency key. For another one only if the client states that it is
     the first try: an earlier try may be running, or have run, through another proxy.
     """
     return (
-        event.method in SAFE
+        event.method in SAFE_METHODS
         or event.headers.get("sailward-try", "") == "1"
         or not event.headers.get("idempotency-key", "")
     )
@@ -230,13 +232,15 @@
     )
 
 
-def headers_onward(*, request: ProxiedRequest, worker: str, timeout: float) -> dict:
+def headers_to_worker(*, request: ProxiedRequest, worker: str, timeout: float) -> dict:
     """The headers sent to the worker, which has `timeout` seconds to start and finish."""
     headers = {
-        name: value for name, value in request.headers.items() if name not in HOP and not name.startswith("sailward-")
+        name: value
+        for name, value in request.headers.items()
+        if name not in HOP_BY_HOP and not name.startswith("sailward-")
     }
     headers |= {
-        "sailward-exchange": request.name,
+        "sailward-exchange": request.exchange_id,
         "sailward-worker": worker,
         "sailward-tenant": request.tenant.name,
         "sailward-service": request.service.name,
@@ -244,7 +248,7 @@
     }
     if request.slot >= 0:
         headers |= {
-            "sailward-key": request.part,
+            "sailward-key": request.shard_key,
             "sailward-slot": f"{request.space}/{request.slot}",
             "sailward-term": str(request.term),
         }
--- a/sailward/routing/proxied_requests.py
+++ b/sailward/routing/proxied_requests.py
@@ -18,8 +18,8 @@
     Refusal,
     answer_refusal,
     build_proxied_request,
-    headers_onward,
-    is_promise_safe,
+    headers_to_worker,
+    may_promise_not_run,
     rematch_request,
 )
 from sailward.routing.response_check import Bad, Good, Unsent, WorkerRefused, judge_result
@@ -37,8 +37,8 @@
     queues: FairQueues = field(default_factory=FairQueues)
     attempt_budget: AttemptBudget = field(default_factory=AttemptBudget)
     live: dict = field(default_factory=dict)
-    sent: dict = field(default_factory=dict)
-    calls: dict = field(default_factory=dict)
+    in_flight: dict = field(default_factory=dict)
+    call_deadlines: dict = field(default_factory=dict)
     tally: Counter = field(default_factory=Counter)
     count: int = 0
     now: float = 0.0
@@ -77,21 +77,21 @@
 
     def busy(self, *, now: float) -> list[str]:
         """Labels of the slots in which a request forwarded by this proxy may still run."""
-        return self.shards_in_use.labels(now=now, sent=self.sent.values())
+        return self.shards_in_use.labels(now=now, sent=self.in_flight.values())
 
-    def leave(self, *, now: float, token: str) -> list[Command]:
+    def on_client_disconnected(self, *, now: float, token: str) -> list[Command]:
         """The client closed the connection: a request that is safe or was not sent is given up with a final response.
 
         An unsafe request that was sent continues, and its result is kept for the client's retry.
         """
         self.now = now
         request = self.live.get(token)
-        if request is None or (request.unsafe and request.sent):
+        if request is None or (request.is_unsafe and request.is_sent):
             return []
-        in_flight = [call for call, other in self.sent.items() if other is request]
+        in_flight = [call for call, other in self.in_flight.items() if other is request]
         for call in in_flight:
-            del self.sent[call]
-            self.calls.pop(call, None)
+            del self.in_flight[call]
+            self.call_deadlines.pop(call, None)
             self.load_balancer.left(key=request.worker)
             self.shards_in_use.linger(exchange=request)
         refusal = self._refuse(request=request, reason="caller-left", detail="its connection was closed")
@@ -106,7 +106,7 @@
             name=f"{self.identity}.{self.count}",
             clock=self.load_balancer.routing_state.clock(now=now),
         )
-        is_not_run = is_promise_safe(event=event)
+        is_not_run = may_promise_not_run(event=event)
         if not acting and not (isinstance(request, Refusal) and request.code == 413):
             # without a lease the configuration may be stale, so that even "no such tenant" could be wrong
             request = Refusal(code=503, reason="no-lease", detail="this proxy is cut off from the controllers")
@@ -122,7 +122,7 @@
             return [refusal], []
         self.live[request.token] = request
         if is_replay or (
-            len(self.sent) < constants.MAX_OPEN_EXCHANGES and not self.queues.waits(name=request.queue_name)
+            len(self.in_flight) < constants.MAX_OPEN_EXCHANGES and not self.queues.waits(name=request.queue_name)
         ):
             dispatched = self._dispatch(now=now, request=request)
             if dispatched is not None:
@@ -136,18 +136,18 @@
         self, *, now: float, request: ProxiedRequest, memory: Memory | None, is_replay: bool
     ) -> Respond | None:
         """Charge the request to the attempt budget; the refusal if that is spent or the claim may have been lost."""
-        is_repeat = request.turn > 1 or (memory is not None and memory.state == "unsent")
+        is_repeat = request.try_number > 1 or (memory is not None and memory.state == "unsent")
         if is_replay:
-            request.paid = ""
-        elif request.unsafe and is_repeat and memory is None:
+            request.charged_to = ""
+        elif request.is_unsafe and is_repeat and memory is None:
             # a retry whose claim is not known here adds no load on workers until it is forwarded
-            request.paid = self.attempt_budget.lookup(now=now)
+            request.charged_to = self.attempt_budget.lookup(now=now)
         else:
-            request.paid = self.attempt_budget.step(now=now, first=not is_repeat, caller=True)
-        if not is_replay and not request.paid:
+            request.charged_to = self.attempt_budget.step(now=now, first=not is_repeat, caller=True)
+        if not is_replay and not request.charged_to:
             detail = "retries exceed their share of the traffic"
             return self._refuse(request=request, reason="too-many-repeats", detail=detail)
-        is_unclaimed_repeat = request.unsafe and memory is None and request.turn != 1
+        is_unclaimed_repeat = request.is_unsafe and memory is None and request.try_number != 1
         if is_unclaimed_repeat and self.load_balancer.routing_state.has_unknown_outcomes(now=now):
             detail = (
                 "claims were lost: a request that may have been sent before is not forwarded until they have expired"
@@ -161,7 +161,7 @@
             choice = self._select_worker(now=now, request=request)
             if isinstance(choice, Refusal):
                 return None if choice.reason == "no-room" else ([self._refuse(request=request, refusal=choice)], [])
-        if request.unsafe and not request.claim:
+        if request.is_unsafe and not request.has_claim:
             request.state = "claiming"
             commands, operations, verdicts = self.claims.step(now=now, event=request)
             return commands + self._on_verdicts(now=now, verdicts=verdicts, acting=True), operations
@@ -172,29 +172,29 @@
         choice = refusal or self.load_balancer.step(now=now, exchange=request)
         if isinstance(choice, Refusal):
             return choice
-        request.chosen = choice
+        request.selected_worker = choice
         return None
 
     def _forward(self, *, now: float, request: ProxiedRequest) -> list[Command]:
-        has_plan_changed = request.plan != self.load_balancer.routing_state.plan.number
-        if request.chosen is None or has_plan_changed or not self.load_balancer.stands(exchange=request):
+        has_plan_changed = request.plan_number != self.load_balancer.routing_state.plan.number
+        if request.selected_worker is None or has_plan_changed or not self.load_balancer.stands(exchange=request):
             refusal = self._select_worker(now=now, request=request)
             if refusal is not None:
                 return [self._refuse(request=request, refusal=refusal)]
-        worker, request.chosen = request.chosen, None
+        worker, request.selected_worker = request.selected_worker, None
         if request.attempts == 0:
             self.tally["sent-on"] += 1
         request.attempts += 1
-        request.worker, request.state, request.sent = worker.key, "sent", True
-        request.tried.add(worker.key)
+        request.worker, request.state, request.is_sent = worker.key, "sent", True
+        request.tried_workers.add(worker.key)
         self.load_balancer.took(key=worker.key)
-        token = f"x {request.name} {request.attempts}"
-        self.sent[token] = request
-        time_left = max(0.05, request.expiry - now)
-        timeout = time_left if request.unsafe or request.attempts >= constants.MAX_ATTEMPTS else time_left / 2
+        token = f"x {request.exchange_id} {request.attempts}"
+        self.in_flight[token] = request
+        time_left = max(0.05, request.expires_at - now)
+        timeout = time_left if request.is_unsafe or request.attempts >= constants.MAX_ATTEMPTS else time_left / 2
         request.sent_at = now
         self.loads.append((now, request.service.name))
-        self.calls[token] = now + timeout + constants.QUEUE_TIMEOUT
+        self.call_deadlines[token] = now + timeout + constants.QUEUE_TIMEOUT
         worker_timeout = min(timeout, request.service.expiry)
         return [
             StartCall(
@@ -203,10 +203,10 @@
                 address=worker.address,
                 method=request.method,
                 path=request.path,
-                headers=headers_onward(request=request, worker=worker.key, timeout=worker_timeout),
+                headers=headers_to_worker(request=request, worker=worker.key, timeout=worker_timeout),
                 body=request.body,
                 timeout=worker_timeout,
-                fresh=request.unsafe,
+                fresh=request.is_unsafe,
             )
         ]
 
@@ -215,10 +215,10 @@
         for verdict in verdicts:
             request = verdict.request
             if isinstance(verdict, Won):
-                request.claim = 1
-                if request.paid == LOOKUP:
-                    request.paid = self.attempt_budget.step(now=now, first=False, caller=True)
-                    if not request.paid and not request.answered:
+                request.has_claim = 1
+                if request.charged_to == LOOKUP:
+                    request.charged_to = self.attempt_budget.step(now=now, first=False, caller=True)
+                    if not request.charged_to and not request.is_answered:
                         commands.append(
                             self._refuse(
                                 request=request,
@@ -227,13 +227,13 @@
                             )
                         )
                         continue
-                if request.answered or not acting or now >= request.expiry:
+                if request.is_answered or not acting or now >= request.expires_at:
                     self._mark_unsent(request=request)
-                    if not request.answered:
+                    if not request.is_answered:
                         commands.append(self._refuse(request=request, reason="no-lease", detail="lost while claiming"))
                 else:
                     commands += self._forward(now=now, request=request)
-            elif request.answered:
+            elif request.is_answered:
                 continue
             elif isinstance(verdict, Replayed):
                 commands.append(
@@ -249,8 +249,8 @@
         return commands
 
     def _on_call_finished(self, *, now: float, event: CallFinished, acting: bool) -> tuple[list, list]:
-        request = self.sent.pop(event.token, None)
-        self.calls.pop(event.token, None)
+        request = self.in_flight.pop(event.token, None)
+        self.call_deadlines.pop(event.token, None)
         if request is None:
             return [], []
         self.load_balancer.left(key=request.worker)
@@ -261,11 +261,13 @@
             [] if isinstance(verdict, Good) else self._update_worker_health(now=now, request=request, verdict=verdict)
         )
         must_not_rerun = self._record_verdict(request=request, verdict=verdict)
-        if request.answered:
-            if request.unsafe and not must_not_rerun:
+        if request.is_answered:
+            if request.is_unsafe and not must_not_rerun:
                 self._mark_unsent(request=request)
             return commands, []
-        may_retry = not must_not_rerun and acting and request.attempts < constants.MAX_ATTEMPTS and now < request.expiry
+        may_retry = (
+            not must_not_rerun and acting and request.attempts < constants.MAX_ATTEMPTS and now < request.expires_at
+        )
         if may_retry and self.attempt_budget.step(now=now, first=False):
             self.tally["tried-again"] += 1
             return commands + self._forward(now=now, request=request), []
@@ -277,7 +279,7 @@
 
     def _record_verdict(self, *, request: ProxiedRequest, verdict: object) -> bool:
         """Record the outcome of an attempt; True if the request is unsafe and may have run without a full response."""
-        must_not_rerun = request.unsafe and isinstance(verdict, Bad)
+        must_not_rerun = request.is_unsafe and isinstance(verdict, Bad)
         request.may_have_run = request.may_have_run or isinstance(verdict, (Bad, Good))
         if isinstance(verdict, Bad):
             self.shards_in_use.linger(exchange=request)
@@ -286,14 +288,14 @@
             if memory is not None:
                 memory.state = "unknown"
         elif isinstance(verdict, (Unsent, WorkerRefused)):
-            request.sent = request.may_have_run
+            request.is_sent = request.may_have_run
         return must_not_rerun
 
     def _retry_elsewhere(self, *, request: ProxiedRequest, verdict: Good) -> bool:
         return (
-            not request.unsafe
+            not request.is_unsafe
             and verdict.code in (502, 503, 504)
-            and not request.answered
+            and not request.is_answered
             and request.attempts < constants.MAX_ATTEMPTS
         )
 
@@ -304,16 +306,16 @@
         commands = (
             self.load_balancer.routing_state.prober.mark(now=now, key=request.worker, event=event) if event else []
         )
-        fields = {"exchange": request.name, "worker": request.worker, "reason": verdict.reason}
+        fields = {"exchange": request.exchange_id, "worker": request.worker, "reason": verdict.reason}
         return [*commands, LogEvent(event="forwarding-failed", fields=fields)]
 
     def _finish(self, *, request: ProxiedRequest, verdict: Good) -> list[Command]:
         commands = (
             self.claims.finish(request=request, code=verdict.code, headers=verdict.headers, body=verdict.body)
-            if request.unsafe
+            if request.is_unsafe
             else []
         )
-        if request.answered:
+        if request.is_answered:
             return commands
         return [
             *commands,
@@ -322,7 +324,7 @@
 
     def _respond(self, *, request: ProxiedRequest, code: int, headers: dict, body: bytes) -> Respond:
         self.tally["answered"] += 1
-        request.answered = True
+        request.is_answered = True
         self.live.pop(request.token, None)
         return Respond(token=request.token, code=code, body=body, headers=headers)
 
@@ -331,16 +333,16 @@
     ) -> Respond:
         refusal = refusal or Refusal(code=503, reason=reason, detail=detail)
         self._count_refusal(reason=refusal.reason)
-        if request.paid and request.attempts == 0:
-            self.attempt_budget.refund(now=self.now, paid=request.paid, swells=refusal.code != 503)
-            request.paid = ""
+        if request.charged_to and request.attempts == 0:
+            self.attempt_budget.refund(now=self.now, paid=request.charged_to, swells=refusal.code != 503)
+            request.charged_to = ""
         if request.state == "waiting":
             self.queues.drop(item=request.token)
-        if request.claim and not request.sent:
+        if request.has_claim and not request.is_sent:
             self._mark_unsent(request=request)
-        request.answered = True
+        request.is_answered = True
         self.live.pop(request.token, None)
-        is_not_run = not request.sent and (not request.unsafe or request.turn == 1) and not refusal.state
+        is_not_run = not request.is_sent and (not request.is_unsafe or request.try_number == 1) and not refusal.state
         return answer_refusal(token=request.token, refusal=refusal, not_run=is_not_run)
 
     def _mark_unsent(self, *, request: ProxiedRequest) -> None:
@@ -353,7 +355,7 @@
 
     def _dispatch_waiting(self, *, now: float, acting: bool) -> tuple[list, list]:
         commands, operations, blocked = [], [], set()
-        while acting and len(self.sent) < constants.MAX_OPEN_EXCHANGES:
+        while acting and len(self.in_flight) < constants.MAX_OPEN_EXCHANGES:
             queued = self.queues.take(blocked=blocked)
             if queued is None:
                 break
@@ -371,7 +373,7 @@
     def _on_timer(self, *, now: float, acting: bool) -> list[Command]:
         commands: list[Command] = []
         for request in list(self.live.values()):
-            if request.state == "waiting" and (not acting or now - request.arrived >= constants.QUEUE_TIMEOUT):
+            if request.state == "waiting" and (not acting or now - request.arrived_at >= constants.QUEUE_TIMEOUT):
                 reason = "no-room" if acting else "no-lease"
                 commands.append(
                     self._refuse(
@@ -382,10 +384,10 @@
                         else "this proxy is cut off from the controllers",
                     )
                 )
-            elif now >= request.expiry:
+            elif now >= request.expires_at:
                 refusal = Refusal(code=504, reason="expired")
                 commands.append(self._refuse(request=request, refusal=refusal))
-        for token, deadline in list(self.calls.items()):
+        for token, deadline in list(self.call_deadlines.items()):
             if now >= deadline:
                 # the end of the call was never reported; whether the request ran is unknown
                 timed_out = CallFinished(token=token, code=0, headers={}, body=b"", fault="timed-out", sent=True)
--- a/sailward/routing/response_check.py
+++ b/sailward/routing/response_check.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from sailward.events import CallFinished
-from sailward.routing.proxied_request import HOP, ProxiedRequest
+from sailward.routing.proxied_request import HOP_BY_HOP, ProxiedRequest
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -49,7 +49,7 @@
     headers = event.headers
     if headers.get("sailward-worker") != request.worker:
         return Bad(reason="another-worker", stranger=True)
-    if headers.get("sailward-exchange") != request.name:
+    if headers.get("sailward-exchange") != request.exchange_id:
         return Bad(reason="another-exchange")
     if event.code in (429, 503) and headers.get("sailward-ran") == "not-run":
         return WorkerRefused(reason=f"code:{event.code}")
@@ -57,7 +57,7 @@
     if fault:
         return Bad(reason=fault)
     end_to_end_headers = {
-        name: value for name, value in headers.items() if name not in HOP and not name.startswith("sailward-")
+        name: value for name, value in headers.items() if name not in HOP_BY_HOP and not name.startswith("sailward-")
     }
     return Good(code=event.code, headers=end_to_end_headers, body=event.body)
 
--- a/simulation/sim/sabotage.py
+++ b/simulation/sim/sabotage.py
@@ -129,7 +129,7 @@
 
 def _any_identity(old):
     def judge(*, request, event):
-        own = {"sailward-worker": request.worker, "sailward-exchange": request.name}
+        own = {"sailward-worker": request.worker, "sailward-exchange": request.exchange_id}
         return old(request=request, event=dataclasses.replace(event, headers={**event.headers, **own}))
 
     return judge
@@ -194,7 +194,7 @@
         attempt_budget.AttemptBudget, "step", lambda old: lambda self, *, now, first, caller=False: "first"
     ),
     "cold-bound": _method(concurrency_limits.ConcurrencyLimits, "step", lambda old: lambda self, **_: True),
-    "promise": _method(proxied_requests, "is_promise_safe", lambda old: lambda *, event: True),
+    "promise": _method(proxied_requests, "may_promise_not_run", lambda old: lambda *, event: True),
     "check": _method(
         check_module,
         "check_config",
