--- a/sailward/routing/idempotency.py
+++ b/sailward/routing/idempotency.py
@@ -9,9 +9,9 @@
 from sailward.consensus.acceptor import CLAIM
 from sailward.consensus.proposer import Accepted, OperationFinished, Refused, StartOperation
 from sailward.events import SendMessage
-from sailward.routing.idempotency_cache import ClaimMemory, Memory
+from sailward.routing.idempotency_cache import CachedClaim, ClaimCache
 from sailward.routing.proxied_request import ProxiedRequest, Refusal
-from sailward.routing.result_replicas import Peer, ResultReplicas, may_keep, spread_copy
+from sailward.routing.result_replicas import Peer, ResultReplicas, may_store, replicate_result
 from sailward.wire_types import Message, RegisterValue
 
 
@@ -41,12 +41,12 @@
 
 
 @dataclass(kw_only=True)
-class Peeking:
+class PendingPeek:
     """A query to other proxies, the owner of an earlier claim among them, about what became of that claim."""
 
     request: ProxiedRequest
     number: int
-    expiry: float
+    expires_at: float
     owner: str
     pending_peers: set
     state: str = "unknown"
@@ -62,9 +62,9 @@
     zone: str
     replicas: ResultReplicas
     peers: list[Peer] = field(default_factory=list)
-    memory: ClaimMemory = field(default_factory=ClaimMemory)
+    cache: ClaimCache = field(default_factory=ClaimCache)
     claiming: dict = field(default_factory=dict)
-    peeking: dict = field(default_factory=dict)
+    pending_peeks: dict = field(default_factory=dict)
     count: int = 0
 
     def step(
@@ -83,58 +83,58 @@
             return [], [], []
         if body["kind"] == "peek":
             copy = self.replicas.find(digest=body["key"], number=body["number"])
-            reply = self.memory.peeked(token=body["token"], digest=body["key"], region=body["region"], copy=copy)
+            reply = self.cache.peek_reply(token=body["token"], digest=body["key"], region=body["region"], copy=copy)
             return [SendMessage(to=sender, body=reply)], [], []
         return self._on_peek_reply(now=now, sender=sender, body=body)
 
     def finish(self, *, request: ProxiedRequest, code: int, headers: dict, body: bytes) -> list:
         """Store the result for retries: here, if the tenant's home regions allow it, and at one other proxy."""
-        memory = self.memory.by_digest.get(request.digest)
-        self.memory.finish(
+        cached = self.cache.by_digest.get(request.digest)
+        self.cache.finish(
             digest=request.digest,
             code=code,
             headers=headers,
             body=body,
-            store=may_keep(region=self.region, homes=request.tenant.homes),
+            store=may_store(region=self.region, homes=request.tenant.homes),
         )
         return (
-            spread_copy(
+            replicate_result(
                 request=request,
-                number=memory.number,
+                number=cached.number,
                 code=code,
                 headers=headers,
                 body=body,
                 zone=self.zone,
                 peers=self.peers,
             )
-            if memory
+            if cached
             else []
         )
 
-    def remembers(self, *, request: ProxiedRequest) -> bool:
+    def is_forwarded_before(self, *, request: ProxiedRequest) -> bool:
         """Is a claim on the key cached here that may have been used, so that no worker needs to be selected?"""
-        memory = self.memory.by_digest.get(request.digest) if request.is_unsafe else None
-        return memory is not None and memory.state != "unsent" and not request.has_claim
+        cached = self.cache.by_digest.get(request.digest) if request.is_unsafe else None
+        return cached is not None and cached.state != "unsent" and not request.has_claim
 
     def _on_request(self, *, now: float, request: ProxiedRequest) -> tuple[list, list[StartOperation], list]:
-        memory = self.memory.by_digest.get(request.digest)
-        if memory is None:
+        cached = self.cache.by_digest.get(request.digest)
+        if cached is None:
             return [], [self._start_claim(now=now, request=request, expected=0)], []
-        if memory.fingerprint != request.fingerprint:
+        if cached.fingerprint != request.fingerprint:
             return [], [], [_key_reused(request=request)]
         return self._decide_by_state(
             now=now,
             request=request,
-            state=memory.state,
-            number=memory.number,
-            code=memory.code,
-            headers=memory.headers,
-            body=memory.body,
+            state=cached.state,
+            number=cached.number,
+            code=cached.code,
+            headers=cached.headers,
+            body=cached.body,
         )
 
     def _start_claim(self, *, now: float, request: ProxiedRequest, expected: int) -> StartOperation:
         self.count += 1
-        self.memory.begin(
+        self.cache.begin(
             now=now,
             digest=request.digest,
             fingerprint=request.fingerprint,
@@ -155,30 +155,30 @@
         request = self.claiming.pop(event.op, None)
         if request is None:
             return [], [], []
-        memory, outcome = self.memory.by_digest.get(request.digest), event.outcome
+        cached, outcome = self.cache.by_digest.get(request.digest), event.outcome
         if isinstance(outcome, Accepted):
-            if memory is None or outcome.value["number"] != outcome.number:
+            if cached is None or outcome.value["number"] != outcome.number:
                 return [], [], [Lost(request=request, refusal=Refusal(code=503, reason="claim-passed-on"))]
-            memory.state, memory.number = "running", outcome.value["number"]
+            cached.state, cached.number = "running", outcome.value["number"]
             return [], [], [Won(request=request)]
-        if memory is not None:
-            memory.state = "unsent"
+        if cached is not None:
+            cached.state = "unsent"
         if isinstance(outcome, Refused) and outcome.reason == "number" and outcome.value["number"]:
-            return self._on_claimed_by_other(now=now, request=request, value=outcome.value, memory=memory)
+            return self._on_claimed_by_other(now=now, request=request, value=outcome.value, cached=cached)
         refusal = Refusal(code=503, reason="claim-uncertain", detail="no majority of the controllers answered in time")
         return [], [], [Lost(request=request, refusal=refusal)]
 
     def _on_claimed_by_other(
-        self, *, now: float, request: ProxiedRequest, value: RegisterValue, memory: Memory | None
+        self, *, now: float, request: ProxiedRequest, value: RegisterValue, cached: CachedClaim | None
     ) -> tuple[list, list[StartOperation], list]:
         claim = json.loads(value["text"])
         if claim["i"] == self.identity:
             # this proxy's own claim: unsent if it is no older than the cached ones, else the request may have run
-            is_unsent = memory is not None and claim["n"] >= memory.first and claim["f"] == request.fingerprint
+            is_unsent = cached is not None and claim["n"] >= cached.first_count and claim["f"] == request.fingerprint
             return self._decide_by_state(
                 now=now, request=request, state="unsent" if is_unsent else "unknown", number=value["number"]
             )
-        self.memory.by_digest.pop(request.digest, None)
+        self.cache.by_digest.pop(request.digest, None)
         if claim["f"] != request.fingerprint:
             return [], [], [_key_reused(request=request)]
         copy = self.replicas.find(digest=request.digest, number=value["number"])
@@ -189,12 +189,12 @@
         pending_peers = {
             address for address in (claim["o"], *(peer.post for peer in self.peers)) if address not in ("", self.post)
         }
-        self.peeking[token] = Peeking(
+        self.pending_peeks[token] = PendingPeek(
             request=request,
             number=value["number"],
             owner=claim["o"],
             pending_peers=pending_peers,
-            expiry=now + constants.ROUND_TIMEOUT * 2,
+            expires_at=now + constants.ROUND_TIMEOUT * 2,
         )
         body = {
             "kind": "peek",
@@ -206,28 +206,24 @@
         return [SendMessage(to=address, body=body) for address in sorted(pending_peers)], [], []
 
     def _on_peek_reply(self, *, now: float, sender: str, body: dict) -> tuple[list, list[StartOperation], list]:
-        peeking = self.peeking.get(body["token"])
-        if peeking is None:
+        peek = self.pending_peeks.get(body["token"])
+        if peek is None:
             return [], [], []
-        peeking.pending_peers.discard(sender)
-        if sender == peeking.owner:
-            peeking.state = body["state"]
+        peek.pending_peers.discard(sender)
+        if sender == peek.owner:
+            peek.state = body["state"]
         # the proxy that made the claim decides, unless it has lost the claim or may not store the result: then the
         # other peers are waited for
-        if (
-            not body["code"]
-            and peeking.pending_peers
-            and (sender != peeking.owner or body["state"] in ("unknown", "done"))
-        ):
+        if not body["code"] and peek.pending_peers and (sender != peek.owner or body["state"] in ("unknown", "done")):
             return [], [], []
-        del self.peeking[body["token"]]
+        del self.pending_peeks[body["token"]]
         headers = body["headers"] if body["code"] else None
-        body = body if headers is not None else {**body, "state": peeking.state}
+        body = body if headers is not None else {**body, "state": peek.state}
         return self._decide_by_state(
             now=now,
-            request=peeking.request,
+            request=peek.request,
             state=body["state"],
-            number=peeking.number,
+            number=peek.number,
             code=body["code"],
             headers=headers,
             body=bytes(body["body"]),
@@ -256,17 +252,17 @@
 
     def _on_timer(self, *, now: float) -> list:
         verdicts = []
-        for token, peeking in list(self.peeking.items()):
-            if now >= peeking.expiry:
-                del self.peeking[token]
+        for token, peek in list(self.pending_peeks.items()):
+            if now >= peek.expires_at:
+                del self.pending_peeks[token]
                 refusal = Refusal(
                     code=409,
                     reason="repeat",
-                    state=peeking.state,
+                    state=peek.state,
                     detail="no reachable proxy has the result of this key",
                 )
-                verdicts.append(Lost(request=peeking.request, refusal=refusal))
-        self.memory.step(now=now)
+                verdicts.append(Lost(request=peek.request, refusal=refusal))
+        self.cache.step(now=now)
         self.replicas.step(now=now, event=None)
         return verdicts
 
--- a/sailward/routing/proxied_requests.py
+++ b/sailward/routing/proxied_requests.py
@@ -11,7 +11,7 @@
 from sailward.routing.attempt_budget import LOOKUP, AttemptBudget
 from sailward.routing.fair_queues import FairQueues
 from sailward.routing.idempotency import Claims, Lost, Replayed, Won
-from sailward.routing.idempotency_cache import Memory
+from sailward.routing.idempotency_cache import CachedClaim
 from sailward.routing.load_balancer import LoadBalancer
 from sailward.routing.proxied_request import (
     ProxiedRequest,
@@ -115,9 +115,9 @@
             if request.code == 503 and event.headers.get("sailward-try", "1") == "1":
                 self.attempt_budget.credit(now=now)
             return [answer_refusal(token=event.token, refusal=request, not_run=is_not_run)], []
-        memory = self.claims.memory.by_digest.get(request.digest) if request.key else None
-        is_replay = memory is not None and memory.state != "unsent"
-        refusal = self._charge_budget(now=now, request=request, memory=memory, is_replay=is_replay)
+        cached = self.claims.cache.by_digest.get(request.digest) if request.key else None
+        is_replay = cached is not None and cached.state != "unsent"
+        refusal = self._charge_budget(now=now, request=request, cached=cached, is_replay=is_replay)
         if refusal is not None:
             return [refusal], []
         self.live[request.token] = request
@@ -133,13 +133,13 @@
         return [], []
 
     def _charge_budget(
-        self, *, now: float, request: ProxiedRequest, memory: Memory | None, is_replay: bool
+        self, *, now: float, request: ProxiedRequest, cached: CachedClaim | None, is_replay: bool
     ) -> Respond | None:
         """Charge the request to the attempt budget; the refusal if that is spent or the claim may have been lost."""
-        is_repeat = request.try_number > 1 or (memory is not None and memory.state == "unsent")
+        is_repeat = request.try_number > 1 or (cached is not None and cached.state == "unsent")
         if is_replay:
             request.charged_to = ""
-        elif request.is_unsafe and is_repeat and memory is None:
+        elif request.is_unsafe and is_repeat and cached is None:
             # a retry whose claim is not known here adds no load on workers until it is forwarded
             request.charged_to = self.attempt_budget.lookup(now=now)
         else:
@@ -147,7 +147,7 @@
         if not is_replay and not request.charged_to:
             detail = "retries exceed their share of the traffic"
             return self._refuse(request=request, reason="too-many-repeats", detail=detail)
-        is_unclaimed_repeat = request.is_unsafe and memory is None and request.try_number != 1
+        is_unclaimed_repeat = request.is_unsafe and cached is None and request.try_number != 1
         if is_unclaimed_repeat and self.load_balancer.routing_state.has_unknown_outcomes(now=now):
             detail = (
                 "claims were lost: a request that may have been sent before is not forwarded until they have expired"
@@ -157,7 +157,7 @@
 
     def _dispatch(self, *, now: float, request: ProxiedRequest) -> tuple[list, list] | None:
         """Select a worker, claim the key if the request is unsafe, and forward; None to wait for worker capacity."""
-        if not self.claims.remembers(request=request):
+        if not self.claims.is_forwarded_before(request=request):
             choice = self._select_worker(now=now, request=request)
             if isinstance(choice, Refusal):
                 return None if choice.reason == "no-room" else ([self._refuse(request=request, refusal=choice)], [])
@@ -284,9 +284,9 @@
         if isinstance(verdict, Bad):
             self.shards_in_use.linger(exchange=request)
         if must_not_rerun:
-            memory = self.claims.memory.by_digest.get(request.digest)
-            if memory is not None:
-                memory.state = "unknown"
+            cached = self.claims.cache.by_digest.get(request.digest)
+            if cached is not None:
+                cached.state = "unknown"
         elif isinstance(verdict, (Unsent, WorkerRefused)):
             request.is_sent = request.may_have_run
         return must_not_rerun
@@ -346,9 +346,9 @@
         return answer_refusal(token=request.token, refusal=refusal, not_run=is_not_run)
 
     def _mark_unsent(self, *, request: ProxiedRequest) -> None:
-        memory = self.claims.memory.by_digest.get(request.digest)
-        if memory is not None and memory.state == "running":
-            memory.state = "unsent"
+        cached = self.claims.cache.by_digest.get(request.digest)
+        if cached is not None and cached.state == "running":
+            cached.state = "unsent"
 
     def _count_refusal(self, *, reason: str) -> None:
         self.tally[f"refused-{reason}"] += 1
--- a/sailward/routing/result_replicas.py
+++ b/sailward/routing/result_replicas.py
@@ -22,10 +22,10 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Copy:
+class ResultCopy:
     """One result of another proxy, with the number of its claim."""
 
-    at: float
+    stored_at: float
     number: int
     fingerprint: str
     homes: frozenset
@@ -40,14 +40,14 @@
 
     region: str
     replicas: OrderedDict = field(default_factory=OrderedDict)
-    size: int = 0
+    stored_bytes: int = 0
 
     def step(self, *, now: float, event: dict | None) -> None:
         """Store a replica if this region may, and evict old ones."""
-        if event is not None and may_keep(region=self.region, homes=frozenset(event["homes"])):
+        if event is not None and may_store(region=self.region, homes=frozenset(event["homes"])):
             self._drop(digest=event["key"])
-            self.replicas[event["key"]] = Copy(
-                at=now,
+            self.replicas[event["key"]] = ResultCopy(
+                stored_at=now,
                 number=event["number"],
                 fingerprint=event["print"],
                 code=event["code"],
@@ -55,34 +55,37 @@
                 headers=event["headers"],
                 body=bytes(event["body"]),
             )
-            self.size += len(event["body"])
+            self.stored_bytes += len(event["body"])
         while self.replicas:
             digest, oldest = next(iter(self.replicas.items()))
-            if now - oldest.at < constants.CLAIM_TTL and self.size <= constants.RESULT_REPLICA_CACHE_BYTES:
+            if (
+                now - oldest.stored_at < constants.CLAIM_TTL
+                and self.stored_bytes <= constants.RESULT_REPLICA_CACHE_BYTES
+            ):
                 break
             self._drop(digest=digest)
 
-    def find(self, *, digest: str, number: int) -> Copy | None:
+    def find(self, *, digest: str, number: int) -> ResultCopy | None:
         """The result of exactly this claim, if it is stored here."""
         copy = self.replicas.get(digest)
         return copy if copy is not None and copy.number == number else None
 
     def _drop(self, *, digest: str) -> None:
         replica = self.replicas.pop(digest, None)
-        self.size -= len(replica.body) if replica else 0
+        self.stored_bytes -= len(replica.body) if replica else 0
 
 
-def may_keep(*, region: str, homes: frozenset) -> bool:
+def may_store(*, region: str, homes: frozenset) -> bool:
     """May results of a tenant with these home regions be stored in this region?"""
     return not homes or region in homes
 
 
-def spread_copy(
+def replicate_result(
     *, request: ProxiedRequest, number: int, code: int, headers: dict, body: bytes, zone: str, peers: list[Peer]
 ) -> list[Command]:
     """Send the result to one proxy by rendezvous hashing, in a home region and if possible in another zone."""
     homes = request.tenant.homes
-    eligible = [peer for peer in peers if may_keep(region=peer.region, homes=homes)]
+    eligible = [peer for peer in peers if may_store(region=peer.region, homes=homes)]
     eligible = [peer for peer in eligible if peer.zone != zone] or eligible
     if not eligible or len(body) > constants.MAX_REPLICATED_RESULT_BYTES:
         return []
--- a/simulation/sim/faults.py
+++ b/simulation/sim/faults.py
@@ -91,7 +91,7 @@
             if node.location.kind != "proxy" or node.owner is None:
                 continue
             claims = node.owner.claims
-            for memory in [*claims.memory.by_digest.values(), *claims.replicas.replicas.values()]:
+            for memory in [*claims.cache.by_digest.values(), *claims.replicas.replicas.values()]:
                 tenant = tenants.get(_nonce_of(body=memory.body))
                 if tenant:
                     world.history.add(
--- a/simulation/sim/sabotage.py
+++ b/simulation/sim/sabotage.py
@@ -255,8 +255,8 @@
         shard_assignment.ShardAssignment, "_tiers", lambda old: lambda self, **pool: old(self, **pool)[:2]
     ),
     "abort": _method(network.Network, "delivers", lambda old: lambda self, *, given_up: True),
-    "copies": _method(idempotency, "spread_copy", lambda old: lambda **_: []),
-    "copies-home": _method(result_replicas, "may_keep", lambda old: lambda *, region, homes: True),
+    "copies": _method(idempotency, "replicate_result", lambda old: lambda **_: []),
+    "copies-home": _method(result_replicas, "may_store", lambda old: lambda *, region, homes: True),
     "key-age": _method(exchange_module, "judge_key", lambda old: lambda **_: None),
     "clocks": _method(
         routing_state.RoutingState,
