--- a/sailward/proxy/tenant_proxy.py
+++ b/sailward/proxy/tenant_proxy.py
@@ -219,7 +219,7 @@
                 return self.refused.add(kind="config", reason=config.reason, number=value["number"])
             _, plan = config
         is_newer = self.learner.step(name=name, ballot=ballot, value=value)
-        self.lease.review()
+        self.lease.reevaluate()
         if not is_newer:
             return []
         if name == "config":
@@ -272,7 +272,7 @@
 
     def _read_what_is_behind(self, *, now: float) -> list[Command]:
         begins = []
-        for name, since in self.lease.behind.items():
+        for name, since in self.lease.outdated_since.items():
             if (
                 now - since >= constants.REGISTER_READ_DELAY
                 and name not in self._reading.values()
--- a/sailward/routing/attempt_budget.py
+++ b/sailward/routing/attempt_budget.py
@@ -23,7 +23,7 @@
         self._credits: deque = deque()
         self._lookups: deque = deque()
 
-    def step(self, *, now: float, first: bool, caller: bool = False) -> str:
+    def step(self, *, now: float, is_first: bool, is_client_retry: bool = False) -> str:
         """The source that this attempt was charged to."""
         for times, max_age in (
             (self._first_tries, constants.RETRY_BUDGET_WINDOW),
@@ -32,10 +32,10 @@
         ):
             while times and times[0] <= now - max_age:
                 times.popleft()
-        if first:
+        if is_first:
             self._first_tries.append(now)
             return FIRST
-        if caller and self._credits:
+        if is_client_retry and self._credits:
             self._credits.popleft()
             self._first_tries.append(now)
             return CREDIT
@@ -57,14 +57,14 @@
         self._lookups.append(now)
         return LOOKUP
 
-    def refund(self, *, now: float, paid: str, swells: bool) -> None:
-        """Refund a request that was refused and sent to no worker. `swells`: an earlier try did reach one."""
-        if paid == LOOKUP:
+    def refund(self, *, now: float, charged_to: str, adds_load: bool) -> None:
+        """Refund a request that was refused and sent to no worker. `adds_load`: an earlier try did reach one."""
+        if charged_to == LOOKUP:
             return
-        times = self._retries if paid == BUDGET else self._first_tries
+        times = self._retries if charged_to == BUDGET else self._first_tries
         if times:
             times.pop()
-        if paid != BUDGET and not swells:
+        if charged_to != BUDGET and not adds_load:
             self._credits.append(now)
 
     def credit(self, *, now: float) -> None:
--- a/sailward/routing/fair_queues.py
+++ b/sailward/routing/fair_queues.py
@@ -14,7 +14,7 @@
 
     share: int
     items: deque = field(default_factory=deque)
-    left: int = 0
+    remaining: int = 0
 
 
 class FairQueues:
@@ -25,7 +25,7 @@
 
     def step(self, *, name: str, item: str, share: int = 1) -> bool:
         """Enqueue an item; False if its queue is full."""
-        queue = self._queues.setdefault(name, Queue(share=share, left=share))
+        queue = self._queues.setdefault(name, Queue(share=share, remaining=share))
         if len(queue.items) >= constants.TENANT_QUEUE_LENGTH:
             return False
         queue.share = share
@@ -42,9 +42,9 @@
             if name in blocked:
                 continue
             item = queue.items.popleft()
-            queue.left -= 1
-            if queue.left <= 0:
-                queue.left = queue.share
+            queue.remaining -= 1
+            if queue.remaining <= 0:
+                queue.remaining = queue.share
                 self._queues.move_to_end(name)
             return name, item
         return None
@@ -53,7 +53,7 @@
         """Return an item that could not be dispatched to the front of its queue."""
         queue = self._queues.setdefault(name, Queue(share=1))
         queue.items.appendleft(item)
-        queue.left += 1
+        queue.remaining += 1
 
     def drop(self, *, item: str) -> None:
         """Remove an item that has been given up."""
@@ -62,6 +62,6 @@
                 queue.items.remove(item)
                 return
 
-    def waits(self, *, name: str) -> bool:
+    def has_items(self, *, name: str) -> bool:
         """Does this queue hold any item?"""
         return name in self._queues and bool(self._queues[name].items)
--- a/sailward/routing/forwarding.py
+++ b/sailward/routing/forwarding.py
@@ -135,7 +135,7 @@
         return self.budget.step(
             now=now,
             service=request.service.name,
-            first=is_first,
+            is_first=is_first,
             proxies=self.endpoint_selector.context.proxies,
             is_hedge=is_hedge,
         )
--- a/sailward/routing/lease.py
+++ b/sailward/routing/lease.py
@@ -29,7 +29,7 @@
     def __init__(self, *, learner: Learner) -> None:
         self._learner = learner
         self.state = CHART.initial
-        self.behind: dict[str, float] = {}
+        self.outdated_since: dict[str, float] = {}
         self._requested_at: dict[int, float] = {}
         self._grants: dict[str, Grant] = {}
         self._seq = 0
@@ -54,7 +54,7 @@
             commands += self._request_lease(now=now, addresses=addresses, report=report, daemon=daemon, have=have)
         return commands
 
-    def review(self) -> None:
+    def reevaluate(self) -> None:
         """Reevaluate the grants after a newer value has been learned."""
         for grant in self._grants.values():
             grant.until = max(grant.until, self._valid_until(grant=grant))
@@ -96,9 +96,9 @@
     def _update_state(self, *, now: float, voters: VoterSet) -> list[Command]:
         recent = [grant for grant in self._grants.values() if now - grant.requested_at < constants.LEASE_DURATION]
         outdated = {name for grant in recent for name in self._outdated_names(grant=grant)}
-        self.behind = {name: self.behind.get(name, now) for name in outdated}
+        self.outdated_since = {name: self.outdated_since.get(name, now) for name in outdated}
         previous = self.state
         self.state = CHART.step(state=previous, event="granted" if self.is_valid(now=now, voters=voters) else "run_out")
         if previous == self.state:
             return []
-        return [LogEvent(event=f"lease-{self.state}", fields={"behind": ",".join(self.behind) or "none"})]
+        return [LogEvent(event=f"lease-{self.state}", fields={"behind": ",".join(self.outdated_since) or "none"})]
--- a/sailward/routing/proxied_requests.py
+++ b/sailward/routing/proxied_requests.py
@@ -122,7 +122,7 @@
             return [refusal], []
         self.live[request.token] = request
         if is_replay or (
-            len(self.in_flight) < constants.MAX_OPEN_EXCHANGES and not self.queues.waits(name=request.queue_name)
+            len(self.in_flight) < constants.MAX_OPEN_EXCHANGES and not self.queues.has_items(name=request.queue_name)
         ):
             dispatched = self._dispatch(now=now, request=request)
             if dispatched is not None:
@@ -143,7 +143,7 @@
             # a retry whose claim is not known here adds no load on workers until it is forwarded
             request.charged_to = self.attempt_budget.lookup(now=now)
         else:
-            request.charged_to = self.attempt_budget.step(now=now, first=not is_repeat, caller=True)
+            request.charged_to = self.attempt_budget.step(now=now, is_first=not is_repeat, is_client_retry=True)
         if not is_replay and not request.charged_to:
             detail = "retries exceed their share of the traffic"
             return self._refuse(request=request, reason="too-many-repeats", detail=detail)
@@ -217,7 +217,7 @@
             if isinstance(verdict, Won):
                 request.has_claim = 1
                 if request.charged_to == LOOKUP:
-                    request.charged_to = self.attempt_budget.step(now=now, first=False, caller=True)
+                    request.charged_to = self.attempt_budget.step(now=now, is_first=False, is_client_retry=True)
                     if not request.charged_to and not request.is_answered:
                         commands.append(
                             self._refuse(
@@ -268,7 +268,7 @@
         may_retry = (
             not must_not_rerun and acting and request.attempts < constants.MAX_ATTEMPTS and now < request.expires_at
         )
-        if may_retry and self.attempt_budget.step(now=now, first=False):
+        if may_retry and self.attempt_budget.step(now=now, is_first=False):
             self.tally["tried-again"] += 1
             return commands + self._forward(now=now, request=request), []
         if isinstance(verdict, Good):
@@ -334,7 +334,7 @@
         refusal = refusal or Refusal(code=503, reason=reason, detail=detail)
         self._count_refusal(reason=refusal.reason)
         if request.charged_to and request.attempts == 0:
-            self.attempt_budget.refund(now=self.now, paid=request.charged_to, swells=refusal.code != 503)
+            self.attempt_budget.refund(now=self.now, charged_to=request.charged_to, adds_load=refusal.code != 503)
             request.charged_to = ""
         if request.state == "waiting":
             self.queues.drop(item=request.token)
--- a/sailward/routing/retry_budget.py
+++ b/sailward/routing/retry_budget.py
@@ -12,11 +12,11 @@
 
 
 @dataclass(kw_only=True)
-class Account:
+class ServiceAttempts:
     """Times of the attempts for one service within the window."""
 
-    firsts: deque = field(default_factory=deque)
-    mores: deque = field(default_factory=deque)
+    first_attempts: deque = field(default_factory=deque)
+    further_attempts: deque = field(default_factory=deque)
 
 
 @dataclass(kw_only=True)
@@ -30,26 +30,28 @@
     ratio: float = constants.RETRY_BUDGET_RATIO
     slack: float = constants.RETRY_BUDGET_MINIMUM
     window: float = constants.RETRY_BUDGET_WINDOW
-    accounts: dict = field(default_factory=dict)
+    by_service: dict = field(default_factory=dict)
 
-    def step(self, *, now: float, service: str, first: bool, proxies: int, is_hedge: bool = False) -> bool:
+    def step(self, *, now: float, service: str, is_first: bool, proxies: int, is_hedge: bool = False) -> bool:
         """May the attempt be made? If so, it is counted. Hedges may use only a small part of the retry budget."""
-        account = self.accounts.setdefault(service, Account())
-        self._evict_old(now=now, account=account)
-        if first:
-            account.firsts.append(now)
+        attempts = self.by_service.setdefault(service, ServiceAttempts())
+        self._evict_old(now=now, attempts=attempts)
+        if is_first:
+            attempts.first_attempts.append(now)
             return True
         allowance = constants.RETRY_BUDGET_UTILIZATION * (
-            self.ratio * len(account.firsts) + self.slack / max(1, proxies)
+            self.ratio * len(attempts.first_attempts) + self.slack / max(1, proxies)
         )
-        if len(account.mores) + 1 > allowance:
+        if len(attempts.further_attempts) + 1 > allowance:
             return False
-        if is_hedge and len(account.mores) >= constants.HEDGE_BUDGET_RATIO * self.ratio * len(account.firsts):
+        if is_hedge and len(attempts.further_attempts) >= constants.HEDGE_BUDGET_RATIO * self.ratio * len(
+            attempts.first_attempts
+        ):
             return False
-        account.mores.append(now)
+        attempts.further_attempts.append(now)
         return True
 
-    def _evict_old(self, *, now: float, account: Account) -> None:
-        for times in (account.firsts, account.mores):
+    def _evict_old(self, *, now: float, attempts: ServiceAttempts) -> None:
+        for times in (attempts.first_attempts, attempts.further_attempts):
             while times and times[0] <= now - self.window:
                 times.popleft()
--- a/simulation/sim/sabotage.py
+++ b/simulation/sim/sabotage.py
@@ -191,7 +191,7 @@
     "whole-result": _method(response_check, "_find_fault", lambda old: lambda *, request, event: ""),
     "identity": _method(proxied_requests, "judge_result", _any_identity),
     "try-budget": _method(
-        attempt_budget.AttemptBudget, "step", lambda old: lambda self, *, now, first, caller=False: "first"
+        attempt_budget.AttemptBudget, "step", lambda old: lambda self, *, now, is_first, is_client_retry=False: "first"
     ),
     "cold-bound": _method(concurrency_limits.ConcurrencyLimits, "step", lambda old: lambda self, **_: True),
     "promise": _method(proxied_requests, "may_promise_not_run", lambda old: lambda *, event: True),
