--- a/sailward/routing/idempotency.py
+++ b/sailward/routing/idempotency.py
@@ -111,7 +111,7 @@
             else []
         )
 
-    def is_forwarded_before(self, *, request: ProxiedRequest) -> bool:
+    def may_have_forwarded(self, *, request: ProxiedRequest) -> bool:
         """Is a claim on the key cached here that may have been used, so that no worker needs to be selected?"""
         cached = self.cache.by_digest.get(request.digest) if request.is_unsafe else None
         return cached is not None and cached.state != "unsent" and not request.has_claim
--- a/sailward/routing/lease.py
+++ b/sailward/routing/lease.py
@@ -63,8 +63,8 @@
         """When the lease expires."""
         members = voters.members
         expiries = sorted((grant.until for name, grant in self._grants.items() if name in members), reverse=True)
-        quorum = blocking_of(members=members)
-        return expiries[quorum - 1] if members and len(expiries) >= quorum else -1e9
+        blocking_size = blocking_of(members=members)
+        return expiries[blocking_size - 1] if members and len(expiries) >= blocking_size else -1e9
 
     def is_valid(self, *, now: float, voters: VoterSet) -> bool:
         """May the proxy act now?"""
--- a/sailward/routing/proxied_requests.py
+++ b/sailward/routing/proxied_requests.py
@@ -157,7 +157,7 @@
 
     def _dispatch(self, *, now: float, request: ProxiedRequest) -> tuple[list, list] | None:
         """Select a worker, claim the key if the request is unsafe, and forward; None to wait for worker capacity."""
-        if not self.claims.is_forwarded_before(request=request):
+        if not self.claims.may_have_forwarded(request=request):
             choice = self._select_worker(now=now, request=request)
             if isinstance(choice, Refusal):
                 return None if choice.reason == "no-room" else ([self._refuse(request=request, refusal=choice)], [])
