--- a/sailward/routing/forwarding.py
+++ b/sailward/routing/forwarding.py
@@ -181,7 +181,7 @@
         share = constants.KEY_OWNER_RETRY_RATIO if request.service.ranged else constants.HEDGE_DELAY_RATIO
         return max(constants.HEDGE_MIN_DELAY, share * (request.match.target or constants.HEDGE_MIN_DELAY))
 
-    def _on_call_finished(self, *, now: float, event: CallFinished) -> list[Command]:  # noqa: C901 - one branch over the bound
+    def _on_call_finished(self, *, now: float, event: CallFinished) -> list[Command]:  # noqa: C901 - one branch over the limit
         request = self.calls.pop(event.token, None)
         if request is None:
             return []
--- a/sailward/routing/lease.py
+++ b/sailward/routing/lease.py
@@ -60,7 +60,7 @@
             grant.until = max(grant.until, self._valid_until(grant=grant))
 
     def until(self, *, voters: VoterSet) -> float:
-        """When the lease expires."""
+        """When the lease expires; until then, every majority includes a voter whose grant still holds."""
         members = voters.members
         expiries = sorted((grant.until for name, grant in self._grants.items() if name in members), reverse=True)
         blocking_size = blocking_of(members=members)
--- a/sailward/routing/proxied_request.py
+++ b/sailward/routing/proxied_request.py
@@ -69,7 +69,7 @@
     is_sent: bool = False
     may_have_run: bool = False
     sent_at: float = 0.0
-    has_claim: int = 0
+    has_claim: bool = False
     selected_worker: Worker | None = None
     is_answered: bool = False
     charged_to: str = ""
--- a/sailward/routing/proxied_requests.py
+++ b/sailward/routing/proxied_requests.py
@@ -215,7 +215,7 @@
         for verdict in verdicts:
             request = verdict.request
             if isinstance(verdict, Won):
-                request.has_claim = 1
+                request.has_claim = True
                 if request.charged_to == LOOKUP:
                     request.charged_to = self.attempt_budget.step(now=now, is_first=False, is_client_retry=True)
                     if not request.charged_to and not request.is_answered:
--- a/sailward/routing/result_replicas.py
+++ b/sailward/routing/result_replicas.py
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Peer:
-    """Another proxy that is healthy."""
+    """Another proxy that can store replicas of results."""
 
     name: str
     post: str
