--- a/sailward/routing/forwarding.py
+++ b/sailward/routing/forwarding.py
@@ -112,7 +112,7 @@
     def _max_wait(self, *, request: Request, reason: str) -> float:
         """Maximum time in s that a request may wait.
 
-        A share of the target response time: small when it waits for capacity, larger when its key has no owner yet.
+        A share of the target response time: small when it waits for capacity, larger when its key lacks an owner.
         """
         share = (
             constants.KEY_WAIT_RATIO
