--- a/sailward/proxy/tenant_proxy.py
+++ b/sailward/proxy/tenant_proxy.py
@@ -36,7 +36,7 @@
 from sailward.routing.lease import Lease
 from sailward.routing.load_balancer import LoadBalancer
 from sailward.routing.plan import Unreadable, load_config
-from sailward.routing.proxied_request import Refusal, answer_json, answer_refusal, is_promise_safe
+from sailward.routing.proxied_request import Refusal, answer_json, answer_refusal, may_promise_not_run
 from sailward.routing.proxied_requests import ProxiedRequests
 from sailward.routing.result_replicas import Peer, ResultReplicas
 from sailward.routing.routing_state import RoutingState, read_orders
@@ -99,7 +99,7 @@
             case TimerFired():
                 return self._on_timer(now=now)
             case ClientDisconnected():
-                return self.exchanges.leave(now=now, token=event.token)
+                return self.exchanges.on_client_disconnected(now=now, token=event.token)
             case RecordsSynced() | DiskWriteFailed() | ConfigValidated():
                 # a proxy has no disk, and validates no configuration
                 return self.unexpected.add(event=event)
@@ -128,7 +128,7 @@
             return [answer_json(token=event.token, code=200, body=explanation)]
         if self.stopping not in STOPPING.marks["taking"]:
             refusal = Refusal(code=503, reason="stopping", detail="this proxy is stopping: ask a directory for another")
-            return [answer_refusal(token=event.token, refusal=refusal, not_run=is_promise_safe(event=event))]
+            return [answer_refusal(token=event.token, refusal=refusal, not_run=may_promise_not_run(event=event))]
         commands, operations = self.exchanges.step(now=now, event=event, acting=self.acting(now=now))
         return commands + self._start_operations(now=now, operations=operations)
 
@@ -223,7 +223,7 @@
                 return self.refused.add(kind="config", reason=config.reason, number=value["number"])
             _, plan = config
         is_newer = self.learner.step(name=name, ballot=ballot, value=value)
-        self.lease.review()
+        self.lease.reevaluate()
         if not is_newer:
             return []
         if name == "config":
@@ -278,7 +278,7 @@
 
     def _read_stale_registers(self, *, now: float) -> list[Command]:
         operations = []
-        for name, since in self.lease.behind.items():
+        for name, since in self.lease.outdated_since.items():
             if (
                 now - since >= constants.REGISTER_READ_DELAY
                 and name not in self._reads.values()
@@ -341,7 +341,7 @@
             "halls": zones,
             "workers": workers,
             "tally": dict(self.exchanges.tally),
-            "open": len(self.exchanges.sent),
+            "open": len(self.exchanges.in_flight),
             "unexpected_events": dict(self.unexpected.counts),
             "refused_input": dict(self.refused.counts),
         }
--- a/sailward/routing/attempt_budget.py
+++ b/sailward/routing/attempt_budget.py
@@ -1,4 +1,4 @@
-"""The budget of attempts: a share of first attempts in a sliding window."""
+"""The budget for further attempts: a share of the first attempts in a sliding window."""
 
 from __future__ import annotations
 
@@ -10,59 +10,63 @@
 
 
 class AttemptBudget:
-    """Owner of the counts. `step` pays for one sending-on, or gives "" if nothing is left.
+    """Owns the counts. `step` charges one attempt and returns the source of payment, or "" if nothing is left.
 
-    A first try always pays for itself. A caller's repeat pays with the credit of a first try that was
-    refused here and sent to no worker, as it swells nothing; else, like the proxy's own second attempts,
-    from a share of the first ones.
+    A first try is always allowed. A client's retry uses the credit of a first try that was refused here and
+    sent to no worker, as it adds no load; else, like the proxy's own retries, it is charged to a share of the
+    first tries.
     """
 
     def __init__(self) -> None:
-        self._firsts: deque = deque()
-        self._mores: deque = deque()
+        self._first_tries: deque = deque()
+        self._retries: deque = deque()
         self._credits: deque = deque()
-        self._looks: deque = deque()
+        self._lookups: deque = deque()
 
-    def step(self, *, now: float, first: bool, caller: bool = False) -> str:
-        """What this sending-on was paid with."""
-        for line, life in (
-            (self._firsts, constants.RETRY_BUDGET_WINDOW),
-            (self._mores, constants.RETRY_BUDGET_WINDOW),
+    def step(self, *, now: float, is_first: bool, is_client_retry: bool = False) -> str:
+        """The source that this attempt was charged to."""
+        for times, max_age in (
+            (self._first_tries, constants.RETRY_BUDGET_WINDOW),
+            (self._retries, constants.RETRY_BUDGET_WINDOW),
             (self._credits, constants.RETRY_CREDIT_TTL),
         ):
-            while line and line[0] <= now - life:
-                line.popleft()
-        if first:
-            self._firsts.append(now)
+            while times and times[0] <= now - max_age:
+                times.popleft()
+        if is_first:
+            self._first_tries.append(now)
             return FIRST
-        if caller and self._credits:
+        if is_client_retry and self._credits:
             self._credits.popleft()
-            self._firsts.append(now)
+            self._first_tries.append(now)
             return CREDIT
-        if len(self._mores) + 1 > max(constants.RETRY_BUDGET_MINIMUM, constants.RETRY_BUDGET_RATIO * len(self._firsts)):
+        if len(self._retries) + 1 > max(
+            constants.RETRY_BUDGET_MINIMUM, constants.RETRY_BUDGET_RATIO * len(self._first_tries)
+        ):
             return ""
-        self._mores.append(now)
+        self._retries.append(now)
         return BUDGET
 
     def lookup(self, *, now: float) -> str:
-        """May a repeat look up its claim? It pays like any other when it must be sent on."""
-        while self._looks and self._looks[0] <= now - constants.RETRY_BUDGET_WINDOW:
-            self._looks.popleft()
-        if len(self._looks) >= max(constants.RETRY_BUDGET_MINIMUM, constants.CLAIM_LOOKUP_RATIO * len(self._firsts)):
+        """May a retry look up its claim? It is charged like any other if it has to be forwarded."""
+        while self._lookups and self._lookups[0] <= now - constants.RETRY_BUDGET_WINDOW:
+            self._lookups.popleft()
+        if len(self._lookups) >= max(
+            constants.RETRY_BUDGET_MINIMUM, constants.CLAIM_LOOKUP_RATIO * len(self._first_tries)
+        ):
             return ""
-        self._looks.append(now)
+        self._lookups.append(now)
         return LOOKUP
 
-    def refund(self, *, now: float, paid: str, swells: bool) -> None:
-        """What was paid for was refused and sent to no worker. `swells`: an earlier sending did reach one."""
-        if paid == LOOKUP:
+    def refund(self, *, now: float, charged_to: str, adds_load: bool) -> None:
+        """Refund a request that was refused and sent to no worker. `adds_load`: an earlier try did reach one."""
+        if charged_to == LOOKUP:
             return
-        line = self._mores if paid == BUDGET else self._firsts
-        if line:
-            line.pop()
-        if paid != BUDGET and not swells:
+        times = self._retries if charged_to == BUDGET else self._first_tries
+        if times:
+            times.pop()
+        if charged_to != BUDGET and not adds_load:
             self._credits.append(now)
 
     def credit(self, *, now: float) -> None:
-        """A first try was refused before it was counted."""
+        """Credit a first try that was refused before it was counted."""
         self._credits.append(now)
--- a/sailward/routing/endpoint_selection.py
+++ b/sailward/routing/endpoint_selection.py
@@ -71,9 +71,9 @@
     def step(self, *, now: float, request: Request) -> Worker | Refusal:
         """Select the worker that runs this request now, or return why none can; some reasons pass within moments."""
         context = self.context
-        if not request.is_drawn:
+        if not request.is_service_drawn:
             # drawn by weight before health is considered; retries stay with the drawn service
-            request.service, request.is_drawn = self._draw_service(request=request), True
+            request.service, request.is_service_drawn = self._draw_service(request=request), True
         if request.service.is_ranged:
             return self._find_owner(now=now, request=request)
         pool = next(
@@ -186,7 +186,7 @@
                 health is not None
                 and health.is_healthy
                 and not worker.leaving
-                and worker.key not in request.tried
+                and worker.key not in request.tried_workers
                 and self._may_serve(zone=worker.zone, homes=request.match.homes)
             ):
                 eligible.setdefault(worker.zone, []).append(health)
@@ -271,9 +271,9 @@
             # its keys should have moved by now: it must not be sent any more requests
             return Refusal(code=503, reason="owner-lost")
         if (
-            request.rejected
-            and worker.key in request.rejected
-            and now - request.waits_since < constants.KEY_OWNER_BACKOFF
+            request.rejected_by
+            and worker.key in request.rejected_by
+            and now - request.waiting_since < constants.KEY_OWNER_BACKOFF
         ):
             return Refusal(code=503, reason="key-moving")
         if not self._has_capacity(health=health) or now < health.busy_until:
--- a/sailward/routing/fair_queues.py
+++ b/sailward/routing/fair_queues.py
@@ -1,4 +1,4 @@
-"""One bounded queue for each tenant and service, served in turn (weighted round robin)."""
+"""One bounded queue for each tenant and service, served by weighted round robin."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 
 @dataclass(kw_only=True)
 class Queue:
-    """Those that wait, and how many of them go before the next queue's turn."""
+    """Waiting items, and how many of them are served before the next queue's turn."""
 
     share: int
     items: deque = field(default_factory=deque)
-    left: int = 0
+    remaining: int = 0
 
 
 class FairQueues:
-    """Owner of the waiting. `step` adds one if its queue has room; `take` gives the next in turn."""
+    """Owns the queues. `step` enqueues an item if its queue has room; `take` dequeues the next one."""
 
     def __init__(self) -> None:
         self._queues: OrderedDict[str, Queue] = OrderedDict()
 
     def step(self, *, name: str, item: str, share: int = 1) -> bool:
-        """May it wait?"""
-        queue = self._queues.setdefault(name, Queue(share=share, left=share))
+        """Enqueue an item; False if its queue is full."""
+        queue = self._queues.setdefault(name, Queue(share=share, remaining=share))
         if len(queue.items) >= constants.TENANT_QUEUE_LENGTH:
             return False
         queue.share = share
@@ -33,7 +33,7 @@
         return True
 
     def take(self, *, blocked: set[str]) -> tuple[str, str] | None:
-        """(queue, item) whose turn it is, passing over the blocked queues."""
+        """Dequeue the next (queue, item), skipping blocked queues."""
         for name in list(self._queues):
             queue = self._queues[name]
             if not queue.items:
@@ -42,26 +42,26 @@
             if name in blocked:
                 continue
             item = queue.items.popleft()
-            queue.left -= 1
-            if queue.left <= 0:
-                queue.left = queue.share
+            queue.remaining -= 1
+            if queue.remaining <= 0:
+                queue.remaining = queue.share
                 self._queues.move_to_end(name)
             return name, item
         return None
 
     def put_back(self, *, name: str, item: str) -> None:
-        """It could not go: it stays the first of its queue."""
+        """Return an item that could not be dispatched to the front of its queue."""
         queue = self._queues.setdefault(name, Queue(share=1))
         queue.items.appendleft(item)
-        queue.left += 1
+        queue.remaining += 1
 
     def drop(self, *, item: str) -> None:
-        """Take one out that has been given up."""
+        """Remove an item that has been given up."""
         for queue in self._queues.values():
             if item in queue.items:
                 queue.items.remove(item)
                 return
 
-    def waits(self, *, name: str) -> bool:
-        """Does anyone wait in this queue?"""
+    def has_items(self, *, name: str) -> bool:
+        """Does this queue hold any item?"""
         return name in self._queues and bool(self._queues[name].items)
--- a/sailward/routing/idempotency.py
+++ b/sailward/routing/idempotency.py
@@ -1,4 +1,4 @@
-"""The claim on an unsafe exchange: won at a majority before a byte is sent on."""
+"""Idempotency claims: the claim on an unsafe request is won at a majority of voters before a byte is forwarded."""
 
 from __future__ import annotations
 
@@ -9,44 +9,44 @@
 from sailward.consensus.acceptor import CLAIM
 from sailward.consensus.proposer import Accepted, OperationFinished, Refused, StartOperation
 from sailward.events import SendMessage
-from sailward.routing.idempotency_cache import ClaimMemory, Memory
+from sailward.routing.idempotency_cache import CachedClaim, ClaimCache
 from sailward.routing.proxied_request import ProxiedRequest, Refusal
-from sailward.routing.result_replicas import Peer, ResultReplicas, may_keep, spread_copy
+from sailward.routing.result_replicas import Peer, ResultReplicas, may_store, replicate_result
 from sailward.wire_types import Message, RegisterValue
 
 
 @dataclass(frozen=True, kw_only=True)
 class Won:
-    """The claim is this exchange's: it may be sent on, once."""
+    """The request holds the claim: it may be forwarded, once."""
 
-    exchange: ProxiedRequest
+    request: ProxiedRequest
 
 
 @dataclass(frozen=True, kw_only=True)
 class Lost:
-    """It may not be sent on."""
+    """The request may not be forwarded."""
 
-    exchange: ProxiedRequest
+    request: ProxiedRequest
     refusal: Refusal
 
 
 @dataclass(frozen=True, kw_only=True)
 class Replayed:
-    """It ran already: this is its kept result."""
+    """The request has already run: this is its stored result."""
 
-    exchange: ProxiedRequest
+    request: ProxiedRequest
     code: int
     headers: dict
     body: bytes
 
 
 @dataclass(kw_only=True)
-class Peeking:
-    """Waiting for the owner of an earlier claim to tell what became of it."""
+class PendingPeek:
+    """A query to other proxies, the owner of an earlier claim among them, about what became of that claim."""
 
-    exchange: ProxiedRequest
+    request: ProxiedRequest
     number: int
-    expiry: float
+    expires_at: float
     owner: str
     pending_peers: set
     state: str = "unknown"
@@ -54,7 +54,7 @@
 
 @dataclass(kw_only=True)
 class Claims:
-    """Owner of the claims under way. `step` gives (commands, proposer's begins, verdicts)."""
+    """Owns the claims in progress. `step` returns (commands, operations for the proposer to start, verdicts)."""
 
     identity: str
     post: str
@@ -62,17 +62,17 @@
     zone: str
     replicas: ResultReplicas
     peers: list[Peer] = field(default_factory=list)
-    memory: ClaimMemory = field(default_factory=ClaimMemory)
+    cache: ClaimCache = field(default_factory=ClaimCache)
     claiming: dict = field(default_factory=dict)
-    peeking: dict = field(default_factory=dict)
+    pending_peeks: dict = field(default_factory=dict)
     count: int = 0
 
     def step(
         self, *, now: float, event: ProxiedRequest | OperationFinished | tuple[str, Message] | None
     ) -> tuple[list, list[StartOperation], list]:
-        """Take a request to claim, the end of an operation, a (sender, peek or peeked), or None."""
+        """Process a request to claim, a finished operation, a (sender, message) of a peer, or None for a timer tick."""
         if isinstance(event, ProxiedRequest):
-            return self._begin(now=now, exchange=event)
+            return self._on_request(now=now, request=event)
         if isinstance(event, OperationFinished):
             return self._on_operation_finished(now=now, event=event)
         if event is None:
@@ -83,161 +83,157 @@
             return [], [], []
         if body["kind"] == "peek":
             copy = self.replicas.find(digest=body["key"], number=body["number"])
-            reply = self.memory.peeked(token=body["token"], digest=body["key"], region=body["region"], copy=copy)
+            reply = self.cache.peek_reply(token=body["token"], digest=body["key"], region=body["region"], copy=copy)
             return [SendMessage(to=sender, body=reply)], [], []
-        return self._take_peeked(now=now, sender=sender, body=body)
+        return self._on_peek_reply(now=now, sender=sender, body=body)
 
-    def finish(self, *, exchange: ProxiedRequest, code: int, headers: dict, body: bytes) -> list:
-        """Keep the result for repeats, here if this place may, and with one proxy more."""
-        memory = self.memory.by_digest.get(exchange.digest)
-        self.memory.finish(
-            digest=exchange.digest,
+    def finish(self, *, request: ProxiedRequest, code: int, headers: dict, body: bytes) -> list:
+        """Store the result for retries: here, if the tenant's home regions allow it, and at one other proxy."""
+        cached = self.cache.by_digest.get(request.digest)
+        self.cache.finish(
+            digest=request.digest,
             code=code,
             headers=headers,
             body=body,
-            store=may_keep(region=self.region, homes=exchange.tenant.homes),
+            store=may_store(region=self.region, homes=request.tenant.homes),
         )
         return (
-            spread_copy(
-                exchange=exchange,
-                number=memory.number,
+            replicate_result(
+                request=request,
+                number=cached.number,
                 code=code,
                 headers=headers,
                 body=body,
                 zone=self.zone,
                 peers=self.peers,
             )
-            if memory
+            if cached
             else []
         )
 
-    def remembers(self, *, exchange: ProxiedRequest) -> bool:
-        """Is the key known here as sent on before, so that no worker is needed?"""
-        memory = self.memory.by_digest.get(exchange.digest) if exchange.unsafe else None
-        return memory is not None and memory.state != "unsent" and not exchange.claim
+    def may_have_forwarded(self, *, request: ProxiedRequest) -> bool:
+        """Is a claim on the key cached here that may have been used, so that no worker needs to be selected?"""
+        cached = self.cache.by_digest.get(request.digest) if request.is_unsafe else None
+        return cached is not None and cached.state != "unsent" and not request.has_claim
 
-    def _begin(self, *, now: float, exchange: ProxiedRequest) -> tuple[list, list[StartOperation], list]:
-        memory = self.memory.by_digest.get(exchange.digest)
-        if memory is None:
-            return [], [self._claim(now=now, exchange=exchange, expected=0)], []
-        if memory.fingerprint != exchange.fingerprint:
-            return [], [], [_lost_to_other(exchange=exchange)]
-        return self._judge_state(
+    def _on_request(self, *, now: float, request: ProxiedRequest) -> tuple[list, list[StartOperation], list]:
+        cached = self.cache.by_digest.get(request.digest)
+        if cached is None:
+            return [], [self._start_claim(now=now, request=request, expected=0)], []
+        if cached.fingerprint != request.fingerprint:
+            return [], [], [_key_reused(request=request)]
+        return self._decide_by_state(
             now=now,
-            exchange=exchange,
-            state=memory.state,
-            number=memory.number,
-            code=memory.code,
-            headers=memory.headers,
-            body=memory.body,
+            request=request,
+            state=cached.state,
+            number=cached.number,
+            code=cached.code,
+            headers=cached.headers,
+            body=cached.body,
         )
 
-    def _claim(self, *, now: float, exchange: ProxiedRequest, expected: int) -> StartOperation:
+    def _start_claim(self, *, now: float, request: ProxiedRequest, expected: int) -> StartOperation:
         self.count += 1
-        self.memory.begin(
+        self.cache.begin(
             now=now,
-            digest=exchange.digest,
-            fingerprint=exchange.fingerprint,
-            homes=exchange.tenant.homes,
+            digest=request.digest,
+            fingerprint=request.fingerprint,
+            homes=request.tenant.homes,
             count=self.count,
         )
         op = f"{self.identity}/claim{self.count}"
-        self.claiming[op] = exchange
-        text = json.dumps({"o": self.post, "i": self.identity, "f": exchange.fingerprint, "n": self.count})
-        timeout = min(constants.CLAIM_TIMEOUT, max(0.05, exchange.expiry - now))
+        self.claiming[op] = request
+        text = json.dumps({"o": self.post, "i": self.identity, "f": request.fingerprint, "n": self.count})
+        timeout = min(constants.CLAIM_TIMEOUT, max(0.05, request.expires_at - now))
         return StartOperation(
-            op=op, register=CLAIM + exchange.digest, expected=expected, text=text, first=expected == 0, timeout=timeout
+            op=op, register=CLAIM + request.digest, expected=expected, text=text, first=expected == 0, timeout=timeout
         )
 
     def _on_operation_finished(
         self, *, now: float, event: OperationFinished
     ) -> tuple[list, list[StartOperation], list]:
-        exchange = self.claiming.pop(event.op, None)
-        if exchange is None:
+        request = self.claiming.pop(event.op, None)
+        if request is None:
             return [], [], []
-        memory, outcome = self.memory.by_digest.get(exchange.digest), event.outcome
+        cached, outcome = self.cache.by_digest.get(request.digest), event.outcome
         if isinstance(outcome, Accepted):
-            if memory is None or outcome.value["number"] != outcome.number:
-                return [], [], [Lost(exchange=exchange, refusal=Refusal(code=503, reason="claim-passed-on"))]
-            memory.state, memory.number = "running", outcome.value["number"]
-            return [], [], [Won(exchange=exchange)]
-        if memory is not None:
-            memory.state = "unsent"
+            if cached is None or outcome.value["number"] != outcome.number:
+                return [], [], [Lost(request=request, refusal=Refusal(code=503, reason="claim-passed-on"))]
+            cached.state, cached.number = "running", outcome.value["number"]
+            return [], [], [Won(request=request)]
+        if cached is not None:
+            cached.state = "unsent"
         if isinstance(outcome, Refused) and outcome.reason == "number" and outcome.value["number"]:
-            return self._take_other(now=now, exchange=exchange, value=outcome.value, memory=memory)
+            return self._on_claimed_by_other(now=now, request=request, value=outcome.value, cached=cached)
         refusal = Refusal(code=503, reason="claim-uncertain", detail="no majority of the core answered in time")
-        return [], [], [Lost(exchange=exchange, refusal=refusal)]
+        return [], [], [Lost(request=request, refusal=refusal)]
 
-    def _take_other(
-        self, *, now: float, exchange: ProxiedRequest, value: RegisterValue, memory: Memory | None
+    def _on_claimed_by_other(
+        self, *, now: float, request: ProxiedRequest, value: RegisterValue, cached: CachedClaim | None
     ) -> tuple[list, list[StartOperation], list]:
         claim = json.loads(value["text"])
         if claim["i"] == self.identity:
-            # ours: unsent if it is no older than what is remembered, else it may have run
-            known = memory is not None and claim["n"] >= memory.first and claim["f"] == exchange.fingerprint
-            return self._judge_state(
-                now=now, exchange=exchange, state="unsent" if known else "unknown", number=value["number"]
+            # this proxy's own claim: unsent if it is no older than the cached ones, else the request may have run
+            is_unsent = cached is not None and claim["n"] >= cached.first_count and claim["f"] == request.fingerprint
+            return self._decide_by_state(
+                now=now, request=request, state="unsent" if is_unsent else "unknown", number=value["number"]
             )
-        self.memory.by_digest.pop(exchange.digest, None)
-        if claim["f"] != exchange.fingerprint:
-            return [], [], [_lost_to_other(exchange=exchange)]
-        copy = self.replicas.find(digest=exchange.digest, number=value["number"])
+        self.cache.by_digest.pop(request.digest, None)
+        if claim["f"] != request.fingerprint:
+            return [], [], [_key_reused(request=request)]
+        copy = self.replicas.find(digest=request.digest, number=value["number"])
         if copy is not None:
-            return [], [], [Replayed(exchange=exchange, code=copy.code, headers=copy.headers, body=copy.body)]
+            return [], [], [Replayed(request=request, code=copy.code, headers=copy.headers, body=copy.body)]
         self.count += 1
         token = f"{self.identity}/peek{self.count}"
         pending_peers = {
             address for address in (claim["o"], *(peer.post for peer in self.peers)) if address not in ("", self.post)
         }
-        self.peeking[token] = Peeking(
-            exchange=exchange,
+        self.pending_peeks[token] = PendingPeek(
+            request=request,
             number=value["number"],
             owner=claim["o"],
             pending_peers=pending_peers,
-            expiry=now + constants.ROUND_TIMEOUT * 2,
+            expires_at=now + constants.ROUND_TIMEOUT * 2,
         )
         body = {
             "kind": "peek",
             "token": token,
-            "key": exchange.digest,
+            "key": request.digest,
             "number": value["number"],
             "region": self.region,
         }
         return [SendMessage(to=address, body=body) for address in sorted(pending_peers)], [], []
 
-    def _take_peeked(self, *, now: float, sender: str, body: dict) -> tuple[list, list[StartOperation], list]:
-        peeking = self.peeking.get(body["token"])
-        if peeking is None:
+    def _on_peek_reply(self, *, now: float, sender: str, body: dict) -> tuple[list, list[StartOperation], list]:
+        peek = self.pending_peeks.get(body["token"])
+        if peek is None:
             return [], [], []
-        peeking.pending_peers.discard(sender)
-        if sender == peeking.owner:
-            peeking.state = body["state"]
-        # the claim's own proxy knows; one that only lost its memory, or may not keep the result, leaves it to the
-        # others
-        if (
-            not body["code"]
-            and peeking.pending_peers
-            and (sender != peeking.owner or body["state"] in ("unknown", "done"))
-        ):
+        peek.pending_peers.discard(sender)
+        if sender == peek.owner:
+            peek.state = body["state"]
+        # the proxy that made the claim decides, unless it has lost the claim or may not store the result: then the
+        # other peers are waited for
+        if not body["code"] and peek.pending_peers and (sender != peek.owner or body["state"] in ("unknown", "done")):
             return [], [], []
-        del self.peeking[body["token"]]
+        del self.pending_peeks[body["token"]]
         headers = body["headers"] if body["code"] else None
-        body = body if headers is not None else {**body, "state": peeking.state}
-        return self._judge_state(
+        body = body if headers is not None else {**body, "state": peek.state}
+        return self._decide_by_state(
             now=now,
-            exchange=peeking.exchange,
+            request=peek.request,
             state=body["state"],
-            number=peeking.number,
+            number=peek.number,
             code=body["code"],
             headers=headers,
             body=bytes(body["body"]),
         )
 
-    def _judge_state(
+    def _decide_by_state(
         self,
         *,
         now: float,
-        exchange: ProxiedRequest,
+        request: ProxiedRequest,
         state: str,
         number: int,
         code: int = 0,
@@ -245,32 +241,32 @@
         body: bytes = b"",
     ) -> tuple[list, list[StartOperation], list]:
         if state == "unsent":
-            return [], [self._claim(now=now, exchange=exchange, expected=number)], []
+            return [], [self._start_claim(now=now, request=request, expected=number)], []
         if state == "done" and headers is not None:
-            return [], [], [Replayed(exchange=exchange, code=code, headers=headers, body=body)]
-        shown = "running" if state == "claiming" else state
-        refusal = Refusal(code=409, reason="repeat", state=shown, detail="this key was sent on before")
-        return [], [], [Lost(exchange=exchange, refusal=refusal)]
+            return [], [], [Replayed(request=request, code=code, headers=headers, body=body)]
+        reported_state = "running" if state == "claiming" else state
+        refusal = Refusal(code=409, reason="repeat", state=reported_state, detail="this key was sent on before")
+        return [], [], [Lost(request=request, refusal=refusal)]
 
     def _on_timer(self, *, now: float) -> list:
         verdicts = []
-        for token, peeking in list(self.peeking.items()):
-            if now >= peeking.expiry:
-                del self.peeking[token]
+        for token, peek in list(self.pending_peeks.items()):
+            if now >= peek.expires_at:
+                del self.pending_peeks[token]
                 refusal = Refusal(
                     code=409,
                     reason="repeat",
-                    state=peeking.state,
+                    state=peek.state,
                     detail="no proxy that can be reached has this key's result",
                 )
-                verdicts.append(Lost(exchange=peeking.exchange, refusal=refusal))
-        self.memory.step(now=now)
+                verdicts.append(Lost(request=peek.request, refusal=refusal))
+        self.cache.step(now=now)
         self.replicas.step(now=now, event=None)
         return verdicts
 
 
-def _lost_to_other(*, exchange: ProxiedRequest) -> Lost:
+def _key_reused(*, request: ProxiedRequest) -> Lost:
     return Lost(
-        exchange=exchange,
+        request=request,
         refusal=Refusal(code=422, reason="key-reused", detail="this key was given with another request"),
     )
--- a/sailward/routing/lease.py
+++ b/sailward/routing/lease.py
@@ -1,4 +1,4 @@
-"""The lease of a proxy on the control state that it holds."""
+"""A proxy's lease on its copy of the control state."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(kw_only=True)
 class Grant:
-    """The last thing one voter said, and until when its consent holds."""
+    """The latest grant of one voter, and until when it is valid."""
 
     requested_at: float
     newest: dict
@@ -24,16 +24,16 @@
 
 
 class Lease:
-    """Owner of the lease. `step` takes a grant (sender, body), or None for time going on."""
+    """Owns the lease. `step` takes a grant (sender, body), or None for a timer tick."""
 
     def __init__(self, *, learner: Learner) -> None:
         self._learner = learner
         self.state = CHART.initial
-        self.behind: dict[str, float] = {}
+        self.outdated_since: dict[str, float] = {}
         self._requested_at: dict[int, float] = {}
         self._grants: dict[str, Grant] = {}
         self._seq = 0
-        self._next = -1e9
+        self._next_request_at = -1e9
 
     def step(
         self,
@@ -46,38 +46,38 @@
         daemon: dict,
         have: dict,
     ) -> list[Command]:
-        """Fold what came, judge the lease, ask again when it is time."""
+        """Record a grant, update the state of the lease, and request a new one when that is due."""
         if event is not None:
-            self._take_grant(body=event[1], voters=voters)
-        commands = self._judge(now=now, voters=voters)
-        if event is None and now >= self._next:
+            self._record_grant(body=event[1], voters=voters)
+        commands = self._update_state(now=now, voters=voters)
+        if event is None and now >= self._next_request_at:
             commands += self._request_lease(now=now, addresses=addresses, report=report, daemon=daemon, have=have)
         return commands
 
-    def review(self) -> None:
-        """Judge the grants again after a newer value is held."""
+    def reevaluate(self) -> None:
+        """Reevaluate the grants after a newer value has been learned."""
         for grant in self._grants.values():
-            grant.until = max(grant.until, self._end_of(grant=grant))
+            grant.until = max(grant.until, self._valid_until(grant=grant))
 
     def until(self, *, voters: VoterSet) -> float:
-        """When the lease runs out."""
+        """When the lease expires; until then, every majority includes a voter whose grant still holds."""
         members = voters.members
-        ends = sorted((grant.until for name, grant in self._grants.items() if name in members), reverse=True)
-        need = blocking_of(members=members)
-        return ends[need - 1] if members and len(ends) >= need else -1e9
+        expiries = sorted((grant.until for name, grant in self._grants.items() if name in members), reverse=True)
+        blocking_size = blocking_of(members=members)
+        return expiries[blocking_size - 1] if members and len(expiries) >= blocking_size else -1e9
 
     def is_valid(self, *, now: float, voters: VoterSet) -> bool:
         """May the proxy act now?"""
         return now < self.until(voters=voters) and all(self._learner.number(name=name) for name in ("config", "voters"))
 
     def _request_lease(self, *, now: float, addresses: list, report: dict, daemon: dict, have: dict) -> list[Command]:
-        self._seq, self._next = self._seq + 1, now + constants.LEASE_REQUEST_INTERVAL
+        self._seq, self._next_request_at = self._seq + 1, now + constants.LEASE_REQUEST_INTERVAL
         self._requested_at[self._seq] = now
         self._requested_at.pop(self._seq - 50, None)
         body = {"kind": "ask", "seq": self._seq, "have": have, "report": report, "daemon": daemon}
         return [SendMessage(to=address, body=body) for address in addresses]
 
-    def _take_grant(self, *, body: dict, voters: VoterSet) -> None:
+    def _record_grant(self, *, body: dict, voters: VoterSet) -> None:
         requested_at = self._requested_at.get(body["seq"])
         if requested_at is None or not body["voting"] or body["identity"] not in voters.members:
             return
@@ -85,20 +85,20 @@
         if requested_at < grant.requested_at:
             return
         grant.requested_at, grant.newest = requested_at, body["newest"]
-        grant.until = max(grant.until, self._end_of(grant=grant))
+        grant.until = max(grant.until, self._valid_until(grant=grant))
 
-    def _behind_in(self, *, grant: Grant) -> list[str]:
+    def _outdated_names(self, *, grant: Grant) -> list[str]:
         return [name for name, newest in grant.newest.items() if not self._learner.covers(name=name, newest=newest)]
 
-    def _end_of(self, *, grant: Grant) -> float:
-        return -1e9 if self._behind_in(grant=grant) else grant.requested_at + constants.LEASE_DURATION
+    def _valid_until(self, *, grant: Grant) -> float:
+        return -1e9 if self._outdated_names(grant=grant) else grant.requested_at + constants.LEASE_DURATION
 
-    def _judge(self, *, now: float, voters: VoterSet) -> list[Command]:
-        live = [grant for grant in self._grants.values() if now - grant.requested_at < constants.LEASE_DURATION]
-        names = {name for grant in live for name in self._behind_in(grant=grant)}
-        self.behind = {name: self.behind.get(name, now) for name in names}
-        before = self.state
-        self.state = CHART.step(state=before, event="granted" if self.is_valid(now=now, voters=voters) else "run_out")
-        if before == self.state:
+    def _update_state(self, *, now: float, voters: VoterSet) -> list[Command]:
+        recent = [grant for grant in self._grants.values() if now - grant.requested_at < constants.LEASE_DURATION]
+        outdated = {name for grant in recent for name in self._outdated_names(grant=grant)}
+        self.outdated_since = {name: self.outdated_since.get(name, now) for name in outdated}
+        previous = self.state
+        self.state = CHART.step(state=previous, event="granted" if self.is_valid(now=now, voters=voters) else "run_out")
+        if previous == self.state:
             return []
-        return [LogEvent(event=f"lease-{self.state}", fields={"behind": ",".join(self.behind) or "none"})]
+        return [LogEvent(event=f"lease-{self.state}", fields={"behind": ",".join(self.outdated_since) or "none"})]
--- a/sailward/routing/proxied_request.py
+++ b/sailward/routing/proxied_request.py
@@ -1,4 +1,4 @@
-"""One caller's exchange: taking it in, and refusing it with a word that holds."""
+"""One tenant request: how it is read, refused without a false promise that it did not run, and forwarded."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from sailward.routing.idempotency_key_time import judge_key
 from sailward.routing.plan import Match, Plan, Service, Tenant
 
-SAFE = frozenset({"GET", "HEAD", "OPTIONS"})
-KNOWN = SAFE | {"POST", "PUT", "PATCH", "DELETE"}
-HOP = frozenset(
+SAFE_METHODS = frozenset({"GET", "HEAD", "OPTIONS"})
+KNOWN_METHODS = SAFE_METHODS | {"POST", "PUT", "PATCH", "DELETE"}
+HOP_BY_HOP = frozenset(
     {
         "connection",
         "keep-alive",
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Refusal:
-    """Why an exchange is not served. `state` tells a repeat what became of the first."""
+    """Why a request is not served. `state` tells a retry what became of the first try."""
 
     code: int
     reason: str
@@ -44,10 +44,10 @@
 
 @dataclass(kw_only=True)
 class ProxiedRequest:
-    """One exchange under way."""
+    """One request in flight."""
 
     token: str
-    name: str
+    exchange_id: str
     tenant: Tenant
     method: str
     path: str
@@ -56,59 +56,59 @@
     match: Match
     service: Service
     key: str
-    turn: int
-    arrived: float
-    expiry: float
+    try_number: int
+    arrived_at: float
+    expires_at: float
     raw_path: str = ""
-    plan: int = 0
+    plan_number: int = 0
     pool: str = ""
     state: str = "arrived"
     worker: str = ""
     attempts: int = 0
-    tried: set = field(default_factory=set)
-    sent: bool = False
+    tried_workers: set = field(default_factory=set)
+    is_sent: bool = False
     may_have_run: bool = False
     sent_at: float = 0.0
-    claim: int = 0
-    chosen: Worker | None = None
-    answered: bool = False
-    paid: str = ""
-    part: str = ""
+    has_claim: bool = False
+    selected_worker: Worker | None = None
+    is_answered: bool = False
+    charged_to: str = ""
+    shard_key: str = ""
     slot: int = -1
     space: str = ""
     term: int = 0
 
     @property
-    def unsafe(self) -> bool:
-        """Does running it twice do harm?"""
-        return self.method not in SAFE
+    def is_unsafe(self) -> bool:
+        """May running it twice do harm?"""
+        return self.method not in SAFE_METHODS
 
     @property
     def queue_name(self) -> str:
-        """The queue that it waits in."""
+        """Name of the queue in which it waits for capacity."""
         return f"{self.tenant.name}|{self.service.name}"
 
     @property
     def digest(self) -> str:
-        """What the claim is written under: no tenant's data can be read from it."""
+        """Key under which the claim is stored: a hash, so that it reveals no tenant data."""
         return digest_key(tenant=self.tenant.name, key=self.key)
 
     @property
     def fingerprint(self) -> str:
-        """The same for the same method, path and body."""
-        mix = f"{self.method} {self.path}\0".encode() + self.body
-        return hashlib.blake2b(mix, digest_size=12).hexdigest()
+        """Hash of the method, path and body."""
+        content = f"{self.method} {self.path}\0".encode() + self.body
+        return hashlib.blake2b(content, digest_size=12).hexdigest()
 
 
 def digest_key(*, tenant: str, key: str) -> str:
-    """The digest of a tenant's key."""
+    """Hash of a tenant's idempotency key."""
     return hashlib.blake2b(f"{tenant}\0{key}".encode(), digest_size=16).hexdigest()
 
 
-def take_exchange(
+def build_proxied_request(
     *, event: RequestReceived, plan: Plan, now: float, name: str, clock: float | None = None
 ) -> ProxiedRequest | Refusal:
-    """The exchange that a caller asked for, or why it can't be one."""
+    """Build the request that a client sent, or the refusal if it can't be accepted."""
     if event.body is None:
         return Refusal(code=413, reason="too-large", detail=f"at most {constants.MAX_BODY_BYTES} bytes")
     head = _read_head(event=event, plan=plan)
@@ -116,16 +116,18 @@
         return head
     match, key = head.match, head.key
     service = plan.services[plan.pools[match.shares[0][0]].service]
-    fault = judge_key(key=key, clock=clock, is_required=service.timed_keys) if event.method not in SAFE else None
-    if fault is not None:
-        return Refusal(code=fault[0], reason=fault[1], detail=fault[2])
-    part = event.headers.get("sailward-key", "") or part_of(path=event.path, match=match)
-    if service.slots and not part:
+    key_fault = (
+        judge_key(key=key, clock=clock, is_required=service.timed_keys) if event.method not in SAFE_METHODS else None
+    )
+    if key_fault is not None:
+        return Refusal(code=key_fault[0], reason=key_fault[1], detail=key_fault[2])
+    shard_key = event.headers.get("sailward-key", "") or shard_key_of(path=event.path, match=match)
+    if service.slots and not shard_key:
         return Refusal(code=400, reason="part-missing", detail="this service is divided: give the key in the path")
     query = "?" + urlencode(event.query, doseq=True) if event.query else ""
     return ProxiedRequest(
         token=event.token,
-        name=name,
+        exchange_id=name,
         tenant=head.tenant,
         method=event.method,
         path=quote(event.path, safe="/%:@!$&'()*+,;=~-._") + query,
@@ -134,34 +136,34 @@
         match=match,
         service=service,
         key=key,
-        turn=head.turn,
-        part=part if service.slots else "",
+        try_number=head.try_number,
+        shard_key=shard_key if service.slots else "",
         raw_path=event.path,
-        plan=plan.number,
-        arrived=now,
-        expiry=now + constants.QUEUE_TIMEOUT + service.expiry,
+        plan_number=plan.number,
+        arrived_at=now,
+        expires_at=now + constants.QUEUE_TIMEOUT + service.expiry,
     )
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Head:
-    """What the head of a request says: whose it is, how often it was sent, its idempotency key and its route."""
+class _RequestHead:
+    """What the head of a request says: tenant, number of the client's try, idempotency key and route."""
 
     tenant: Tenant
-    turn: int
+    try_number: int
     key: str
     match: Match
 
 
-def _read_head(*, event: RequestReceived, plan: Plan) -> _Head | Refusal:
-    """Tenant, turn, idempotency key and route of a request, or why it has none."""
-    if event.method not in KNOWN:
+def _read_head(*, event: RequestReceived, plan: Plan) -> _RequestHead | Refusal:
+    """Read the tenant, number of the try, idempotency key and route; a refusal if one is missing or invalid."""
+    if event.method not in KNOWN_METHODS:
         return Refusal(code=405, reason="method-unknown", detail=event.method[:40])
     tenant = plan.tenants.get(event.headers.get("sailward-tenant", ""))
     if tenant is None:
         return Refusal(code=400, reason="tenant-unknown", detail="give Sailward-Tenant, a tenant's name")
-    turn = _read_turn(text=event.headers.get("sailward-try", ""))
-    if turn is None:
+    try_number = _read_try_number(text=event.headers.get("sailward-try", ""))
+    if try_number is None:
         return Refusal(code=400, reason="try-ill-formed", detail="Sailward-Try is a number from 1")
     key = event.headers.get("idempotency-key", "")
     if len(key) > 255:
@@ -169,48 +171,48 @@
     match = plan.match(path=event.path, method=event.method, tenant=tenant.name)
     if match is None:
         return Refusal(code=404, reason="unmatched", detail=event.path[:200])
-    if event.method not in SAFE and not key:
+    if event.method not in SAFE_METHODS and not key:
         return Refusal(code=428, reason="key-missing", detail="an unsafe exchange needs an Idempotency-Key")
-    return _Head(tenant=tenant, turn=turn, key=key, match=match)
+    return _RequestHead(tenant=tenant, try_number=try_number, key=key, match=match)
 
 
-def part_of(*, path: str, match: Match) -> str:
-    """The key of a divided service in a path: its first part behind the matched one."""
+def shard_key_of(*, path: str, match: Match) -> str:
+    """The key of a sharded service in a path: the first segment after the matched prefix."""
     return path[len(match.path.rstrip("/")) :].strip("/").split("/")[0]
 
 
-def refit_exchange(*, exchange: ProxiedRequest, plan: Plan) -> Refusal | None:
-    """Match again under the configuration in force: a later one may be since the exchange was taken."""
-    if exchange.plan == plan.number:
+def rematch_request(*, request: ProxiedRequest, plan: Plan) -> Refusal | None:
+    """Match again under the configuration in force, which may have changed since the request was received."""
+    if request.plan_number == plan.number:
         return None
-    tenant = plan.tenants.get(exchange.tenant.name)
-    match = plan.match(path=exchange.raw_path, method=exchange.method, tenant=exchange.tenant.name)
+    tenant = plan.tenants.get(request.tenant.name)
+    match = plan.match(path=request.raw_path, method=request.method, tenant=request.tenant.name)
     if tenant is None or match is None:
         return Refusal(code=404, reason="unmatched", detail="the configuration changed meanwhile")
     service = plan.services[plan.pools[match.shares[0][0]].service]
-    if service.slots and not exchange.part:
+    if service.slots and not request.shard_key:
         return Refusal(code=400, reason="part-missing", detail="the service is divided now")
-    exchange.tenant, exchange.match, exchange.service, exchange.plan = tenant, match, service, plan.number
-    if exchange.pool not in {name for name, weight in match.shares if weight}:
-        exchange.pool = ""
+    request.tenant, request.match, request.service, request.plan_number = tenant, match, service, plan.number
+    if request.pool not in {name for name, weight in match.shares if weight}:
+        request.pool = ""
     return None
 
 
-def is_promise_safe(*, event: RequestReceived) -> bool:
-    """May `not-run` be said of an exchange that this proxy did not send on?
+def may_promise_not_run(*, event: RequestReceived) -> bool:
+    """May the client be told `not-run` for a request that this proxy did not forward?
 
-    Of a safe one always. Of an unsafe one only if the caller says that it is the first sending:
-    an earlier one may run, or have run, elsewhere.
+    Always for a safe request, or one without an idempotency key. For another one only if the client states that it is
+    the first try: an earlier try may be running, or have run, through another proxy.
     """
     return (
-        event.method in SAFE
+        event.method in SAFE_METHODS
         or event.headers.get("sailward-try", "") == "1"
         or not event.headers.get("idempotency-key", "")
     )
 
 
 def answer_refusal(*, token: str, refusal: Refusal, not_run: bool) -> Respond:
-    """The final result of an exchange that is given up: whether it ran, and when to come back."""
+    """The final response to a request that is given up: whether it ran, and when to retry."""
     body = {"error": refusal.reason, "detail": refusal.detail, "ran": "not-run" if not_run else "unknown"}
     if refusal.state:
         body["state"] = refusal.state
@@ -221,7 +223,7 @@
 
 
 def answer_json(*, token: str, code: int, body: object, headers: dict | None = None) -> Respond:
-    """A result in JSON."""
+    """A JSON response."""
     return Respond(
         token=token,
         code=code,
@@ -230,28 +232,30 @@
     )
 
 
-def headers_onward(*, exchange: ProxiedRequest, worker: str, timeout: float) -> dict:
-    """The headers that go to the worker, which has `timeout` seconds to begin and end."""
+def headers_to_worker(*, request: ProxiedRequest, worker: str, timeout: float) -> dict:
+    """The headers sent to the worker, which has `timeout` seconds to start and finish."""
     headers = {
-        name: value for name, value in exchange.headers.items() if name not in HOP and not name.startswith("sailward-")
+        name: value
+        for name, value in request.headers.items()
+        if name not in HOP_BY_HOP and not name.startswith("sailward-")
     }
     headers |= {
-        "sailward-exchange": exchange.name,
+        "sailward-exchange": request.exchange_id,
         "sailward-worker": worker,
-        "sailward-tenant": exchange.tenant.name,
-        "sailward-service": exchange.service.name,
+        "sailward-tenant": request.tenant.name,
+        "sailward-service": request.service.name,
         "sailward-within": str(int(timeout * 1000)),
     }
-    if exchange.slot >= 0:
+    if request.slot >= 0:
         headers |= {
-            "sailward-key": exchange.part,
-            "sailward-slot": f"{exchange.space}/{exchange.slot}",
-            "sailward-term": str(exchange.term),
+            "sailward-key": request.shard_key,
+            "sailward-slot": f"{request.space}/{request.slot}",
+            "sailward-term": str(request.term),
         }
     return headers
 
 
-def _read_turn(*, text: str) -> int | None:
+def _read_try_number(*, text: str) -> int | None:
     if text == "":
         return 0
     return int(text) if text.isascii() and text.isdigit() and int(text[:9]) > 0 and len(text) < 9 else None
--- a/sailward/routing/proxied_requests.py
+++ b/sailward/routing/proxied_requests.py
@@ -1,4 +1,4 @@
-"""The exchanges under way in a proxy: allow, claim, send on, retry or give up at once."""
+"""Tenant requests in flight in a proxy: admits, claims, forwards, retries, or gives up at once."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from sailward.routing.attempt_budget import LOOKUP, AttemptBudget
 from sailward.routing.fair_queues import FairQueues
 from sailward.routing.idempotency import Claims, Lost, Replayed, Won
-from sailward.routing.idempotency_cache import Memory
+from sailward.routing.idempotency_cache import CachedClaim
 from sailward.routing.load_balancer import LoadBalancer
 from sailward.routing.proxied_request import (
     ProxiedRequest,
     Refusal,
     answer_refusal,
-    headers_onward,
-    is_promise_safe,
-    refit_exchange,
-    take_exchange,
+    build_proxied_request,
+    headers_to_worker,
+    may_promise_not_run,
+    rematch_request,
 )
 from sailward.routing.response_check import Bad, Good, Unsent, WorkerRefused, judge_result
 from sailward.routing.shards_in_use import ShardsInUse
@@ -29,7 +29,7 @@
 
 @dataclass(kw_only=True)
 class ProxiedRequests:
-    """Owner of all exchanges of this proxy. `step` gives (commands, proposer's begins)."""
+    """Owns all tenant requests of this proxy. `step` returns (commands, operations for the proposer to start)."""
 
     identity: str
     load_balancer: LoadBalancer
@@ -37,8 +37,8 @@
     queues: FairQueues = field(default_factory=FairQueues)
     attempt_budget: AttemptBudget = field(default_factory=AttemptBudget)
     live: dict = field(default_factory=dict)
-    sent: dict = field(default_factory=dict)
-    calls: dict = field(default_factory=dict)
+    in_flight: dict = field(default_factory=dict)
+    call_deadlines: dict = field(default_factory=dict)
     tally: Counter = field(default_factory=Counter)
     count: int = 0
     now: float = 0.0
@@ -52,347 +52,348 @@
         event: RequestReceived | CallFinished | OperationFinished | tuple[str, Message] | None,
         acting: bool,
     ) -> tuple[list, list]:
-        """Take an event, the end of an operation, a peek, or None; `acting` says whether the lease is held."""
+        """Process an event, finished operation, peer's message or None (timer tick); `acting`: the lease is held."""
         self.now = now
         if isinstance(event, RequestReceived):
-            return self._arrive(now=now, event=event, acting=acting)
+            return self._on_request(now=now, event=event, acting=acting)
         if isinstance(event, CallFinished):
-            commands, begins = self._return(now=now, event=event, acting=acting)
+            commands, operations = self._on_call_finished(now=now, event=event, acting=acting)
         elif event is None:
-            commands, begins = self._on_timer(now=now, acting=acting), []
+            commands, operations = self._on_timer(now=now, acting=acting), []
             verdicts = self.claims.step(now=now, event=None)[2]
             commands += self._on_verdicts(now=now, verdicts=verdicts, acting=acting)
         else:
-            commands, begins, verdicts = self.claims.step(now=now, event=event)
+            commands, operations, verdicts = self.claims.step(now=now, event=event)
             commands += self._on_verdicts(now=now, verdicts=verdicts, acting=acting)
-        more, others = self._dispatch_waiting(now=now, acting=acting)
-        return commands + more, begins + others
+        dispatched, started = self._dispatch_waiting(now=now, acting=acting)
+        return commands + dispatched, operations + started
 
     def rates(self, *, now: float) -> dict[str, float]:
-        """Exchanges a second sent on for each service, over the last RETRY_BUDGET_WINDOW."""
+        """Requests per s forwarded for each service, averaged over the last RETRY_BUDGET_WINDOW."""
         while self.loads and self.loads[0][0] < now - constants.RETRY_BUDGET_WINDOW:
             self.loads.popleft()
         counts = Counter(service for _, service in self.loads)
         return {service: round(count / constants.RETRY_BUDGET_WINDOW, 1) for service, count in counts.items()}
 
     def busy(self, *, now: float) -> list[str]:
-        """The slots in which something sent on from here may still run."""
-        return self.shards_in_use.labels(now=now, sent=self.sent.values())
+        """Labels of the slots in which a request forwarded by this proxy may still run."""
+        return self.shards_in_use.labels(now=now, sent=self.in_flight.values())
 
-    def leave(self, *, now: float, token: str) -> list[Command]:
-        """Its caller has closed the connection: what is safe, or was not sent, is given up with a final answer.
+    def on_client_disconnected(self, *, now: float, token: str) -> list[Command]:
+        """The client closed the connection: a request that is safe or was not sent is given up with a final response.
 
-        What is unsafe and was sent goes on: its result is kept for the caller's repeat.
+        An unsafe request that was sent continues, and its result is kept for the client's retry.
         """
         self.now = now
-        exchange = self.live.get(token)
-        if exchange is None or (exchange.unsafe and exchange.sent):
+        request = self.live.get(token)
+        if request is None or (request.is_unsafe and request.is_sent):
             return []
-        under_way = [call for call, other in self.sent.items() if other is exchange]
-        for call in under_way:
-            del self.sent[call]
-            self.calls.pop(call, None)
-            self.load_balancer.record_ended(key=exchange.worker)
-            self.shards_in_use.record_abandoned(exchange=exchange)
-        refusal = self._refuse(exchange=exchange, reason="caller-left", detail="its connection was closed")
-        return [*(CancelCall(token=call) for call in under_way), refusal]
+        in_flight = [call for call, other in self.in_flight.items() if other is request]
+        for call in in_flight:
+            del self.in_flight[call]
+            self.call_deadlines.pop(call, None)
+            self.load_balancer.record_ended(key=request.worker)
+            self.shards_in_use.record_abandoned(exchange=request)
+        refusal = self._refuse(request=request, reason="caller-left", detail="its connection was closed")
+        return [*(CancelCall(token=call) for call in in_flight), refusal]
 
-    def _arrive(self, *, now: float, event: RequestReceived, acting: bool) -> tuple[list, list]:
+    def _on_request(self, *, now: float, event: RequestReceived, acting: bool) -> tuple[list, list]:
         self.count += 1
-        taken = take_exchange(
+        request = build_proxied_request(
             event=event,
             plan=self.load_balancer.routing_state.plan,
             now=now,
             name=f"{self.identity}.{self.count}",
             clock=self.load_balancer.routing_state.wall_time(now=now),
         )
-        promise = is_promise_safe(event=event)
-        if not acting and not (isinstance(taken, Refusal) and taken.code == 413):
-            # without a lease even "no such tenant" could be stale news
-            taken = Refusal(code=503, reason="no-lease", detail="this proxy is cut off from the core")
-        if isinstance(taken, Refusal):
-            self._count_refusal(reason=taken.reason)
-            if taken.code == 503 and event.headers.get("sailward-try", "1") == "1":
+        is_not_run = may_promise_not_run(event=event)
+        if not acting and not (isinstance(request, Refusal) and request.code == 413):
+            # without a lease the configuration may be stale, so that even "no such tenant" could be wrong
+            request = Refusal(code=503, reason="no-lease", detail="this proxy is cut off from the core")
+        if isinstance(request, Refusal):
+            self._count_refusal(reason=request.reason)
+            if request.code == 503 and event.headers.get("sailward-try", "1") == "1":
                 self.attempt_budget.credit(now=now)
-            return [answer_refusal(token=event.token, refusal=taken, not_run=promise)], []
-        memory = self.claims.memory.by_digest.get(taken.digest) if taken.key else None
-        is_replay = memory is not None and memory.state != "unsent"
-        refusal = self._charge(now=now, exchange=taken, memory=memory, is_replay=is_replay)
+            return [answer_refusal(token=event.token, refusal=request, not_run=is_not_run)], []
+        cached = self.claims.cache.by_digest.get(request.digest) if request.key else None
+        is_replay = cached is not None and cached.state != "unsent"
+        refusal = self._charge_budget(now=now, request=request, cached=cached, is_replay=is_replay)
         if refusal is not None:
             return [refusal], []
-        self.live[taken.token] = taken
+        self.live[request.token] = request
         if is_replay or (
-            len(self.sent) < constants.MAX_OPEN_EXCHANGES and not self.queues.waits(name=taken.queue_name)
+            len(self.in_flight) < constants.MAX_OPEN_EXCHANGES and not self.queues.has_items(name=request.queue_name)
         ):
-            dispatched = self._dispatch(now=now, exchange=taken)
+            dispatched = self._dispatch(now=now, request=request)
             if dispatched is not None:
                 return dispatched
-        taken.state = "waiting"
-        if not self.queues.step(name=taken.queue_name, item=taken.token, share=taken.tenant.share):
-            return [self._refuse(exchange=taken, reason="line-full", detail="this tenant's line is full")], []
+        request.state = "waiting"
+        if not self.queues.step(name=request.queue_name, item=request.token, share=request.tenant.share):
+            return [self._refuse(request=request, reason="line-full", detail="this tenant's line is full")], []
         return [], []
 
-    def _charge(
-        self, *, now: float, exchange: ProxiedRequest, memory: Memory | None, is_replay: bool
+    def _charge_budget(
+        self, *, now: float, request: ProxiedRequest, cached: CachedClaim | None, is_replay: bool
     ) -> Respond | None:
-        """Charge the request to the budget of attempts; the refusal if it is spent, or its claim may be lost."""
-        is_repeat = exchange.turn > 1 or (memory is not None and memory.state == "unsent")
+        """Charge the request to the attempt budget; the refusal if that is spent or the claim may have been lost."""
+        is_repeat = request.try_number > 1 or (cached is not None and cached.state == "unsent")
         if is_replay:
-            exchange.paid = ""
-        elif exchange.unsafe and is_repeat and memory is None:
-            # a repeat whose claim is not known here swells nothing until it is sent on
-            exchange.paid = self.attempt_budget.lookup(now=now)
+            request.charged_to = ""
+        elif request.is_unsafe and is_repeat and cached is None:
+            # a retry whose claim is not known here adds no load on workers until it is forwarded
+            request.charged_to = self.attempt_budget.lookup(now=now)
         else:
-            exchange.paid = self.attempt_budget.step(now=now, first=not is_repeat, caller=True)
-        if not is_replay and not exchange.paid:
+            request.charged_to = self.attempt_budget.step(now=now, is_first=not is_repeat, is_client_retry=True)
+        if not is_replay and not request.charged_to:
             detail = "repeats are over their share of the traffic"
-            return self._refuse(exchange=exchange, reason="too-many-repeats", detail=detail)
-        is_unclaimed_repeat = exchange.unsafe and memory is None and exchange.turn != 1
+            return self._refuse(request=request, reason="too-many-repeats", detail=detail)
+        is_unclaimed_repeat = request.is_unsafe and cached is None and request.try_number != 1
         if is_unclaimed_repeat and self.load_balancer.routing_state.has_unknown_outcomes(now=now):
-            detail = (
-                "the core lost claims: an exchange that may have been "
-                "sent before is not sent on until their life is over"
-            )
-            return self._refuse(exchange=exchange, reason="claims-in-doubt", detail=detail)
+            detail = "the core lost claims: an exchange that may have been sent before is not sent on until their life is over"
+            return self._refuse(request=request, reason="claims-in-doubt", detail=detail)
         return None
 
-    def _dispatch(self, *, now: float, exchange: ProxiedRequest) -> tuple[list, list] | None:
-        """Choose, claim if it must be, send on; None if it must wait for room at a worker."""
-        if not self.claims.remembers(exchange=exchange):
-            choice = self._choose(now=now, exchange=exchange)
+    def _dispatch(self, *, now: float, request: ProxiedRequest) -> tuple[list, list] | None:
+        """Select a worker, claim the key if the request is unsafe, and forward; None to wait for worker capacity."""
+        if not self.claims.may_have_forwarded(request=request):
+            choice = self._select_worker(now=now, request=request)
             if isinstance(choice, Refusal):
-                return None if choice.reason == "no-room" else ([self._refuse(exchange=exchange, refusal=choice)], [])
-        if exchange.unsafe and not exchange.claim:
-            exchange.state = "claiming"
-            commands, begins, verdicts = self.claims.step(now=now, event=exchange)
-            return commands + self._on_verdicts(now=now, verdicts=verdicts, acting=True), begins
-        return self._forward(now=now, exchange=exchange), []
+                return None if choice.reason == "no-room" else ([self._refuse(request=request, refusal=choice)], [])
+        if request.is_unsafe and not request.has_claim:
+            request.state = "claiming"
+            commands, operations, verdicts = self.claims.step(now=now, event=request)
+            return commands + self._on_verdicts(now=now, verdicts=verdicts, acting=True), operations
+        return self._forward(now=now, request=request), []
 
-    def _choose(self, *, now: float, exchange: ProxiedRequest) -> Refusal | None:
-        refusal = refit_exchange(exchange=exchange, plan=self.load_balancer.routing_state.plan)
-        choice = refusal or self.load_balancer.step(now=now, exchange=exchange)
+    def _select_worker(self, *, now: float, request: ProxiedRequest) -> Refusal | None:
+        refusal = rematch_request(request=request, plan=self.load_balancer.routing_state.plan)
+        choice = refusal or self.load_balancer.step(now=now, exchange=request)
         if isinstance(choice, Refusal):
             return choice
-        exchange.chosen = choice
+        request.selected_worker = choice
         return None
 
-    def _forward(self, *, now: float, exchange: ProxiedRequest) -> list[Command]:
-        plan_moved = exchange.plan != self.load_balancer.routing_state.plan.number
-        if exchange.chosen is None or plan_moved or not self.load_balancer.is_choice_valid(exchange=exchange):
-            refusal = self._choose(now=now, exchange=exchange)
+    def _forward(self, *, now: float, request: ProxiedRequest) -> list[Command]:
+        has_plan_changed = request.plan_number != self.load_balancer.routing_state.plan.number
+        if (
+            request.selected_worker is None
+            or has_plan_changed
+            or not self.load_balancer.is_choice_valid(exchange=request)
+        ):
+            refusal = self._select_worker(now=now, request=request)
             if refusal is not None:
-                return [self._refuse(exchange=exchange, refusal=refusal)]
-        worker, exchange.chosen = exchange.chosen, None
-        if exchange.attempts == 0:
+                return [self._refuse(request=request, refusal=refusal)]
+        worker, request.selected_worker = request.selected_worker, None
+        if request.attempts == 0:
             self.tally["sent-on"] += 1
-        exchange.attempts += 1
-        exchange.worker, exchange.state, exchange.sent = worker.key, "sent", True
-        exchange.tried.add(worker.key)
+        request.attempts += 1
+        request.worker, request.state, request.is_sent = worker.key, "sent", True
+        request.tried_workers.add(worker.key)
         self.load_balancer.record_sent(key=worker.key)
-        token = f"x {exchange.name} {exchange.attempts}"
-        self.sent[token] = exchange
-        left = max(0.05, exchange.expiry - now)
-        timeout = left if exchange.unsafe or exchange.attempts >= constants.MAX_ATTEMPTS else left / 2
-        exchange.sent_at = now
-        self.loads.append((now, exchange.service.name))
-        self.calls[token] = now + timeout + constants.QUEUE_TIMEOUT
-        most = min(timeout, exchange.service.expiry)
+        token = f"x {request.exchange_id} {request.attempts}"
+        self.in_flight[token] = request
+        time_left = max(0.05, request.expires_at - now)
+        timeout = time_left if request.is_unsafe or request.attempts >= constants.MAX_ATTEMPTS else time_left / 2
+        request.sent_at = now
+        self.loads.append((now, request.service.name))
+        self.call_deadlines[token] = now + timeout + constants.QUEUE_TIMEOUT
+        worker_timeout = min(timeout, request.service.expiry)
         return [
             StartCall(
                 token=token,
                 owner=worker.key,
                 address=worker.address,
-                method=exchange.method,
-                path=exchange.path,
-                headers=headers_onward(exchange=exchange, worker=worker.key, timeout=most),
-                body=exchange.body,
-                timeout=most,
-                fresh=exchange.unsafe,
+                method=request.method,
+                path=request.path,
+                headers=headers_to_worker(request=request, worker=worker.key, timeout=worker_timeout),
+                body=request.body,
+                timeout=worker_timeout,
+                fresh=request.is_unsafe,
             )
         ]
 
     def _on_verdicts(self, *, now: float, verdicts: list, acting: bool) -> list[Command]:
         commands: list[Command] = []
         for verdict in verdicts:
-            exchange = verdict.exchange
+            request = verdict.request
             if isinstance(verdict, Won):
-                exchange.claim = 1
-                if exchange.paid == LOOKUP:
-                    exchange.paid = self.attempt_budget.step(now=now, first=False, caller=True)
-                    if not exchange.paid and not exchange.answered:
+                request.has_claim = True
+                if request.charged_to == LOOKUP:
+                    request.charged_to = self.attempt_budget.step(now=now, is_first=False, is_client_retry=True)
+                    if not request.charged_to and not request.is_answered:
                         commands.append(
                             self._refuse(
-                                exchange=exchange,
+                                request=request,
                                 reason="too-many-repeats",
                                 detail="repeats are over their share of the traffic",
                             )
                         )
                         continue
-                if exchange.answered or not acting or now >= exchange.expiry:
-                    self._unsend(exchange=exchange)
-                    if not exchange.answered:
-                        commands.append(
-                            self._refuse(exchange=exchange, reason="no-lease", detail="lost while claiming")
-                        )
+                if request.is_answered or not acting or now >= request.expires_at:
+                    self._mark_unsent(request=request)
+                    if not request.is_answered:
+                        commands.append(self._refuse(request=request, reason="no-lease", detail="lost while claiming"))
                 else:
-                    commands += self._forward(now=now, exchange=exchange)
-            elif exchange.answered:
+                    commands += self._forward(now=now, request=request)
+            elif request.is_answered:
                 continue
             elif isinstance(verdict, Replayed):
                 commands.append(
-                    self._answer(
-                        exchange=exchange,
+                    self._respond(
+                        request=request,
                         code=verdict.code,
                         body=verdict.body,
                         headers={**verdict.headers, "Sailward-Repeat": "kept"},
                     )
                 )
             elif isinstance(verdict, Lost):
-                commands.append(self._refuse(exchange=exchange, refusal=verdict.refusal))
+                commands.append(self._refuse(request=request, refusal=verdict.refusal))
         return commands
 
-    def _return(self, *, now: float, event: CallFinished, acting: bool) -> tuple[list, list]:
-        exchange = self.sent.pop(event.token, None)
-        self.calls.pop(event.token, None)
-        if exchange is None:
+    def _on_call_finished(self, *, now: float, event: CallFinished, acting: bool) -> tuple[list, list]:
+        request = self.in_flight.pop(event.token, None)
+        self.call_deadlines.pop(event.token, None)
+        if request is None:
             return [], []
-        self.load_balancer.record_ended(key=exchange.worker)
-        verdict = judge_result(exchange=exchange, event=event)
-        if isinstance(verdict, Good) and not self._retry_elsewhere(exchange=exchange, verdict=verdict):
-            return self._finish(exchange=exchange, verdict=verdict), []
+        self.load_balancer.record_ended(key=request.worker)
+        verdict = judge_result(request=request, event=event)
+        if isinstance(verdict, Good) and not self._retry_elsewhere(request=request, verdict=verdict):
+            return self._finish(request=request, verdict=verdict), []
         commands = (
-            [] if isinstance(verdict, Good) else self._update_worker_health(now=now, exchange=exchange, verdict=verdict)
+            [] if isinstance(verdict, Good) else self._update_worker_health(now=now, request=request, verdict=verdict)
         )
-        ran = self._record_verdict(exchange=exchange, verdict=verdict)
-        if exchange.answered:
-            if exchange.unsafe and not ran:
-                self._unsend(exchange=exchange)
+        must_not_rerun = self._record_verdict(request=request, verdict=verdict)
+        if request.is_answered:
+            if request.is_unsafe and not must_not_rerun:
+                self._mark_unsent(request=request)
             return commands, []
-        may_retry = not ran and acting and exchange.attempts < constants.MAX_ATTEMPTS and now < exchange.expiry
-        if may_retry and self.attempt_budget.step(now=now, first=False):
+        may_retry = (
+            not must_not_rerun and acting and request.attempts < constants.MAX_ATTEMPTS and now < request.expires_at
+        )
+        if may_retry and self.attempt_budget.step(now=now, is_first=False):
             self.tally["tried-again"] += 1
-            return commands + self._forward(now=now, exchange=exchange), []
+            return commands + self._forward(now=now, request=request), []
         if isinstance(verdict, Good):
-            return commands + self._finish(exchange=exchange, verdict=verdict), []
+            return commands + self._finish(request=request, verdict=verdict), []
         code = 504 if getattr(verdict, "reason", "") == "timed-out" else 502
         refusal = Refusal(code=code if isinstance(verdict, Bad) else 503, reason="worker-failed", detail=verdict.reason)
-        return [*commands, self._refuse(exchange=exchange, refusal=refusal)], []
+        return [*commands, self._refuse(request=request, refusal=refusal)], []
 
-    def _record_verdict(self, *, exchange: ProxiedRequest, verdict: object) -> bool:
-        """Keep what the verdict says of the exchange; True if it is unsafe and may have run without a whole answer."""
-        ran = exchange.unsafe and isinstance(verdict, Bad)
-        exchange.may_have_run = exchange.may_have_run or isinstance(verdict, (Bad, Good))
+    def _record_verdict(self, *, request: ProxiedRequest, verdict: object) -> bool:
+        """Record the outcome of an attempt; True if the request is unsafe and may have run without a full response."""
+        must_not_rerun = request.is_unsafe and isinstance(verdict, Bad)
+        request.may_have_run = request.may_have_run or isinstance(verdict, (Bad, Good))
         if isinstance(verdict, Bad):
-            self.shards_in_use.record_abandoned(exchange=exchange)
-        if ran:
-            memory = self.claims.memory.by_digest.get(exchange.digest)
-            if memory is not None:
-                memory.state = "unknown"
+            self.shards_in_use.record_abandoned(exchange=request)
+        if must_not_rerun:
+            cached = self.claims.cache.by_digest.get(request.digest)
+            if cached is not None:
+                cached.state = "unknown"
         elif isinstance(verdict, (Unsent, WorkerRefused)):
-            exchange.sent = exchange.may_have_run
-        return ran
+            request.is_sent = request.may_have_run
+        return must_not_rerun
 
-    def _retry_elsewhere(self, *, exchange: ProxiedRequest, verdict: Good) -> bool:
+    def _retry_elsewhere(self, *, request: ProxiedRequest, verdict: Good) -> bool:
         return (
-            not exchange.unsafe
+            not request.is_unsafe
             and verdict.code in (502, 503, 504)
-            and not exchange.answered
-            and exchange.attempts < constants.MAX_ATTEMPTS
+            and not request.is_answered
+            and request.attempts < constants.MAX_ATTEMPTS
         )
 
-    def _update_worker_health(self, *, now: float, exchange: ProxiedRequest, verdict: object) -> list[Command]:
+    def _update_worker_health(self, *, now: float, request: ProxiedRequest, verdict: object) -> list[Command]:
         event = {"Unsent": "refused"}.get(type(verdict).__name__, "")
         if isinstance(verdict, Bad):
             event = "stranger" if verdict.stranger else "fail"
         commands = (
-            self.load_balancer.routing_state.prober.record_event(now=now, key=exchange.worker, event=event)
+            self.load_balancer.routing_state.prober.record_event(now=now, key=request.worker, event=event)
             if event
             else []
         )
-        fields = {"exchange": exchange.name, "worker": exchange.worker, "reason": verdict.reason}
+        fields = {"exchange": request.exchange_id, "worker": request.worker, "reason": verdict.reason}
         return [*commands, LogEvent(event="forwarding-failed", fields=fields)]
 
-    def _finish(self, *, exchange: ProxiedRequest, verdict: Good) -> list[Command]:
+    def _finish(self, *, request: ProxiedRequest, verdict: Good) -> list[Command]:
         commands = (
-            self.claims.finish(exchange=exchange, code=verdict.code, headers=verdict.headers, body=verdict.body)
-            if exchange.unsafe
+            self.claims.finish(request=request, code=verdict.code, headers=verdict.headers, body=verdict.body)
+            if request.is_unsafe
             else []
         )
-        if exchange.answered:
+        if request.is_answered:
             return commands
         return [
             *commands,
-            self._answer(exchange=exchange, code=verdict.code, headers=verdict.headers, body=verdict.body),
+            self._respond(request=request, code=verdict.code, headers=verdict.headers, body=verdict.body),
         ]
 
-    def _answer(self, *, exchange: ProxiedRequest, code: int, headers: dict, body: bytes) -> Respond:
+    def _respond(self, *, request: ProxiedRequest, code: int, headers: dict, body: bytes) -> Respond:
         self.tally["answered"] += 1
-        exchange.answered = True
-        self.live.pop(exchange.token, None)
-        return Respond(token=exchange.token, code=code, body=body, headers=headers)
+        request.is_answered = True
+        self.live.pop(request.token, None)
+        return Respond(token=request.token, code=code, body=body, headers=headers)
 
     def _refuse(
-        self, *, exchange: ProxiedRequest, reason: str = "", detail: str = "", refusal: Refusal | None = None
+        self, *, request: ProxiedRequest, reason: str = "", detail: str = "", refusal: Refusal | None = None
     ) -> Respond:
         refusal = refusal or Refusal(code=503, reason=reason, detail=detail)
         self._count_refusal(reason=refusal.reason)
-        if exchange.paid and exchange.attempts == 0:
-            self.attempt_budget.refund(now=self.now, paid=exchange.paid, swells=refusal.code != 503)
-            exchange.paid = ""
-        if exchange.state == "waiting":
-            self.queues.drop(item=exchange.token)
-        if exchange.claim and not exchange.sent:
-            self._unsend(exchange=exchange)
-        exchange.answered = True
-        self.live.pop(exchange.token, None)
-        promise = not exchange.sent and (not exchange.unsafe or exchange.turn == 1) and not refusal.state
-        return answer_refusal(token=exchange.token, refusal=refusal, not_run=promise)
+        if request.charged_to and request.attempts == 0:
+            self.attempt_budget.refund(now=self.now, charged_to=request.charged_to, adds_load=refusal.code != 503)
+            request.charged_to = ""
+        if request.state == "waiting":
+            self.queues.drop(item=request.token)
+        if request.has_claim and not request.is_sent:
+            self._mark_unsent(request=request)
+        request.is_answered = True
+        self.live.pop(request.token, None)
+        is_not_run = not request.is_sent and (not request.is_unsafe or request.try_number == 1) and not refusal.state
+        return answer_refusal(token=request.token, refusal=refusal, not_run=is_not_run)
 
-    def _unsend(self, *, exchange: ProxiedRequest) -> None:
-        memory = self.claims.memory.by_digest.get(exchange.digest)
-        if memory is not None and memory.state == "running":
-            memory.state = "unsent"
+    def _mark_unsent(self, *, request: ProxiedRequest) -> None:
+        cached = self.claims.cache.by_digest.get(request.digest)
+        if cached is not None and cached.state == "running":
+            cached.state = "unsent"
 
     def _count_refusal(self, *, reason: str) -> None:
         self.tally[f"refused-{reason}"] += 1
 
     def _dispatch_waiting(self, *, now: float, acting: bool) -> tuple[list, list]:
-        commands, begins, blocked = [], [], set()
-        while acting and len(self.sent) < constants.MAX_OPEN_EXCHANGES:
-            turn = self.queues.take(blocked=blocked)
-            if turn is None:
+        commands, operations, blocked = [], [], set()
+        while acting and len(self.in_flight) < constants.MAX_OPEN_EXCHANGES:
+            queued = self.queues.take(blocked=blocked)
+            if queued is None:
                 break
-            exchange = self.live.get(turn[1])
-            if exchange is None:
+            request = self.live.get(queued[1])
+            if request is None:
                 continue
-            dispatched = self._dispatch(now=now, exchange=exchange)
+            dispatched = self._dispatch(now=now, request=request)
             if dispatched is None:
-                self.queues.put_back(name=turn[0], item=turn[1])
-                blocked.add(turn[0])
+                self.queues.put_back(name=queued[0], item=queued[1])
+                blocked.add(queued[0])
                 continue
-            commands, begins = commands + dispatched[0], begins + dispatched[1]
-        return commands, begins
+            commands, operations = commands + dispatched[0], operations + dispatched[1]
+        return commands, operations
 
     def _on_timer(self, *, now: float, acting: bool) -> list[Command]:
         commands: list[Command] = []
-        for exchange in list(self.live.values()):
-            if exchange.state == "waiting" and (not acting or now - exchange.arrived >= constants.QUEUE_TIMEOUT):
+        for request in list(self.live.values()):
+            if request.state == "waiting" and (not acting or now - request.arrived_at >= constants.QUEUE_TIMEOUT):
                 reason = "no-room" if acting else "no-lease"
                 commands.append(
                     self._refuse(
-                        exchange=exchange,
+                        request=request,
                         reason=reason,
                         detail="every worker that may serve is at its bound"
                         if acting
                         else "this proxy is cut off from the core",
                     )
                 )
-            elif now >= exchange.expiry:
+            elif now >= request.expires_at:
                 refusal = Refusal(code=504, reason="expired")
-                commands.append(self._refuse(exchange=exchange, refusal=refusal))
-        for token, end in list(self.calls.items()):
-            if now >= end:
-                # its end was lost on the way; what came of it is not known
-                lost = CallFinished(token=token, code=0, headers={}, body=b"", fault="timed-out", sent=True)
-                commands += self._return(now=now, event=lost, acting=False)[0]
+                commands.append(self._refuse(request=request, refusal=refusal))
+        for token, deadline in list(self.call_deadlines.items()):
+            if now >= deadline:
+                # the end of the call was never reported; whether the request ran is unknown
+                timed_out = CallFinished(token=token, code=0, headers={}, body=b"", fault="timed-out", sent=True)
+                commands += self._on_call_finished(now=now, event=timed_out, acting=False)[0]
         return commands
--- a/sailward/routing/request.py
+++ b/sailward/routing/request.py
@@ -1,4 +1,4 @@
-"""One request of a caller on its way through a proxy, by the route that it matched."""
+"""One client request on its way through a proxy, with the route that it matched."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from sailward.routing.proxied_request import Refusal
 from sailward.wire_names import WireNames
 
-HOP = frozenset(
+HOP_BY_HOP = frozenset(
     {
         "connection",
         "keep-alive",
@@ -30,47 +30,47 @@
 
 @dataclass(kw_only=True)
 class Attempt:
-    """One sending-on of a request."""
+    """One attempt to run a request at a worker."""
 
     worker: str
-    at: float
-    overtaken: int = 0
+    started_at: float
+    overtaken_count: int = 0
 
 
 @dataclass(kw_only=True)
 class Request:
-    """One request under way; all times in s of the owner's clock."""
+    """One request in flight; all times in s of the owner's clock."""
 
     token: str
-    name: str
+    exchange_id: str
     method: str
     target: str
     headers: dict
     body: bytes
     match: Match
     service: Service
-    arrived: float
-    expiry: float
+    arrived_at: float
+    expires_at: float
     key: int = -1
-    sent: int = 0
-    unsent: int = 0
-    ran: bool = False
-    is_left: bool = False
-    is_drawn: bool = False
-    waits_since: float = -1.0
+    attempts_sent: int = 0
+    attempts_unsent: int = 0
+    may_have_run: bool = False
+    is_client_gone: bool = False
+    is_service_drawn: bool = False
+    waiting_since: float = -1.0
     hedge_at: float = float("inf")
     attempts: dict = field(default_factory=dict)
-    tried: set = field(default_factory=set)
-    rejected: set = field(default_factory=set)
+    tried_workers: set = field(default_factory=set)
+    rejected_by: set = field(default_factory=set)
 
     @property
     def max_attempts(self) -> int:
-        """Workers to which it may be sent at the most."""
+        """Maximum number of workers to which it may be sent."""
         return self.match.max_attempts or constants.MAX_ATTEMPTS
 
 
-def take_request(*, event: RequestReceived, plan: Plan, now: float, names: WireNames) -> Request | Refusal:
-    """The request that a caller made, or why it can't be one."""
+def build_request(*, event: RequestReceived, plan: Plan, now: float, names: WireNames) -> Request | Refusal:
+    """Build the request that a client sent, or the refusal if it can't be accepted."""
     if not plan.number:
         return Refusal(code=503, reason="no-configuration")
     host = event.headers.get("host", "").rsplit(":", 1)[0].lower()
@@ -78,37 +78,39 @@
     if match is None:
         return Refusal(code=404, reason="unmatched")
     service = plan.services[plan.pools[match.shares[0][0]].service]
-    given = event.headers.get(names.time_budget, "")
-    within = (
-        int(given) / 1000
-        if given.isascii() and given.isdigit() and len(given) < 10
+    timeout_text = event.headers.get(names.time_budget, "")
+    timeout = (
+        int(timeout_text) / 1000
+        if timeout_text.isascii() and timeout_text.isdigit() and len(timeout_text) < 10
         else constants.DEFAULT_REQUEST_TIMEOUT
     )
-    key = event.headers.get(names.shard_key, "")
-    number = (
-        int(key) if key.isascii() and key.isdigit() and len(key) < 6 and int(key) <= constants.MAX_SHARD_KEY else -1
+    key_text = event.headers.get(names.shard_key, "")
+    key = (
+        int(key_text)
+        if key_text.isascii() and key_text.isdigit() and len(key_text) < 6 and int(key_text) <= constants.MAX_SHARD_KEY
+        else -1
     )
     return Request(
         token=event.token,
-        name=event.headers.get(names.exchange_id, ""),
+        exchange_id=event.headers.get(names.exchange_id, ""),
         method=event.method,
         target=event.target,
         headers=event.headers,
         body=event.body or b"",
         match=match,
         service=service,
-        arrived=now,
-        key=number,
-        expiry=now + max(0.0, min(within, match.expiry or constants.DEFAULT_REQUEST_TIMEOUT)),
+        arrived_at=now,
+        key=key,
+        expires_at=now + max(0.0, min(timeout, match.expiry or constants.DEFAULT_REQUEST_TIMEOUT)),
     )
 
 
-def headers_to_worker(*, request: Request, worker: str, within: float, names: WireNames) -> dict:
-    """The caller's headers but those of one connection, with the time left and the worker that is meant."""
-    headers = {name: value for name, value in request.headers.items() if name not in HOP}
-    return {**headers, names.time_budget: str(max(1, int(within * 1000))), names.expected_worker: worker}
+def headers_to_worker(*, request: Request, worker: str, time_left: float, names: WireNames) -> dict:
+    """The client's headers without the hop-by-hop ones, plus the time left and the intended worker."""
+    headers = {name: value for name, value in request.headers.items() if name not in HOP_BY_HOP}
+    return {**headers, names.time_budget: str(max(1, int(time_left * 1000))), names.expected_worker: worker}
 
 
 def headers_to_caller(*, headers: dict) -> dict:
-    """The worker's headers but those of one connection."""
-    return {name: value for name, value in headers.items() if name not in HOP}
+    """The worker's headers without the hop-by-hop ones."""
+    return {name: value for name, value in headers.items() if name not in HOP_BY_HOP}
--- a/sailward/routing/result_replicas.py
+++ b/sailward/routing/result_replicas.py
@@ -1,4 +1,4 @@
-"""Copies of results that other proxies gave: a patient caller learns of its order though its proxy is gone."""
+"""Replicas of other proxies' results: a client that retries gets its result even if the first proxy is gone."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Peer:
-    """Another proxy that is fit."""
+    """Another proxy that can store replicas of results."""
 
     name: str
     post: str
@@ -22,10 +22,10 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Copy:
-    """One result of another proxy, by the number of its claim."""
+class ResultCopy:
+    """One result of another proxy, with the number of its claim."""
 
-    at: float
+    stored_at: float
     number: int
     fingerprint: str
     homes: frozenset
@@ -36,18 +36,18 @@
 
 @dataclass(kw_only=True)
 class ResultReplicas:
-    """Owner of the copies, bounded by age and bytes. `step` takes a copy, or None for time going on."""
+    """Owns the replicas, bounded by age and bytes. `step` takes a replica's message, or None for a timer tick."""
 
     region: str
     replicas: OrderedDict = field(default_factory=OrderedDict)
-    size: int = 0
+    stored_bytes: int = 0
 
     def step(self, *, now: float, event: dict | None) -> None:
-        """Keep one if this place may, let old ones go."""
-        if event is not None and may_keep(region=self.region, homes=frozenset(event["homes"])):
+        """Store a replica if this region may, and evict old ones."""
+        if event is not None and may_store(region=self.region, homes=frozenset(event["homes"])):
             self._drop(digest=event["key"])
-            self.replicas[event["key"]] = Copy(
-                at=now,
+            self.replicas[event["key"]] = ResultCopy(
+                stored_at=now,
                 number=event["number"],
                 fingerprint=event["print"],
                 code=event["code"],
@@ -55,47 +55,50 @@
                 headers=event["headers"],
                 body=bytes(event["body"]),
             )
-            self.size += len(event["body"])
+            self.stored_bytes += len(event["body"])
         while self.replicas:
             digest, oldest = next(iter(self.replicas.items()))
-            if now - oldest.at < constants.CLAIM_TTL and self.size <= constants.RESULT_REPLICA_CACHE_BYTES:
+            if (
+                now - oldest.stored_at < constants.CLAIM_TTL
+                and self.stored_bytes <= constants.RESULT_REPLICA_CACHE_BYTES
+            ):
                 break
             self._drop(digest=digest)
 
-    def find(self, *, digest: str, number: int) -> Copy | None:
-        """The result of this very claim, if it is kept here."""
+    def find(self, *, digest: str, number: int) -> ResultCopy | None:
+        """The result of exactly this claim, if it is stored here."""
         copy = self.replicas.get(digest)
         return copy if copy is not None and copy.number == number else None
 
     def _drop(self, *, digest: str) -> None:
-        old = self.replicas.pop(digest, None)
-        self.size -= len(old.body) if old else 0
+        replica = self.replicas.pop(digest, None)
+        self.stored_bytes -= len(replica.body) if replica else 0
 
 
-def may_keep(*, region: str, homes: frozenset) -> bool:
-    """May a result of a tenant with these homes be kept in this region?"""
+def may_store(*, region: str, homes: frozenset) -> bool:
+    """May results of a tenant with these home regions be stored in this region?"""
     return not homes or region in homes
 
 
-def spread_copy(
-    *, exchange: ProxiedRequest, number: int, code: int, headers: dict, body: bytes, zone: str, peers: list[Peer]
+def replicate_result(
+    *, request: ProxiedRequest, number: int, code: int, headers: dict, body: bytes, zone: str, peers: list[Peer]
 ) -> list[Command]:
-    """Give the result to the one proxy that hashing names, at home, in another zone if there is one."""
-    homes = exchange.tenant.homes
-    able = [peer for peer in peers if may_keep(region=peer.region, homes=homes)]
-    able = [peer for peer in able if peer.zone != zone] or able
-    if not able or len(body) > constants.MAX_REPLICATED_RESULT_BYTES:
+    """Send the result to one proxy by rendezvous hashing, in a home region and if possible in another zone."""
+    homes = request.tenant.homes
+    eligible = [peer for peer in peers if may_store(region=peer.region, homes=homes)]
+    eligible = [peer for peer in eligible if peer.zone != zone] or eligible
+    if not eligible or len(body) > constants.MAX_REPLICATED_RESULT_BYTES:
         return []
-    posts = {peer.name: peer.post for peer in able}
-    name = choose_names(key=exchange.digest, names=posts, count=1)[0]
+    addresses = {peer.name: peer.post for peer in eligible}
+    name = choose_names(key=request.digest, names=addresses, count=1)[0]
     return [
         SendMessage(
-            to=posts[name],
+            to=addresses[name],
             body={
                 "kind": "keep",
-                "key": exchange.digest,
+                "key": request.digest,
                 "number": number,
-                "print": exchange.fingerprint,
+                "print": request.fingerprint,
                 "homes": sorted(homes),
                 "code": code,
                 "headers": headers,
--- a/sailward/routing/retry_budget.py
+++ b/sailward/routing/retry_budget.py
@@ -1,6 +1,6 @@
-"""The retry budget of a service, of which each proxy has its part.
+"""The retry budget of a service, of which each proxy has a share.
 
-A share of first attempts in a sliding window, and a small floor.
+A ratio of the first attempts in a sliding window, plus a small floor.
 """
 
 from __future__ import annotations
@@ -12,44 +12,46 @@
 
 
 @dataclass(kw_only=True)
-class Account:
-    """What one service was sent in the window."""
+class ServiceAttempts:
+    """Times of the attempts for one service within the window."""
 
-    firsts: deque = field(default_factory=deque)
-    mores: deque = field(default_factory=deque)
+    first_attempts: deque = field(default_factory=deque)
+    further_attempts: deque = field(default_factory=deque)
 
 
 @dataclass(kw_only=True)
 class RetryBudget:
-    """Owner of the counts. `step` counts one sending-on; a further one is allowed or not.
+    """Owns the counts. `step` counts a first attempt, and counts or denies a further one.
 
-    `ratio` and `slack` are the fleet's, over `window` seconds; this proxy has its own firsts times the ratio, and the
-    slack divided by the number of proxies.
+    `ratio` and `slack` apply to the whole fleet, over `window` seconds; this proxy may make as many further attempts as
+    its own first attempts times the ratio, plus the slack divided by the number of proxies.
     """
 
     ratio: float = constants.RETRY_BUDGET_RATIO
     slack: float = constants.RETRY_BUDGET_MINIMUM
     window: float = constants.RETRY_BUDGET_WINDOW
-    accounts: dict = field(default_factory=dict)
-
-    def step(self, *, now: float, service: str, first: bool, proxies: int, is_hedge: bool = False) -> bool:
-        """May it be sent on? What may be is counted; a hedge may take only a small part of what retries may."""
-        account = self.accounts.setdefault(service, Account())
-        self._forget_old(now=now, account=account)
-        if first:
-            account.firsts.append(now)
+    by_service: dict = field(default_factory=dict)
+
+    def step(self, *, now: float, service: str, is_first: bool, proxies: int, is_hedge: bool = False) -> bool:
+        """May the attempt be made? If so, it is counted. Hedges may use only a small part of the retry budget."""
+        attempts = self.by_service.setdefault(service, ServiceAttempts())
+        self._evict_old(now=now, attempts=attempts)
+        if is_first:
+            attempts.first_attempts.append(now)
             return True
         allowance = constants.RETRY_BUDGET_UTILIZATION * (
-            self.ratio * len(account.firsts) + self.slack / max(1, proxies)
+            self.ratio * len(attempts.first_attempts) + self.slack / max(1, proxies)
         )
-        if len(account.mores) + 1 > allowance:
+        if len(attempts.further_attempts) + 1 > allowance:
             return False
-        if is_hedge and len(account.mores) >= constants.HEDGE_BUDGET_RATIO * self.ratio * len(account.firsts):
+        if is_hedge and len(attempts.further_attempts) >= constants.HEDGE_BUDGET_RATIO * self.ratio * len(
+            attempts.first_attempts
+        ):
             return False
-        account.mores.append(now)
+        attempts.further_attempts.append(now)
         return True
 
-    def _forget_old(self, *, now: float, account: Account) -> None:
-        for moments in (account.firsts, account.mores):
-            while moments and moments[0] <= now - self.window:
-                moments.popleft()
+    def _evict_old(self, *, now: float, attempts: ServiceAttempts) -> None:
+        for times in (attempts.first_attempts, attempts.further_attempts):
+            while times and times[0] <= now - self.window:
+                times.popleft()
--- a/simulation/hosted/sabotage.py
+++ b/simulation/hosted/sabotage.py
@@ -45,15 +45,15 @@
 
 def _promises_all(old):
     def give_up(self, *, now, request, refusal):
-        request.ran = False
+        request.may_have_run = False
         return old(self, now=now, request=request, refusal=forwarding.Refusal(code=503, reason=refusal.reason))
 
     return give_up
 
 
 def _without_expect(old):
-    def headers(*, request, worker, within, names):
-        found = old(request=request, worker=worker, within=within, names=names)
+    def headers(*, request, worker, time_left, names):
+        found = old(request=request, worker=worker, time_left=time_left, names=names)
         del found[names.expected_worker]
         return found
 
@@ -80,7 +80,7 @@
 
 def _takes_unmarked(old):
     def judge_reply(*, request, worker, event, names):
-        if event.code in worker_response.PROMISES:
+        if event.code in worker_response.NOT_RUN_CODES:
             return worker_response.WorkerRejected(code=event.code, why="full")
         return old(request=request, worker=worker, event=event, names=names)
 
@@ -89,7 +89,7 @@
 
 def _by_order_alone(old):
     def judge_reply(*, request, worker, event, names):
-        named = replace(event, headers={**event.headers, names.exchange_id: request.name})
+        named = replace(event, headers={**event.headers, names.exchange_id: request.exchange_id})
         return old(request=request, worker=worker, event=named, names=names)
 
     return judge_reply
@@ -160,7 +160,9 @@
     "promise": _all(_patch(forwarding.Forwarder, "_give_up", _promises_all)),
     "promise-mark": _all(_patch(forwarding, "judge_reply", _takes_unmarked)),
     "drain-mark": _all(_patch(endpoint_table.EndpointTable, "replace", _never_leaving)),
-    "departures": _all(_patch(forwarding.Forwarder, "_leave", lambda old: lambda self, *, now, token: [])),
+    "departures": _all(
+        _patch(forwarding.Forwarder, "_on_client_disconnected", lambda old: lambda self, *, now, token: [])
+    ),
     "homes": _all(
         _patch(
             endpoint_selection.EndpointSelector,
@@ -202,7 +204,7 @@
         lambda: mock.patch.object(hosted_calls, "has_other_exchange_id", lambda *, request_id, response_id: False),
         _patch(forwarding, "judge_reply", _by_order_alone),
     ),
-    "fresh": _all(_patch(forwarding.Forwarder, "_call", _on_kept_connections)),
+    "fresh": _all(_patch(forwarding.Forwarder, "_start_attempt", _on_kept_connections)),
     "hang-up": _all(_patch(hosted_calls.Calls, "may_keep", lambda old: lambda self, *, code, is_named: True)),
     "sync": _all(_patch(write_ahead.WriteAhead, "step", _told_unsynced)),
     "majority": _all(_patch(proposer, "majority_of", lambda old: lambda *, members: 1)),
--- a/simulation/sim/sabotage.py
+++ b/simulation/sim/sabotage.py
@@ -52,8 +52,8 @@
 
 
 def _always_won(old):
-    def begin(self, *, now, exchange):
-        return [], [], [idempotency.Won(exchange=exchange)]
+    def begin(self, *, now, request):
+        return [], [], [idempotency.Won(request=request)]
 
     return begin
 
@@ -128,9 +128,9 @@
 
 
 def _any_identity(old):
-    def judge(*, exchange, event):
-        own = {"sailward-worker": exchange.worker, "sailward-exchange": exchange.name}
-        return old(exchange=exchange, event=dataclasses.replace(event, headers={**event.headers, **own}))
+    def judge(*, request, event):
+        own = {"sailward-worker": request.worker, "sailward-exchange": request.exchange_id}
+        return old(request=request, event=dataclasses.replace(event, headers={**event.headers, **own}))
 
     return judge
 
@@ -159,8 +159,8 @@
 
 
 def _bad_is_unsent(old):
-    def judge(*, exchange, event):
-        verdict = old(exchange=exchange, event=event)
+    def judge(*, request, event):
+        verdict = old(request=request, event=event)
         return response_check.Unsent(reason=verdict.reason) if isinstance(verdict, response_check.Bad) else verdict
 
     return judge
@@ -181,20 +181,20 @@
     "hold": _constant("ZONE_HOLD_DOWN", 0.0),
     "grace": _constant("STOP_GRACE", 0.0),
     "sync": _method(write_ahead.WriteAhead, "step", _told_unsynced),
-    "claim": _method(idempotency.Claims, "_begin", _always_won),
+    "claim": _method(idempotency.Claims, "_on_request", _always_won),
     "sticky": _method(endpoint_table.EndpointTable, "step", _forgetful),
     "homes": _method(routing_state.RoutingState, "zone_views", _no_homes),
     "draw-first": _method(load_balancer.LoadBalancer, "step", _by_status),
     "never-older": _method(learner.Learner, "step", _older_too),
     "expected": _method(proposer.Proposer, "_judge_promises", _no_expected),
     "at-most-once": _method(proxied_requests, "judge_result", _bad_is_unsent),
-    "whole-result": _method(response_check, "_find_fault", lambda old: lambda *, exchange, event: ""),
+    "whole-result": _method(response_check, "_find_fault", lambda old: lambda *, request, event: ""),
     "identity": _method(proxied_requests, "judge_result", _any_identity),
     "try-budget": _method(
-        attempt_budget.AttemptBudget, "step", lambda old: lambda self, *, now, first, caller=False: "first"
+        attempt_budget.AttemptBudget, "step", lambda old: lambda self, *, now, is_first, is_client_retry=False: "first"
     ),
     "cold-bound": _method(concurrency_limits.ConcurrencyLimits, "step", lambda old: lambda self, **_: True),
-    "promise": _method(proxied_requests, "is_promise_safe", lambda old: lambda *, event: True),
+    "promise": _method(proxied_requests, "may_promise_not_run", lambda old: lambda *, event: True),
     "check": _method(
         check_module,
         "check_config",
@@ -232,7 +232,7 @@
     "repair": _constant("VOTER_REPLACEMENT_DELAY", 1e9),
     "closing": _method(shard_assignment.ShardAssignment, "_next_state", _opens_at_once),
     "witness": _method(quiescence.Quiescence, "check", lambda old: lambda self, *, closed_slot, slot: None),
-    "refit": _method(proxied_requests, "refit_exchange", lambda old: lambda *, exchange, plan: None),
+    "refit": _method(proxied_requests, "rematch_request", lambda old: lambda *, request, plan: None),
     "lower-start": _method(
         peer_table,
         "_is_newer",
@@ -255,8 +255,8 @@
         shard_assignment.ShardAssignment, "_tiers", lambda old: lambda self, **pool: old(self, **pool)[:2]
     ),
     "abort": _method(network.Network, "delivers", lambda old: lambda self, *, given_up: True),
-    "copies": _method(idempotency, "spread_copy", lambda old: lambda **_: []),
-    "copies-home": _method(result_replicas, "may_keep", lambda old: lambda *, region, homes: True),
+    "copies": _method(idempotency, "replicate_result", lambda old: lambda **_: []),
+    "copies-home": _method(result_replicas, "may_store", lambda old: lambda *, region, homes: True),
     "key-age": _method(exchange_module, "judge_key", lambda old: lambda **_: None),
     "clocks": _method(
         routing_state.RoutingState,
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -77,9 +77,9 @@
     while calls(bench.ask()):
         pass
     [waiting] = bench.forwarder.waiting.values()
-    waiting.is_left = True
+    waiting.is_client_gone = True
     token = next(iter(bench.forwarder.calls))
-    call = mock.Mock(token=token, headers={"x-id": bench.forwarder.calls[token].name})
+    call = mock.Mock(token=token, headers={"x-id": bench.forwarder.calls[token].exchange_id})
     [log] = logs(bench.respond(call=call), event="invariant-violated")
     assert log.fields["invariant"] == "departed-not-served" and violations == {"departed-not-served": 1}
 
@@ -87,7 +87,7 @@
 def test_an_attempt_that_is_not_cancelled_after_the_disconnect_is_a_violation() -> None:
     bench = make_bench()
     bench.ask()
-    with mock.patch.object(Forwarder, "_end", lambda self, *, request: []):
+    with mock.patch.object(Forwarder, "_remove_request", lambda self, *, request: []):
         disconnect(bench, "front 1")
     [log] = logs(bench.advance(constants.TICK_INTERVAL), event="invariant-violated")
     assert log.fields == {"invariant": "departed-not-running", "attempts": 1}
