--- a/sailward/control/shards/shard_leases.py
+++ b/sailward/control/shards/shard_leases.py
@@ -101,7 +101,7 @@
 
     def step(self, *, now: float, event: CallFinished | None) -> StepResult:
         """Step the grants of each divided service; returns (commands, operations to start)."""
-        services = sorted(name for name, service in self._shard_moves.plan.services.items() if service.ranged)
+        services = sorted(name for name, service in self._shard_moves.plan.services.items() if service.is_ranged)
         if event is not None:
             services = [
                 name for name in services if name in self.granting and self.granting[name].is_own(token=event.token)
--- a/sailward/routing/proxied_requests.py
+++ b/sailward/routing/proxied_requests.py
@@ -149,7 +149,8 @@
             return self._refuse(request=request, reason="too-many-repeats", detail=detail)
         is_unclaimed_repeat = request.is_unsafe and cached is None and request.try_number != 1
         if is_unclaimed_repeat and self.load_balancer.routing_state.has_unknown_outcomes(now=now):
-            detail = "the core lost claims: an exchange that may have been sent before is not sent on until their life is over"
+            detail = "the core lost claims: an exchange that may have been sent before "
+            detail += "is not sent on until their life is over"
             return self._refuse(request=request, reason="claims-in-doubt", detail=detail)
         return None
 
