--- a/sailward/control/bootstrap.py
+++ b/sailward/control/bootstrap.py
@@ -1,4 +1,4 @@
-"""Founding a core without an operator: the seeds that all daemons are told alike found it, each by itself."""
+"""Bootstrap of a core without an operator: each seed named in the shared settings founds it independently."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 from sailward.wire_types import RegisterValue
 
 FIRST_START = "0"
-"""The nonce of a founder's identity: the same at every founder, as none of them talks to another."""
+"""The nonce in a founder's identity: a constant, as the founders exchange no messages to agree on one."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Bootstrap:
-    """What the settings say of the core.
+    """The settings of the core.
 
-    `is_first`: the whole system starts for the first time, on empty disks. `posts`: the posts of the seeds in the order
-    of the settings, the same for all. `budget`: machines of the core that may be lost at once.
+    `is_first`: the whole system starts for the first time, on empty disks. `posts`: the seeds' addresses in the order
+    of the settings, the same on all daemons. `budget`: machines of the core that may be lost at once.
     """
 
     is_first: bool
@@ -25,15 +25,15 @@
 
     @property
     def target(self) -> int:
-        """How many voters bear the loss of the budget: never under three."""
+        """How many voters tolerate the loss of `budget` machines: at least three."""
         return max(3, 2 * self.budget + 1)
 
     def founders(self) -> tuple[str, ...]:
-        """The posts that found the core."""
+        """The addresses of the seeds that found the core."""
         return tuple(dict.fromkeys(self.posts))[: self.target]
 
     def is_founder(self, *, post: str) -> bool:
-        """Does the daemon at this post found the core on an empty disk?"""
+        """Does the daemon at this address found the core on an empty disk?"""
         return self.is_first and post in self.founders()
 
     def value(self) -> RegisterValue:
@@ -44,5 +44,5 @@
 
 
 def make_founder(*, post: str) -> str:
-    """A founder's identity: what the others know of it without having heard from it."""
+    """A founder's identity, which the other founders can derive from its address without any message from it."""
     return f"{post}#{FIRST_START}"
--- a/sailward/control/controller.py
+++ b/sailward/control/controller.py
@@ -1,4 +1,4 @@
-"""The whole of a controller: its parts, put together, and which of them each event concerns."""
+"""The controller: builds its parts and dispatches each event to the part that handles it."""
 
 from __future__ import annotations
 
@@ -50,10 +50,10 @@
 
 
 class Controller:
-    """Owner of a controller process. `step` takes one event and gives commands.
+    """Owner of a controller process. `step` takes one event and returns commands.
 
-    It only puts the parts together and hands each event to the part that it concerns; each part is given by name what
-    it needs, and none knows the controller.
+    It only wires the parts together and dispatches events. Each part receives its dependencies by keyword, and none
+    depends on the controller.
     """
 
     def __init__(
@@ -85,7 +85,7 @@
         self._health_updated_at, self._rewrite_tried_at = NEVER, NEVER
 
     def _build_voter(self, *, nonce: str, rng: random.Random, records: list[Record], now: float) -> None:
-        """Votes, learned values, records on the disk, and the proposer of operations on registers."""
+        """Votes, learned values, records on disk, and the proposer of operations on registers."""
         self.voter = Voter(
             location=self.location, nonce=nonce, records=records, now=now, bootstrap=self.options.bootstrap
         )
@@ -93,7 +93,7 @@
         self.proposer = Proposer(identity=self._operation_prefix, rng=rng)
 
     def _build_membership(self, *, now: float) -> None:
-        """The peers heard of by gossip, and who of them votes."""
+        """The peers known by gossip, and which of them vote."""
         options = self.options
         self.peer_table = PeerTable(
             location=self.location,
@@ -125,7 +125,7 @@
         )
 
     def _build_contact(self, *, now: float) -> None:
-        """Contact with a majority, and reads of registers that are behind."""
+        """Contact with a majority, and reads of stale registers."""
         contact = QuorumContact(started=now)
         self._required_contact = contact if self.options.is_mesh else None
         self.catch_up = CatchUp(
@@ -155,7 +155,7 @@
         )
 
     def _build_proxies(self) -> None:
-        """What proxies subscribe to, what they report, and who they are."""
+        """The proxies' subscriptions, their reports, and the registry of proxies."""
         self.subscribers = Subscribers(post=self.location.post if self.options.reader else "")
         self.aggregated_health = AggregatedHealth()
         self.proxy_registry = ProxyRegistry(
@@ -175,12 +175,12 @@
         )
 
     def _build_shards(self) -> None:
-        """Moves of shards, and leases on key ranges where the platform's workers take them."""
+        """Moves of shards, and leases on key ranges if the platform's workers support them."""
         self.shard_moves = ShardMoves()
         self.shard_leases = self._make_shard_leases(codec=self.options.grants) if self.options.grants else None
 
     def _build_dispatch(self) -> None:
-        """What joins the parts: operations on registers, messages by kind, operators' requests and the status."""
+        """The dispatchers over the parts: operations on registers, messages by kind, operators' requests and status."""
         self.registers = Registers(
             voter=self.voter,
             proposer=self.proposer,
@@ -233,18 +233,18 @@
         )
 
     def step(self, *, now: float, event: Event) -> list[Command]:
-        """Answer one event with commands."""
+        """Handle one event; returns commands."""
         commands, self._startup_commands = self._startup_commands, []
         return commands + self._dispatch(now=now, event=event)
 
     @property
     def identity(self) -> str:
-        """The identity under which this process votes; a new one after it was taken out of the voters."""
+        """The identity under which this process votes; a new one after it was removed from the voters."""
         return self.voter.identity
 
     @property
     def voters(self) -> VoterSet:
-        """The set of voters that this process acts under."""
+        """The voter set under which this process acts."""
         return self.voter.voters
 
     @property
@@ -275,11 +275,11 @@
                 return self.unexpected.add_unknown(event=event)
 
     def _drop_order(self, *, now: float, event: ClientDisconnected) -> list[Command]:
-        """The caller has gone, most likely to another controller: its order on a zone, if not begun, never begins."""
+        """Drop a zone order that has not begun: its caller has gone and has probably retried at another controller."""
         self.admin_api.drop(token=event.token)
         return []
 
-    # calls to the platform's list and to workers
+    # calls to the platform's list of workers and to workers
 
     def _on_call_finished(self, *, now: float, event: CallFinished) -> list[Command]:
         if event.token.startswith(("grant ", "release ")):
@@ -287,7 +287,7 @@
         return self._step_list(now=now, event=event)
 
     def _step_list(self, *, now: float, event: CallFinished | None) -> list[Command]:
-        # a controller outside the core reads the list only for proxies that follow it
+        # a controller that is not a voter reads the list only if proxies subscribe to it
         is_needed = not self.voters.members or self.voting or self.subscribers.has_followers()
         commands, is_newer = self.endpoint_list.step(
             now=now, event=event, peer_table=self.peer_table, is_needed=is_needed
@@ -308,7 +308,7 @@
             op_prefix=self._operation_prefix,
         )
 
-    # time going on
+    # periodic work
 
     def _tick(self, *, now: float, event: TimerFired) -> list[Command]:
         self.serving.wall_offset = event.wall - now
@@ -340,11 +340,11 @@
         return commands + self.registers.begin(now=now, begins=begins)
 
     def _describe_itself(self, *, now: float) -> None:
-        """What the peer table tells others of this process."""
+        """Update what the peer table announces about this process."""
         self.peer_table.fit = self.voting
         self.peer_table.asks = "" if self.options.is_mesh else self.subscribers.asks(now=now)
         if self.options.bootstrap:
-            # one that waits and can't write is not brought in
+            # a non-member that can't write to disk must not be added to the voters
             may_act = (self.write_ahead.usable and self.options.has_disk) or self.voter.is_member
             self.peer_table.identity = self.identity if may_act else ""
 
@@ -355,7 +355,7 @@
         return self.serving.push(now=now) + self.aggregated_health.step(now=now, proxies=self.subscribers.proxies())
 
     def _repair_disk(self, *, now: float) -> list[Command]:
-        """Try the whole file again while the disk can't be written."""
+        """Retry a rewrite of the file while the disk can't be written."""
         if (
             self.write_ahead.usable
             or self.write_ahead.rewriting
--- a/sailward/control/controller_options.py
+++ b/sailward/control/controller_options.py
@@ -1,4 +1,4 @@
-"""How a controller is set up: the defaults are the product's own ways."""
+"""Options of a controller; the defaults are those of the product without a platform adapter."""
 
 from __future__ import annotations
 
@@ -17,16 +17,17 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ControllerOptions:
-    """What a deployment may set otherwise.
-
-    `dialect`: the operators' words; None for the product's own JSON. `expand`: written configuration -> full form, for
-    a dialect that keeps no full form in the register. `reader`: the words of the platform's list of workers; None for
-    the product's own. `bootstrap`: None where an operator founds the core. `list_rate`: calls/s that the platform bears
-    from all daemons together, 0 if no bound is known. `zones`: every zone known from the settings, with its region.
-    `grants`: the words of grants to workers, None where no service is divided by number. `tells_fleet`: proxies are
-    told of each other for the directory. `is_mesh`: controllers send each other heartbeats instead of whole peer
-    tables; for cores whose proxies don't gossip. `has_disk`: without one a controller serves proxies and operators, and
-    votes only if it is a founder, until one with a disk takes its place. All others in s.
+    """The options that a deployment may change.
+
+    `dialect`: the format of the operators' API; None for the product's own JSON. `expand`: converts a written
+    configuration to its full form, for a dialect that keeps no full form in the register. `reader`: parses the
+    platform's list of workers; None for the product's own format. `bootstrap`: None where an operator founds the core.
+    `list_rate`: calls/s to the list that the platform allows from all daemons together, 0 if no bound is known.
+    `zones`: every zone in the settings, with its region. `grants`: the format of grants to workers, None where no
+    service is sharded by key range. `tells_fleet`: proxies are sent the list of all proxies, for the directory.
+    `is_mesh`: controllers exchange heartbeats instead of whole peer tables; for cores whose proxies don't gossip.
+    `has_disk`: without a disk a controller serves proxies and operators, and votes only if it is a founder, until a
+    controller with a disk replaces it. All others are times in s.
     """
 
     dialect: Dialect | None = None
--- a/sailward/control/grant_codec.py
+++ b/sailward/control/grant_codec.py
@@ -1,4 +1,4 @@
-"""The words of the calls that grant key ranges to workers; a platform's adapter sets them."""
+"""The format of the calls that grant key ranges to workers, implemented by a platform's adapter."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class GrantCodec(Protocol):
-    """The words of the calls, which an adapter sets. A call is (method, path, headers, body)."""
+    """Encodes the calls, implemented by an adapter. A call is (method, path, headers, body)."""
 
     def grant(
         self, *, start: int, end: int, fencing_token: int, hold: float, handover: str, owner: str
@@ -14,7 +14,7 @@
         """The call that grants the keys from `start` to `end` to `owner` for `hold` s."""
 
     def release(self, *, start: int, end: int, fencing_token: int, owner: str) -> tuple[str, str, dict, bytes]:
-        """The call that takes these keys back."""
+        """The call that revokes the grant of these keys."""
 
     def handover(self, *, headers: dict) -> str:
-        """What a worker that released keys hands over to the next owner, or ""."""
+        """The handover data that a worker returns on release, for the next owner, or ""."""
--- a/sailward/control/group/catch_up.py
+++ b/sailward/control/group/catch_up.py
@@ -1,4 +1,4 @@
-"""Reading the registers of which a controller may hold an old value."""
+"""Reads of the registers for which a controller may hold a stale value."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 class CatchUp:
     """Owner of a controller's own reads. `step` begins those that are due; `finish` takes the end of an operation.
 
-    Each register is read every `every` s, and sooner where a newer value is known to exist: after STALLED_VOTE_TIMEOUT
-    s, in which the chosen value comes by itself as a rule. With `contact`, what must be read before it may be served is
-    read again each STALLED_VOTE_TIMEOUT s until it is, also by a controller that is no voter.
+    Each register is read every `every` s. Where a newer value is known to exist it is read after STALLED_VOTE_TIMEOUT,
+    within which the chosen value is usually announced. With `contact`, a register that must be read before it may be
+    served is read every STALLED_VOTE_TIMEOUT until a read succeeds, also by a controller that is not a voter.
     """
 
     def __init__(self, *, voter: Voter, op_prefix: str, every: float, contact: QuorumContact | None) -> None:
@@ -31,25 +31,25 @@
         self.caught_up_after: float | None = None
 
     def record_confirmed(self, *, now: float, name: str) -> None:
-        """A majority has just shown the newest value of this register."""
+        """Record that a majority has just confirmed the newest value of this register."""
         self.confirmed[name] = now
         if name == "config" and self.caught_up_after is None and self._started is not None:
             self.caught_up_after = round(now - self._started, 3)
 
     def record_behind(self, *, now: float, name: str) -> None:
-        """What is held of this register is known to be old: it is read with the next tick."""
+        """Read this register at the next tick, because the value held here is known to be stale."""
         self._behind.setdefault(name, now - constants.STALLED_VOTE_TIMEOUT)
 
     def record_unannounced(self, *, now: float, name: str) -> None:
-        """Something newer of this register was voted for: it is read if it is not told soon."""
+        """A newer value of this register was voted for: read it unless it is announced soon."""
         self._behind.setdefault(name, now)
 
     def read_all_soon(self) -> None:
-        """All registers are read with the next tick."""
+        """Read all registers at the next tick."""
         self._read_at.clear()
 
     def finish(self, *, now: float, end: OperationFinished) -> bool:
-        """Was this operation, which has ended, one of these reads? One that ended well is noted."""
+        """Was this finished operation one of these reads? A successful one is recorded."""
         if self._reading.pop(end.op, None) is None:
             return False
         begun = self._begun.pop(end.op)
--- a/sailward/control/group/contact_watch.py
+++ b/sailward/control/group/contact_watch.py
@@ -1,4 +1,4 @@
-"""A controller's contact with a majority, fed by its heartbeats and its operations on registers."""
+"""Tracks a controller's contact with a majority from its heartbeats and its operations on registers."""
 
 from __future__ import annotations
 
@@ -13,20 +13,21 @@
 from sailward.wire_types import Message
 
 ANNOUNCED_REGISTERS = ("config", "orders")
-"""The registers of which voters tell the newest number that they voted for with their heartbeats."""
+"""Each voter's heartbeats carry the newest number that it voted for in these registers."""
 
 
 class PendingOrders(Protocol):
-    """The operators' orders in flight, which are given up when contact is lost or comes too late."""
+    """The operators' orders in flight, which are aborted when contact is lost or not established in time."""
 
     def give_up(self, *, now: float, is_lost: bool) -> list[Command]:
-        """Answer the orders that are late, or all of them if contact `is_lost`."""
+        """Answer the overdue orders, or all of them if contact `is_lost`."""
 
 
 class ContactWatch:
-    """Joins the owner of contact with the parts that show it. `step` judges the moment, `may_serve` tells the verdict.
+    """Feeds `QuorumContact` from heartbeats and operations. `step` runs periodically; `may_serve` gives the verdict.
 
-    Where heartbeats show no contact (`is_required` is false), proxies act under leases of their own and all is served.
+    Where heartbeats can't prove contact (`is_required` is false), proxies act under leases of their own and this
+    controller always serves.
     """
 
     def __init__(
@@ -49,28 +50,28 @@
         self._is_required = is_required
 
     def may_serve(self, *, now: float) -> bool:
-        """May control state be handed out and operators' calls be begun?"""
+        """May this controller hand out control state and begin operators' calls?"""
         members = self._voter.voters.members
         return not self._is_required or self.contact.may_serve(now=now, members=members, own=self._own_vote())
 
     def may_attempt(self, *, now: float) -> bool:
-        """May an operator's call be tried at a majority?
+        """May an operator's call be attempted at a majority?
 
-        Also by a process that is too young to know whether it has contact.
+        True also shortly after the start, when it is not known yet whether there is contact.
         """
         return self.may_serve(now=now) or self.contact.is_starting(now=now)
 
     def shown_at(self, *, now: float) -> float:
-        """The latest moment at which a majority is known to have been in reach."""
+        """The latest moment at which a majority is known to have been reachable."""
         return self.contact.shown_at(now=now, members=self._voter.voters.members, own=self._own_vote())
 
     def step(self, *, now: float) -> list[Command]:
-        """Find out whether there is contact; operators are not kept waiting for it."""
+        """Update the state of contact; operators' orders that it holds up are answered, not left waiting."""
         if not self._is_required:
             return []
         had_contact = self.contact.had_contact
         if self.contact.step(now=now, members=self._voter.voters.members, own=self._own_vote()):
-            # what was chosen during the gap was not told here
+            # values chosen during the gap were not received here
             self._catch_up.read_all_soon()
         is_lost = had_contact and not self.contact.had_contact
         commands = self._pending_orders.give_up(now=now, is_lost=is_lost)
@@ -79,7 +80,7 @@
         return commands
 
     def send_heartbeats(self, *, now: float) -> list[Command]:
-        """Let the peer table send what is due, and note each heartbeat as a question."""
+        """Let the peer table send the heartbeats that are due, and record each as a request that peers echo."""
         peer_table, before = self._peer_table, self._peer_table.heartbeat
         peer_table.contact = self.may_serve(now=now)
         peer_table.voted = [newest_vote(slots=self._voter.acceptor.slots, name=name)[0] for name in ANNOUNCED_REGISTERS]
@@ -89,7 +90,7 @@
         return commands
 
     def on_heartbeat(self, *, now: float, sender: str, body: Message) -> None:
-        """A voter's heartbeat answers one from here, and tells the numbers of its newest votes for what is served."""
+        """Take a voter's heartbeat: it echoes one sent from here and carries the numbers of its newest votes."""
         echo = body.get("echo")
         is_voter = self._voter.voters.members.get(body["identity"]) == sender
         if (
@@ -104,11 +105,11 @@
         self._record_voted(now=now, voted=voted)
 
     def _record_voted(self, *, now: float, voted: list[int]) -> None:
-        """A voter voted for something newer than what is held here: what is not told soon is read."""
+        """Mark the registers for which a voter has a newer vote; a value that is not announced soon is read."""
         for name, newest in zip(ANNOUNCED_REGISTERS, voted, strict=False):
             if newest > self._voter.learner.number(name=name):
                 self._catch_up.record_unannounced(now=now, name=name)
 
     def _own_vote(self) -> str:
-        """The identity under which this controller's own memory counts as a voter's; empty if it does not."""
+        """This controller's identity if it counts towards the majority itself, else empty."""
         return self._voter.identity if self._voter.is_member and self._voter.write_ahead.copied else ""
--- a/sailward/control/group/copying.py
+++ b/sailward/control/group/copying.py
@@ -1,4 +1,4 @@
-"""How a new voter learns every register before it votes: from a majority of those before it."""
+"""State transfer: a new voter copies every register from a majority of the previous voters before it votes."""
 
 from __future__ import annotations
 
@@ -16,10 +16,11 @@
 
 @dataclass(kw_only=True)
 class Copying:
-    """Owner of one copy. `step` asks for pages, or folds one; it is over when enough voters told all.
+    """Owner of one copy. `step` requests pages, or folds one; it is over when enough voters have sent all their votes.
 
-    Each page is asked for with the set of voters that has the new one in it. Who tells a page keeps that
-    set first, and so votes no more for changes under the set before: what they chose is in the copy.
+    Each request carries the voter set that contains the new voter. A voter stores that set before it sends a page,
+    and so casts no more votes under the previous set: everything chosen under that set is in the copy. `old` holds the
+    members of the previous set, `others` those of them to copy from, `cursors` the last name received from each.
     """
 
     identity: str
@@ -33,7 +34,7 @@
     backoff: float = field(default_factory=lambda: constants.COPY_RETRY_INTERVAL)
 
     def step(self, *, now: float, voters: LearnedValue, event: tuple | None) -> list[Command]:
-        """Take a (sender, copied) or None for time going on."""
+        """Take a (sender, `copied` message), or None for the passage of time."""
         members = read_voters(value=voters.value)
         if members.number != self.number:
             self._restart(members=members)
@@ -49,11 +50,11 @@
         ]
 
     def is_over(self, *, own: dict[str, Slot] | None = None) -> bool:
-        """Have enough voters told everything? `own` are this one's slots, if it was one of the set before and acted.
+        """Have enough voters sent everything? `own` are this voter's slots, if it could vote under the previous set.
 
-        A majority of the set before is enough. For one that stays in a smaller set, so many that every majority had one
-        of them, as more may not be left; under the first ballot these may leave open which value was chosen: then a
-        majority.
+        A majority of the previous set is enough. For a voter that stays in a smaller set, a blocking set (one voter of
+        every majority) is enough, as no more may be left. If, under the first ballot, these votes don't show which
+        value was chosen, it takes a majority.
         """
         if not self.old:
             return False
@@ -63,7 +64,7 @@
         return count >= blocking_of(members=self.old) and not self._is_open(own=own)
 
     def slots(self, *, now: float, own: dict[str, Slot] | None = None) -> dict[str, Slot]:
-        """What may have been chosen under the set before, by what these voters told."""
+        """The values that may have been chosen under the previous set, by the votes that were copied."""
         sources = self._sources(own=own)
         slots = {}
         for name in sorted({name for copied in sources for name in copied}):
@@ -83,7 +84,7 @@
         return sources
 
     def _is_open(self, *, own: dict[str, Slot] | None) -> bool:
-        """Do some of these voters hold different values of a register under the first ballot?"""
+        """Do these voters hold different values of a register under the first ballot?"""
         marks: dict[str, set] = {}
         for copied in self._sources(own=own):
             for name, (ballot, value) in copied.items():
@@ -95,7 +96,7 @@
         self.number = members.number
         before = members.before or VoterSet(members=members.members)
         self.old = {name: post for name, post in before.members.items() if name != self.identity or members.before}
-        # one that came back with an empty disk has the address of a member that is no more
+        # after a restart with an empty disk, this voter has the address of a previous member that no longer exists
         own = members.members.get(self.identity)
         self.others = {name: post for name, post in self.old.items() if name != self.identity and post != own}
         self.copied, self.cursors, self.done = {}, {}, set()
@@ -124,7 +125,7 @@
 
 
 def copy_page(*, slots: dict, names: list[str], after: str, number: int) -> dict:
-    """One page of this voter's votes, by the sorted names."""
+    """One page of this voter's votes, in the order of the sorted names."""
     at = bisect_right(names, after)
     page = names[at : at + constants.COPY_PAGE_SLOTS]
     rows = [
--- a/sailward/control/group/disaster_recovery.py
+++ b/sailward/control/group/disaster_recovery.py
@@ -1,4 +1,4 @@
-"""Founding the core anew from its survivors, on an operator's order, when its majority is lost for good."""
+"""Disaster recovery: an operator re-forms the core from its survivors after a permanent loss of the majority."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Founding:
-    """What a voters register says of the last founding anew."""
+    """The last disaster recovery that a value of the voters register records."""
 
     number: int
     survivors: tuple
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class NotFounded:
-    """Why the order is refused; nothing is changed."""
+    """Why a recovery order is refused; nothing is changed."""
 
     code: int
     reason: str
@@ -35,7 +35,7 @@
 
 
 def read_founding(*, value: RegisterValue) -> Founding:
-    """The last founding anew in a register's value: number 0 if there was none."""
+    """The last recovery recorded in a value of the voters register; its number is 0 if there was none."""
     decoded = json.loads(value["text"]).get("anew") if value["text"] else None
     if not decoded:
         return Founding(number=0, survivors=(), unknown_outcomes=False, base={})
@@ -52,7 +52,8 @@
 ) -> RegisterValue | NotFounded:
     """The value of the voters register with the named survivors as its only members.
 
-    `value` is the newest vote known, `opened` the last founding that acts here, `controllers` those heard of now.
+    `value` is the newest vote known, `opened` the number of the last recovery completed here, `controllers` the
+    controllers that are alive according to the peer table.
     """
     members = json.loads(value["text"])["members"] if value["text"] else {}
     by_name = {identity.split("#")[0]: identity for identity in members}
@@ -63,12 +64,12 @@
         return fault
     if not is_confirmed:
         lost = sorted(set(members) - set(survivors))
-        detail = f"confirm that these are gone for good and stay switched off: {lost}"
+        detail = f"confirm that these are permanently lost and stay switched off: {lost}"
         return NotFounded(code=409, reason="not-confirmed", detail=detail)
     last = read_founding(value=value)
     if last.number > opened and list(last.survivors) == survivors:
         return value
-    # the set whose choices the survivors hold: the last one that acted
+    # the voter set whose chosen values the survivors hold: the last one under which voters acted
     base = last.base if last.number > opened else members
     number = _next_founding_number(value=value, survivors=survivors)
     unknown_outcomes = len(set(survivors) & set(base)) < blocking_of(members=base)
@@ -81,9 +82,9 @@
 
 
 def _refuse_survivors(*, own: str, members: dict[str, str], survivors: list[str]) -> NotFounded | None:
-    """Why these can't be the survivors, by the set of voters alone; None if they can."""
+    """Why these can't be the survivors, judged by the voter set alone; None if they can."""
     if not members:
-        detail = "this controller belongs to no core: `found` joins new ones"
+        detail = "this controller belongs to no core; use `found` to form a core from new controllers"
         return NotFounded(code=409, reason="never-founded", detail=detail)
     if not survivors:
         detail = "name the controllers that still have their disks"
@@ -94,32 +95,36 @@
         detail = f"not among the voters {known}: {unknown}"
         return NotFounded(code=404, reason="survivor-unknown", detail=detail)
     if own not in survivors:
-        detail = "give this order to one of the survivors that it names"
+        detail = "send this order to one of the survivors that it names"
         return NotFounded(code=409, reason="not-a-survivor", detail=detail)
     return None
 
 
 def _refuse_by_peers(*, members: dict[str, str], survivors: list[str], controllers: dict) -> NotFounded | None:
-    """Why these can't be the survivors, by the controllers that are heard of now; None if they can."""
+    """Why these can't be the survivors, judged by the controllers that are alive now; None if they can."""
     alive = {identity for identity in members if identity in controllers}
     voting = [identity for identity in alive if controllers[identity]["fit"]]
     if 2 * len(voting) > len(members):
-        detail = f"{len(voting)} of {len(members)} voters act: take single ones out by `part`"
+        detail = f"{len(voting)} of {len(members)} voters are active; remove single voters with `part`"
         return NotFounded(code=409, reason="core-whole", detail=detail)
     unreachable = sorted(set(survivors) - alive)
     if unreachable:
-        return NotFounded(code=409, reason="survivor-unreachable", detail=f"not heard of now: {unreachable}")
+        return NotFounded(
+            code=409, reason="survivor-unreachable", detail=f"no heartbeat from these survivors: {unreachable}"
+        )
     lost_alive = sorted(alive - set(survivors))
     if lost_alive:
-        return NotFounded(code=409, reason="member-alive", detail=f"heard of now, so not lost: {lost_alive}")
+        return NotFounded(
+            code=409, reason="member-alive", detail=f"these still send heartbeats, so they are not lost: {lost_alive}"
+        )
     return None
 
 
 def _next_founding_number(*, value: RegisterValue, survivors: list[str]) -> int:
-    """A number so far on that no change which the old set may have made can reach the new one.
+    """A number far enough ahead that no change made under the old voter set can reach it.
 
-    Within the gap each set of survivors has a place of its own, so that of two foundings on two sides of a partition
-    one is the newer.
+    Within the gap each set of survivors has its own offset, so that of two recoveries on two sides of a partition one
+    is the newer.
     """
     digest = hashlib.blake2b(" ".join(survivors).encode(), digest_size=4).digest()
     location = int.from_bytes(digest, "big") % constants.RECOVERY_NUMBER_LOCATIONS
@@ -130,10 +135,10 @@
 
 @dataclass(kw_only=True)
 class DisasterRecovery:
-    """Owner of one survivor's part. `step` asks the others for all they voted for, or folds a page of it.
+    """Owner of one survivor's part in a recovery. `step` requests the other survivors' votes, or folds a page of them.
 
-    It acts under the new set only when it has all that every survivor voted for, and when no proxy can hold a
-    lease under the old set any more. Until then it votes for nothing.
+    A survivor acts under the new set only once it has every vote of every survivor and no proxy can still hold a
+    lease granted under the old set. Until then it casts no vote.
     """
 
     copying: Copying
@@ -141,33 +146,33 @@
     since: float = -1e9
 
     def step(self, *, now: float, voters: LearnedValue, event: tuple | None) -> list[Command]:
-        """Take a (sender, copied) or None for time going on."""
+        """Take a (sender, `copied` message), or None for the passage of time."""
         self.note(now=now, voters=voters)
         return self.copying.step(now=now, voters=voters, event=event)
 
     def note(self, *, now: float, voters: LearnedValue) -> None:
-        """Count the time from the first moment that a founding is held here."""
+        """Start the clock when a recovery is first known here."""
         number = read_founding(value=voters.value).number
         if number != self.number:
             self.number, self.since = number, now
 
     def is_over(self, *, now: float) -> bool:
-        """Has every survivor told everything, and have the old leases run out?"""
+        """Have all survivors sent all of their votes, and have the leases granted under the old set expired?"""
         return (
             len(self.copying.done) == len(self.copying.old)
             and now - self.since >= constants.LEASE_DURATION + constants.SLOT_MOVE_MARGIN
         )
 
     def has_unknown_outcomes(self, *, now: float, voters: LearnedValue) -> bool:
-        """May claims have been lost whose life is not over?"""
+        """May this recovery have lost claims that have not expired yet?"""
         return read_founding(value=voters.value).unknown_outcomes and now - self.since < constants.CLAIM_TTL
 
 
 def merge_survivors(*, slots: dict, told: list[dict], now: float) -> dict[str, Slot]:
-    """All that any survivor voted for: of each register the vote of the highest ballot.
+    """All survivors' votes merged: for each register the vote with the highest ballot.
 
-    Under the shared first ballot survivors may hold different claims of one key, and none can tell which was
-    chosen: the key stays claimed, by nobody who could call it unsent.
+    Under the shared first ballot survivors may hold different claims of one key, and no survivor can tell which was
+    chosen. The key then stays claimed with no owner, so that nobody can declare its request unsent.
     """
     merged = {}
     for name in sorted({*slots, *(name for rows in told for name in rows)}):
@@ -187,7 +192,7 @@
 
 
 def log_founding(*, value: RegisterValue) -> LogEvent:
-    """What the operators read of a founding."""
+    """The log event that tells operators of an ordered recovery."""
     founding = read_founding(value=value)
     return LogEvent(
         event="recovery-ordered",
--- a/sailward/control/group/graceful_shutdown.py
+++ b/sailward/control/group/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""A planned end: a voter that is told to stop hands its place over before it goes, as long as its grace lasts."""
+"""Graceful shutdown: a voter that is told to stop hands over its membership first, within a grace period."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 class GracefulShutdown:
-    """Owner of the end. `begin` takes the order to stop, `step` says when this process may go.
+    """Owner of the shutdown. `begin` takes the order to stop, `step` ends the process when it may exit.
 
-    It tells the other controllers that it leaves, votes on, and is copied from. It goes when another has taken its
-    place and has copied, when none can, or when VOTER_HANDOVER_TIMEOUT s are over. `is_enabled` is false where
-    operators change the voters.
+    The process announces to the other controllers that it is leaving, and meanwhile keeps voting and serving copies.
+    It exits when another controller has replaced it and finished its copy, when none can, or after
+    VOTER_HANDOVER_TIMEOUT. `is_enabled` is false where operators change the voters.
     """
 
     def __init__(self, *, voter: Voter, peer_table: PeerTable, is_enabled: bool) -> None:
@@ -25,13 +25,13 @@
         self._announced_at = NEVER
 
     def begin(self, *, now: float) -> list[Command]:
-        """Begin to leave; an order that comes again changes nothing."""
+        """Begin the shutdown; a repeated order has no effect."""
         if self._begun is None:
             self._begun, self._peer_table.leaving = now, True
         return self.step(now=now)
 
     def step(self, *, now: float) -> list[Command]:
-        """Tell the others again, and end when it is time."""
+        """Repeat the announcement, and exit when it is time."""
         if self._begun is None:
             return []
         commands = self._announce_departure(now=now) if now - self._announced_at >= self._peer_table.every else []
@@ -49,7 +49,7 @@
         return [SendMessage(to=peer["post"], body=body) for peer in peer_table.alive(kind="controller")]
 
     def _is_of_use(self) -> bool:
-        """Can another take this one's place, or is it still copying from this one?"""
+        """Can another controller replace this one, or may a newcomer still be copying from it?"""
         voter, others = self._voter, {peer["identity"]: peer for peer in self._peer_table.alive(kind="controller")}
         members = voter.voters.members
         if not self._is_enabled or not voter.write_ahead.copied or not voter.write_ahead.usable:
--- a/sailward/control/group/membership.py
+++ b/sailward/control/group/membership.py
@@ -1,4 +1,4 @@
-"""A controller's place among the voters: founding, joining, copying, founding anew, and being taken out."""
+"""A controller's membership in the voter set: founding, joining, copying, disaster recovery and removal."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RecoveryOrder:
-    """An order to go on with the survivors alone, already voted for here: to be told once `record` is synced."""
+    """An accepted recovery order, already voted for here; it is announced once `record` is synced."""
 
     record: Record
     ballot: Ballot
@@ -44,7 +44,7 @@
 
 
 class Membership:
-    """Owner of a controller's membership. `step` judges the moment and gives (commands, operations to begin)."""
+    """Owner of a controller's membership. `step` runs periodically and returns (commands, operations to begin)."""
 
     def __init__(
         self, *, voter: Voter, peer_table: PeerTable, options: ControllerOptions, op_prefix: str, now: float
@@ -62,27 +62,27 @@
         self._ops = 0
 
     def step(self, *, now: float) -> StepResult:
-        """Say when the core is short; copy, found anew, repair, or ask for news."""
+        """Report a lost quorum; copy, recover, repair, or ask the other controllers for updates."""
         others = self._peer_table.alive(kind="controller")
         self.controllers = {other["identity"]: other for other in [*others, self._peer_table.own_entry()]}
         commands = self._report_core(now=now, others=others)
-        # one that does not act yet watches the voters too: when it joins it knows for how long each was lost
+        # a controller that does not vote yet also tracks the voters, to know on joining how long each has been lost
         more, begins = self._repair(now=now, others=others)
         if self._voter.voting:
             return StepResult(commands + more, begins)
         return StepResult(commands + self._catch_up(now=now) + self._request_updates(now=now, others=others), [])
 
     def has_unknown_outcomes(self, *, now: float) -> bool:
-        """May claims have been lost whose life is not over?"""
+        """May a recovery have lost claims that have not expired yet?"""
         self.recovery.note(now=now, voters=self._voter.learned_voters())
         return self.recovery.has_unknown_outcomes(now=now, voters=self._voter.learned_voters())
 
     def request_soon(self) -> None:
-        """Others know newer voters: ask for them at the next look."""
+        """Ask the other controllers for updates at the next step, because they know a newer voter set."""
         self._requested_at = -1e9
 
     def found(self, *, now: float, event: RequestReceived) -> list[Command]:
-        """Join new controllers into a core: the same value at each of them."""
+        """Found a core from new controllers; the operator sends the same member list to each of them."""
         voter = self._voter
         members = _read_field(event=event, name="members")
         if not is_members(members) or voter.identity not in members:
@@ -91,7 +91,7 @@
                     event=event,
                     code=422,
                     reason="members",
-                    detail="give members: {identity: address}, this one among them",
+                    detail="give members: {identity: address}, including this controller",
                 )
             ]
         value: RegisterValue = {
@@ -103,7 +103,7 @@
         slot = voter.acceptor.slots.get("voters")
         if slot is not None and slot.value != value:
             return [
-                _refuse(event=event, code=409, reason="founded", detail="this controller belongs to a core already")
+                _refuse(event=event, code=409, reason="founded", detail="this controller already belongs to a core")
             ]
         record = {"k": "vote", "r": "voters", "b": [0, "founder"], "v": value}
         if slot is None:
@@ -117,7 +117,7 @@
         ]
 
     def order_recovery(self, *, now: float, event: RequestReceived) -> Respond | RecoveryOrder:
-        """Take an operator's order to go on with the named survivors alone: the refusal, or what is to be done."""
+        """Judge an operator's order to continue with the named survivors only: a refusal, or the accepted order."""
         voter = self._voter
         names = _read_field(event=event, name="survivors")
         if not is_names(names):
@@ -140,7 +140,7 @@
                 event=event,
                 code=503,
                 reason="not-usable",
-                detail="this controller can't write, or never had the core's registers",
+                detail="this controller can't write to its disk, or never had a copy of the core's registers",
             )
         number = made["number"]
         record = {"k": "vote", "r": "voters", "b": [number, "founder"], "v": made}
@@ -156,7 +156,7 @@
         return RecoveryOrder(record=record, ballot=[number, "founder"], value=made, answer=answer)
 
     def is_out(self, *, value: RegisterValue) -> bool:
-        """Does this chosen set of voters take this controller out? An older one, told late, does not."""
+        """Does this chosen voter set remove this controller? A delayed message with an older set does not."""
         voter = self._voter
         return (
             voter.write_ahead.copied
@@ -165,12 +165,12 @@
         )
 
     def send_page(self, *, sender: str, body: Message) -> list[Command]:
-        """A page of all this voter has voted for, to one that copies under the same set."""
+        """Send a page of this voter's votes to a controller that copies under the same voter set."""
         voter, number = self._voter, self._voter.voters.number
         if not voter.is_copy_source or number != body["value"]["number"]:
             return []
         if body["after"] == "" or sender not in self._names:
-            # nothing is voted for under the old set from here on: one order for the whole copy
+            # no more votes are cast under the old set from here on, so one sorted list of names serves the whole copy
             copiers = {*voter.voters.members.values()}
             self._names = {post: names for post, names in self._names.items() if post in copiers}
             self._names[sender] = sorted(voter.acceptor.slots)
@@ -180,7 +180,7 @@
         return voter.write_ahead.step(records=[], replies=[SendMessage(to=sender, body=page)])
 
     def take_page(self, *, now: float, event: tuple) -> list[Command]:
-        """Fold a page; with the last one this controller may act."""
+        """Fold a received page; after the last one this controller may vote."""
         voter = self._voter
         if "voters" not in voter.learner.values:
             return []
@@ -189,7 +189,7 @@
         return self._step_copy(now=now, event=event)
 
     def _step_copy(self, *, now: float, event: tuple | None) -> list[Command]:
-        """Ask for pages, or fold one; the votes of this voter count as well if others may copy from it."""
+        """Request pages, or fold one; this voter's own votes count as well if others may copy from it."""
         voter = self._voter
         own = voter.acceptor.slots if voter.is_copy_source else None
         commands = self.copying.step(now=now, voters=voter.learned_voters(), event=event)
@@ -210,7 +210,7 @@
         return commands + (self._announce() if self._options.bootstrap else [])
 
     def _announce(self) -> list[Command]:
-        """Tell the other voters at once that this one acts: gossip would take its rounds."""
+        """Tell the other voters at once that this one votes; gossip would take several rounds."""
         peer_table = self._peer_table
         peer_table.fit, peer_table.heartbeat = True, peer_table.heartbeat + 1
         body = {"kind": "gossip", "entries": [peer_table.own_entry()], "reply": True}
@@ -231,7 +231,7 @@
         told = list(self.recovery.copying.copied.values())
         slots = merge_survivors(slots=voter.acceptor.slots, told=told, now=now)
         for name, learned in voter.learner.values.items():
-            # what proxies and other controllers were told, if no survivor's vote is as new
+            # keep a chosen value that proxies and other controllers already have if every survivor's vote is older
             slot = slots.get(name)
             if is_control(name=name) and (
                 slot is None or slot.value is None or slot.value["number"] < learned.value["number"]
@@ -270,7 +270,7 @@
         return StepResult([LogEvent(event="voters-change", fields={"from": voter.voters.number, "to": text})], [begin])
 
     def _catch_up(self, *, now: float) -> list[Command]:
-        """Copy what the voters hold, or open a founding anew."""
+        """Copy the registers from the voters, or complete a disaster recovery."""
         voter = self._voter
         if not voter.is_member or "voters" not in voter.learner.values:
             return []
@@ -302,7 +302,7 @@
         )
 
     def _report_core(self, *, now: float, others: list[dict]) -> list[Command]:
-        """Say so when too much is lost for any change, and when it is back."""
+        """Log when too few voters are left for any change, and when the quorum is restored."""
         members = self._voter.voters.members
         core = count_core(members=members, controllers=[*others, self._peer_table.own_entry()])
         short = bool(members) and core["voting"] < core["needed"]
@@ -327,7 +327,7 @@
 
 
 def _read_field(*, event: RequestReceived, name: str) -> Any:
-    """One field of the JSON object that an operator sent; None if there is no such object, or no such field in it."""
+    """One field of the JSON object in an operator's request; None if the body is no JSON object or lacks the field."""
     given = read_config(text=event.body or b"")
     return None if isinstance(given, Unsound) else given.get(name)
 
--- a/sailward/control/group/redirect.py
+++ b/sailward/control/group/redirect.py
@@ -1,4 +1,4 @@
-"""What a controller without contact with a majority says: who else may be asked, and answers that settle nothing."""
+"""Replies of a controller without contact with a majority: redirects to others, and non-definitive refusals."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def other_controllers(*, peer_table: PeerTable, members: Mapping[str, str], own: str) -> list[list[str]]:
-    """[[post, zone, region], ...] of the controllers known here, also those that are out of reach from here."""
+    """[[address, zone, region], ...] of the controllers known here, including those that are unreachable from here."""
     places = {
         known.entry["post"]: [known.entry["post"], known.entry["hall"], known.entry["region"]]
         for known in peer_table.known.values()
@@ -25,7 +25,7 @@
 
 
 def redirect_or_reject(*, now: float, event: RequestReceived, dialect: Dialect, peer_table: PeerTable) -> Respond:
-    """307 to a controller that was heard to have contact just now, or 503 with when to come back; nothing definite."""
+    """307 to a controller that recently announced contact, or 503 with Retry-After; nothing was read or changed."""
     able = [
         known.entry
         for known in peer_table.known.values()
--- a/sailward/control/group/repair.py
+++ b/sailward/control/group/repair.py
@@ -1,11 +1,12 @@
-"""Replacing a voter that is lost for good: first the new one in, then the old one out, one at a time.
-
-A core that founded itself exchanges the two in one change. It is safe because a newcomer acts only when it has copied
-from a majority of the set before, each of which keeps the new set before it tells: that leaves the old set no majority
-that could choose more, and the newcomer with all that it chose. A majority of the new set without the newcomer is one
-of the old set too, as the sizes are alike. As the lost one's place is taken at once, a newcomer that dies before it has
-copied can be exchanged in its turn. A set that grows smaller loses holders of what was chosen, so its members copy from
-the set before, too. One that leaves on request is exchanged while it still acts, and stays as one to copy from.
+"""Replacing a permanently lost voter: the new one is added first, then the lost one is removed, one change at a time.
+
+A core that founded itself swaps the two in a single change. This is safe because a newcomer votes only after it has
+copied from a majority of the previous set, and each of these voters stores the new set before it sends its votes: the
+old set then has no majority left that could choose anything more, and the newcomer has everything that the old set
+chose. A majority of the new set without the newcomer is also a majority of the old set, as both sets have the same
+size. As the lost voter's place is filled at once, a newcomer that dies before it has copied can itself be replaced. A
+set that shrinks loses holders of chosen values, so its members copy from the previous set, too. A voter that leaves on
+request is replaced while it still votes, and remains a source to copy from.
 """
 
 from __future__ import annotations
@@ -23,9 +24,9 @@
 
 @dataclass(kw_only=True)
 class Repair:
-    """Owner of the decision. `step` gives the next text of the voters register, or nothing.
+    """Owner of the decision. `step` returns the next text of the voters register, or "".
 
-    `is_brisk`: the core founded itself, and grows, exchanges voters and takes turns by itself.
+    `is_brisk`: the core founded itself; it grows and swaps voters on its own, and its voters take turns at proposing.
     """
 
     seen: dict = field(default_factory=dict)
@@ -39,7 +40,7 @@
     tried: tuple = (-1, 0.0)
 
     def step(self, *, now: float, own: str, voters: VoterSet, text: str, controllers: list[PeerEntry]) -> str:
-        """Judge by the peer table's living `controllers`; only one of the voters, named by hashing, acts."""
+        """Decide from the live `controllers`; only one voter, chosen by rendezvous hashing, proposes the change."""
         if now - self.last_check_at < self.every or not text:
             return ""
         self.last_check_at = now
@@ -56,12 +57,12 @@
         size = json.loads(text).get("size", len(members))
         waiting = sorted(name for name in alive if is_waiting(entry=alive[name], members=members))
         if waiting and len(members) < size and not joining:
-            # a core founded anew is brought back to its size
+            # after a disaster recovery the core grows back to its size
             return change_members(text=text, number=number, add=(waiting[0], alive[waiting[0]]["post"]))
         if not gone:
             return ""
         if len(members) > size:
-            # the newcomer must have copied everything before the lost one's part in it may go
+            # the newcomer must have copied everything before the lost voter may be removed
             text = change_members(text=text, number=number, drop=gone[0])
             return "" if joining or not keeps_majority(text=text, well=set(well)) else text
         if waiting:
@@ -69,7 +70,7 @@
         return ""
 
     def _gone(self, *, now: float, members: Mapping[str, str], alive: dict) -> list[str]:
-        """Voters whose machine is back without their data, or that have been lost for long."""
+        """Voters whose machine came back without its data, or that have been lost for longer than `replace_after`."""
         names = {entry["id"]: name for name, entry in alive.items()}
         return sorted(
             name
@@ -104,11 +105,11 @@
     def _choose(
         self, *, now: float, number: int, text: str, members: Mapping[str, str], alive: dict, well: list
     ) -> str:
-        """The next change of the voters, one member added, dropped or exchanged; "" if there is none to make."""
+        """The next change of the voters: one member added, removed or swapped; "" if none is needed."""
         size = json.loads(text).get("size", len(members))
         gone = self._gone_brisk(now=now, members=members, alive=alive)
         if any(name in alive and name not in well and name not in gone for name in members):
-            # one newcomer at a time: it copies now
+            # one newcomer at a time: one is still copying
             return ""
         rest = [name for name in members if name not in gone[:1]]
         best = self._best(
@@ -133,9 +134,9 @@
         return ""
 
     def _gone_brisk(self, *, now: float, members: Mapping[str, str], alive: dict) -> list[str]:
-        """Voters that are lost, back on an empty disk, that don't come to act, that leave, or have no disk.
+        """Voters to replace, in order of urgency.
 
-        In this order.
+        Wiped (back on an empty disk); lost, or not voting within VOTER_JOIN_TIMEOUT; leaving; without a disk.
         """
         posts = {entry["post"]: name for name, entry in alive.items() if name}
         wiped = {name for name in members if name not in alive and posts.get(members[name], name) != name}
@@ -147,9 +148,9 @@
         return list(dict.fromkeys(name for kind in order for name in sorted(kind)))
 
     def _best(self, *, now: float, waiting: list, rest: list, alive: dict) -> str:
-        """The waiting controller that spreads the voters most over zones and regions.
+        """The waiting controller that spreads the voters best over zones and regions.
 
-        Of equal ones that which is up for longest.
+        Among equals, the one with the longest uptime.
         """
         zones = [alive[name]["hall"] for name in rest if name in alive]
         regions = [alive[name]["region"] for name in rest if name in alive]
@@ -168,10 +169,10 @@
 
 
 def change_members(*, text: str, number: int, add: tuple[str, str] | None = None, drop: str = "") -> str:
-    """The text of the voters register after `number`, with one member more, one less, or one for another.
+    """The text of the voters register after `number`, with one member added, removed or swapped.
 
-    A newcomer must copy under the new set or a later one before it acts, also if it was a member before and has not
-    heard that it was taken out. A smaller set has fewer that hold what was chosen: all its members copy.
+    A newcomer must copy under the new set or a later one before it votes, even if it was a member before and does not
+    know yet that it was removed. A smaller set has fewer holders of the chosen values, so all its members copy.
     """
     value = json.loads(text)
     members, joined = dict(value["members"]), value.get("joined", {})
@@ -187,17 +188,17 @@
 
 
 def is_waiting(*, entry: PeerEntry, members: Mapping[str, str]) -> bool:
-    """May this controller be brought in? Not one that says that it acts: it has not heard yet that it was taken out."""
+    """May this controller be added? Not if it reports that it votes: it does not know yet that it was removed."""
     return bool(entry["identity"]) and entry["identity"] not in members and not (entry["fit"] or entry.get("leaving"))
 
 
 def count_core(*, members: Mapping[str, str], controllers: list[PeerEntry]) -> dict:
-    """How many voters are heard of as voting, how many a majority needs, and who is missing."""
+    """How many voters are alive and voting, how many a majority needs, and which are missing."""
     well = {entry["identity"] for entry in controllers if entry["fit"]} & set(members)
     return {"voting": len(well), "needed": majority_of(members=members), "missing": sorted(set(members) - well)}
 
 
 def keeps_majority(*, text: str, well: set) -> bool:
-    """Would the members that are well be a majority of this set?"""
+    """Are the healthy members a majority of this set?"""
     members = json.loads(text)["members"]
     return len(well & set(members)) >= majority_of(members=members)
--- a/sailward/control/group/voter.py
+++ b/sailward/control/group/voter.py
@@ -1,4 +1,4 @@
-"""A controller as a voter: its identity, what it voted for, what it knows to be chosen, and its records on the disk."""
+"""A controller as a voter: its identity, its votes, the values it knows to be chosen, and its records on disk."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 
 def make_identity(*, name: str, nonce: str) -> str:
-    """A new voter's identity: an empty disk never takes over an old one."""
+    """A new voter's identity; the nonce keeps a process with an empty disk from reusing an earlier identity."""
     return f"{name}#{nonce}"
 
 
 @dataclass(frozen=True, kw_only=True)
 class Remembered:
-    """What the records of the disk tell of the start before; `identity` is empty on an empty disk."""
+    """The state that earlier runs stored on disk; `identity` is empty on an empty disk."""
 
     identity: str
     copied: bool
@@ -34,13 +34,13 @@
 
 
 def read_records(*, records: list[Record], now: float) -> Remembered:
-    """Fold the records of the disk, oldest first."""
+    """Fold the records on disk, oldest first."""
     identity, copied, under, opened, known, slots = "", False, 0, 0, None, Slots()
     for record in records:
         if record["k"] == "identity":
             identity = record["id"]
         elif record["k"] == "copied":
-            # versions before this one don't say under which set: members of theirs need no later copy
+            # older versions do not store the set number; members that they added need no later copy
             copied, under = True, record.get("n", 0)
         elif record["k"] == "opened":
             opened = record["n"]
@@ -54,10 +54,10 @@
 
 
 class Voter:
-    """Owner of one voter. `answer` votes under the set of voters that it knows; `begun` is to be carried out first.
+    """Owner of one voter. `answer` votes under the known voter set; the commands in `begun` are to be run first.
 
-    The parts `learner` (chosen values), `acceptor` (votes) and `write_ahead` (order between records and replies) stay
-    the same objects for as long as the process lives.
+    `learner` (chosen values), `acceptor` (votes) and `write_ahead` (order between records and replies) stay the same
+    objects for the lifetime of the process.
     """
 
     def __init__(
@@ -91,7 +91,7 @@
 
     @property
     def voters(self) -> VoterSet:
-        """The voters known to be chosen; until that is known again after a start, those voted for."""
+        """The voter set known to be chosen; after a start, until that is known again, the one voted for here."""
         known = self.learner.voters()
         slot = self.acceptor.slots.get("voters")
         if known.number or slot is None or slot.value is None:
@@ -100,12 +100,12 @@
 
     @property
     def is_member(self) -> bool:
-        """Is this process in the set of voters that it knows?"""
+        """Is this process a member of the voter set that it knows?"""
         return self.identity in self.voters.members
 
     @property
     def is_opening(self) -> bool:
-        """Does a founding anew keep this process from acting?"""
+        """Is this process barred from voting until a disaster recovery is complete?"""
         return read_founding(value=self.learned_voters().value).number > self.write_ahead.opened
 
     @property
@@ -115,14 +115,14 @@
 
     @property
     def is_complete(self) -> bool:
-        """Do the slots hold what was chosen before the set that this voter must have copied under?"""
+        """Has this voter copied all values chosen before the set under which it must copy (`VoterSet.joined`)?"""
         return self.write_ahead.copied and self.write_ahead.under >= self.voters.joined.get(self.identity, 0)
 
     @property
     def is_copy_source(self) -> bool:
-        """May others copy from this one?
+        """May others copy from this voter?
 
-        Also if it must copy itself or was taken out, if it could act under the set before.
+        True also if it must itself copy again or was removed, provided that it could vote under the previous set.
         """
         before = self.voters.before or VoterSet()
         was_complete = self.write_ahead.copied and self.write_ahead.under >= before.joined.get(self.identity, 0)
@@ -130,26 +130,26 @@
         return is_source and self.write_ahead.usable
 
     def learned_voters(self) -> LearnedValue:
-        """The register of the voters as it is known to be chosen."""
+        """The value of the voters register that is known to be chosen."""
         return self.learner.values.get("voters") or LearnedValue()
 
     def voted_voters(self) -> RegisterValue:
-        """The newest value of the voters' register that was voted for here."""
+        """The newest value of the voters register that was voted for here."""
         slot = self.acceptor.slots.get("voters")
         return slot.value if slot and slot.value else LearnedValue().value
 
     def answer(self, *, now: float, sender: str, body: Message) -> list[Command]:
-        """Judge one prepare, accept, first or read; the reply goes when what it tells is synced."""
+        """Handle one prepare, accept, first or read; the reply is sent once the records it depends on are synced."""
         if not self.voting:
             return []
         if body["voters"] != self.voters.number:
-            # a voter acts under one set at a time: the newest that it knows to be chosen
+            # a voter acts under one voter set at a time: the newest that it knows to be chosen
             return [self._refuse_set(sender=sender, body=body)]
         records, reply = self.acceptor.step(now=now, body=body)
         return self.write_ahead.step(records=records, replies=[SendMessage(to=sender, body=reply)])
 
     def newest(self) -> dict[str, list]:
-        """Number, mark and ballot of the newest vote of each register that is no claim."""
+        """Number, mark and ballot of the newest vote in each register that is not a claim."""
         newest = {}
         for name in self.acceptor.slots.control:
             slot = self.acceptor.slots[name]
@@ -158,7 +158,7 @@
         return newest
 
     def put(self, *, slots: dict[str, Slot]) -> list[dict]:
-        """Take these as voted for; the records that make it last."""
+        """Adopt these slots as this voter's votes; returns the records that persist them."""
         records: list[Record] = []
         for name, slot in slots.items():
             self.acceptor.slots[name] = slot
@@ -166,7 +166,7 @@
         return records
 
     def forget(self) -> list[Command]:
-        """What was voted for as a member of earlier sets is void."""
+        """Discard the votes cast as a member of earlier voter sets; they are void."""
         for name in list(self.acceptor.slots):
             del self.acceptor.slots[name]
         self.acceptor.slots.control.clear()
@@ -174,7 +174,7 @@
         return self.write_ahead.step(records=[{"k": "left", "id": self.identity}], replies=[])
 
     def sweep_claims(self, *, now: float) -> list[Command]:
-        """Forget the claims whose life is over."""
+        """Drop expired claims."""
         if now - self._swept < constants.CLAIM_SWEEP_INTERVAL:
             return []
         self._swept = now
@@ -188,7 +188,7 @@
         return self.write_ahead.step(records=[{"k": "drop", "r": name} for name in old], replies=[])
 
     def _found_alone(self, *, now: float, value: RegisterValue) -> list[dict]:
-        """Found the core without talk: the records, which must last before anything is told."""
+        """Found the core without any message; the records returned must be synced before any reply is sent."""
         ballot = [0, "founder"]
         record = {"k": "vote", "r": "voters", "b": ballot, "v": value}
         fold_record(slots=self.acceptor.slots, record=record, now=now)
--- a/sailward/control/group/write_ahead.py
+++ b/sailward/control/group/write_ahead.py
@@ -1,4 +1,4 @@
-"""A controller's place on the disk: records synced in order, and what waits for them."""
+"""A controller's records on disk, synced in order, and the replies that wait for the sync."""
 
 from __future__ import annotations
 
@@ -21,9 +21,11 @@
 
 @dataclass(kw_only=True)
 class WriteAhead:
-    """Owner of the order between records and replies. `step` stores, syncs, fails or rewrites.
+    """Owner of the order between records and replies: a reply leaves only after the records before it are synced.
 
-    `copied` says that the slots hold what was chosen under the voters numbered `under`, and before.
+    `copied` is true if the slots hold all values chosen up to the voter set numbered `under`. `opened` is the number
+    of the last disaster recovery completed here, `known` the stored record of the chosen voter set. `rewriting` is the
+    sequence number of the file rewrite in progress, 0 if there is none. Sizes are in bytes.
     """
 
     identity: str
@@ -43,7 +45,7 @@
     waiting: deque = field(default_factory=deque)
 
     def step(self, *, records: list, replies: list) -> list[Command]:
-        """Store the records; let the replies go only when all before them is synced."""
+        """Store the records; hold the replies back until everything stored before them is synced."""
         commands: list = []
         if records:
             self.seq, self.count = self.seq + 1, self.count + len(records)
@@ -58,9 +60,9 @@
         return commands
 
     def start(self, *, records: list) -> None:
-        """Take the records of a start as what the file holds.
+        """Count the records read at startup as the content of the file.
 
-        Without it, a file that outlives many starts would grow with them.
+        Otherwise the file would grow with each restart, as records from before would not count towards a rewrite.
         """
         self.count, self.size = len(records), estimate_bytes(records=records)
         self.live_size = estimate_bytes(records=self._live_records())
@@ -71,16 +73,16 @@
         return self.count > most_records or self.size > most_bytes
 
     def know(self, *, ballot: Ballot, value: RegisterValue) -> list[Command]:
-        """Store the voters that are known to be chosen: after a start it is by them that the next set is found."""
+        """Store the chosen voter set; after a restart these voters are asked for any newer set."""
         self.known = {"k": "promise", "r": KNOWN, "b": ballot, "v": value}
         return self.step(records=[self.known], replies=[]) if self.usable else []
 
     def copied_record(self) -> dict:
-        """What is stored of the copy that the slots come from."""
+        """The record that the copy is complete, and under which voter set."""
         return {"k": "copied", "n": self.under}
 
     def rewrite(self) -> RewriteRecords:
-        """Replace the file by what is live."""
+        """Rewrite the file with the live records only."""
         records = self._live_records()
         self.seq += 1
         self.rewriting, self.count, self.rewrites = self.seq, len(records), self.rewrites + 1
@@ -99,12 +101,12 @@
         return records
 
     def receive(self, *, event: RecordsSynced | DiskWriteFailed) -> list[Command]:
-        """Fold the disk's word: what waited goes out, or is dropped for good."""
+        """Handle the result of a write: release the pending replies, or drop them for good if it failed."""
         if isinstance(event, DiskWriteFailed):
             self.usable, self.rewriting = False, 0
             self.waiting.clear()
             log = LogEvent(event="disk-failed", fields={"full": event.full, "reason": event.reason})
-            # after a failed sync nothing on this descriptor can be believed again
+            # after a failed sync no later result on this file descriptor can be trusted
             return [log] if event.full else [log, ExitProcess(code=constants.EXIT_DISK)]
         commands: list = []
         if event.seq >= self.rewriting > 0:
@@ -116,12 +118,12 @@
         while self.waiting and self.waiting[0][0] <= self.synced:
             commands += self.waiting.popleft()[1]
         if self.usable and not self.rewriting and self._is_long():
-            # what was stored behind a rewrite, as after a long sleep, is not left for the next change to clear away
+            # records stored during a rewrite, as after a long suspend, are cleared without waiting for the next change
             commands.append(self.rewrite())
         return commands
 
 
 def estimate_bytes(*, records: list) -> int:
-    """Bytes that these records take in the file, but for how JSON escapes their texts."""
+    """Estimated bytes of these records in the file, not counting JSON escapes in their texts."""
     texts = sum(len(record["v"]["text"]) for record in records if "v" in record)
     return constants.RECORD_OVERHEAD_BYTES * len(records) + texts
--- a/sailward/control/message_handlers.py
+++ b/sailward/control/message_handlers.py
@@ -1,4 +1,4 @@
-"""What a controller does with each kind of message from another daemon: one table from kind to handler."""
+"""Dispatch of messages from other daemons: one table from message kind to handler."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class MessageHandlers:
-    """Gives messages to the parts of a controller. It has no state of its own."""
+    """Dispatches messages to the parts of a controller. It has no state of its own."""
 
     def __init__(
         self,
@@ -45,14 +45,14 @@
         self._handlers = self._table()
 
     def step(self, *, now: float, sender: str, body: Message) -> list[Command]:
-        """Give a message to the part that its kind concerns; one that concerns none is logged."""
+        """Dispatch a message by its kind; an unknown kind is logged."""
         handler = self._handlers.get(body["kind"])
         if handler is None:
             return [LogEvent(event="message-unexpected", fields={"kind": body["kind"], "from": sender})]
         return handler(now=now, sender=sender, body=body)
 
     def _table(self) -> dict[str, Callable[..., list[Command]]]:
-        """What each kind of message is given to; every handler takes `now`, `sender` and `body`."""
+        """The handler of each kind of message; every handler takes `now`, `sender` and `body`."""
         return {
             **dict.fromkeys(("prepare", "accept", "read", "first"), self._on_vote_request),
             **dict.fromkeys(("promise", "voted", "told"), self._registers.receive),
@@ -73,7 +73,7 @@
 
     def _on_vote_request(self, *, now: float, sender: str, body: Message) -> list[Command]:
         if self._is_bootstrapped and body["voters"] > self._voter.voters.number:
-            # who acts under a newer set shows that there is one: ask for it, or read it, soon
+            # the sender acts under a newer voter set: request or read that set soon
             self._membership.request_soon()
             self._catch_up.record_behind(now=now, name="voters")
         return self._voter.answer(now=now, sender=sender, body=body)
@@ -119,13 +119,13 @@
         return self._membership.take_page(now=now, event=(sender, body))
 
     def _on_grant(self, *, now: float, sender: str, body: Message) -> list[Command]:
-        """The answer to this process's own asking for news: what it lacks is pushed."""
+        """Ignored: the reply to this process's own request for updates; the missing values are pushed separately."""
         return []
 
     def _on_gossip(self, *, now: float, sender: str, body: Message) -> list[Command]:
         commands = self._peer_table.step(now=now, event=(sender, body))
         if self._is_mesh and any(isinstance(command, LogEvent) for command in commands):
-            # one that was lost is back, or this one is
+            # a lost controller is back, or this one was lost itself
             self._catch_up.read_all_soon()
         if body["kind"] == "beat":
             self._contact_watch.on_heartbeat(now=now, sender=sender, body=body)
--- a/sailward/control/operator_requests.py
+++ b/sailward/control/operator_requests.py
@@ -1,4 +1,4 @@
-"""Requests of operators to a controller: status and metrics at once, orders only with contact to a majority."""
+"""Operators' requests to a controller: status and metrics at any time, orders only in contact with a majority."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class OperatorRequests:
-    """Hands each request to the part that answers it. `step` takes one and gives commands."""
+    """Dispatches each request to the part that answers it. `step` takes one request and returns commands."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         self._write_ahead, self._status = write_ahead, status
 
     def step(self, *, now: float, event: RequestReceived) -> list[Command]:
-        """Answer a request; an order is refused, or sent to another controller, while contact is missing."""
+        """Answer a request; without contact an order is refused or redirected to another controller."""
         match (event.method, event.path):
             case ("GET", "/status"):
                 return [answer_json(token=event.token, code=200, body=show_status(sources=self._status, now=now))]
@@ -67,6 +67,6 @@
         if isinstance(order, Respond):
             return [order]
         commands = self._registers.learn(now=now, name="voters", ballot=order.ballot, value=order.value, announce=True)
-        # announced only when it is on the disk
+        # announced only after the record is synced
         replies = [log_founding(value=order.value), *commands, order.answer]
         return self._write_ahead.step(records=[order.record], replies=replies)
--- a/sailward/control/registers.py
+++ b/sailward/control/registers.py
@@ -1,4 +1,4 @@
-"""Operations on registers, and what follows from a value that is known to have been chosen."""
+"""Operations on registers, and the propagation of chosen values."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 
 
 class Registers:
-    """Owner of the operations under way.
+    """Owner of the operations in flight.
 
-    `begin` begins some, `receive` and `tick` move them on, `learn` takes a chosen value.
+    `begin` starts operations, `receive` and `tick` advance them, `learn` takes a chosen value.
     """
 
     def __init__(
@@ -50,12 +50,12 @@
         self._unreadable_change: str | None = None
 
     def tick(self, *, now: float) -> list[Command]:
-        """Time goes on: operations are retried, or expire."""
+        """Retry or expire operations as time passes."""
         commands, finished = self._proposer.step(now=now, voters=self._voter.voters, event=None)
         return commands + self._finish(now=now, finished=finished)
 
     def receive(self, *, now: float, sender: str, body: Message) -> list[Command]:
-        """Take a voter's answer to an operation; only one of a voter of the same set shows contact."""
+        """Handle a voter's reply to an operation; a nack proves no contact, as it may come under another voter set."""
         if self._contact is not None and body["kind"] != "nack":
             self._contact.on_answer(peer=sender, question=body["op"])
         commands, finished = self._proposer.step(now=now, voters=self._voter.voters, event=(sender, body))
@@ -72,14 +72,14 @@
         return commands
 
     def step_shard_leases(self, *, now: float, event: CallFinished | None) -> list[Command]:
-        """Step the grants of divided services, where there are any, and begin the changes that they ask for."""
+        """Step the shard leases, if there are any, and begin the operations that they request."""
         if self._shard_leases is None:
             return []
         commands, begins = self._shard_leases.step(now=now, event=event)
         return commands + self.begin(now=now, begins=begins)
 
     def learn(self, *, now: float, name: str, ballot: Ballot, value: RegisterValue, announce: bool) -> list[Command]:
-        """Hold a value that is known to have been chosen, push it on, and `announce` it to the other controllers."""
+        """Keep a chosen value, push it to subscribers, and if `announce` is set send it to the other controllers."""
         if not is_control(name=name):
             return []
         config = self._load_config(name=name, value=value)
@@ -106,7 +106,7 @@
         return load_config(value=value, expand=self._expand)
 
     def _finish(self, *, now: float, finished: list[OperationFinished]) -> list[Command]:
-        """Take the ends of operations: learn the value each of them found, and tell who began it."""
+        """Handle finished operations: learn the value that each found, and notify the part that began it."""
         commands = []
         for end in finished:
             ballot, value = getattr(end.outcome, "ballot", [0, ""]), getattr(end.outcome, "value", None)
@@ -131,6 +131,6 @@
 
 
 def _without_value(*, end: OperationFinished) -> OperationFinished:
-    """The end of an operation that found a value which can't be read: it is as if none had been found."""
+    """The end of an operation that found an unreadable value, reported as if it had found none."""
     outcome = Refused(reason="unreadable", value=EMPTY, ballot=[0, ""])
     return OperationFinished(op=end.op, register=end.register, outcome=outcome)
