--- a/tests/core_net.py
+++ b/tests/core_net.py
@@ -1,4 +1,4 @@
-"""A core of controllers on virtual time: two regions 55 ms apart, disks that sync, kills, wipes and cuts."""
+"""A core of controllers in simulated time: two regions 55 ms apart, disk syncs, kills, wipes and partitions."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class Machine:
-    """One machine with a disk and, when up, a controller."""
+    """One machine with a disk and, while it runs, a controller."""
 
     def __init__(self, *, name: str, zone: str, post: str) -> None:
         self.name, self.zone, self.post = name, zone, post
@@ -49,7 +49,7 @@
 
 
 class CoreNet:
-    """Machines, messages and operators' calls on virtual time."""
+    """Machines, messages and operators' calls in simulated time."""
 
     def __init__(
         self,
@@ -149,7 +149,7 @@
         if_match: str | None = None,
         wait: float = 8.0,
     ) -> tuple:
-        """(code, body, seconds) of an operator's call; code 0 if nothing came."""
+        """(code, body, seconds) of an operator's call; code 0 if there was no answer."""
         token = self.send(machine, method=method, path=path, body=body, if_match=if_match)
         begun = self.now
         self.run(wait, until=lambda: token in self.answers)
@@ -221,7 +221,7 @@
 
 
 def make_written(*, label: int, routes: int = 4, weight: int = 90) -> dict:
-    """A configuration in the platform's words."""
+    """A configuration in the platform's format."""
 
     def rule(at: int) -> dict:
         return {
--- a/tests/group_machine.py
+++ b/tests/group_machine.py
@@ -1,6 +1,6 @@
-"""A control group of whole controllers, driven by hypothesis.
+"""A hypothesis state machine over a control group of complete controllers.
 
-Changes, kills, losses of power, wipes, cuts, lossy networks.
+It generates changes, kills, power failures, wiped disks, partitions and lossy networks.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 
 MEMBERS = st.integers(0, 3)
 HEAL_TIME = 40.0
-"""s of the group's clock in which all members must agree once all is well."""
+"""s of simulated time in which all members must agree once all faults are removed."""
 
 
 class GroupMachine(RuleBasedStateMachine):
-    """Three founders and one that waits. Budget: one disk lost at a time, the next when the group is whole again."""
+    """Three founders and a spare. Fault budget: one disk lost at a time, the next once the group is complete again."""
 
     @initialize(seed=st.integers(0, 1000))
     def found(self, seed: int) -> None:
@@ -35,7 +35,7 @@
         self.group.sync_time = lambda: self.random.choice((0.002, 0.002, 0.03))
         for at, member in enumerate(self.group.members):
             self.group.start(member=member, is_first=at < 3)
-        self.group.run(seconds=1.0)  # a group that loses all power before its founding is synced was never founded
+        self.group.run(seconds=1.0)  # all power lost before the founding is synced: no core
         assert self._count_voting() == 3
 
     @rule(at=MEMBERS, seconds=st.sampled_from([0.0, 0.02, 0.4]))
@@ -61,7 +61,7 @@
 
     @rule()
     def lose_all_power(self) -> None:
-        """Every machine loses power, and all that was not synced; all come back."""
+        """Every machine loses power and its unsynced writes; all restart."""
         for member in self.group.members:
             self.group.lose_power(member=member, choose=lambda options: options[-1])
         self.start_all()
@@ -85,7 +85,7 @@
     @precondition(lambda self: self._is_complete())
     @rule(at=MEMBERS, seconds=st.sampled_from([0.0, 0.3, 3.0]))
     def wipe(self, at: int, seconds: float) -> None:
-        """A disk is lost, and the machine comes back empty."""
+        """A disk is lost, and the machine comes back with an empty one."""
         member = self.group.members[at]
         self.group.wipe(member=member)
         self.floors.pop(member.name, None)
@@ -107,7 +107,7 @@
 
     @rule(behind=MEMBERS, at=MEMBERS)
     def leave_one_behind(self, behind: int, at: int) -> None:
-        """A change is made while one is cut off; it is back in touch, but its disk has the old vote."""
+        """A change is made while one member is partitioned; after the partition its disk still has the old vote."""
         self.cut(at=behind)
         self.change(at=at, seconds=0.4)
         self.join_all()
@@ -116,10 +116,7 @@
     @precondition(lambda self: self._is_complete())
     @rule(order=st.permutations(range(4)))
     def lose_two_in_turn(self, order: list[int]) -> None:
-        """One is behind in its votes, the next loses its disk.
-
-        And the moment its successor votes the one after it is lost.
-        """
+        """One member has stale votes and a second loses its disk; once the replacement votes, a third is lost."""
         behind, wiped, lost, at = order
         self.leave_one_behind(behind=behind, at=at)
         self.wipe(at=wiped, seconds=0.0)
@@ -128,15 +125,15 @@
 
     @rule(lost=MEMBERS, at=MEMBERS)
     def lose_one_and_change(self, lost: int, at: int) -> None:
-        """One goes for good, and the others change the configuration without it."""
+        """One member is killed, and the others change the configuration without it."""
         self.kill(at=lost)
         self.go_on(seconds=2.5)
         self.change(at=at, seconds=0.4)
 
     def teardown(self) -> None:
-        """All is well again: all catch up, and once more from their disks alone.
+        """Remove all faults; all members must catch up, and again after a restart.
 
-        As memory may hide what the voters lost.
+        The restart leaves only what is on disk, as values in memory may hide what the voters lost.
         """
         if not hasattr(self, "group") or not self.is_sound:
             return
@@ -156,7 +153,7 @@
         assert is_healed, f"held {numbers}, acknowledged {self.acknowledged}, {self._count_voting()} vote"
 
     def _watch(self, member: Member) -> None:
-        """Look at all that this life of a member holds, and at all that it is told was accepted."""
+        """Check every value that this incarnation of a member learns, and every change reported to it as accepted."""
         controller = member.controller
         floor = self.acknowledged if member.life > 1 and controller.write_ahead.copied else 0
         self.floors[member.name] = floor
@@ -218,7 +215,7 @@
         return sum(member.controller is not None and member.controller.voting for member in self.group.members)
 
     def _is_complete(self) -> bool:
-        """Are all up and in touch, and do three vote under one set that all of them know?"""
+        """Are all members running and connected, and do three vote under one voter set that all members know?"""
         members = self.group.members
         if self.network != "calm" or any(one.controller is None or one.is_cut for one in members):
             return False
--- a/tests/orders_net.py
+++ b/tests/orders_net.py
@@ -1,7 +1,7 @@
-"""Three control machines cut down to what takes orders: acceptor, proposer and operators' interface, step by step.
+"""Three control machines reduced to what handles orders: acceptor, proposer and admin API, run step by step.
 
-Messages and answers wait until a test lets them through, loses or doubles them. A crash ends the proposer and the
-operators' interface; what the acceptor voted stays. What operators saw is judged as one history (linearizability).
+Messages and answers are queued until a test delivers, drops or duplicates them. A crash resets the proposer and the
+admin API but keeps the acceptor's votes. What the operators saw is checked as one history for linearizability.
 """
 
 from __future__ import annotations
@@ -33,13 +33,13 @@
 VOTING = ("prepare", "accept", "read", "first")
 REFUSED = (400, 409, 412, 413, 422)
 AT_ONCE = 8
-"""orders that wait for an answer at once at the most."""
+"""The most orders that wait for an answer at the same time."""
 TESTED_ZONES = ("gdl-a", "ens-a")
 
 
 @dataclass(kw_only=True, eq=False)
 class Call:
-    """One order of an operator, which may be sent several times. `code` is that of its first final answer."""
+    """One order of an operator, which may be sent several times. `code` is that of its first definitive answer."""
 
     method: str
     path: str
@@ -58,7 +58,7 @@
 
     @property
     def is_open(self) -> bool:
-        """Does its operator still wait for a clear answer?"""
+        """Is its operator still waiting for a definitive answer?"""
         return self.code == 0
 
 
@@ -79,7 +79,7 @@
 
 
 class OrdersNet:
-    """Nodes, messages under way, answers under way, and the calls of all operators."""
+    """Nodes, messages and answers in flight, and the calls of all operators."""
 
     def __init__(self) -> None:
         self.nodes = [Node(name=f"m{at}") for at in range(NODES)]
@@ -90,10 +90,10 @@
         self.calls: list[Call] = []
         self.at: dict[str, Node] = {}
 
-    # what operators do
+    # operators' actions
 
     def change(self, *, at: int, base: int, label: int, is_patch: bool, variant: int) -> Call:
-        """A configuration on top of a version."""
+        """Send a configuration change based on a version."""
         content = f"{0.1 + variant / 1000:.3f}"
         rule = make_rule(target=float(content))
         listeners = [{"hostname": "a.example", "ruleset": [rule]}]
@@ -111,15 +111,15 @@
         return self._begin(call=call, at=at)
 
     def order(self, *, at: int, zone: str, is_emptied: bool) -> Call:
-        """An order on a zone."""
+        """Send an order on a zone."""
         return self._begin(call=Call(method="POST" if is_emptied else "DELETE", path=f"/evacuation/{zone}"), at=at)
 
     def look(self, *, at: int, path: str) -> Call:
-        """A reading."""
+        """Send a read."""
         return self._begin(call=Call(method="GET", path=path), at=at)
 
     def resend(self, *, call: Call, at: int) -> None:
-        """The operator gives up the connections that it has, and sends the same to a machine."""
+        """The operator closes its open connections and resends the call to a machine."""
         self.leave(call=call)
         self.moment += 1
         call.sendings.append(self.moment)
@@ -132,11 +132,11 @@
             self.at[token].admin.drop(token=token)
 
     def send_late(self, *, call: Call, at: int) -> None:
-        """A copy that was under way for long arrives, and its connection's end right behind it."""
+        """A delayed copy of the call arrives, and its connection closes right after it."""
         self._send(call=call, at=at)
         self.at[call.tokens[-1]].admin.drop(token=call.tokens[-1])
 
-    # what the network and the machines do
+    # events of the network and the machines
 
     def deliver(self, *, index: int, is_doubled: bool = False) -> None:
         """One message arrives."""
@@ -160,17 +160,17 @@
         answer = self.answers.pop(index % len(self.answers))
         call = next(one for one in self.calls if answer.token in one.tokens)
         is_clear = answer.code == 200 or answer.code in REFUSED or (call.method == "GET" and answer.code == 404)
-        # what comes on a connection that the operator has closed reaches nobody
+        # an answer on a connection that the operator has closed reaches nobody
         if not is_lost and answer.token == call.waits_on and call.is_open and is_clear:
             self.moment += 1
             call.code, call.ended, call.answer = answer.code, self.moment, json.loads(answer.body)
 
     def crash(self, *, at: int) -> None:
-        """A machine's process ends and starts; its votes are on its disk."""
+        """Restart a machine's process; its votes are on disk."""
         self.nodes[at].start()
 
     def wait(self, *, seconds: float) -> None:
-        """Time goes on."""
+        """Advance the clock."""
         self.now += seconds
         for node in self.nodes:
             commands, finished = node.proposer.step(now=self.now, voters=self.voters, event=None)
@@ -178,7 +178,7 @@
             self._finish(node=node, finished=finished)
 
     def calm(self, *, rounds: int = 40) -> None:
-        """All arrives in order, for a while."""
+        """Deliver everything in order for a number of rounds."""
         for _ in range(rounds):
             for _ in range(200):
                 if not self.messages:
@@ -188,10 +188,10 @@
                 self.answer(index=0, is_lost=False)
             self.wait(seconds=0.1)
 
-    # what is judged
+    # checks
 
     def finish(self) -> Violation | None:
-        """All calms down, everything is read at each machine; the first breach of any object."""
+        """Settle, read everything at each machine, and return the first violation on any object."""
         self.calm()
         for at in range(NODES):
             self.look(at=at, path="/config")
@@ -270,7 +270,7 @@
 
 
 def make_rule(*, target: float) -> dict:
-    """The one route; its target tells configurations apart."""
+    """The only route; its target identifies the configuration."""
     return {
         "name": "r",
         "route_kind": "idempotent",
@@ -287,8 +287,8 @@
 def _zone_orders(*, call: Call) -> list[Operation]:
     """One order and its copies.
 
-    Nothing tells a copy from another order alike, so each that came in time may have an effect of its own, but none
-    after the order was acknowledged; one that came late has none.
+    A copy is indistinguishable from a new identical order, so each copy that arrived in time may have its own effect,
+    but not after the order was acknowledged. A copy that arrived late has no effect.
     """
     name, act = f"{call.method}: {call.code}", ZoneOrder(is_emptied=call.method == "POST")
     copies = call.sendings if call.is_open else call.sendings[:-1]
@@ -304,10 +304,10 @@
 
 
 class RandomOperators:
-    """A long random history: up to eight orders at once, most answers lost, messages lost, doubled and out of order.
+    """A long random history: up to eight concurrent orders, most answers lost, messages lost, duplicated, reordered.
 
-    `focus` has more of one thing: "zones" gives orders on one zone only, "chains" builds on changes that are not
-    known to be taken.
+    `focus` selects a workload: "zones" sends orders on one zone only, "chains" bases changes on changes that are not
+    known to be accepted.
     """
 
     def __init__(self, *, seed: int, answers_lost: float = 0.9, focus: str = "") -> None:
@@ -315,7 +315,7 @@
         self.label = 0
 
     def run(self, *, steps: int) -> Violation | None:
-        """So many steps, then calm and judged."""
+        """Run `steps` random steps, then settle and check."""
         for _ in range(steps):
             self._step()
         return self.net.finish()
@@ -369,7 +369,7 @@
         net, rng = self.net, self.rng
         for _ in range(count):
             if net.messages:
-                # mostly in order, as on connections, and seldom twice
+                # mostly in order, as on connections, and rarely duplicated
                 span = 1 if rng.random() < 0.7 else len(net.messages)
                 net.deliver(index=rng.randrange(span), is_doubled=rng.random() < 0.02)
         while net.answers and rng.random() < 0.8:
--- a/tests/planted_faults.py
+++ b/tests/planted_faults.py
@@ -1,4 +1,4 @@
-"""Faults planted into the product on purpose, which more than one property test must find."""
+"""Deliberate faults in the product that more than one property test must find."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def answer_before_sync(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Replies leave at once, before the records that they depend on are on the disk."""
+    """Replies are sent at once, before the records that they depend on are synced."""
     old = write_ahead.WriteAhead.step
     monkeypatch.setattr(
         write_ahead.WriteAhead,
--- a/tests/test_bootstrap.py
+++ b/tests/test_bootstrap.py
@@ -1,4 +1,4 @@
-"""A core that founds itself, grows, and brings itself back after losses."""
+"""A core that bootstraps itself, grows, and repairs itself after losses."""
 
 from __future__ import annotations
 
@@ -76,7 +76,7 @@
     net.start(machine)
     assert net.run(3.0, until=lambda: machine.controller.voting)
     assert net.now - begun < 2.5
-    # and the one after it may be lost at once
+    # the next voter may be lost at once
     other = net.machines[(at + 1) % 3]
     net.kill(other, wipe=True)
     put(net, label=2, on="r1")
@@ -202,7 +202,7 @@
     net = found()
     put(net, label=1, on="0")
     for machine in net.machines:
-        # no reads of their own: they would mend what this is about
+        # no periodic reads: they would repair the stale register that this test is about
         machine.controller.catch_up.step = lambda **_: []
     net.run(1.0)
     net.cut = {"m1"}
--- a/tests/test_copy_sources.py
+++ b/tests/test_copy_sources.py
@@ -1,8 +1,8 @@
-"""Who may be copied from: a voter that never finished its own copy holds nothing that counts.
+"""Copy sources: a voter that never finished its own copy must not count as a source.
 
-Three voters chose a change by the votes of two. The third was exchanged for a newcomer, which was exchanged in its
-turn before its own copy was over. Were it a source for the next one, what it tells and what one survivor tells would
-count as a majority of the set before, though only one of these two ever held votes: a chosen value could be missed.
+Two of three voters chose a change. The third was replaced by a newcomer, which was itself replaced before its copy was
+complete. If it were a source for the next newcomer, its pages and those of one survivor would count as a majority of
+the previous set, although only one of the two ever held votes: a chosen value could be missed.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 def make_voter(*, copied_under: int | None) -> Voter:
-    """The newcomer of set 2 under set 3, which exchanged it; it finished its own copy under `copied_under`, if any."""
+    """The newcomer of set 2, replaced in set 3; it completed its copy under set `copied_under`, or never."""
     second = change(text=json.dumps({"members": POSTS, "joined": {}}), number=1, add=NEWCOMER, drop="c#1")
     third = change(text=second, number=2, add=NEXT, drop=NEWCOMER)
     value = {"number": 3, "mark": "m3", "trail": [], "text": third}
--- a/tests/test_group_machine.py
+++ b/tests/test_group_machine.py
@@ -1,4 +1,4 @@
-"""Long random histories of a whole control group, and the faults that they must find."""
+"""Long random histories of a control group, and the planted faults that they must find."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 from tests.planted_faults import answer_before_sync
 
 EXAMPLES = int(os.environ.get("SAILWARD_MODEL_EXAMPLES", "15"))
-"""Histories of the sound product; wide runs give more by the environment."""
+"""Histories of the unmodified product; long runs set a larger number by the environment variable."""
 PLANTED_EXAMPLES, STEPS = 3000, 30
-"""Histories in which a planted fault is looked for: the search ends with the first that shows it. What hypothesis draws
-also depends on the constants of the loaded modules, so how many are needed varies: a copy from one voter was found
+"""The most histories to search for a planted fault; the search ends with the first that exposes it. What hypothesis
+draws also depends on the constants of the loaded modules, so the number needed varies: a copy from one voter was found
 within 150 when this file ran alone, and between 600 and 3000 with the whole suite loaded."""
 
 
@@ -63,7 +63,7 @@
 
 
 def hold_own_vote_at_start(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A start takes the last vote on its disk for what is in force."""
+    """A restarted controller treats the last vote on its disk as the chosen value."""
     old = controller.Controller._tick
 
     def tick(self, *, now, event):
@@ -76,7 +76,7 @@
 
 
 def keep_identity_without_data(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A wiped machine comes back under the identity that it founded with, and as one that has all registers."""
+    """A wiped machine comes back with its identity as a founder and claims a complete copy of the registers."""
     old = controller.Controller.__init__
 
     def init(self, *, records, location, **fields):
--- a/tests/test_quorum_contact.py
+++ b/tests/test_quorum_contact.py
@@ -1,4 +1,4 @@
-"""Contact with a majority: what shows it, for how long, and what a controller without it says."""
+"""Contact with a majority: what proves it, for how long, and how a controller without it replies."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 def test_contact_lasts_from_the_question_not_from_the_answer() -> None:
     contact = QuorumContact(started=0.0)
     contact.record_question(now=10.0, question=7)
-    contact.on_answer(peer="post1", question=7)  # it came late: at 10.0 + LIFE - 0.1, say
+    contact.on_answer(peer="post1", question=7)  # however late it arrived
     assert has(contact, now=10.0 + TTL) and not has(contact, now=10.0 + TTL + 0.01)
 
 
@@ -87,7 +87,7 @@
     reach(9.5)
     assert not contact.may_serve(now=9.5, members=MEMBERS, own="v0")
     contact.finish_read(now=9.6, register="config", begun=8.9)
-    assert contact.unread == set(CONTROL)  # that read was begun before the gap was noticed
+    assert contact.unread == set(CONTROL)  # that read began before the gap was noticed
     for name in CONTROL[:-1]:
         contact.finish_read(now=9.6, register=name, begun=9.5)
     assert not contact.may_serve(now=9.6, members=MEMBERS, own="v0")
@@ -101,7 +101,7 @@
     contact.on_answer(peer="post1", question=1)
     contact.step(now=1.0, members=MEMBERS, own="v0")
     read_all(contact, now=1.0)
-    # what waited for it is handled before any alarm: an answer to an old question, then an asking for configurations
+    # after a suspend, queued messages are handled before any timer: a reply to an old request, then a config request
     contact.on_answer(peer="post2", question=1)
     assert not contact.may_serve(now=31.0, members=MEMBERS, own="v0")
 
--- a/tests/test_second_loss.py
+++ b/tests/test_second_loss.py
@@ -1,4 +1,4 @@
-"""How soon a core bears the next loss after one: in simulated time, at budgets of one and two, at several sizes."""
+"""How soon after a loss a core tolerates the next: in simulated time, for fault budgets of one and two."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from tests.test_bootstrap import found, put
 
 CATCH_UP = 4.0
-"""s. After a loss is made up for, the users bear so long until the next one may come."""
+"""s after the lost machine or its replacement starts within which the core must tolerate the next loss."""
 ZONES = ["gdl-a", "ens-a", "gdl-b", "ens-b", "gdl-a", "ens-a", "gdl-b", "ens-b"]
 SIZES = [(4, 1), (5, 1), (6, 1), (8, 1), (6, 2), (8, 2)]
-"""(machines that may vote, losses to be borne at once)."""
+"""(machines that may vote, simultaneous losses to tolerate)."""
 
 
 def bears(net: CoreNet, *, losses: int) -> bool:
-    """Would a majority of the newest set act on after so many more losses?"""
+    """Would a majority of the newest voter set still vote after `losses` more?"""
     up = [one.controller for one in net.machines if one.controller is not None]
     newest = max((one.voters for one in up), key=lambda voters: voters.number)
     acting = [machine for machine in up if machine.voting and machine.voters.number == newest.number]
@@ -25,7 +25,7 @@
 
 
 def make_core(*, machines: int, budget: int, seed: int = 1, spare: int = 0) -> CoreNet:
-    """A core at its full size; `spare` machines more stand dark at its end."""
+    """A core at its full size; `spare` further machines at the end of the list are not started."""
     net = CoreNet(zones=(ZONES * 2)[: machines + spare], budget=budget, seed=seed)
     for machine in net.machines[:machines]:
         net.after(net.rng.uniform(0, 0.5), lambda machine=machine: net.start(machine, bootstrap=True))
@@ -35,13 +35,13 @@
 
 
 def time_until_borne(net: CoreNet, *, losses: int, most: float = 12.0) -> float:
-    """Seconds until the core bears so many losses; `most` if it never does."""
+    """Seconds until the core tolerates `losses`; `most` if it does not within that time."""
     begun = net.now
     return net.now - begun if net.run(most, until=lambda: bears(net, losses=losses)) else most
 
 
 def a_voter(net: CoreNet, *, at: int = 0) -> Machine:
-    """One of those that act."""
+    """One of the voters."""
     return net.voting()[at]
 
 
@@ -89,7 +89,7 @@
 def test_what_only_the_leaving_one_and_the_next_lost_one_hold_is_kept(seed: int) -> None:
     net = make_core(machines=4, budget=1, seed=seed)
     leaving, lost, behind = net.voting()
-    # reads of their own would spread the value
+    # periodic reads would spread the value
     for machine in net.machines:
         machine.controller.catch_up.step = lambda **_: []
     net.cut = {behind.name}
@@ -100,10 +100,10 @@
     assert net.run(5.0, until=lambda: leaving.controller is None)
     net.kill(leaving, wipe=True)
     net.kill(lost, wipe=True)
-    # a controller that was cut off reads at a majority before it serves again
+    # after a partition a controller reads at a majority before it serves again
     del behind.controller.catch_up.step
     net.run(0.2)
-    # until it has shown contact with a majority it answers 503, and its operator asks again
+    # until it has contact with a majority it answers 503, and the operator retries
     deadline = net.now + 2.0
     shown = None
     while net.now < deadline and shown != make_written(label=1):
@@ -151,7 +151,7 @@
     leaving = a_voter(net)
     waiting = [machine for machine in net.machines if machine not in net.voting()]
     for one in waiting:
-        # it never finishes its copy
+        # its copy never completes
         one.controller.membership.copying.step = lambda **_: []
     net.give(leaving, event=ShutdownRequested())
     assert net.run(4.5, until=lambda: leaving.controller is None)
