--- a/sailward/control/controller.py
+++ b/sailward/control/controller.py
@@ -80,7 +80,7 @@
         self._build_proxies()
         self._build_shards()
         self._build_dispatch()
-        self._moves_begun = 0
+        self._move_count = 0
         self._startup_commands = self.voter.begun
         self._health_updated_at, self._rewrite_tried_at = NEVER, NEVER
 
@@ -284,9 +284,9 @@
     def _on_call_finished(self, *, now: float, event: CallFinished) -> list[Command]:
         if event.token.startswith(("grant ", "release ")):
             return self.registers.step_shard_leases(now=now, event=event)
-        return self._step_list(now=now, event=event)
+        return self._step_endpoint_list(now=now, event=event)
 
-    def _step_list(self, *, now: float, event: CallFinished | None) -> list[Command]:
+    def _step_endpoint_list(self, *, now: float, event: CallFinished | None) -> list[Command]:
         # a controller that is not a voter reads the list only if proxies subscribe to it
         is_needed = not self.voters.members or self.voting or self.subscribers.has_followers()
         commands, is_newer = self.endpoint_list.step(
@@ -315,14 +315,14 @@
         commands = self.contact_watch.step(now=now)
         commands += self.registers.tick(now=now)
         commands += self.contact_watch.send_heartbeats(now=now)
-        commands += self._step_list(now=now, event=None)
+        commands += self._step_endpoint_list(now=now, event=None)
         commands += self._move_slots(now=now)
         commands += self._step_proxy_registry(now=now)
         commands += self.registers.step_shard_leases(now=now, event=None)
         commands += self.registers.begin(now=now, begins=self.catch_up.step(now=now))
         commands += self.voter.sweep_claims(now=now)
         commands += self._step_membership(now=now)
-        self._describe_itself(now=now)
+        self._update_own_entry(now=now)
         commands += self._update_aggregated_health(now=now) + self.graceful_shutdown.step(now=now)
         return commands + self._repair_disk(now=now)
 
@@ -339,7 +339,7 @@
         self.admin_api.controllers = self.membership.controllers
         return commands + self.registers.begin(now=now, begins=begins)
 
-    def _describe_itself(self, *, now: float) -> None:
+    def _update_own_entry(self, *, now: float) -> None:
         """Update what the peer table announces about this process."""
         self.peer_table.fit = self.voting
         self.peer_table.asks = "" if self.options.is_mesh else self.subscribers.asks(now=now)
@@ -380,8 +380,8 @@
         )
         begins = []
         for name, number, text in changes:
-            self._moves_begun += 1
-            op = f"{self._operation_prefix}/move{self._moves_begun}"
+            self._move_count += 1
+            op = f"{self._operation_prefix}/move{self._move_count}"
             begins.append(
                 StartOperation(op=op, register=name, expected=number, text=text, timeout=constants.ROUND_TIMEOUT * 3)
             )
--- a/sailward/control/group/catch_up.py
+++ b/sailward/control/group/catch_up.py
@@ -21,28 +21,28 @@
 
     def __init__(self, *, voter: Voter, op_prefix: str, every: float, contact: QuorumContact | None) -> None:
         self._voter, self._op_prefix, self._every, self._contact = voter, op_prefix, every, contact
-        self._reading: dict[str, str] = {}
-        self._begun: dict[str, float] = {}
+        self._reads_in_flight: dict[str, str] = {}
+        self._begun_at: dict[str, float] = {}
         self._read_at: dict[str, float] = {}
-        self._behind: dict[str, float] = {}
-        self._count = 0
-        self._started: float | None = None
+        self._stale_since: dict[str, float] = {}
+        self._read_count = 0
+        self._started_at: float | None = None
         self.confirmed: dict[str, float] = {}
         self.caught_up_after: float | None = None
 
     def record_confirmed(self, *, now: float, name: str) -> None:
         """Record that a majority has just confirmed the newest value of this register."""
         self.confirmed[name] = now
-        if name == "config" and self.caught_up_after is None and self._started is not None:
-            self.caught_up_after = round(now - self._started, 3)
+        if name == "config" and self.caught_up_after is None and self._started_at is not None:
+            self.caught_up_after = round(now - self._started_at, 3)
 
     def record_behind(self, *, now: float, name: str) -> None:
         """Read this register at the next tick, because the value held here is known to be stale."""
-        self._behind.setdefault(name, now - constants.STALLED_VOTE_TIMEOUT)
+        self._stale_since.setdefault(name, now - constants.STALLED_VOTE_TIMEOUT)
 
     def record_unannounced(self, *, now: float, name: str) -> None:
         """A newer value of this register was voted for: read it unless it is announced soon."""
-        self._behind.setdefault(name, now)
+        self._stale_since.setdefault(name, now)
 
     def read_all_soon(self) -> None:
         """Read all registers at the next tick."""
@@ -50,42 +50,44 @@
 
     def finish(self, *, now: float, end: OperationFinished) -> bool:
         """Was this finished operation one of these reads? A successful one is recorded."""
-        if self._reading.pop(end.op, None) is None:
+        if self._reads_in_flight.pop(end.op, None) is None:
             return False
-        begun = self._begun.pop(end.op)
+        begun = self._begun_at.pop(end.op)
         if self._contact is not None and isinstance(end.outcome, Accepted):
             self._contact.finish_read(now=now, register=end.register, begun=begun)
         return True
 
     def step(self, *, now: float) -> list[StartOperation]:
         """Begin the reads that are due."""
-        if self._started is None:
-            self._started = now
-        return [self._begin(now=now, name=name) for name in self._names() if self._is_due(now=now, name=name)]
+        if self._started_at is None:
+            self._started_at = now
+        return [
+            self._begin(now=now, name=name) for name in self._registers_to_read() if self._is_due(now=now, name=name)
+        ]
 
-    def _names(self) -> list[str]:
+    def _registers_to_read(self) -> list[str]:
         if self._voter.is_member:
             return sorted({*CONTROL, *self._voter.acceptor.slots.control})
         if self._contact is not None and self._voter.voters.members:
-            return sorted({*self._contact.unread, *self._behind})
+            return sorted({*self._contact.unread, *self._stale_since})
         return []
 
     def _is_due(self, *, now: float, name: str) -> bool:
         slot = self._voter.acceptor.slots.get(name)
-        vote = [slot.value["number"], slot.value["mark"], slot.ballot] if slot and slot.value else [0, "", [0, ""]]
-        if not self._voter.learner.covers(name=name, newest=vote):
-            self._behind.setdefault(name, now)
-        elif self._behind.get(name, now) >= now:
-            self._behind.pop(name, None)
-        is_stalled = name in self._behind and now - self._behind[name] >= constants.STALLED_VOTE_TIMEOUT
+        newest = [slot.value["number"], slot.value["mark"], slot.ballot] if slot and slot.value else [0, "", [0, ""]]
+        if not self._voter.learner.covers(name=name, newest=newest):
+            self._stale_since.setdefault(name, now)
+        elif self._stale_since.get(name, now) >= now:
+            self._stale_since.pop(name, None)
+        is_stalled = name in self._stale_since and now - self._stale_since[name] >= constants.STALLED_VOTE_TIMEOUT
         is_needed = self._contact is not None and self._contact.had_contact and name in self._contact.unread
-        pause = constants.STALLED_VOTE_TIMEOUT if is_stalled or is_needed else self._every
-        return now - self._read_at.get(name, NEVER) >= pause and name not in self._reading.values()
+        interval = constants.STALLED_VOTE_TIMEOUT if is_stalled or is_needed else self._every
+        return now - self._read_at.get(name, NEVER) >= interval and name not in self._reads_in_flight.values()
 
     def _begin(self, *, now: float, name: str) -> StartOperation:
-        self._count += 1
+        self._read_count += 1
         self._read_at[name] = now
-        self._behind.pop(name, None)
-        op = f"{self._op_prefix}/own{self._count}"
-        self._reading[op], self._begun[op] = name, now
+        self._stale_since.pop(name, None)
+        op = f"{self._op_prefix}/own{self._read_count}"
+        self._reads_in_flight[op], self._begun_at[op] = name, now
         return StartOperation(op=op, register=name)
--- a/sailward/control/group/contact_watch.py
+++ b/sailward/control/group/contact_watch.py
@@ -52,7 +52,7 @@
     def may_serve(self, *, now: float) -> bool:
         """May this controller hand out control state and begin operators' calls?"""
         members = self._voter.voters.members
-        return not self._is_required or self.contact.may_serve(now=now, members=members, own=self._own_vote())
+        return not self._is_required or self.contact.may_serve(now=now, members=members, own=self._own_voter_identity())
 
     def may_attempt(self, *, now: float) -> bool:
         """May an operator's call be attempted at a majority?
@@ -63,14 +63,14 @@
 
     def shown_at(self, *, now: float) -> float:
         """The latest moment at which a majority is known to have been reachable."""
-        return self.contact.shown_at(now=now, members=self._voter.voters.members, own=self._own_vote())
+        return self.contact.shown_at(now=now, members=self._voter.voters.members, own=self._own_voter_identity())
 
     def step(self, *, now: float) -> list[Command]:
         """Update the state of contact; operators' orders that it holds up are answered, not left waiting."""
         if not self._is_required:
             return []
         had_contact = self.contact.had_contact
-        if self.contact.step(now=now, members=self._voter.voters.members, own=self._own_vote()):
+        if self.contact.step(now=now, members=self._voter.voters.members, own=self._own_voter_identity()):
             # values chosen during the gap were not received here
             self._catch_up.read_all_soon()
         is_lost = had_contact and not self.contact.had_contact
@@ -81,11 +81,11 @@
 
     def send_heartbeats(self, *, now: float) -> list[Command]:
         """Let the peer table send the heartbeats that are due, and record each as a request that peers echo."""
-        peer_table, before = self._peer_table, self._peer_table.heartbeat
+        peer_table, heartbeat_before = self._peer_table, self._peer_table.heartbeat
         peer_table.contact = self.may_serve(now=now)
         peer_table.voted = [newest_vote(slots=self._voter.acceptor.slots, name=name)[0] for name in ANNOUNCED_REGISTERS]
         commands = peer_table.step(now=now, event=None)
-        if peer_table.heartbeat != before:
+        if peer_table.heartbeat != heartbeat_before:
             self.contact.record_question(now=now, question=peer_table.echo_number())
         return commands
 
@@ -102,14 +102,14 @@
             return
         number, *voted = echo
         self.contact.on_answer(peer=sender, question=number)
-        self._record_voted(now=now, voted=voted)
+        self._record_newer_votes(now=now, voted=voted)
 
-    def _record_voted(self, *, now: float, voted: list[int]) -> None:
+    def _record_newer_votes(self, *, now: float, voted: list[int]) -> None:
         """Mark the registers for which a voter has a newer vote; a value that is not announced soon is read."""
         for name, newest in zip(ANNOUNCED_REGISTERS, voted, strict=False):
             if newest > self._voter.learner.number(name=name):
                 self._catch_up.record_unannounced(now=now, name=name)
 
-    def _own_vote(self) -> str:
+    def _own_voter_identity(self) -> str:
         """This controller's identity if it counts towards the majority itself, else empty."""
         return self._voter.identity if self._voter.is_member and self._voter.write_ahead.copied else ""
--- a/sailward/control/group/copying.py
+++ b/sailward/control/group/copying.py
@@ -61,11 +61,11 @@
         count = len(self.done) + (own is not None)
         if own is None or count >= majority_of(members=self.old):
             return count >= majority_of(members=self.old)
-        return count >= blocking_of(members=self.old) and not self._is_open(own=own)
+        return count >= blocking_of(members=self.old) and not self._has_conflict(own=own)
 
     def slots(self, *, now: float, own: dict[str, Slot] | None = None) -> dict[str, Slot]:
         """The values that may have been chosen under the previous set, by the votes that were copied."""
-        sources = self._sources(own=own)
+        sources = self._counted_votes(own=own)
         slots = {}
         for name in sorted({name for copied in sources for name in copied}):
             votes = [copied.get(name, []) for copied in sources]
@@ -76,17 +76,17 @@
                 slots[name] = Slot(promised=promised, ballot=ballot, value=value, since=now)
         return slots
 
-    def _sources(self, *, own: dict[str, Slot] | None) -> list[dict]:
+    def _counted_votes(self, *, own: dict[str, Slot] | None) -> list[dict]:
         """The votes of each voter that counts, by register."""
         sources = [self.copied.get(address, {}) for address in sorted(self.done)]
         if own is not None:
             sources.append({name: slot.vote() for name, slot in own.items() if slot.value is not None})
         return sources
 
-    def _is_open(self, *, own: dict[str, Slot] | None) -> bool:
+    def _has_conflict(self, *, own: dict[str, Slot] | None) -> bool:
         """Do these voters hold different values of a register under the first ballot?"""
         marks: dict[str, set] = {}
-        for copied in self._sources(own=own):
+        for copied in self._counted_votes(own=own):
             for name, (ballot, value) in copied.items():
                 if ballot == FIRST:
                     marks.setdefault(name, set()).add(value["mark"])
@@ -126,11 +126,11 @@
 
 def copy_page(*, slots: dict, names: list[str], after: str, number: int) -> dict:
     """One page of this voter's votes, in the order of the sorted names."""
-    at = bisect_right(names, after)
-    page = names[at : at + constants.COPY_PAGE_SLOTS]
+    start = bisect_right(names, after)
+    page_names = names[start : start + constants.COPY_PAGE_SLOTS]
     rows = [
         [name, slots[name].ballot, slots[name].value]
-        for name in page
+        for name in page_names
         if name in slots and slots[name].value is not None
     ]
     return {
@@ -138,5 +138,5 @@
         "after": after,
         "voters": number,
         "slots": rows,
-        "next": page[-1] if at + len(page) < len(names) else "",
+        "next": page_names[-1] if start + len(page_names) < len(names) else "",
     }
--- a/sailward/control/group/disaster_recovery.py
+++ b/sailward/control/group/disaster_recovery.py
@@ -56,21 +56,21 @@
     controllers that are alive according to the peer table.
     """
     members = json.loads(value["text"])["members"] if value["text"] else {}
-    by_name = {identity.split("#")[0]: identity for identity in members}
-    survivors = sorted({by_name.get(name, name) for name in names})
-    fault = _refuse_survivors(own=own, members=members, survivors=survivors)
-    fault = fault or _refuse_by_peers(members=members, survivors=survivors, controllers=controllers)
-    if fault is not None:
-        return fault
+    identity_by_name = {identity.split("#")[0]: identity for identity in members}
+    survivors = sorted({identity_by_name.get(name, name) for name in names})
+    refusal = _refuse_survivors(own=own, members=members, survivors=survivors)
+    refusal = refusal or _refuse_by_peers(members=members, survivors=survivors, controllers=controllers)
+    if refusal is not None:
+        return refusal
     if not is_confirmed:
         lost = sorted(set(members) - set(survivors))
         detail = f"confirm that these are permanently lost and stay switched off: {lost}"
         return NotFounded(code=409, reason="not-confirmed", detail=detail)
-    last = read_founding(value=value)
-    if last.number > opened and list(last.survivors) == survivors:
+    last_recovery = read_founding(value=value)
+    if last_recovery.number > opened and list(last_recovery.survivors) == survivors:
         return value
     # the voter set whose chosen values the survivors hold: the last one under which voters acted
-    base = last.base if last.number > opened else members
+    base = last_recovery.base if last_recovery.number > opened else members
     number = _next_founding_number(value=value, survivors=survivors)
     unknown_outcomes = len(set(survivors) & set(base)) < blocking_of(members=base)
     text = {
@@ -129,8 +129,8 @@
     digest = hashlib.blake2b(" ".join(survivors).encode(), digest_size=4).digest()
     location = int.from_bytes(digest, "big") % constants.RECOVERY_NUMBER_LOCATIONS
     step = constants.RECOVERY_NUMBER_GAP // constants.RECOVERY_NUMBER_LOCATIONS // 2
-    gaps = int(value["number"]) // constants.RECOVERY_NUMBER_GAP + 1
-    return gaps * constants.RECOVERY_NUMBER_GAP + location * step
+    next_gap = int(value["number"]) // constants.RECOVERY_NUMBER_GAP + 1
+    return next_gap * constants.RECOVERY_NUMBER_GAP + location * step
 
 
 @dataclass(kw_only=True)
--- a/sailward/control/group/graceful_shutdown.py
+++ b/sailward/control/group/graceful_shutdown.py
@@ -21,24 +21,24 @@
 
     def __init__(self, *, voter: Voter, peer_table: PeerTable, is_enabled: bool) -> None:
         self._voter, self._peer_table, self._is_enabled = voter, peer_table, is_enabled
-        self._begun: float | None = None
+        self._begun_at: float | None = None
         self._announced_at = NEVER
 
     def begin(self, *, now: float) -> list[Command]:
         """Begin the shutdown; a repeated order has no effect."""
-        if self._begun is None:
-            self._begun, self._peer_table.leaving = now, True
+        if self._begun_at is None:
+            self._begun_at, self._peer_table.leaving = now, True
         return self.step(now=now)
 
     def step(self, *, now: float) -> list[Command]:
         """Repeat the announcement, and exit when it is time."""
-        if self._begun is None:
+        if self._begun_at is None:
             return []
         commands = self._announce_departure(now=now) if now - self._announced_at >= self._peer_table.every else []
-        if now - self._begun < constants.VOTER_HANDOVER_TIMEOUT and self._is_of_use():
+        if now - self._begun_at < constants.VOTER_HANDOVER_TIMEOUT and self._must_stay():
             return commands
         log = LogEvent(
-            event="left", fields={"handed-over": not self._voter.is_member, "after": round(now - self._begun, 2)}
+            event="left", fields={"handed-over": not self._voter.is_member, "after": round(now - self._begun_at, 2)}
         )
         return [*commands, log, ExitProcess(code=0)]
 
@@ -48,12 +48,12 @@
         body = {"kind": "gossip", "entries": [peer_table.own_entry()], "reply": True}
         return [SendMessage(to=peer["post"], body=body) for peer in peer_table.alive(kind="controller")]
 
-    def _is_of_use(self) -> bool:
+    def _must_stay(self) -> bool:
         """Can another controller replace this one, or may a newcomer still be copying from it?"""
-        voter, others = self._voter, {peer["identity"]: peer for peer in self._peer_table.alive(kind="controller")}
+        voter, peers = self._voter, {peer["identity"]: peer for peer in self._peer_table.alive(kind="controller")}
         members = voter.voters.members
         if not self._is_enabled or not voter.write_ahead.copied or not voter.write_ahead.usable:
             return False
         if not voter.is_member:
-            return voter.is_copy_source and any(name in others and not others[name]["fit"] for name in members)
-        return voter.voting and any(is_waiting(entry=other, members=members) for other in others.values())
+            return voter.is_copy_source and any(name in peers and not peers[name]["fit"] for name in members)
+        return voter.voting and any(is_waiting(entry=other, members=members) for other in peers.values())
--- a/sailward/control/group/membership.py
+++ b/sailward/control/group/membership.py
@@ -57,20 +57,20 @@
         self.recovery = DisasterRecovery(copying=Copying(identity=voter.identity, backoff=options.copy_again))
         self.controllers: dict[str, dict] = {}
         self._requested_at = -1e9
-        self._names: dict[str, list[str]] = {}
-        self._short_since, self._short_reported = now, False
-        self._ops = 0
+        self._page_names: dict[str, list[str]] = {}
+        self._quorum_seen_at, self._is_loss_reported = now, False
+        self._repair_count = 0
 
     def step(self, *, now: float) -> StepResult:
         """Report a lost quorum; copy, recover, repair, or ask the other controllers for updates."""
         others = self._peer_table.alive(kind="controller")
         self.controllers = {other["identity"]: other for other in [*others, self._peer_table.own_entry()]}
-        commands = self._report_core(now=now, others=others)
+        commands = self._report_quorum(now=now, others=others)
         # a controller that does not vote yet also tracks the voters, to know on joining how long each has been lost
-        more, begins = self._repair(now=now, others=others)
+        repair_commands, begins = self._repair(now=now, others=others)
         if self._voter.voting:
-            return StepResult(commands + more, begins)
-        return StepResult(commands + self._catch_up(now=now) + self._request_updates(now=now, others=others), [])
+            return StepResult(commands + repair_commands, begins)
+        return StepResult(commands + self._copy_or_recover(now=now) + self._request_updates(now=now, others=others), [])
 
     def has_unknown_outcomes(self, *, now: float) -> bool:
         """May a recovery have lost claims that have not expired yet?"""
@@ -125,7 +125,7 @@
                 event=event, code=422, reason="survivors", detail="give survivors: a list of controllers' names"
             )
         newest = max((voter.learned_voters().value, voter.voted_voters()), key=lambda value: value["number"])
-        made = make_founding(
+        recovery_value = make_founding(
             own=voter.identity,
             names=names,
             is_confirmed=event.query.get("confirm") == "yes",
@@ -133,8 +133,10 @@
             opened=voter.write_ahead.opened,
             controllers=self.controllers,
         )
-        if isinstance(made, NotFounded):
-            return _refuse(event=event, code=made.code, reason=made.reason, detail=made.detail)
+        if isinstance(recovery_value, NotFounded):
+            return _refuse(
+                event=event, code=recovery_value.code, reason=recovery_value.reason, detail=recovery_value.detail
+            )
         if not voter.write_ahead.usable or not voter.write_ahead.copied:
             return _refuse(
                 event=event,
@@ -142,10 +144,10 @@
                 reason="not-usable",
                 detail="this controller can't write to its disk, or never had a copy of the core's registers",
             )
-        number = made["number"]
-        record = {"k": "vote", "r": "voters", "b": [number, "founder"], "v": made}
+        number = recovery_value["number"]
+        record = {"k": "vote", "r": "voters", "b": [number, "founder"], "v": recovery_value}
         fold_record(slots=voter.acceptor.slots, record=record, now=now)
-        founding = read_founding(value=made)
+        founding = read_founding(value=recovery_value)
         body = {
             "outcome": "accepted",
             "number": number,
@@ -153,7 +155,7 @@
             "claims": "in-doubt" if founding.unknown_outcomes else "kept",
         }
         answer = answer_json(token=event.token, code=200, body=body)
-        return RecoveryOrder(record=record, ballot=[number, "founder"], value=made, answer=answer)
+        return RecoveryOrder(record=record, ballot=[number, "founder"], value=recovery_value, answer=answer)
 
     def is_out(self, *, value: RegisterValue) -> bool:
         """Does this chosen voter set remove this controller? A delayed message with an older set does not."""
@@ -169,14 +171,14 @@
         voter, number = self._voter, self._voter.voters.number
         if not voter.is_copy_source or number != body["value"]["number"]:
             return []
-        if body["after"] == "" or sender not in self._names:
+        if body["after"] == "" or sender not in self._page_names:
             # no more votes are cast under the old set from here on, so one sorted list of names serves the whole copy
             copiers = {*voter.voters.members.values()}
-            self._names = {post: names for post, names in self._names.items() if post in copiers}
-            self._names[sender] = sorted(voter.acceptor.slots)
-        page = copy_page(slots=voter.acceptor.slots, names=self._names[sender], after=body["after"], number=number)
+            self._page_names = {post: names for post, names in self._page_names.items() if post in copiers}
+            self._page_names[sender] = sorted(voter.acceptor.slots)
+        page = copy_page(slots=voter.acceptor.slots, names=self._page_names[sender], after=body["after"], number=number)
         if not page["next"]:
-            del self._names[sender]
+            del self._page_names[sender]
         return voter.write_ahead.step(records=[], replies=[SendMessage(to=sender, body=page)])
 
     def take_page(self, *, now: float, event: tuple) -> list[Command]:
@@ -204,12 +206,13 @@
         commands += [
             log,
             *voter.write_ahead.step(
-                records=[*voter.put(slots=slots), voter.write_ahead.copied_record(), *self._opened()], replies=[]
+                records=[*voter.put(slots=slots), voter.write_ahead.copied_record(), *self._recovery_records()],
+                replies=[],
             ),
         ]
-        return commands + (self._announce() if self._options.bootstrap else [])
+        return commands + (self._announce_voting() if self._options.bootstrap else [])
 
-    def _announce(self) -> list[Command]:
+    def _announce_voting(self) -> list[Command]:
         """Tell the other voters at once that this one votes; gossip would take several rounds."""
         peer_table = self._peer_table
         peer_table.fit, peer_table.heartbeat = True, peer_table.heartbeat + 1
@@ -219,7 +222,7 @@
             for post in sorted({*self._voter.voters.members.values()} - {peer_table.location.post})
         ]
 
-    def _opened(self) -> list[Record]:
+    def _recovery_records(self) -> list[Record]:
         opened = self._voter.write_ahead.opened
         return [{"k": "opened", "n": opened}] if opened else []
 
@@ -247,7 +250,11 @@
                 "claims": "in-doubt" if self.has_unknown_outcomes(now=now) else "kept",
             },
         )
-        return [*commands, log, *voter.write_ahead.step(records=[*voter.put(slots=slots), *self._opened()], replies=[])]
+        return [
+            *commands,
+            log,
+            *voter.write_ahead.step(records=[*voter.put(slots=slots), *self._recovery_records()], replies=[]),
+        ]
 
     def _repair(self, *, now: float, others: list[dict]) -> StepResult:
         voter = self._voter
@@ -260,16 +267,16 @@
         )
         if not text:
             return StepResult([], [])
-        self._ops += 1
+        self._repair_count += 1
         begin = StartOperation(
-            op=f"{self._op_prefix}/repair{self._ops}",
+            op=f"{self._op_prefix}/repair{self._repair_count}",
             register="voters",
             expected=voter.voters.number,
             text=text,
         )
         return StepResult([LogEvent(event="voters-change", fields={"from": voter.voters.number, "to": text})], [begin])
 
-    def _catch_up(self, *, now: float) -> list[Command]:
+    def _copy_or_recover(self, *, now: float) -> list[Command]:
         """Copy the registers from the voters, or complete a disaster recovery."""
         voter = self._voter
         if not voter.is_member or "voters" not in voter.learner.values:
@@ -301,26 +308,26 @@
             else self._options.repair_every
         )
 
-    def _report_core(self, *, now: float, others: list[dict]) -> list[Command]:
+    def _report_quorum(self, *, now: float, others: list[dict]) -> list[Command]:
         """Log when too few voters are left for any change, and when the quorum is restored."""
         members = self._voter.voters.members
-        core = count_core(members=members, controllers=[*others, self._peer_table.own_entry()])
-        short = bool(members) and core["voting"] < core["needed"]
-        if not short:
-            self._short_since = now
-        was_reported, self._short_reported = (
-            self._short_reported,
-            short and now - self._short_since > constants.HEARTBEAT_TIMEOUT,
+        voting_counts = count_core(members=members, controllers=[*others, self._peer_table.own_entry()])
+        is_quorum_lost = bool(members) and voting_counts["voting"] < voting_counts["needed"]
+        if not is_quorum_lost:
+            self._quorum_seen_at = now
+        was_reported, self._is_loss_reported = (
+            self._is_loss_reported,
+            is_quorum_lost and now - self._quorum_seen_at > constants.HEARTBEAT_TIMEOUT,
         )
-        if was_reported == self._short_reported:
+        if was_reported == self._is_loss_reported:
             return []
         return [
             LogEvent(
                 event="quorum-lost" if not was_reported else "quorum-restored",
                 fields={
-                    "voting": core["voting"],
-                    "needed": core["needed"],
-                    "missing": ",".join(core["missing"]) or "none",
+                    "voting": voting_counts["voting"],
+                    "needed": voting_counts["needed"],
+                    "missing": ",".join(voting_counts["missing"]) or "none",
                 },
             )
         ]
@@ -328,8 +335,8 @@
 
 def _read_field(*, event: RequestReceived, name: str) -> Any:
     """One field of the JSON object in an operator's request; None if the body is no JSON object or lacks the field."""
-    given = read_config(text=event.body or b"")
-    return None if isinstance(given, Unsound) else given.get(name)
+    decoded = read_config(text=event.body or b"")
+    return None if isinstance(decoded, Unsound) else decoded.get(name)
 
 
 def _refuse(*, event: RequestReceived, code: int, reason: str, detail: str) -> Respond:
--- a/sailward/control/group/quorum_contact.py
+++ b/sailward/control/group/quorum_contact.py
@@ -39,18 +39,18 @@
     reached: dict[str, float] = field(default_factory=dict)
     unread: set[str] = field(default_factory=lambda: set(CONTROL))
     had_contact: bool = False
-    _questions: dict[int | str, float] = field(default_factory=dict)
+    _sent_at: dict[int | str, float] = field(default_factory=dict)
 
     def record_question(self, *, now: float, question: int | str) -> None:
         """Record when a request was sent: a heartbeat's echo number, or the name of an operation on a register."""
-        self._questions.setdefault(question, now)
+        self._sent_at.setdefault(question, now)
 
     def on_answer(self, *, peer: str, question: int | str) -> None:
         """Record that the voter at this address answered a request.
 
         A reply to a request that was never sent, or that has expired, proves nothing.
         """
-        sent_at = self._questions.get(question)
+        sent_at = self._sent_at.get(question)
         if sent_at is not None:
             self.reached[peer] = max(self.reached.get(peer, NEVER), sent_at)
 
@@ -72,19 +72,19 @@
     def may_serve(self, *, now: float, members: Mapping[str, str], own: str) -> bool:
         """Is there contact, and has every control register been read since contact was last lost?"""
         if not self.has_contact(now=now, members=members, own=own):
-            self._lose(now=now)
+            self._on_contact_lost(now=now)
             return False
         return not self.unread
 
     def step(self, *, now: float, members: Mapping[str, str], own: str) -> bool:
         """Update the state of contact and drop expired requests; returns whether contact was just established."""
-        self._questions = {name: at for name, at in self._questions.items() if now - at <= constants.QUORUM_CONTACT_TTL}
-        before = self.had_contact
+        self._sent_at = {name: at for name, at in self._sent_at.items() if now - at <= constants.QUORUM_CONTACT_TTL}
+        had_contact_before = self.had_contact
         if self.has_contact(now=now, members=members, own=own):
             self.had_contact = True
         else:
-            self._lose(now=now)
-        return self.had_contact and not before
+            self._on_contact_lost(now=now)
+        return self.had_contact and not had_contact_before
 
     def is_starting(self, *, now: float) -> bool:
         """Did this process start too recently to know whether it has contact?
@@ -101,6 +101,6 @@
         if begun >= self.lost_at and now - begun <= constants.QUORUM_CONTACT_TTL:
             self.unread.discard(register)
 
-    def _lose(self, *, now: float) -> None:
+    def _on_contact_lost(self, *, now: float) -> None:
         if self.had_contact:
             self.had_contact, self.lost_at, self.unread = False, now, set(CONTROL)
--- a/sailward/control/group/redirect.py
+++ b/sailward/control/group/redirect.py
@@ -13,20 +13,20 @@
 
 def other_controllers(*, peer_table: PeerTable, members: Mapping[str, str], own: str) -> list[list[str]]:
     """[[address, zone, region], ...] of the controllers known here, including those that are unreachable from here."""
-    places = {
+    locations = {
         known.entry["post"]: [known.entry["post"], known.entry["hall"], known.entry["region"]]
         for known in peer_table.known.values()
         if kind_of(entry=known.entry) == "controller"
     }
     for post in members.values():
-        places.setdefault(post, [post, "", ""])
-    places.pop(own, None)
-    return [places[post] for post in sorted(places)[: constants.MAX_REDIRECT_CONTROLLERS]]
+        locations.setdefault(post, [post, "", ""])
+    locations.pop(own, None)
+    return [locations[post] for post in sorted(locations)[: constants.MAX_REDIRECT_CONTROLLERS]]
 
 
 def redirect_or_reject(*, now: float, event: RequestReceived, dialect: Dialect, peer_table: PeerTable) -> Respond:
     """307 to a controller that recently announced contact, or 503 with Retry-After; nothing was read or changed."""
-    able = [
+    candidates = [
         known.entry
         for known in peer_table.known.values()
         if kind_of(entry=known.entry) == "controller"
@@ -34,10 +34,11 @@
         and known.entry["fit"]
         and known.contact
     ]
-    if able:
+    if candidates:
         location = peer_table.location
         nearest = min(
-            able, key=lambda entry: (entry["region"] != location.region, entry["hall"] != location.zone, entry["id"])
+            candidates,
+            key=lambda entry: (entry["region"] != location.region, entry["hall"] != location.zone, entry["id"]),
         )
         headers = {"Location": f"http://{nearest['http']}{event.target or event.path}"}
         body = {"outcome": "elsewhere", "detail": "this controller has no contact with a majority of the voters"}
--- a/sailward/control/group/repair.py
+++ b/sailward/control/group/repair.py
@@ -47,46 +47,46 @@
         members, number = voters.members, voters.number
         alive = {entry["identity"]: entry for entry in controllers}
         if self.is_brisk:
-            return self._step_brisk(now=now, own=own, number=number, text=text, members=members, alive=alive)
+            return self._step_self_managed(now=now, own=own, number=number, text=text, members=members, alive=alive)
         self.seen = {name: now if name in alive else self.seen.get(name, now) for name in members}
         well = [name for name in members if name in alive and alive[name]["fit"]]
         if choose_names(key=f"repair{number}", names=well, count=1) != [own]:
             return ""
-        gone = self._gone(now=now, members=members, alive=alive)
+        to_replace = self._lost_voters(now=now, members=members, alive=alive)
         joining = [name for name in members if name in alive and not alive[name]["fit"]]
         size = json.loads(text).get("size", len(members))
         waiting = sorted(name for name in alive if is_waiting(entry=alive[name], members=members))
         if waiting and len(members) < size and not joining:
             # after a disaster recovery the core grows back to its size
             return change_members(text=text, number=number, add=(waiting[0], alive[waiting[0]]["post"]))
-        if not gone:
+        if not to_replace:
             return ""
         if len(members) > size:
             # the newcomer must have copied everything before the lost voter may be removed
-            text = change_members(text=text, number=number, drop=gone[0])
+            text = change_members(text=text, number=number, drop=to_replace[0])
             return "" if joining or not keeps_majority(text=text, well=set(well)) else text
         if waiting:
             return change_members(text=text, number=number, add=(waiting[0], alive[waiting[0]]["post"]))
         return ""
 
-    def _gone(self, *, now: float, members: Mapping[str, str], alive: dict) -> list[str]:
+    def _lost_voters(self, *, now: float, members: Mapping[str, str], alive: dict) -> list[str]:
         """Voters whose machine came back without its data, or that have been lost for longer than `replace_after`."""
-        names = {entry["id"]: name for name, entry in alive.items()}
+        identity_by_name = {entry["id"]: name for name, entry in alive.items()}
         return sorted(
             name
             for name in members
             if name not in alive
-            and (names.get(name.split("#")[0], name) != name or now - self.seen[name] > self.replace_after)
+            and (identity_by_name.get(name.split("#")[0], name) != name or now - self.seen[name] > self.replace_after)
         )
 
-    def _step_brisk(
+    def _step_self_managed(
         self, *, now: float, own: str, number: int, text: str, members: Mapping[str, str], alive: dict
     ) -> str:
         well = [name for name in members if name in alive and alive[name]["fit"]]
         self.seen = {name: now if name in alive else self.seen.get(name, now) for name in members}
         self.well_at = {name: now if name in well else self.well_at.get(name, now) for name in members}
         change = (
-            self._choose(now=now, number=number, text=text, members=members, alive=alive, well=well)
+            self._choose_change(now=now, number=number, text=text, members=members, alive=alive, well=well)
             if own in well
             else ""
         )
@@ -102,58 +102,60 @@
         self.tried = (number, now)
         return change
 
-    def _choose(
+    def _choose_change(
         self, *, now: float, number: int, text: str, members: Mapping[str, str], alive: dict, well: list
     ) -> str:
         """The next change of the voters: one member added, removed or swapped; "" if none is needed."""
         size = json.loads(text).get("size", len(members))
-        gone = self._gone_brisk(now=now, members=members, alive=alive)
-        if any(name in alive and name not in well and name not in gone for name in members):
+        to_replace = self._voters_to_replace(now=now, members=members, alive=alive)
+        if any(name in alive and name not in well and name not in to_replace for name in members):
             # one newcomer at a time: one is still copying
             return ""
-        rest = [name for name in members if name not in gone[:1]]
-        best = self._best(
+        remaining = [name for name in members if name not in to_replace[:1]]
+        newcomer = self._choose_newcomer(
             now=now,
             waiting=[name for name in alive if is_waiting(entry=alive[name], members=members)],
-            rest=rest,
+            remaining=remaining,
             alive=alive,
         )
-        add = (best, alive[best]["post"]) if best else None
-        if gone and (add or len(members) > size):
+        add = (newcomer, alive[newcomer]["post"]) if newcomer else None
+        if to_replace and (add or len(members) > size):
             grows = len(members) % 2 == 0 and len(members) < size
             swaps = add is not None and not grows
-            made = change_members(
-                text=text, number=number, add=add if grows or swaps else None, drop="" if grows else gone[0]
+            new_text = change_members(
+                text=text, number=number, add=add if grows or swaps else None, drop="" if grows else to_replace[0]
             )
-            if gone[0] in alive:
-                self.failed[gone[0]] = now
-            return made if keeps_majority(text=made, well=set(well)) else ""
-        if add and not gone and len(members) < size:
-            made = change_members(text=text, number=number, add=add)
-            return made if len(members) < 3 or keeps_majority(text=made, well=set(well)) else ""
+            if to_replace[0] in alive:
+                self.failed[to_replace[0]] = now
+            return new_text if keeps_majority(text=new_text, well=set(well)) else ""
+        if add and not to_replace and len(members) < size:
+            new_text = change_members(text=text, number=number, add=add)
+            return new_text if len(members) < 3 or keeps_majority(text=new_text, well=set(well)) else ""
         return ""
 
-    def _gone_brisk(self, *, now: float, members: Mapping[str, str], alive: dict) -> list[str]:
+    def _voters_to_replace(self, *, now: float, members: Mapping[str, str], alive: dict) -> list[str]:
         """Voters to replace, in order of urgency.
 
         Wiped (back on an empty disk); lost, or not voting within VOTER_JOIN_TIMEOUT; leaving; without a disk.
         """
-        posts = {entry["post"]: name for name, entry in alive.items() if name}
-        wiped = {name for name in members if name not in alive and posts.get(members[name], name) != name}
+        identity_by_address = {entry["post"]: name for name, entry in alive.items() if name}
+        wiped = {name for name in members if name not in alive and identity_by_address.get(members[name], name) != name}
         lost = {name for name in members if name not in alive and now - self.seen[name] > self.replace_after}
         leaving = {name for name in members if name in alive and alive[name].get("leaving")}
-        stuck = {name for name in members if name in alive and now - self.well_at[name] > constants.VOTER_JOIN_TIMEOUT}
-        bare = {name for name in members if name in alive and alive[name].get("disk") is False}
-        order = (wiped, lost | stuck, leaving, bare)
-        return list(dict.fromkeys(name for kind in order for name in sorted(kind)))
-
-    def _best(self, *, now: float, waiting: list, rest: list, alive: dict) -> str:
+        not_voting = {
+            name for name in members if name in alive and now - self.well_at[name] > constants.VOTER_JOIN_TIMEOUT
+        }
+        diskless = {name for name in members if name in alive and alive[name].get("disk") is False}
+        order = (wiped, lost | not_voting, leaving, diskless)
+        return list(dict.fromkeys(name for group in order for name in sorted(group)))
+
+    def _choose_newcomer(self, *, now: float, waiting: list, remaining: list, alive: dict) -> str:
         """The waiting controller that spreads the voters best over zones and regions.
 
         Among equals, the one with the longest uptime.
         """
-        zones = [alive[name]["hall"] for name in rest if name in alive]
-        regions = [alive[name]["region"] for name in rest if name in alive]
+        zones = [alive[name]["hall"] for name in remaining if name in alive]
+        regions = [alive[name]["region"] for name in remaining if name in alive]
         self.failed = {name: at for name, at in self.failed.items() if now - at < constants.PEER_TTL}
         return min(
             waiting,
--- a/sailward/control/group/voter.py
+++ b/sailward/control/group/voter.py
@@ -85,9 +85,9 @@
         self.write_ahead.start(records=records)
         first_records = [{"k": "identity", "id": self.identity}] if is_new else []
         if is_founder and bootstrap is not None:
-            first_records += self._found_alone(now=now, value=bootstrap.value())
+            first_records += self._found_core(now=now, value=bootstrap.value())
         self.begun: list[Command] = self.write_ahead.step(records=first_records, replies=[])
-        self._swept = now
+        self._swept_at = now
 
     @property
     def voters(self) -> VoterSet:
@@ -144,7 +144,7 @@
             return []
         if body["voters"] != self.voters.number:
             # a voter acts under one voter set at a time: the newest that it knows to be chosen
-            return [self._refuse_set(sender=sender, body=body)]
+            return [self._reject_voter_set(sender=sender, body=body)]
         records, reply = self.acceptor.step(now=now, body=body)
         return self.write_ahead.step(records=records, replies=[SendMessage(to=sender, body=reply)])
 
@@ -175,9 +175,9 @@
 
     def sweep_claims(self, *, now: float) -> list[Command]:
         """Drop expired claims."""
-        if now - self._swept < constants.CLAIM_SWEEP_INTERVAL:
+        if now - self._swept_at < constants.CLAIM_SWEEP_INTERVAL:
             return []
-        self._swept = now
+        self._swept_at = now
         old = [
             name
             for name, slot in self.acceptor.slots.items()
@@ -187,7 +187,7 @@
             del self.acceptor.slots[name]
         return self.write_ahead.step(records=[{"k": "drop", "r": name} for name in old], replies=[])
 
-    def _found_alone(self, *, now: float, value: RegisterValue) -> list[dict]:
+    def _found_core(self, *, now: float, value: RegisterValue) -> list[dict]:
         """Found the core without any message; the records returned must be synced before any reply is sent."""
         ballot = [0, "founder"]
         record = {"k": "vote", "r": "voters", "b": ballot, "v": value}
@@ -197,7 +197,7 @@
         self.learner.step(name="voters", ballot=ballot, value=value)
         return [record, {"k": "copied"}, self.write_ahead.known]
 
-    def _refuse_set(self, *, sender: str, body: Message) -> SendMessage:
+    def _reject_voter_set(self, *, sender: str, body: Message) -> SendMessage:
         learner = self.learner.values.get("voters")
         return SendMessage(
             to=sender,
--- a/sailward/control/group/write_ahead.py
+++ b/sailward/control/group/write_ahead.py
@@ -55,7 +55,7 @@
             return commands + replies
         if replies:
             self.waiting.append((self.seq, replies))
-        if not self.rewriting and self._is_long():
+        if not self.rewriting and self._needs_rewrite():
             commands.append(self.rewrite())
         return commands
 
@@ -67,10 +67,10 @@
         self.count, self.size = len(records), estimate_bytes(records=records)
         self.live_size = estimate_bytes(records=self._live_records())
 
-    def _is_long(self) -> bool:
-        most_records = max(constants.REWRITE_MIN_RECORDS, constants.REWRITE_FACTOR * (len(self.slots) + 1))
-        most_bytes = max(constants.REWRITE_THRESHOLD_BYTES, constants.REWRITE_FACTOR * self.live_size)
-        return self.count > most_records or self.size > most_bytes
+    def _needs_rewrite(self) -> bool:
+        max_records = max(constants.REWRITE_MIN_RECORDS, constants.REWRITE_FACTOR * (len(self.slots) + 1))
+        max_bytes = max(constants.REWRITE_THRESHOLD_BYTES, constants.REWRITE_FACTOR * self.live_size)
+        return self.count > max_records or self.size > max_bytes
 
     def know(self, *, ballot: Ballot, value: RegisterValue) -> list[Command]:
         """Store the chosen voter set; after a restart these voters are asked for any newer set."""
@@ -117,7 +117,7 @@
         self.synced = max(self.synced, event.seq)
         while self.waiting and self.waiting[0][0] <= self.synced:
             commands += self.waiting.popleft()[1]
-        if self.usable and not self.rewriting and self._is_long():
+        if self.usable and not self.rewriting and self._needs_rewrite():
             # records stored during a rewrite, as after a long suspend, are cleared without waiting for the next change
             commands.append(self.rewrite())
         return commands
--- a/sailward/control/message_handlers.py
+++ b/sailward/control/message_handlers.py
@@ -42,7 +42,7 @@
         self._contact_watch = contact_watch
         self._proxy_registry, self._shard_leases = proxy_registry, shard_leases
         self._is_bootstrapped, self._is_mesh = options.bootstrap is not None, options.is_mesh
-        self._handlers = self._table()
+        self._handlers = self._make_handlers()
 
     def step(self, *, now: float, sender: str, body: Message) -> list[Command]:
         """Dispatch a message by its kind; an unknown kind is logged."""
@@ -51,7 +51,7 @@
             return [LogEvent(event="message-unexpected", fields={"kind": body["kind"], "from": sender})]
         return handler(now=now, sender=sender, body=body)
 
-    def _table(self) -> dict[str, Callable[..., list[Command]]]:
+    def _make_handlers(self) -> dict[str, Callable[..., list[Command]]]:
         """The handler of each kind of message; every handler takes `now`, `sender` and `body`."""
         return {
             **dict.fromkeys(("prepare", "accept", "read", "first"), self._on_vote_request),
--- a/sailward/control/registers.py
+++ b/sailward/control/registers.py
@@ -123,11 +123,11 @@
 
     def _announce_chosen(self, *, name: str, ballot: Ballot, value: RegisterValue) -> list[Command]:
         body = {"kind": "chosen", "register": name, "ballot": ballot, "value": value}
-        posts = {
+        addresses = {
             *self._voter.voters.members.values(),
             *(peer["post"] for peer in self._peer_table.alive(kind="controller")),
         }
-        return [SendMessage(to=post, body=body) for post in sorted(posts - {self._voter.location.post})]
+        return [SendMessage(to=post, body=body) for post in sorted(addresses - {self._voter.location.post})]
 
 
 def _without_value(*, end: OperationFinished) -> OperationFinished:
--- a/simulation/hosted/sabotage.py
+++ b/simulation/hosted/sabotage.py
@@ -193,7 +193,7 @@
     "contact": _all(_patch(contact_watch.ContactWatch, "may_serve", _always_serves)),
     "contact-word": _all(_patch(control_client.ControlClient, "is_last_resort", lambda old: lambda self, *, now: True)),
     "contact-read": _all(
-        _patch(quorum_contact.QuorumContact, "_lose", _forgets_to_read),
+        _patch(quorum_contact.QuorumContact, "_on_contact_lost", _forgets_to_read),
         _patch(catch_up.CatchUp, "step", _reads_once),
     ),
     "patience": _all(_patch(admin_api.AdminApi, "give_up", lambda old: lambda self, *, now, is_lost: [])),
--- a/simulation/model/actions.py
+++ b/simulation/model/actions.py
@@ -161,8 +161,8 @@
         )
 
     def call(controller: Controller) -> list:
-        controller.catch_up._reading[start.op] = start.register
-        controller.catch_up._begun[start.op] = 0.0
+        controller.catch_up._reads_in_flight[start.op] = start.register
+        controller.catch_up._begun_at[start.op] = 0.0
         return controller.registers.begin(now=0.0, begins=[start])
 
     node = state.node(name)
--- a/simulation/model/changes.py
+++ b/simulation/model/changes.py
@@ -50,4 +50,4 @@
     repair.well_at = dict.fromkeys(members, 0.0)
     well = [name for name in members if name in alive and alive[name]["fit"]]
     # the product's rule, judged at one moment
-    return repair._choose(now=0.0, number=number, text=text, members=members, alive=alive, well=well)
+    return repair._choose_change(now=0.0, number=number, text=text, members=members, alive=alive, well=well)
--- a/tests/core_net.py
+++ b/tests/core_net.py
@@ -62,7 +62,7 @@
         **options: object,
     ) -> None:
         self.bare = bare
-        self.now, self._line, self._count = 0.0, [], 0
+        self.now, self._queue, self._count = 0.0, [], 0
         self.rng = random.Random(seed)
         self.machines = [Machine(name=f"m{at}", zone=zone, post=f"10.0.0.{at}:7620") for at, zone in enumerate(zones)]
         self.posts = tuple(machine.post for machine in self.machines[:seeds])
@@ -73,15 +73,15 @@
         self.rows: list[dict] = []
         self.options = {"list_rate": 37.0, "replace_after": 1.0, "repair_every": 0.25, "copy_again": 0.25, **options}
 
-    def after(self, delay: float, act) -> None:
+    def after(self, delay: float, action) -> None:
         self._count += 1
-        heapq.heappush(self._line, (self.now + delay, self._count, act))
+        heapq.heappush(self._queue, (self.now + delay, self._count, action))
 
     def run(self, seconds: float, until=None) -> bool:
         end = self.now + seconds
-        while self._line and self._line[0][0] <= end:
-            self.now, _, act = heapq.heappop(self._line)
-            act()
+        while self._queue and self._queue[0][0] <= end:
+            self.now, _, action = heapq.heappop(self._queue)
+            action()
             if until is not None and until():
                 return True
         self.now = end
@@ -190,8 +190,8 @@
             assert isinstance(check_message(body=command.body), dict), command.body
             if to is None or ({machine.name, to.name} & self.cut and machine is not to):
                 return
-            near = ZONES[machine.zone] == ZONES[to.zone]
-            delay = 0.0001 if to is machine else 0.0014 if near else 0.055
+            is_same_region = ZONES[machine.zone] == ZONES[to.zone]
+            delay = 0.0001 if to is machine else 0.0014 if is_same_region else 0.055
             self._later(to, delay=delay, event=MessageReceived(sender=machine.post, body=command.body))
         elif isinstance(command, Respond):
             self.answers[command.token] = command
--- a/tests/group_machine.py
+++ b/tests/group_machine.py
@@ -30,7 +30,7 @@
         self.acknowledged = 0
         self.floors: dict[str, int] = {}
         self.changes = 0
-        self.group.watch = self._watch
+        self.group.watch = self._instrument
         self.group.delays = self._delays
         self.group.sync_time = lambda: self.random.choice((0.002, 0.002, 0.03))
         for at, member in enumerate(self.group.members):
@@ -152,26 +152,26 @@
         numbers = [member.controller.learner.number(name="config") for member in self.group.members]
         assert is_healed, f"held {numbers}, acknowledged {self.acknowledged}, {self._count_voting()} vote"
 
-    def _watch(self, member: Member) -> None:
+    def _instrument(self, member: Member) -> None:
         """Check every value that this incarnation of a member learns, and every change reported to it as accepted."""
         controller = member.controller
         floor = self.acknowledged if member.life > 1 and controller.write_ahead.copied else 0
         self.floors[member.name] = floor
-        hold, propose = controller.learner.step, controller.proposer.step
+        learn, propose = controller.learner.step, controller.proposer.step
 
-        def hold_watched(*, name: str, ballot: list, value: dict) -> bool:
+        def learn_checked(*, name: str, ballot: list, value: dict) -> bool:
             before = controller.learner.number(name=name)
-            is_newer = hold(name=name, ballot=ballot, value=value)
+            is_newer = learn(name=name, ballot=ballot, value=value)
             if name == "config":
                 number = controller.learner.number(name=name)
                 self._fail_unless(number >= before, f"{member.name} went back from {before} to {number}")
                 self._fail_unless(
                     number >= floor, f"{member.name} holds {number} after a start, {floor} was acknowledged before"
                 )
-                self._note_mark(number=number, mark=controller.learner.values[name].value["mark"])
+                self._record_mark(number=number, mark=controller.learner.values[name].value["mark"])
             return is_newer
 
-        def propose_watched(**fields: object) -> tuple:
+        def propose_checked(**fields: object) -> tuple:
             commands, finished = propose(**fields)
             for operation in finished:
                 if (
@@ -179,31 +179,31 @@
                     and "/measure" in operation.op
                     and isinstance(operation.outcome, Accepted)
                 ):
-                    self._note_accepted(outcome=operation.outcome)
+                    self._record_accepted(outcome=operation.outcome)
             return commands, finished
 
-        controller.learner.step, controller.proposer.step = hold_watched, propose_watched
+        controller.learner.step, controller.proposer.step = learn_checked, propose_checked
 
-    def _note_accepted(self, *, outcome: Accepted) -> None:
+    def _record_accepted(self, *, outcome: Accepted) -> None:
         value = outcome.value
         marks = [value["mark"], *value["trail"]]
-        self._note_mark(number=outcome.number, mark=marks[value["number"] - outcome.number])
+        self._record_mark(number=outcome.number, mark=marks[value["number"] - outcome.number])
         self.acknowledged = max(self.acknowledged, outcome.number)
 
-    def _note_mark(self, *, number: int, mark: str) -> None:
+    def _record_mark(self, *, number: int, mark: str) -> None:
         known = self.marks.setdefault(number, mark)
         self._fail_unless(known == mark, f"two values under {number}: {known} and {mark}")
 
-    def _fail_unless(self, is_right: bool, what: str) -> None:
-        if not is_right:
+    def _fail_unless(self, is_satisfied: bool, message: str) -> None:
+        if not is_satisfied:
             self.is_sound = False
-            raise AssertionError(what)
+            raise AssertionError(message)
 
     def _check(self) -> None:
         for member in self.group.members:
             if member.controller is not None and "config" in member.controller.learner.values:
                 value = member.controller.learner.values["config"].value
-                self._note_mark(number=value["number"], mark=value["mark"])
+                self._record_mark(number=value["number"], mark=value["mark"])
 
     def _delays(self) -> list[float]:
         if self.network == "calm":
