--- a/tests/core_net.py
+++ b/tests/core_net.py
@@ -186,7 +186,9 @@
 
     def _carry_out(self, *, machine: Machine, command: object) -> None:
         if isinstance(command, SendMessage):
-            to = next((one for one in self.machines if one.post == command.to and one.controller is not None), None)
+            to = next(
+                (other for other in self.machines if other.post == command.to and other.controller is not None), None
+            )
             assert isinstance(check_message(body=command.body), dict), command.body
             if to is None or ({machine.name, to.name} & self.cut and machine is not to):
                 return
--- a/tests/group_machine.py
+++ b/tests/group_machine.py
@@ -217,7 +217,7 @@
     def _is_complete(self) -> bool:
         """Are all members running and connected, and do three vote under one voter set that all members know?"""
         members = self.group.members
-        if self.network != "calm" or any(one.controller is None or one.is_cut for one in members):
+        if self.network != "calm" or any(member.controller is None or member.is_cut for member in members):
             return False
         sets = {member.controller.voters.number for member in members}
         return len(sets) == 1 and self._count_voting() == len(members[0].controller.voters.members) == 3
--- a/tests/orders_net.py
+++ b/tests/orders_net.py
@@ -142,7 +142,7 @@
         """One message arrives."""
         index %= len(self.messages)
         to, sender, body = self.messages[index] if is_doubled else self.messages.pop(index)
-        node = next(one for one in self.nodes if one.name == to)
+        node = next(candidate for candidate in self.nodes if candidate.name == to)
         if body["kind"] in VOTING:
             _, reply = node.acceptor.step(now=self.now, body=body)
             self.messages.append((sender, to, reply))
@@ -158,7 +158,7 @@
     def answer(self, *, index: int, is_lost: bool) -> None:
         """One answer arrives, or is lost."""
         answer = self.answers.pop(index % len(self.answers))
-        call = next(one for one in self.calls if answer.token in one.tokens)
+        call = next(candidate for candidate in self.calls if answer.token in candidate.tokens)
         is_clear = answer.code == 200 or answer.code in REFUSED or (call.method == "GET" and answer.code == 404)
         # an answer on a connection that the operator has closed reaches nobody
         if not is_lost and answer.token == call.waits_on and call.is_open and is_clear:
@@ -197,9 +197,9 @@
             self.look(at=at, path="/config")
             self.look(at=at, path="/orders")
             self.calm(rounds=10)
-        found = [find_violation(operations=self._config(), model=LabelledRegister())]
-        found += [find_violation(operations=self._zone(zone=zone), model=Zone()) for zone in TESTED_ZONES]
-        return next((one for one in found if one is not None), None)
+        violations = [find_violation(operations=self._config(), model=LabelledRegister())]
+        violations += [find_violation(operations=self._zone(zone=zone), model=Zone()) for zone in TESTED_ZONES]
+        return next((violation for violation in violations if violation is not None), None)
 
     def _config(self) -> list[Operation]:
         operations = []
@@ -292,8 +292,8 @@
     """
     name, act = f"{call.method}: {call.code}", ZoneOrder(is_emptied=call.method == "POST")
     copies = call.sendings if call.is_open else call.sendings[:-1]
-    found = [Operation(name=name, begun=copy, ended=call.ended, call=act, is_certain=False) for copy in copies]
-    return found if call.is_open else [*found, _operation(call=call, name=name, act=act)]
+    attempts = [Operation(name=name, begun=copy, ended=call.ended, call=act, is_certain=False) for copy in copies]
+    return attempts if call.is_open else [*attempts, _operation(call=call, name=name, act=act)]
 
 
 def _config_read(*, call: Call) -> LabelledRead:
@@ -327,7 +327,7 @@
             self._step_zones()
             return
         chance = rng.random()
-        waiting = [one for one in net.calls if one.is_open and one.method != "GET"]
+        waiting = [call for call in net.calls if call.is_open and call.method != "GET"]
         sent = [call for call in net.calls if call.method != "GET"]
         if chance < 0.12 and len(waiting) < AT_ONCE:
             self._change()
@@ -348,7 +348,7 @@
 
     def _step_zones(self) -> None:
         net, rng, chance = self.net, self.rng, self.rng.random()
-        waiting = [one for one in net.calls if one.is_open and one.method != "GET"]
+        waiting = [call for call in net.calls if call.is_open and call.method != "GET"]
         sent = [call for call in net.calls if call.method != "GET"]
         if chance < 0.2 and len(waiting) < 3:
             net.order(at=rng.randrange(NODES), zone=TESTED_ZONES[0], is_emptied=rng.random() < 0.5)
@@ -379,7 +379,7 @@
 
     def _change(self) -> None:
         net, rng = self.net, self.rng
-        known = [one.label for one in net.calls if one.label and one.code == 200]
+        known = [call.label for call in net.calls if call.label and call.code == 200]
         known += [
             _config_read(call=call).label
             for call in net.calls
--- a/tests/planted_faults.py
+++ b/tests/planted_faults.py
@@ -9,9 +9,9 @@
 
 def answer_before_sync(monkeypatch: pytest.MonkeyPatch) -> None:
     """Replies are sent at once, before the records that they depend on are synced."""
-    old = write_ahead.WriteAhead.step
+    original = write_ahead.WriteAhead.step
     monkeypatch.setattr(
         write_ahead.WriteAhead,
         "step",
-        lambda self, *, records, replies: [*old(self, records=records, replies=[]), *replies],
+        lambda self, *, records, replies: [*original(self, records=records, replies=[]), *replies],
     )
--- a/tests/test_bootstrap.py
+++ b/tests/test_bootstrap.py
@@ -33,7 +33,7 @@
 
 def test_three_seeds_found_one_core_without_talk_and_the_fourth_waits() -> None:
     net = found()
-    assert [one.name for one in net.voting()] == ["m0", "m1", "m2"]
+    assert [machine.name for machine in net.voting()] == ["m0", "m1", "m2"]
     assert {machine.controller.voters.number for machine in net.machines} == {1}
     put(net, label=3, on="0")
     assert net.members() == sorted(net.posts)
@@ -57,7 +57,7 @@
     net = found(zones=["gdl-a", "ens-a", "gdl-b", "gdl-a", "gdl-a", "ens-b", "gdl-b"], budget=2)
     assert net.run(8.0, until=lambda: len(net.voting()) == 5 and len(net.members()) == 5)
     assert net.machines[5].controller.voting
-    assert len({one.zone for one in net.voting()}) == 4
+    assert len({machine.zone for machine in net.voting()}) == 4
 
 
 def test_fewer_seeds_than_the_target_grow_as_well() -> None:
@@ -233,7 +233,7 @@
 def test_founders_without_a_disk_make_room_for_those_that_have_one(bare: set) -> None:
     net = found(zones=["gdl-a", "ens-a", "gdl-b", "gdl-a", "ens-b", "gdl-b", "ens-a"], budget=1, bare=frozenset(bare))
     assert len(net.voting()) >= 2
-    assert net.run(8.0, until=lambda: len(net.voting()) == 3 and not {one.name for one in net.voting()} & bare)
+    assert net.run(8.0, until=lambda: len(net.voting()) == 3 and not {machine.name for machine in net.voting()} & bare)
     put(net, label=1, on="0")
     for machine in net.machines:
         net.kill(machine)
@@ -242,7 +242,7 @@
         net.start(machine)
     net.run(6.0)
     assert net.ask(net.voting()[0], method="GET", path="/config", wait=2.0)[0] == 200
-    assert not {one.name for one in net.voting()} & bare
+    assert not {machine.name for machine in net.voting()} & bare
 
 
 def test_a_controller_without_a_disk_is_never_brought_in_but_takes_changes() -> None:
@@ -250,7 +250,7 @@
     net.kill(net.machines[0])
     net.kill(net.machines[3])
     net.run(12.0)
-    assert "m4" not in {one.name for one in net.voting()}
+    assert "m4" not in {machine.name for machine in net.voting()}
     for label, on in ((1, "0"), (2, "r1")):
         assert (
             net.ask(
--- a/tests/test_group_machine.py
+++ b/tests/test_group_machine.py
@@ -41,7 +41,7 @@
     run_machine(examples=EXAMPLES, phases=(Phase.generate,))
 
 
-def hold_older(monkeypatch: pytest.MonkeyPatch) -> None:
+def learn_older_value(monkeypatch: pytest.MonkeyPatch) -> None:
     def step(self, *, name, ballot, value):
         is_newer = name not in self.values or value["mark"] != self.values[name].value["mark"]
         self.values[name] = learner.LearnedValue(ballot=ballot, value=value)
@@ -62,38 +62,38 @@
     monkeypatch.setattr(proposer, "majority_of", lambda *, members: 1)
 
 
-def hold_own_vote_at_start(monkeypatch: pytest.MonkeyPatch) -> None:
+def learn_own_vote_at_start(monkeypatch: pytest.MonkeyPatch) -> None:
     """A restarted controller treats the last vote on its disk as the chosen value."""
-    old = controller.Controller._tick
+    original = controller.Controller._tick
 
     def tick(self, *, now, event):
         slot = self.acceptor.slots.get("config")
         if "config" not in self.learner.values and slot is not None and slot.value is not None:
             self.learner.step(name="config", ballot=slot.ballot, value=slot.value)
-        return old(self, now=now, event=event)
+        return original(self, now=now, event=event)
 
     monkeypatch.setattr(controller.Controller, "_tick", tick)
 
 
 def keep_identity_without_data(monkeypatch: pytest.MonkeyPatch) -> None:
     """A wiped machine comes back with its identity as a founder and claims a complete copy of the registers."""
-    old = controller.Controller.__init__
+    original = controller.Controller.__init__
 
     def init(self, *, records, location, **fields):
         if not records:
             records = [{"k": "identity", "id": f"{location.post}#0"}, {"k": "copied"}]
-        old(self, records=records, location=location, **fields)
+        original(self, records=records, location=location, **fields)
 
     monkeypatch.setattr(controller.Controller, "__init__", init)
 
 
 PLANTED = {
     "answers before the sync": answer_before_sync,
-    "holds an older value": hold_older,
+    "holds an older value": learn_older_value,
     "copies from one voter": copy_from_one,
     "copies nothing": copy_nothing,
     "proposes to one voter": propose_to_one,
-    "serves its own last vote after a start": hold_own_vote_at_start,
+    "serves its own last vote after a start": learn_own_vote_at_start,
     "keeps its identity on an empty disk": keep_identity_without_data,
 }
 
--- a/tests/test_quorum_contact.py
+++ b/tests/test_quorum_contact.py
@@ -143,8 +143,8 @@
         ("POST", "/evacuation/nowhere", b"", None),
         ("DELETE", "/evacuation/gdl-a", b"", None),
     ):
-        code, _, took = net.ask(cut, method=method, path=path, body=body, if_match=if_match)
-        assert code == 503 and took < 0.1, (method, path)
+        code, _, seconds = net.ask(cut, method=method, path=path, body=body, if_match=if_match)
+        assert code == 503 and seconds < 0.1, (method, path)
         assert float(net.answers[f"desk {net.calls}"].headers["Retry-After"]) > 0
     assert net.ask(cut, method="GET", path="/status")[1]["contact"]["serves"] is False
 
@@ -156,8 +156,8 @@
         net.cut = {"m0"}
         net.run(delay)
         for method, body in (("GET", b""), ("PUT", make_written(label=2))):
-            code, _, took = net.ask(net.machines[0], method=method, path="/config", body=body, if_match="r1")
-            assert code == 503 and took < constants.OPERATOR_QUORUM_TIMEOUT + 0.1, (delay, method, code, took)
+            code, _, seconds = net.ask(net.machines[0], method=method, path="/config", body=body, if_match="r1")
+            assert code == 503 and seconds < constants.OPERATOR_QUORUM_TIMEOUT + 0.1, (delay, method, code, seconds)
 
 
 def test_a_proxy_is_told_and_is_pushed_nothing_unless_it_has_no_other() -> None:
@@ -178,22 +178,24 @@
             "fit": True,
         }
         body = {"kind": "ask", "seq": 1, "have": {}, "report": report, "daemon": daemon}
-        return [one.body for one in cut.step(now=net.now, event=MessageReceived(sender="10.0.0.99:1", body=body))]
+        return [
+            command.body for command in cut.step(now=net.now, event=MessageReceived(sender="10.0.0.99:1", body=body))
+        ]
 
     [grant] = ask()
     assert grant["kind"] == "grant" and grant["contact"] is False
     assert {post for post, _, _ in grant["controllers"]} == {machine.post for machine in net.machines[1:]}
     *pushes, _ = ask(last_resort=True)
-    assert "config" in {one["name"] for one in pushes} and all(pushe["contact"] is False for pushe in pushes)
+    assert "config" in {push["name"] for push in pushes} and all(push["contact"] is False for push in pushes)
 
 
 def test_one_that_hears_the_others_sends_operators_there() -> None:
     net = found(replace_after=99.0)
     put(net, label=1, on="0")
-    cellar = net.machines[0].controller
-    cellar.contact_watch.contact.reached.clear()
+    controller = net.machines[0].controller
+    controller.contact_watch.contact.reached.clear()
     event = RequestReceived(token="desk x", method="GET", path="/config", query={}, headers={}, body=b"")
-    [answer] = cellar.step(now=net.now, event=event)
+    [answer] = controller.step(now=net.now, event=event)
     assert answer.code == 307
     assert answer.headers["Location"] in {f"http://{machine.post}/config" for machine in net.machines[1:]}
 
@@ -268,7 +270,11 @@
         controllers=[["third", "north-b", "north"]],
     )
     assert control_client.lead == "far" and "third" in control_client.known
-    asked = {one.to for one in control_client.step(now=1.5, sender=None, body={"kind": "ask"}) if hasattr(one, "to")}
+    asked = {
+        command.to
+        for command in control_client.step(now=1.5, sender=None, body={"kind": "ask"})
+        if hasattr(command, "to")
+    }
     assert "third" in asked
     grant(control_client, now=1.6, sender="near", zone="north-a")
     assert control_client.lead == "near"
@@ -279,8 +285,8 @@
     begun, led_at = 1.0, None
     for at in range(100):
         now = begun + at * constants.TICK_INTERVAL
-        for one in control_client.step(now=now, sender=None, body={"kind": "ask"}):
-            if getattr(one, "to", "") == "near":
+        for command in control_client.step(now=now, sender=None, body={"kind": "ask"}):
+            if getattr(command, "to", "") == "near":
                 grant(control_client, now=now + 0.01, sender="near", zone="north-a", contact=False)
         led_at = led_at or (now if control_client.lead else None)
     assert led_at is not None
--- a/tests/test_second_loss.py
+++ b/tests/test_second_loss.py
@@ -16,12 +16,12 @@
 """(machines that may vote, simultaneous losses to tolerate)."""
 
 
-def bears(net: CoreNet, *, losses: int) -> bool:
+def tolerates(net: CoreNet, *, losses: int) -> bool:
     """Would a majority of the newest voter set still vote after `losses` more?"""
-    up = [one.controller for one in net.machines if one.controller is not None]
-    newest = max((one.voters for one in up), key=lambda voters: voters.number)
-    acting = [machine for machine in up if machine.voting and machine.voters.number == newest.number]
-    return len(acting) - losses >= majority_of(members=newest.members)
+    running = [machine.controller for machine in net.machines if machine.controller is not None]
+    newest = max((controller.voters for controller in running), key=lambda voters: voters.number)
+    voting = [machine for machine in running if machine.voting and machine.voters.number == newest.number]
+    return len(voting) - losses >= majority_of(members=newest.members)
 
 
 def make_core(*, machines: int, budget: int, seed: int = 1, spare: int = 0) -> CoreNet:
@@ -29,18 +29,18 @@
     net = CoreNet(zones=(ZONES * 2)[: machines + spare], budget=budget, seed=seed)
     for machine in net.machines[:machines]:
         net.after(net.rng.uniform(0, 0.5), lambda machine=machine: net.start(machine, bootstrap=True))
-    assert net.run(10.0, until=lambda: len(net.voting()) == 2 * budget + 1 and bears(net, losses=budget))
+    assert net.run(10.0, until=lambda: len(net.voting()) == 2 * budget + 1 and tolerates(net, losses=budget))
     net.run(1.0)
     return net
 
 
-def time_until_borne(net: CoreNet, *, losses: int, most: float = 12.0) -> float:
-    """Seconds until the core tolerates `losses`; `most` if it does not within that time."""
+def time_until_tolerated(net: CoreNet, *, losses: int, limit: float = 12.0) -> float:
+    """Seconds until the core tolerates `losses`; `limit` if it does not within that time."""
     begun = net.now
-    return net.now - begun if net.run(most, until=lambda: bears(net, losses=losses)) else most
+    return net.now - begun if net.run(limit, until=lambda: tolerates(net, losses=losses)) else limit
 
 
-def a_voter(net: CoreNet, *, at: int = 0) -> Machine:
+def pick_voter(net: CoreNet, *, at: int = 0) -> Machine:
     """One of the voters."""
     return net.voting()[at]
 
@@ -49,13 +49,13 @@
 def test_a_wiped_voter_is_made_up_for_within_the_bound_of_its_return(machines: int, budget: int) -> None:
     net = make_core(machines=machines, budget=budget)
     put(net, label=1, on="0")
-    lost = [a_voter(net, at=at) for at in range(budget)]
-    for one in lost:
-        net.kill(one, wipe=True)
+    lost = [pick_voter(net, at=at) for at in range(budget)]
+    for machine in lost:
+        net.kill(machine, wipe=True)
     net.run(1.0)
-    for one in lost:
-        net.start(one)
-    assert time_until_borne(net, losses=budget) < CATCH_UP
+    for machine in lost:
+        net.start(machine)
+    assert time_until_tolerated(net, losses=budget) < CATCH_UP
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -66,23 +66,23 @@
     net = make_core(machines=machines, budget=budget, spare=budget, seed=seed)
     put(net, label=1, on="0")
     for _ in range(budget):
-        net.kill(a_voter(net), wipe=True)
+        net.kill(pick_voter(net), wipe=True)
     net.run(1.0)
     for fresh in net.machines[machines:]:
         net.start(fresh)
-    assert time_until_borne(net, losses=budget) < CATCH_UP
+    assert time_until_tolerated(net, losses=budget) < CATCH_UP
 
 
 @pytest.mark.parametrize(("machines", "budget"), SIZES)
 def test_a_voter_that_is_told_to_stop_goes_when_another_has_copied(machines: int, budget: int) -> None:
     net = make_core(machines=machines, budget=budget)
     put(net, label=1, on="0")
-    old = a_voter(net)
+    leaving = pick_voter(net)
     begun = net.now
-    net.give(old, event=ShutdownRequested())
-    assert net.run(5.0, until=lambda: old.controller is None)
+    net.give(leaving, event=ShutdownRequested())
+    assert net.run(5.0, until=lambda: leaving.controller is None)
     assert net.now - begun < 1.5
-    assert bears(net, losses=budget)
+    assert tolerates(net, losses=budget)
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -125,7 +125,7 @@
     put(net, label=1, on="0")
     for machine in net.machines:
         net.give(machine, event=ShutdownRequested())
-    assert net.run(4.5, until=lambda: not any(one.controller for one in net.machines))
+    assert net.run(4.5, until=lambda: not any(machine.controller for machine in net.machines))
     for machine in net.machines:
         net.start(machine)
     assert net.run(4.0, until=lambda: len(net.voting()) == 3)
@@ -138,7 +138,7 @@
     for machine in list(net.machines):
         net.give(machine, event=ShutdownRequested())
         assert net.run(4.5, until=lambda machine=machine: machine.controller is None)
-        assert bears(net, losses=1)
+        assert tolerates(net, losses=1)
         net.run(0.4)
         net.start(machine)
         net.run(1.0)
@@ -148,15 +148,15 @@
 def test_a_newcomer_that_dies_while_it_copies_holds_up_neither_the_leaving_one_nor_the_core() -> None:
     net = make_core(machines=5, budget=1)
     put(net, label=1, on="0")
-    leaving = a_voter(net)
+    leaving = pick_voter(net)
     waiting = [machine for machine in net.machines if machine not in net.voting()]
-    for one in waiting:
+    for machine in waiting:
         # its copy never completes
-        one.controller.membership.copying.step = lambda **_: []
+        machine.controller.membership.copying.step = lambda **_: []
     net.give(leaving, event=ShutdownRequested())
     assert net.run(4.5, until=lambda: leaving.controller is None)
     put(net, label=2, on="r1")
-    for one in waiting:
-        net.kill(one)
-        net.start(one)
-    assert net.run(8.0, until=lambda: bears(net, losses=1))
+    for machine in waiting:
+        net.kill(machine)
+        net.start(machine)
+    assert net.run(8.0, until=lambda: tolerates(net, losses=1))
