--- a/tests/test_bootstrap.py
+++ b/tests/test_bootstrap.py
@@ -31,7 +31,7 @@
     raise AssertionError(f"{label} was never taken")
 
 
-def test_three_seeds_found_one_core_without_talk_and_the_fourth_waits() -> None:
+def test_three_seeds_found_one_core_without_messages_and_the_fourth_waits() -> None:
     net = found()
     assert [machine.name for machine in net.voting()] == ["m0", "m1", "m2"]
     assert {machine.controller.voters.number for machine in net.machines} == {1}
@@ -53,7 +53,7 @@
     put(net, label=1, on="0")
 
 
-def test_it_grows_to_what_the_budget_asks_spread_over_halls() -> None:
+def test_the_core_grows_to_the_size_of_its_budget_spread_over_zones() -> None:
     net = found(zones=["gdl-a", "ens-a", "gdl-b", "gdl-a", "gdl-a", "ens-b", "gdl-b"], budget=2)
     assert net.run(8.0, until=lambda: len(net.voting()) == 5 and len(net.members()) == 5)
     assert net.machines[5].controller.voting
@@ -66,7 +66,7 @@
 
 
 @pytest.mark.parametrize("at", [0, 1, 2])
-def test_a_wiped_voter_is_made_up_for_within_seconds_of_its_return(at: int) -> None:
+def test_a_wiped_voter_is_replaced_within_seconds_of_its_return(at: int) -> None:
     net = found(zones=FOUR[:3])
     put(net, label=1, on="0")
     machine = net.machines[at]
@@ -85,7 +85,7 @@
     assert net.ask(machine, method="GET", path="/config")[1]["generation"] == "r2"
 
 
-def test_a_voter_that_stays_away_is_replaced_and_its_place_is_taken_on_its_return() -> None:
+def test_a_voter_that_stays_down_is_replaced_and_does_not_vote_on_its_return() -> None:
     net = found()
     put(net, label=1, on="0")
     lost = net.machines[1]
@@ -97,7 +97,7 @@
     put(net, label=2, on="r1")
 
 
-def test_a_replacement_at_a_new_address_takes_its_part() -> None:
+def test_a_replacement_at_a_new_address_votes() -> None:
     net = found(zones=[*FOUR[:3], "gdl-b"])
     net.kill(net.machines[3], wipe=True)
     put(net, label=1, on="0")
@@ -108,7 +108,7 @@
     assert net.ask(net.machines[3], method="GET", path="/config")[0] == 200
 
 
-def test_a_newcomer_that_dies_before_it_has_copied_does_not_stand_in_the_way() -> None:
+def test_a_newcomer_that_dies_before_it_has_copied_does_not_block_repair() -> None:
     net = found()
     put(net, label=1, on="0")
     net.kill(net.machines[2], wipe=True)
@@ -120,7 +120,7 @@
     put(net, label=2, on="r1")
 
 
-def test_a_newcomer_that_cannot_copy_is_exchanged() -> None:
+def test_a_newcomer_that_cannot_copy_is_replaced() -> None:
     net = found()
     net.kill(net.machines[2], wipe=True)
     net.machines[3].controller.membership.copying.step = lambda **_: []
@@ -158,7 +158,7 @@
     assert net.ask(net.machines[3], method="GET", path="/config")[1] == make_written(label=1)
 
 
-def test_a_voter_cut_off_and_exchanged_can_choose_nothing() -> None:
+def test_a_partitioned_and_replaced_voter_can_choose_nothing() -> None:
     net = found()
     put(net, label=1, on="0")
     net.cut = {"m1"}
@@ -194,11 +194,11 @@
     assert not Bootstrap(is_first=False, posts=("a:1",), budget=1).is_founder(post="a:1")
 
 
-def test_default_repair_keeps_its_pace() -> None:
+def test_default_repair_intervals() -> None:
     assert (Repair().replace_after, Repair().every, Repair().is_brisk) == (20.0, 1.0, False)
 
 
-def test_a_newcomer_knows_what_only_the_lost_one_and_one_other_had_voted_for() -> None:
+def test_a_newcomer_knows_a_value_held_only_by_the_lost_voter_and_one_other() -> None:
     net = found()
     put(net, label=1, on="0")
     for machine in net.machines:
@@ -245,7 +245,7 @@
     assert not {machine.name for machine in net.voting()} & bare
 
 
-def test_a_controller_without_a_disk_is_never_brought_in_but_takes_changes() -> None:
+def test_a_diskless_controller_is_never_added_to_the_voters_but_takes_changes() -> None:
     net = found(zones=[*FOUR, "gdl-a"], bare=frozenset({"m4"}))
     net.kill(net.machines[0])
     net.kill(net.machines[3])
--- a/tests/test_quorum_contact.py
+++ b/tests/test_quorum_contact.py
@@ -27,14 +27,14 @@
         contact.finish_read(now=now, register=name, begun=now)
 
 
-def test_contact_lasts_from_the_question_not_from_the_answer() -> None:
+def test_contact_lasts_from_the_request_not_from_the_reply() -> None:
     contact = QuorumContact(started=0.0)
     contact.record_question(now=10.0, question=7)
     contact.on_answer(peer="post1", question=7)  # however late it arrived
     assert has(contact, now=10.0 + TTL) and not has(contact, now=10.0 + TTL + 0.01)
 
 
-def test_an_answer_to_what_was_never_asked_or_is_forgotten_shows_nothing() -> None:
+def test_a_reply_to_an_unknown_or_expired_request_proves_nothing() -> None:
     contact = QuorumContact(started=0.0)
     contact.record_question(now=10.0, question=7)
     contact.on_answer(peer="post1", question=8)
@@ -44,7 +44,7 @@
     assert not has(contact, now=10.0 + TTL + 0.1)
 
 
-def test_a_question_that_is_sent_again_counts_from_the_first_time() -> None:
+def test_a_retried_request_counts_from_its_first_sending() -> None:
     contact = QuorumContact(started=0.0)
     contact.record_question(now=10.0, question="read")
     contact.record_question(now=11.0, question="read")
@@ -54,7 +54,7 @@
 
 @pytest.mark.parametrize("size", [1, 2, 3, 4, 5, 6])
 @pytest.mark.parametrize("is_voter", [True, False])
-def test_it_is_a_majority_that_must_answer(size: int, is_voter: bool) -> None:
+def test_contact_takes_replies_of_a_majority(size: int, is_voter: bool) -> None:
     members = {f"v{at}": f"post{at}" for at in range(size)}
     others = [post for name, post in members.items() if not (is_voter and name == "v0")]
     for count in range(len(others) + 1):
@@ -95,7 +95,7 @@
     assert contact.may_serve(now=9.6, members=MEMBERS, own="v0")
 
 
-def test_a_process_that_stood_still_has_no_contact_when_it_goes_on() -> None:
+def test_a_process_resumed_after_a_suspend_has_no_contact() -> None:
     contact = QuorumContact(started=0.0)
     contact.record_question(now=1.0, question=1)
     contact.on_answer(peer="post1", question=1)
@@ -114,7 +114,7 @@
     ]
 
 
-def test_all_controllers_of_a_calm_core_serve_all_the_time() -> None:
+def test_all_controllers_of_a_healthy_core_serve_all_the_time() -> None:
     net = found()
     net.run(1.0)
     names = [machine.name for machine in net.machines]
@@ -123,13 +123,13 @@
         assert serving(net) == names
 
 
-def test_a_controller_without_a_disk_outside_of_the_voters_serves_too() -> None:
+def test_a_diskless_controller_that_is_not_a_voter_serves_too() -> None:
     net = found(bare=frozenset({"m3"}))
     net.run(2.0)
     assert "m3" in serving(net) and "m3" not in net.members()
 
 
-def test_one_that_is_cut_off_says_so_in_time_and_answers_nothing_definite() -> None:
+def test_a_partitioned_controller_answers_503_in_time_and_nothing_definitive() -> None:
     net = found(replace_after=99.0)
     put(net, label=1, on="0")
     net.cut = {"m0"}
@@ -149,7 +149,7 @@
     assert net.ask(cut, method="GET", path="/status")[1]["contact"]["serves"] is False
 
 
-def test_an_operator_gets_an_answer_in_time_at_the_very_moment_of_the_cut() -> None:
+def test_an_operator_gets_an_answer_in_time_right_after_a_partition() -> None:
     for delay in (0.0, 0.5, 1.0, 1.5, 2.0):
         net = found(replace_after=99.0)
         put(net, label=1, on="0")
@@ -160,7 +160,7 @@
             assert code == 503 and seconds < constants.OPERATOR_QUORUM_TIMEOUT + 0.1, (delay, method, code, seconds)
 
 
-def test_a_proxy_is_told_and_is_pushed_nothing_unless_it_has_no_other() -> None:
+def test_a_proxy_is_told_of_lost_contact_and_gets_pushes_only_as_a_last_resort() -> None:
     net = found(replace_after=99.0)
     put(net, label=1, on="0")
     net.cut = {"m0"}
@@ -189,7 +189,7 @@
     assert "config" in {push["name"] for push in pushes} and all(push["contact"] is False for push in pushes)
 
 
-def test_one_that_hears_the_others_sends_operators_there() -> None:
+def test_a_controller_without_contact_redirects_operators_to_one_that_has_it() -> None:
     net = found(replace_after=99.0)
     put(net, label=1, on="0")
     controller = net.machines[0].controller
@@ -200,7 +200,7 @@
     assert answer.headers["Location"] in {f"http://{machine.post}/config" for machine in net.machines[1:]}
 
 
-def test_after_a_cut_it_serves_the_newest_soon_and_never_an_older_one() -> None:
+def test_after_a_partition_it_soon_serves_the_newest_value_and_never_an_older_one() -> None:
     net = found(replace_after=99.0)
     put(net, label=1, on="0")
     net.cut = {"m0"}
@@ -221,7 +221,7 @@
     assert net.run(5.0, until=serves) and net.now - healed < 2.0
 
 
-def test_the_numbers_in_heartbeats_bring_what_was_never_told() -> None:
+def test_the_numbers_in_heartbeats_trigger_a_read_of_an_unannounced_value() -> None:
     net = found(replace_after=99.0)
     put(net, label=1, on="0")
     net.run(1.0)
@@ -255,7 +255,7 @@
     control_client.step(now=now, sender=sender, body={"view": {"place": [zone, zone.partition("-")[0]]}, **more})
 
 
-def test_a_proxy_leaves_a_lead_that_lost_contact_at_once_and_asks_those_that_it_names() -> None:
+def test_a_proxy_leaves_a_lead_that_lost_contact_at_once_and_asks_the_controllers_it_names() -> None:
     control_client = make_uplink()
     control_client.step(now=1.0, sender=None, body={"kind": "ask"})
     grant(control_client, now=1.1, sender="near", zone="north-a")
@@ -280,7 +280,7 @@
     assert control_client.lead == "near"
 
 
-def test_a_proxy_follows_one_without_contact_only_if_none_with_contact_answers_for_long() -> None:
+def test_a_proxy_follows_a_controller_without_contact_only_as_a_last_resort() -> None:
     control_client = make_uplink()
     begun, led_at = 1.0, None
     for at in range(100):
@@ -295,7 +295,7 @@
     assert control_client.lead == "far" and not control_client.is_last_resort(now=now)
 
 
-def test_an_answer_of_the_last_version_counts_as_one_with_contact() -> None:
+def test_an_answer_of_the_previous_version_counts_as_one_with_contact() -> None:
     control_client = make_uplink()
     control_client.step(now=1.0, sender=None, body={"kind": "ask"})
     grant(control_client, now=1.1, sender="near", zone="north-a")
@@ -303,7 +303,7 @@
 
 
 @pytest.mark.parametrize("controllers", [None, 3, "x", [3], [["a"]], [["a", 1, "c"]], [["a", "b", "c", "d"]]])
-def test_names_of_others_that_are_no_names_are_passed_over(controllers: object) -> None:
+def test_malformed_names_of_other_controllers_are_ignored(controllers: object) -> None:
     control_client = make_uplink()
     grant(control_client, now=1.1, sender="near", zone="north-a", contact=False, controllers=controllers)
     assert set(control_client.known) == {"near"}
--- a/tests/test_second_loss.py
+++ b/tests/test_second_loss.py
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize(("machines", "budget"), SIZES)
-def test_a_wiped_voter_is_made_up_for_within_the_bound_of_its_return(machines: int, budget: int) -> None:
+def test_a_wiped_voter_is_replaced_within_the_bound_after_its_return(machines: int, budget: int) -> None:
     net = make_core(machines=machines, budget=budget)
     put(net, label=1, on="0")
     lost = [pick_voter(net, at=at) for at in range(budget)]
@@ -60,7 +60,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 @pytest.mark.parametrize(("machines", "budget"), SIZES)
-def test_a_voter_gone_for_good_is_made_up_for_within_the_bound_of_its_successors_start(
+def test_a_permanently_lost_voter_is_replaced_within_the_bound_after_its_successors_start(
     machines: int, budget: int, seed: int
 ) -> None:
     net = make_core(machines=machines, budget=budget, spare=budget, seed=seed)
@@ -74,7 +74,7 @@
 
 
 @pytest.mark.parametrize(("machines", "budget"), SIZES)
-def test_a_voter_that_is_told_to_stop_goes_when_another_has_copied(machines: int, budget: int) -> None:
+def test_a_voter_that_is_told_to_stop_exits_when_another_has_copied(machines: int, budget: int) -> None:
     net = make_core(machines=machines, budget=budget)
     put(net, label=1, on="0")
     leaving = pick_voter(net)
@@ -86,7 +86,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_what_only_the_leaving_one_and_the_next_lost_one_hold_is_kept(seed: int) -> None:
+def test_a_value_held_only_by_the_leaving_voter_and_the_next_lost_one_survives(seed: int) -> None:
     net = make_core(machines=4, budget=1, seed=seed)
     leaving, lost, behind = net.voting()
     # periodic reads would spread the value
@@ -112,7 +112,7 @@
     assert shown == make_written(label=1)
 
 
-def test_one_that_is_told_to_stop_goes_at_once_where_none_can_take_its_place() -> None:
+def test_a_voter_that_is_told_to_stop_exits_at_once_if_none_can_replace_it() -> None:
     net = found(zones=ZONES[:3])
     begun = net.now
     net.give(net.machines[0], event=ShutdownRequested())
@@ -120,7 +120,7 @@
     assert net.now == begun
 
 
-def test_all_that_are_told_to_stop_at_once_go_within_the_grace() -> None:
+def test_all_voters_told_to_stop_at_once_exit_within_the_grace_period() -> None:
     net = make_core(machines=4, budget=1)
     put(net, label=1, on="0")
     for machine in net.machines:
@@ -132,7 +132,7 @@
     assert net.ask(net.voting()[0], method="GET", path="/config")[1] == make_written(label=1)
 
 
-def test_a_roll_of_all_loses_nothing_and_the_core_bears_a_loss_after_each() -> None:
+def test_a_rolling_restart_loses_nothing_and_the_core_tolerates_a_loss_after_each_step() -> None:
     net = make_core(machines=4, budget=1)
     put(net, label=1, on="0")
     for machine in list(net.machines):
@@ -145,7 +145,7 @@
     assert net.ask(net.voting()[0], method="GET", path="/config")[1] == make_written(label=1)
 
 
-def test_a_newcomer_that_dies_while_it_copies_holds_up_neither_the_leaving_one_nor_the_core() -> None:
+def test_a_newcomer_that_dies_while_copying_blocks_neither_the_leaving_voter_nor_the_core() -> None:
     net = make_core(machines=5, budget=1)
     put(net, label=1, on="0")
     leaving = pick_voter(net)
