--- a/sailward/control/administration/metrics.py
+++ b/sailward/control/administration/metrics.py
@@ -118,11 +118,11 @@
 def _collect_disk(*, sources: StatusSources) -> list[Family]:
     write_ahead = sources.voter.write_ahead
     return [
-        _gauge("data_file_bytes", "Bytes of the data file, without how JSON escapes them.", write_ahead.size),
-        _gauge("data_file_live_bytes", "Bytes that the last rewrite of the data file left.", write_ahead.live_size),
-        _counter("data_file_rewrites", "Rewrites of the data file that were begun.", write_ahead.rewrites),
-        _gauge("disk_usable", "Whether the disk takes writes.", write_ahead.usable),
-        _gauge("disk_waiting", "Answers that wait for a sync.", len(write_ahead.waiting)),
+        _gauge("data_file_bytes", "Bytes of the data file, without how JSON escapes them.", write_ahead.file_bytes),
+        _gauge("data_file_live_bytes", "Bytes that the last rewrite of the data file left.", write_ahead.live_bytes),
+        _counter("data_file_rewrites", "Rewrites of the data file that were begun.", write_ahead.rewrite_count),
+        _gauge("disk_usable", "Whether the disk takes writes.", write_ahead.is_usable),
+        _gauge("disk_waiting", "Answers that wait for a sync.", len(write_ahead.pending_replies)),
     ]
 
 
--- a/sailward/control/administration/status_report.py
+++ b/sailward/control/administration/status_report.py
@@ -26,7 +26,7 @@
         "founding": _show_founding(sources=sources, now=now),
         "post": voter.location.post,
         "voting": voter.voting,
-        "disk_usable": voter.write_ahead.usable,
+        "disk_usable": voter.write_ahead.is_usable,
         "contact": _show_contact(sources=sources, now=now),
         "voters": voter.voters.show(),
         "registers": _show_registers(sources=sources),
--- a/sailward/control/controller.py
+++ b/sailward/control/controller.py
@@ -345,7 +345,7 @@
         self.peer_table.asks = "" if self.options.is_mesh else self.subscribers.asks(now=now)
         if self.options.bootstrap:
             # a non-member that can't write to disk must not be added to the voters
-            may_act = (self.write_ahead.usable and self.options.has_disk) or self.voter.is_member
+            may_act = (self.write_ahead.is_usable and self.options.has_disk) or self.voter.is_member
             self.peer_table.identity = self.identity if may_act else ""
 
     def _update_aggregated_health(self, *, now: float) -> list[Command]:
@@ -357,8 +357,8 @@
     def _repair_disk(self, *, now: float) -> list[Command]:
         """Retry a rewrite of the file while the disk can't be written."""
         if (
-            self.write_ahead.usable
-            or self.write_ahead.rewriting
+            self.write_ahead.is_usable
+            or self.write_ahead.rewrite_seq
             or now - self._rewrite_tried_at <= constants.REPAIR_INTERVAL
         ):
             return []
--- a/sailward/control/group/contact_watch.py
+++ b/sailward/control/group/contact_watch.py
@@ -112,4 +112,4 @@
 
     def _own_voter_identity(self) -> str:
         """This controller's identity if it counts towards the majority itself, else empty."""
-        return self._voter.identity if self._voter.is_member and self._voter.write_ahead.copied else ""
+        return self._voter.identity if self._voter.is_member and self._voter.write_ahead.has_copied else ""
--- a/sailward/control/group/graceful_shutdown.py
+++ b/sailward/control/group/graceful_shutdown.py
@@ -52,7 +52,7 @@
         """Can another controller replace this one, or may a newcomer still be copying from it?"""
         voter, peers = self._voter, {peer["identity"]: peer for peer in self._peer_table.alive(kind="controller")}
         members = voter.voters.members
-        if not self._is_enabled or not voter.write_ahead.copied or not voter.write_ahead.usable:
+        if not self._is_enabled or not voter.write_ahead.has_copied or not voter.write_ahead.is_usable:
             return False
         if not voter.is_member:
             return voter.is_copy_source and any(name in peers and not peers[name]["fit"] for name in members)
--- a/sailward/control/group/membership.py
+++ b/sailward/control/group/membership.py
@@ -108,11 +108,11 @@
         record = {"k": "vote", "r": "voters", "b": [0, "founder"], "v": value}
         if slot is None:
             fold_record(slots=voter.acceptor.slots, record=record, now=now)
-        voter.write_ahead.copied = True
+        voter.write_ahead.has_copied = True
         voter.learner.step(name="voters", ballot=[0, "founder"], value=value)
         answer = answer_json(token=event.token, code=200, body={"outcome": "accepted", "number": 1})
         return [
-            *voter.write_ahead.know(ballot=[0, "founder"], value=value),
+            *voter.write_ahead.store_known_voters(ballot=[0, "founder"], value=value),
             *voter.write_ahead.step(records=[record, {"k": "copied"}] if slot is None else [], replies=[answer]),
         ]
 
@@ -130,14 +130,14 @@
             names=names,
             is_confirmed=event.query.get("confirm") == "yes",
             value=newest,
-            opened=voter.write_ahead.opened,
+            opened=voter.write_ahead.completed_recovery,
             controllers=self.controllers,
         )
         if isinstance(recovery_value, NotFounded):
             return _refuse(
                 event=event, code=recovery_value.code, reason=recovery_value.reason, detail=recovery_value.detail
             )
-        if not voter.write_ahead.usable or not voter.write_ahead.copied:
+        if not voter.write_ahead.is_usable or not voter.write_ahead.has_copied:
             return _refuse(
                 event=event,
                 code=503,
@@ -161,7 +161,7 @@
         """Does this chosen voter set remove this controller? A delayed message with an older set does not."""
         voter = self._voter
         return (
-            voter.write_ahead.copied
+            voter.write_ahead.has_copied
             and voter.identity not in read_voters(value=value).members
             and value["number"] >= voter.voted_voters()["number"]
         )
@@ -200,8 +200,8 @@
         slots = self.copying.slots(now=now, own=own)
         if own is None:
             commands += voter.forget()
-        voter.write_ahead.copied, voter.write_ahead.under = True, self.copying.number
-        voter.write_ahead.opened = read_founding(value=voter.learned_voters().value).number
+        voter.write_ahead.has_copied, voter.write_ahead.copied_under = True, self.copying.number
+        voter.write_ahead.completed_recovery = read_founding(value=voter.learned_voters().value).number
         log = LogEvent(event="copied", fields={"slots": len(slots), "under": self.copying.number})
         commands += [
             log,
@@ -223,7 +223,7 @@
         ]
 
     def _recovery_records(self) -> list[Record]:
-        opened = self._voter.write_ahead.opened
+        opened = self._voter.write_ahead.completed_recovery
         return [{"k": "opened", "n": opened}] if opened else []
 
     def _step_recovery(self, *, now: float, event: tuple | None) -> list[Command]:
@@ -241,11 +241,11 @@
             ):
                 ballot = max(learned.ballot, slot.promised) if slot else learned.ballot
                 slots[name] = Slot(promised=ballot, ballot=ballot, value=learned.value, since=now)
-        voter.write_ahead.opened = read_founding(value=voter.learned_voters().value).number
+        voter.write_ahead.completed_recovery = read_founding(value=voter.learned_voters().value).number
         log = LogEvent(
             event="recovery-completed",
             fields={
-                "number": voter.write_ahead.opened,
+                "number": voter.write_ahead.completed_recovery,
                 "slots": len(slots),
                 "claims": "in-doubt" if self.has_unknown_outcomes(now=now) else "kept",
             },
--- a/sailward/control/group/voter.py
+++ b/sailward/control/group/voter.py
@@ -22,35 +22,44 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Remembered:
+class StoredState:
     """The state that earlier runs stored on disk; `identity` is empty on an empty disk."""
 
     identity: str
-    copied: bool
-    under: int
-    opened: int
-    known: dict | None
+    has_copied: bool
+    copied_under: int
+    completed_recovery: int
+    known_voters: dict | None
     slots: Slots
 
 
-def read_records(*, records: list[Record], now: float) -> Remembered:
+def read_records(*, records: list[Record], now: float) -> StoredState:
     """Fold the records on disk, oldest first."""
-    identity, copied, under, opened, known, slots = "", False, 0, 0, None, Slots()
+    identity, slots = "", Slots()
+    has_copied, copied_under, completed_recovery, known_voters = False, 0, 0, None
     for record in records:
         if record["k"] == "identity":
             identity = record["id"]
         elif record["k"] == "copied":
             # older versions do not store the set number; members that they added need no later copy
-            copied, under = True, record.get("n", 0)
+            has_copied, copied_under = True, record.get("n", 0)
         elif record["k"] == "opened":
-            opened = record["n"]
+            completed_recovery = record["n"]
         elif record["k"] == "left":
-            identity, copied, under, opened, slots = record["id"], False, 0, 0, Slots()
+            identity, slots = record["id"], Slots()
+            has_copied, copied_under, completed_recovery = False, 0, 0
         elif record.get("r") == KNOWN:
-            known = record
+            known_voters = record
         else:
             fold_record(slots=slots, record=record, now=now)
-    return Remembered(identity=identity, copied=copied, under=under, opened=opened, known=known, slots=slots)
+    return StoredState(
+        identity=identity,
+        has_copied=has_copied,
+        copied_under=copied_under,
+        completed_recovery=completed_recovery,
+        known_voters=known_voters,
+        slots=slots,
+    )
 
 
 class Voter:
@@ -63,25 +72,25 @@
     def __init__(
         self, *, location: Location, nonce: str, records: list[Record], now: float, bootstrap: Bootstrap | None
     ) -> None:
-        remembered = read_records(records=records, now=now)
+        stored = read_records(records=records, now=now)
         self.location = location
-        is_new = not remembered.identity
+        is_new = not stored.identity
         is_founder = is_new and bootstrap is not None and bootstrap.is_founder(post=location.post)
-        self.identity = remembered.identity or (
+        self.identity = stored.identity or (
             make_founder(post=location.post) if is_founder else make_identity(name=location.name, nonce=nonce)
         )
         self.learner = Learner()
-        self.acceptor = Acceptor(slots=remembered.slots)
+        self.acceptor = Acceptor(slots=stored.slots)
         self.write_ahead = WriteAhead(
             identity=self.identity,
-            slots=remembered.slots,
-            copied=remembered.copied,
-            under=remembered.under,
-            opened=remembered.opened,
-            known=remembered.known,
+            slots=stored.slots,
+            has_copied=stored.has_copied,
+            copied_under=stored.copied_under,
+            completed_recovery=stored.completed_recovery,
+            known_voters=stored.known_voters,
         )
-        if remembered.known is not None and "v" in remembered.known:
-            self.learner.step(name="voters", ballot=remembered.known["b"], value=remembered.known["v"])
+        if stored.known_voters is not None and "v" in stored.known_voters:
+            self.learner.step(name="voters", ballot=stored.known_voters["b"], value=stored.known_voters["v"])
         self.write_ahead.start(records=records)
         first_records = [{"k": "identity", "id": self.identity}] if is_new else []
         if is_founder and bootstrap is not None:
@@ -106,17 +115,17 @@
     @property
     def is_opening(self) -> bool:
         """Is this process barred from voting until a disaster recovery is complete?"""
-        return read_founding(value=self.learned_voters().value).number > self.write_ahead.opened
+        return read_founding(value=self.learned_voters().value).number > self.write_ahead.completed_recovery
 
     @property
     def voting(self) -> bool:
         """May this process vote and grant?"""
-        return self.is_member and self.is_complete and self.write_ahead.usable and not self.is_opening
+        return self.is_member and self.is_complete and self.write_ahead.is_usable and not self.is_opening
 
     @property
     def is_complete(self) -> bool:
         """Has this voter copied all values chosen before the set under which it must copy (`VoterSet.joined`)?"""
-        return self.write_ahead.copied and self.write_ahead.under >= self.voters.joined.get(self.identity, 0)
+        return self.write_ahead.has_copied and self.write_ahead.copied_under >= self.voters.joined.get(self.identity, 0)
 
     @property
     def is_copy_source(self) -> bool:
@@ -125,9 +134,11 @@
         True also if it must itself copy again or was removed, provided that it could vote under the previous set.
         """
         before = self.voters.before or VoterSet()
-        was_complete = self.write_ahead.copied and self.write_ahead.under >= before.joined.get(self.identity, 0)
+        was_complete = self.write_ahead.has_copied and self.write_ahead.copied_under >= before.joined.get(
+            self.identity, 0
+        )
         is_source = (self.is_member and self.is_complete) or (self.identity in before.members and was_complete)
-        return is_source and self.write_ahead.usable
+        return is_source and self.write_ahead.is_usable
 
     def learned_voters(self) -> LearnedValue:
         """The value of the voters register that is known to be chosen."""
@@ -170,7 +181,7 @@
         for name in list(self.acceptor.slots):
             del self.acceptor.slots[name]
         self.acceptor.slots.control.clear()
-        self.write_ahead.copied, self.write_ahead.under, self.write_ahead.opened = False, 0, 0
+        self.write_ahead.has_copied, self.write_ahead.copied_under, self.write_ahead.completed_recovery = False, 0, 0
         return self.write_ahead.step(records=[{"k": "left", "id": self.identity}], replies=[])
 
     def sweep_claims(self, *, now: float) -> list[Command]:
@@ -178,24 +189,24 @@
         if now - self._swept_at < constants.CLAIM_SWEEP_INTERVAL:
             return []
         self._swept_at = now
-        old = [
+        expired = [
             name
             for name, slot in self.acceptor.slots.items()
             if name.startswith(CLAIM) and now - slot.since > constants.CLAIM_TTL
         ]
-        for name in old:
+        for name in expired:
             del self.acceptor.slots[name]
-        return self.write_ahead.step(records=[{"k": "drop", "r": name} for name in old], replies=[])
+        return self.write_ahead.step(records=[{"k": "drop", "r": name} for name in expired], replies=[])
 
     def _found_core(self, *, now: float, value: RegisterValue) -> list[dict]:
         """Found the core without any message; the records returned must be synced before any reply is sent."""
         ballot = [0, "founder"]
         record = {"k": "vote", "r": "voters", "b": ballot, "v": value}
         fold_record(slots=self.acceptor.slots, record=record, now=now)
-        self.write_ahead.copied = True
-        self.write_ahead.known = {"k": "promise", "r": KNOWN, "b": ballot, "v": value}
+        self.write_ahead.has_copied = True
+        self.write_ahead.known_voters = {"k": "promise", "r": KNOWN, "b": ballot, "v": value}
         self.learner.step(name="voters", ballot=ballot, value=value)
-        return [record, {"k": "copied"}, self.write_ahead.known]
+        return [record, {"k": "copied"}, self.write_ahead.known_voters]
 
     def _reject_voter_set(self, *, sender: str, body: Message) -> SendMessage:
         learner = self.learner.values.get("voters")
--- a/sailward/control/registers.py
+++ b/sailward/control/registers.py
@@ -94,7 +94,7 @@
             logs.append(LogEvent(event="removed-from-voters", fields={"was": self._voter.identity}))
         if config is not None:
             self._admin_api.full, self._shard_moves.plan = config
-        commands = self._voter.write_ahead.know(ballot=ballot, value=value) if name == "voters" else []
+        commands = self._voter.write_ahead.store_known_voters(ballot=ballot, value=value) if name == "voters" else []
         commands += self._serving.push(now=now)
         if announce:
             commands += self._announce_chosen(name=name, ballot=ballot, value=value)
--- a/simulation/many_changes.py
+++ b/simulation/many_changes.py
@@ -123,7 +123,7 @@
     catch_up = group.now - begun if older >= 0 else float("inf")
     is_voting = group.run(seconds=CATCH_UP_WAIT, until=lambda: back.controller.voting) or back.controller.voting
     group.measured = None
-    own_file, present_file, rewrites = back.file_bytes(), first.file_bytes(), first.controller.write_ahead.rewrites
+    own_file, present_file, rewrites = back.file_bytes(), first.file_bytes(), first.controller.write_ahead.rewrite_count
     start_time = _time_start(group=group, member=first)
     return Row(
         case=case,
--- a/simulation/model/faults.py
+++ b/simulation/model/faults.py
@@ -58,7 +58,7 @@
     "counts-at-once": lambda: [mock.patch.object(Voter, "is_complete", property(lambda self: True))],
     # a member that was out and is in again goes on with what it voted for before
     "keeps-old-slots": lambda: [
-        mock.patch.object(Voter, "is_complete", property(lambda self: self.write_ahead.copied))
+        mock.patch.object(Voter, "is_complete", property(lambda self: self.write_ahead.has_copied))
     ],
     # members of a smaller set go on without a copy
     "smaller-without-copy": lambda: [
--- a/simulation/model/node.py
+++ b/simulation/model/node.py
@@ -261,9 +261,19 @@
         (name, one.ballot, one.value["number"], one.value["mark"]) for name, one in controller.learner.values.items()
     )
     copied = (copying.number, sorted(copying.done), repr(sorted(copying.copied.items())))
-    waiting = [(seq, len(replies)) for seq, replies in write_ahead.waiting]
+    waiting = [(seq, len(replies)) for seq, replies in write_ahead.pending_replies]
     return repr(
-        (controller.identity, write_ahead.copied, write_ahead.known, waiting, proposer, operations, slots, held, copied)
+        (
+            controller.identity,
+            write_ahead.has_copied,
+            write_ahead.known_voters,
+            waiting,
+            proposer,
+            operations,
+            slots,
+            held,
+            copied,
+        )
     )
 
 
--- a/simulation/sim/sabotage.py
+++ b/simulation/sim/sabotage.py
@@ -272,7 +272,7 @@
             )
         ),
     ),
-    "known": _method(write_ahead.WriteAhead, "know", lambda old: lambda self, *, ballot, value: []),
+    "known": _method(write_ahead.WriteAhead, "store_known_voters", lambda old: lambda self, *, ballot, value: []),
     "word": _method(
         proxied_requests, "answer_refusal", lambda old: lambda **fields: dataclasses.replace(old(**fields), headers={})
     ),
--- a/tests/group_machine.py
+++ b/tests/group_machine.py
@@ -155,7 +155,7 @@
     def _instrument(self, member: Member) -> None:
         """Check every value that this incarnation of a member learns, and every change reported to it as accepted."""
         controller = member.controller
-        floor = self.acknowledged if member.life > 1 and controller.write_ahead.copied else 0
+        floor = self.acknowledged if member.life > 1 and controller.write_ahead.has_copied else 0
         self.floors[member.name] = floor
         learn, propose = controller.learner.step, controller.proposer.step
 
--- a/tests/storage_machine.py
+++ b/tests/storage_machine.py
@@ -130,7 +130,7 @@
         controller = self.controller
         if self.promised or self.voted:
             assert controller.identity == self.identity, "another identity"
-            assert controller.write_ahead.copied, "it forgot that it has its registers"
+            assert controller.write_ahead.has_copied, "it forgot that it has its registers"
             assert controller.voters.number >= self.known_lasting, "it forgot a set of voters"
         for register, ballot in self.promised.items():
             slot = controller.acceptor.slots.get(register)
@@ -158,7 +158,7 @@
         register, ballot = body["register"], body["ballot"]
         self.identity = self.controller.identity
         write_ahead = self.controller.write_ahead
-        if not write_ahead.waiting and write_ahead.synced >= write_ahead.seq:
+        if not write_ahead.pending_replies and write_ahead.synced_seq >= write_ahead.seq:
             # answers go out in the order of the records: all that was learnt before this one lasts
             self.known_lasting = max(self.known_lasting, self.known_learnt)
         if body["kind"] == "promise":
--- a/tests/test_data_file.py
+++ b/tests/test_data_file.py
@@ -85,7 +85,7 @@
     for number in range(1, 13):
         assert voter.change(number=number, text=text)
         assert files.size(name="registers") <= (constants.REWRITE_FACTOR + 1) * len(text) * 1.01
-    assert voter.write_ahead.rewrites <= 12 / (constants.REWRITE_FACTOR - 1) + 2
+    assert voter.write_ahead.rewrite_count <= 12 / (constants.REWRITE_FACTOR - 1) + 2
 
 
 def test_what_was_stored_behind_a_rewrite_is_cleared_away_without_a_further_change() -> None:
@@ -195,11 +195,11 @@
     before = dict(files.handles)
     for _ in range(500):
         voter.work(commands=[voter.write_ahead.rewrite()])
-        assert not voter.write_ahead.usable
+        assert not voter.write_ahead.is_usable
     assert files.handles == before and "registers.new" not in files.names
     files.room = None
     voter.work(commands=[voter.write_ahead.rewrite()])
-    assert voter.write_ahead.usable and voter.change(number=2)
+    assert voter.write_ahead.is_usable and voter.change(number=2)
     assert Voter(files=files).acceptor.slots["config"].value["number"] == 2
 
 
--- a/tests/test_storage_machine.py
+++ b/tests/test_storage_machine.py
@@ -78,7 +78,7 @@
 
     def rewrite(self):
         command = old(self)
-        self.synced = self.seq
+        self.synced_seq = self.seq
         return command
 
     monkeypatch.setattr(write_ahead.WriteAhead, "rewrite", rewrite)
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -99,7 +99,7 @@
     found = read_frames(data=DATA)
     assert isinstance(found, Read) and found.length == len(DATA)
     controller = make_controller(records=found.records)
-    assert controller.write_ahead.copied and len(controller.voters.members) == 4
+    assert controller.write_ahead.has_copied and len(controller.voters.members) == 4
     value = controller.acceptor.slots["config"].value
     assert value["number"] == 1 and read_plan(value=value).services["orders"].timed_keys is False
     assert sum(name.startswith("exchange/") for name in controller.acceptor.slots) == 75
