--- a/sailward/control/administration/metrics.py
+++ b/sailward/control/administration/metrics.py
@@ -84,7 +84,7 @@
         controller["id"] for controller in controllers if controller["identity"] in members and not controller["fit"]
     )
     return [
-        _gauge("voting", "Whether this controller votes.", voter.voting),
+        _gauge("voting", "Whether this controller votes.", voter.is_voting),
         _gauge("voters", "Members of the set of voters.", len(members)),
         _gauge("voters_voting", "Voters that are heard of as voting.", core["voting"]),
         _gauge("voters_needed", "Voters that a majority needs.", core["needed"]),
--- a/sailward/control/administration/status_report.py
+++ b/sailward/control/administration/status_report.py
@@ -25,7 +25,7 @@
         "version": sailward.__version__,
         "founding": _show_founding(sources=sources, now=now),
         "post": voter.location.post,
-        "voting": voter.voting,
+        "voting": voter.is_voting,
         "disk_usable": voter.write_ahead.is_usable,
         "contact": _show_contact(sources=sources, now=now),
         "voters": voter.voters.show(),
@@ -107,7 +107,7 @@
     return {
         "number": founding.number,
         "survivors": list(founding.survivors),
-        "acts": not sources.voter.is_opening,
+        "acts": not sources.voter.is_recovering,
         "claims": "in-doubt" if sources.membership.has_unknown_outcomes(now=now) else "kept",
     }
 
--- a/sailward/control/controller.py
+++ b/sailward/control/controller.py
@@ -81,7 +81,7 @@
         self._build_shards()
         self._build_dispatch()
         self._move_count = 0
-        self._startup_commands = self.voter.begun
+        self._startup_commands = self.voter.startup_commands
         self._health_updated_at, self._rewrite_tried_at = NEVER, NEVER
 
     def _build_voter(self, *, nonce: str, rng: random.Random, records: list[Record], now: float) -> None:
@@ -248,9 +248,9 @@
         return self.voter.voters
 
     @property
-    def voting(self) -> bool:
+    def is_voting(self) -> bool:
         """May this process vote and grant?"""
-        return self.voter.voting
+        return self.voter.is_voting
 
     def _dispatch(self, *, now: float, event: Event) -> list[Command]:
         match event:
@@ -288,7 +288,7 @@
 
     def _step_endpoint_list(self, *, now: float, event: CallFinished | None) -> list[Command]:
         # a controller that is not a voter reads the list only if proxies subscribe to it
-        is_needed = not self.voters.members or self.voting or self.subscribers.has_followers()
+        is_needed = not self.voters.members or self.is_voting or self.subscribers.has_followers()
         commands, is_newer = self.endpoint_list.step(
             now=now, event=event, peer_table=self.peer_table, is_needed=is_needed
         )
@@ -320,7 +320,7 @@
         commands += self._step_proxy_registry(now=now)
         commands += self.registers.step_shard_leases(now=now, event=None)
         commands += self.registers.begin(now=now, begins=self.catch_up.step(now=now))
-        commands += self.voter.sweep_claims(now=now)
+        commands += self.voter.drop_expired_claims(now=now)
         commands += self._step_membership(now=now)
         self._update_own_entry(now=now)
         commands += self._update_aggregated_health(now=now) + self.graceful_shutdown.step(now=now)
@@ -341,7 +341,7 @@
 
     def _update_own_entry(self, *, now: float) -> None:
         """Update what the peer table announces about this process."""
-        self.peer_table.fit = self.voting
+        self.peer_table.fit = self.is_voting
         self.peer_table.asks = "" if self.options.is_mesh else self.subscribers.asks(now=now)
         if self.options.bootstrap:
             # a non-member that can't write to disk must not be added to the voters
@@ -366,7 +366,7 @@
         return [self.write_ahead.rewrite()]
 
     def _move_slots(self, *, now: float) -> list[Command]:
-        if not self.voting:
+        if not self.is_voting:
             return []
         changes = self.shard_moves.step(
             now=now,
--- a/sailward/control/group/graceful_shutdown.py
+++ b/sailward/control/group/graceful_shutdown.py
@@ -56,4 +56,4 @@
             return False
         if not voter.is_member:
             return voter.is_copy_source and any(name in peers and not peers[name]["fit"] for name in members)
-        return voter.voting and any(is_waiting(entry=other, members=members) for other in peers.values())
+        return voter.is_voting and any(is_waiting(entry=other, members=members) for other in peers.values())
--- a/sailward/control/group/membership.py
+++ b/sailward/control/group/membership.py
@@ -68,7 +68,7 @@
         commands = self._report_quorum(now=now, others=others)
         # a controller that does not vote yet also tracks the voters, to know on joining how long each has been lost
         repair_commands, begins = self._repair(now=now, others=others)
-        if self._voter.voting:
+        if self._voter.is_voting:
             return StepResult(commands + repair_commands, begins)
         return StepResult(commands + self._copy_or_recover(now=now) + self._request_updates(now=now, others=others), [])
 
@@ -186,8 +186,8 @@
         voter = self._voter
         if "voters" not in voter.learner.values:
             return []
-        if voter.is_complete:
-            return self._step_recovery(now=now, event=event) if voter.is_opening else []
+        if voter.has_required_copy:
+            return self._step_recovery(now=now, event=event) if voter.is_recovering else []
         return self._step_copy(now=now, event=event)
 
     def _step_copy(self, *, now: float, event: tuple | None) -> list[Command]:
@@ -199,14 +199,14 @@
             return commands
         slots = self.copying.slots(now=now, own=own)
         if own is None:
-            commands += voter.forget()
+            commands += voter.discard_votes()
         voter.write_ahead.has_copied, voter.write_ahead.copied_under = True, self.copying.number
         voter.write_ahead.completed_recovery = read_founding(value=voter.learned_voters().value).number
         log = LogEvent(event="copied", fields={"slots": len(slots), "under": self.copying.number})
         commands += [
             log,
             *voter.write_ahead.step(
-                records=[*voter.put(slots=slots), voter.write_ahead.copied_record(), *self._recovery_records()],
+                records=[*voter.store_slots(slots=slots), voter.write_ahead.copied_record(), *self._recovery_records()],
                 replies=[],
             ),
         ]
@@ -253,7 +253,7 @@
         return [
             *commands,
             log,
-            *voter.write_ahead.step(records=[*voter.put(slots=slots), *self._recovery_records()], replies=[]),
+            *voter.write_ahead.step(records=[*voter.store_slots(slots=slots), *self._recovery_records()], replies=[]),
         ]
 
     def _repair(self, *, now: float, others: list[dict]) -> StepResult:
@@ -281,13 +281,13 @@
         voter = self._voter
         if not voter.is_member or "voters" not in voter.learner.values:
             return []
-        if not voter.is_complete:
+        if not voter.has_required_copy:
             return self._step_copy(now=now, event=None)
-        return self._step_recovery(now=now, event=None) if voter.is_opening else []
+        return self._step_recovery(now=now, event=None) if voter.is_recovering else []
 
     def _request_updates(self, *, now: float, others: list[dict]) -> list[Command]:
         voter = self._voter
-        is_copying = voter.is_member and "voters" in voter.learner.values and not voter.is_complete
+        is_copying = voter.is_member and "voters" in voter.learner.values and not voter.has_required_copy
         if is_copying or now - self._requested_at < self._request_backoff():
             return []
         self._requested_at = now
--- a/sailward/control/group/voter.py
+++ b/sailward/control/group/voter.py
@@ -63,7 +63,7 @@
 
 
 class Voter:
-    """Owner of one voter. `answer` votes under the known voter set; the commands in `begun` are to be run first.
+    """Owner of one voter. `answer` votes under the known voter set; `startup_commands` are to be run first.
 
     `learner` (chosen values), `acceptor` (votes) and `write_ahead` (order between records and replies) stay the same
     objects for the lifetime of the process.
@@ -95,7 +95,7 @@
         first_records = [{"k": "identity", "id": self.identity}] if is_new else []
         if is_founder and bootstrap is not None:
             first_records += self._found_core(now=now, value=bootstrap.value())
-        self.begun: list[Command] = self.write_ahead.step(records=first_records, replies=[])
+        self.startup_commands: list[Command] = self.write_ahead.step(records=first_records, replies=[])
         self._swept_at = now
 
     @property
@@ -113,17 +113,17 @@
         return self.identity in self.voters.members
 
     @property
-    def is_opening(self) -> bool:
+    def is_recovering(self) -> bool:
         """Is this process barred from voting until a disaster recovery is complete?"""
         return read_founding(value=self.learned_voters().value).number > self.write_ahead.completed_recovery
 
     @property
-    def voting(self) -> bool:
+    def is_voting(self) -> bool:
         """May this process vote and grant?"""
-        return self.is_member and self.is_complete and self.write_ahead.is_usable and not self.is_opening
+        return self.is_member and self.has_required_copy and self.write_ahead.is_usable and not self.is_recovering
 
     @property
-    def is_complete(self) -> bool:
+    def has_required_copy(self) -> bool:
         """Has this voter copied all values chosen before the set under which it must copy (`VoterSet.joined`)?"""
         return self.write_ahead.has_copied and self.write_ahead.copied_under >= self.voters.joined.get(self.identity, 0)
 
@@ -137,7 +137,7 @@
         was_complete = self.write_ahead.has_copied and self.write_ahead.copied_under >= before.joined.get(
             self.identity, 0
         )
-        is_source = (self.is_member and self.is_complete) or (self.identity in before.members and was_complete)
+        is_source = (self.is_member and self.has_required_copy) or (self.identity in before.members and was_complete)
         return is_source and self.write_ahead.is_usable
 
     def learned_voters(self) -> LearnedValue:
@@ -151,7 +151,7 @@
 
     def answer(self, *, now: float, sender: str, body: Message) -> list[Command]:
         """Handle one prepare, accept, first or read; the reply is sent once the records it depends on are synced."""
-        if not self.voting:
+        if not self.is_voting:
             return []
         if body["voters"] != self.voters.number:
             # a voter acts under one voter set at a time: the newest that it knows to be chosen
@@ -159,7 +159,7 @@
         records, reply = self.acceptor.step(now=now, body=body)
         return self.write_ahead.step(records=records, replies=[SendMessage(to=sender, body=reply)])
 
-    def newest(self) -> dict[str, list]:
+    def newest_votes(self) -> dict[str, list]:
         """Number, mark and ballot of the newest vote in each register that is not a claim."""
         newest = {}
         for name in self.acceptor.slots.control:
@@ -168,7 +168,7 @@
             newest[name] = [value["number"], value["mark"], slot.ballot]
         return newest
 
-    def put(self, *, slots: dict[str, Slot]) -> list[dict]:
+    def store_slots(self, *, slots: dict[str, Slot]) -> list[dict]:
         """Adopt these slots as this voter's votes; returns the records that persist them."""
         records: list[Record] = []
         for name, slot in slots.items():
@@ -176,7 +176,7 @@
             records += slot_records(name=name, slot=slot)
         return records
 
-    def forget(self) -> list[Command]:
+    def discard_votes(self) -> list[Command]:
         """Discard the votes cast as a member of earlier voter sets; they are void."""
         for name in list(self.acceptor.slots):
             del self.acceptor.slots[name]
@@ -184,7 +184,7 @@
         self.write_ahead.has_copied, self.write_ahead.copied_under, self.write_ahead.completed_recovery = False, 0, 0
         return self.write_ahead.step(records=[{"k": "left", "id": self.identity}], replies=[])
 
-    def sweep_claims(self, *, now: float) -> list[Command]:
+    def drop_expired_claims(self, *, now: float) -> list[Command]:
         """Drop expired claims."""
         if now - self._swept_at < constants.CLAIM_SWEEP_INTERVAL:
             return []
--- a/sailward/control/proxies/serving.py
+++ b/sailward/control/proxies/serving.py
@@ -61,7 +61,7 @@
             return self._answer_proxy(now=now, sender=sender, body=body)
         commands: list[Command] = [*self._subscribers.step(now=now, event=(sender, body), updates=self.updates())]
         # before the joiner is heard: what is granted from is what was known when it asked
-        newest = self._voter.newest()
+        newest = self._voter.newest_votes()
         if self._is_bootstrapped:
             commands += self._on_joiner(now=now, sender=sender, daemon=body["daemon"])
             learned = self._voter.learner.values.get("voters")
@@ -121,7 +121,7 @@
             "seq": body["seq"],
             "newest": {},
             "identity": "",
-            "voting": self._voter.voting,
+            "voting": self._voter.is_voting,
             "proxies": 0,
             "view": {"place": [location.zone, location.region]},
         }
@@ -140,7 +140,7 @@
                 "seq": body["seq"],
                 "newest": newest,
                 "identity": self._voter.identity,
-                "voting": self._voter.voting,
+                "voting": self._voter.is_voting,
                 "proxies": len(self._subscribers.proxies()),
                 "view": {
                     **self._aggregated_health.view(with_slow_start=is_slow_start_over),
@@ -157,7 +157,7 @@
             is_newer = isinstance(newest, list) and newest[0] > self._voter.learner.number(name=name)
             if is_control(name=name) and is_newer:
                 self._catch_up.record_behind(now=now, name=name)
-                if self._voter.is_opening:
+                if self._voter.is_recovering:
                     commands.append(SendMessage(to=sender, body={"kind": "want", "register": name}))
         return commands
 
--- a/sailward/control/shards/shard_leases.py
+++ b/sailward/control/shards/shard_leases.py
@@ -67,14 +67,14 @@
         voter = self._voter
         if body["kind"] == "confirm":
             known, learned = voter.voters.number, voter.learner.values.get("voters")
-            if voter.voting and body["voters"] < known and learned is not None:
+            if voter.is_voting and body["voters"] < known and learned is not None:
                 return [
                     SendMessage(
                         to=sender,
                         body={"kind": "chosen", "register": "voters", "ballot": learned.ballot, "value": learned.value},
                     )
                 ]
-            if not voter.voting or body["voters"] != known:
+            if not voter.is_voting or body["voters"] != known:
                 return []
             newest = {
                 name: newest_vote(slots=voter.acceptor.slots, name=name)
@@ -133,7 +133,7 @@
         )
         if may_set_readers:
             self._proxy_registry.readers = frozenset(well[lead] for lead in leads.values())
-        return [name for name, lead in leads.items() if self._voter.voting and lead == self._voter.identity]
+        return [name for name, lead in leads.items() if self._voter.is_voting and lead == self._voter.identity]
 
     def _step_freshness(self, *, now: float, acting: list[str]) -> list[Command]:
         voter = self._voter
--- a/simulation/hollow_fleet/fleet.py
+++ b/simulation/hollow_fleet/fleet.py
@@ -259,9 +259,9 @@
         return None
 
     def _is_core_up(self) -> bool:
-        return sum(controller.owner is not None and controller.owner.voting for controller in self.controllers) >= min(
-            3, len(self.controllers)
-        )
+        return sum(
+            controller.owner is not None and controller.owner.is_voting for controller in self.controllers
+        ) >= min(3, len(self.controllers))
 
     def _all_ready(self) -> bool:
         return all(proxy.owner is not None and proxy.owner.is_ready for proxy in self.proxies)
--- a/simulation/hosted/expect.py
+++ b/simulation/hosted/expect.py
@@ -114,7 +114,7 @@
 
 def _judge_voters(*, words: list[str], world: World) -> tuple[str, object]:
     """`voters LEAST`: how many controllers vote at the end, by their own word."""
-    count = sum(controller.owner is not None and controller.owner.voting for controller in world.controllers())
+    count = sum(controller.owner is not None and controller.owner.is_voting for controller in world.controllers())
     return ("" if count >= int(words[0]) else f"voters: {count}"), count
 
 
--- a/simulation/many_changes.py
+++ b/simulation/many_changes.py
@@ -101,7 +101,7 @@
     group = CoreGroup(folder=folder, size=3)
     for member in group.members:
         group.start(member=member, is_first=True)
-    if not group.run(seconds=10.0, until=lambda: all(member.controller.voting for member in group.members)):
+    if not group.run(seconds=10.0, until=lambda: all(member.controller.is_voting for member in group.members)):
         raise RuntimeError("the group was not founded")
     texts = Texts(routes=routes)
     group.run(seconds=SETTLE)
@@ -121,7 +121,7 @@
     newest = first.controller.learner.number(name="config")
     older = _catch_up(group=group, member=back, newest=newest)
     catch_up = group.now - begun if older >= 0 else float("inf")
-    is_voting = group.run(seconds=CATCH_UP_WAIT, until=lambda: back.controller.voting) or back.controller.voting
+    is_voting = group.run(seconds=CATCH_UP_WAIT, until=lambda: back.controller.is_voting) or back.controller.is_voting
     group.measured = None
     own_file, present_file, rewrites = back.file_bytes(), first.file_bytes(), first.controller.write_ahead.rewrite_count
     start_time = _time_start(group=group, member=first)
--- a/simulation/model/faults.py
+++ b/simulation/model/faults.py
@@ -55,10 +55,10 @@
     # a newcomer copies from one voter
     "copy-from-one": lambda: [mock.patch.object(copying, "majority_of", lambda *, members: 1)],
     # a newcomer counts before it has copied
-    "counts-at-once": lambda: [mock.patch.object(Voter, "is_complete", property(lambda self: True))],
+    "counts-at-once": lambda: [mock.patch.object(Voter, "has_required_copy", property(lambda self: True))],
     # a member that was out and is in again goes on with what it voted for before
     "keeps-old-slots": lambda: [
-        mock.patch.object(Voter, "is_complete", property(lambda self: self.write_ahead.has_copied))
+        mock.patch.object(Voter, "has_required_copy", property(lambda self: self.write_ahead.has_copied))
     ],
     # members of a smaller set go on without a copy
     "smaller-without-copy": lambda: [
--- a/simulation/model/node.py
+++ b/simulation/model/node.py
@@ -238,7 +238,7 @@
         identity=controller.identity,
         number=voters.number,
         members=tuple(sorted(voters.members.items())),
-        is_voting=controller.voting,
+        is_voting=controller.is_voting,
         live=frozenset(_work(op=op, work=work) for op, work in controller.proposer._live.items()),
         told=told[0].body if told else {},
     )
--- a/tests/core_net.py
+++ b/tests/core_net.py
@@ -130,7 +130,7 @@
             machine.disk = []
 
     def voting(self) -> list[Machine]:
-        return [machine for machine in self.machines if machine.controller is not None and machine.controller.voting]
+        return [machine for machine in self.machines if machine.controller is not None and machine.controller.is_voting]
 
     def members(self) -> list[str]:
         newest = max(
--- a/tests/group_machine.py
+++ b/tests/group_machine.py
@@ -212,7 +212,7 @@
         return [LINK + self.random.choice((0.0, 0.0, 0.05, 0.4)) for _ in range(count)]
 
     def _count_voting(self) -> int:
-        return sum(member.controller is not None and member.controller.voting for member in self.group.members)
+        return sum(member.controller is not None and member.controller.is_voting for member in self.group.members)
 
     def _is_complete(self) -> bool:
         """Are all members running and connected, and do three vote under one voter set that all members know?"""
--- a/tests/test_bootstrap.py
+++ b/tests/test_bootstrap.py
@@ -46,7 +46,7 @@
     net.run(1.0)
     net.start(net.machines[1], bootstrap=True)
     assert net.run(6.0, until=lambda: len(net.voting()) == 3)
-    assert net.machines[3].controller.voting and not net.machines[2].controller
+    assert net.machines[3].controller.is_voting and not net.machines[2].controller
     net.start(net.machines[2], bootstrap=False)
     net.run(3.0)
     assert len(net.voting()) == 3
@@ -56,7 +56,7 @@
 def test_the_core_grows_to_the_size_of_its_budget_spread_over_zones() -> None:
     net = found(zones=["gdl-a", "ens-a", "gdl-b", "gdl-a", "gdl-a", "ens-b", "gdl-b"], budget=2)
     assert net.run(8.0, until=lambda: len(net.voting()) == 5 and len(net.members()) == 5)
-    assert net.machines[5].controller.voting
+    assert net.machines[5].controller.is_voting
     assert len({machine.zone for machine in net.voting()}) == 4
 
 
@@ -74,7 +74,7 @@
     net.run(1.0)
     begun = net.now
     net.start(machine)
-    assert net.run(3.0, until=lambda: machine.controller.voting)
+    assert net.run(3.0, until=lambda: machine.controller.is_voting)
     assert net.now - begun < 2.5
     # the next voter may be lost at once
     other = net.machines[(at + 1) % 3]
@@ -90,10 +90,10 @@
     put(net, label=1, on="0")
     lost = net.machines[1]
     net.kill(lost)
-    assert net.run(7.0, until=lambda: net.machines[3].controller.voting)
+    assert net.run(7.0, until=lambda: net.machines[3].controller.is_voting)
     net.start(lost)
     net.run(2.0)
-    assert not lost.controller.voting and len(net.members()) == 3
+    assert not lost.controller.is_voting and len(net.members()) == 3
     put(net, label=2, on="r1")
 
 
@@ -104,7 +104,7 @@
     net.kill(net.machines[2], wipe=True)
     net.run(0.5)
     net.start(net.machines[3])
-    assert net.run(7.0, until=lambda: net.machines[3].controller.voting)
+    assert net.run(7.0, until=lambda: net.machines[3].controller.is_voting)
     assert net.ask(net.machines[3], method="GET", path="/config")[0] == 200
 
 
@@ -127,7 +127,7 @@
     net.run(7.0, until=lambda: net.machines[3].post in net.members())
     net.start(net.machines[2])
     assert net.run(14.0, until=lambda: len(net.voting()) == 3)
-    assert not net.machines[3].controller.voting
+    assert not net.machines[3].controller.is_voting
 
 
 def test_all_killed_at_once_come_back_with_what_was_acknowledged() -> None:
@@ -162,7 +162,7 @@
     net = found()
     put(net, label=1, on="0")
     net.cut = {"m1"}
-    assert net.run(8.0, until=lambda: net.machines[3].controller.voting)
+    assert net.run(8.0, until=lambda: net.machines[3].controller.is_voting)
     assert net.ask(net.machines[1], method="PUT", path="/config", body=make_written(label=2), if_match="r1")[0] in (
         0,
         503,
@@ -170,7 +170,7 @@
     put(net, label=3, on="r1")
     net.cut = set()
     net.run(7.0)
-    assert not net.machines[1].controller.voting
+    assert not net.machines[1].controller.is_voting
     assert net.ask(net.machines[1], method="GET", path="/config")[1]["generation"] == "r3"
 
 
@@ -210,7 +210,7 @@
     net.run(0.5)
     net.kill(net.machines[2], wipe=True)
     net.cut = set()
-    assert net.run(8.0, until=lambda: net.machines[3].controller.voting)
+    assert net.run(8.0, until=lambda: net.machines[3].controller.is_voting)
     net.kill(net.machines[0], wipe=True)
     net.run(0.2)
     assert net.ask(net.machines[1], method="GET", path="/config")[1] == make_written(label=2)
@@ -225,7 +225,7 @@
     net.kill(net.machines[other])
     net.start(net.machines[0])
     begun = net.now
-    assert net.run(6.0, until=lambda: net.machines[0].controller.voting)
+    assert net.run(6.0, until=lambda: net.machines[0].controller.is_voting)
     assert net.now - begun < 2.3
 
 
--- a/tests/test_second_loss.py
+++ b/tests/test_second_loss.py
@@ -20,7 +20,7 @@
     """Would a majority of the newest voter set still vote after `losses` more?"""
     running = [machine.controller for machine in net.machines if machine.controller is not None]
     newest = max((controller.voters for controller in running), key=lambda voters: voters.number)
-    voting = [machine for machine in running if machine.voting and machine.voters.number == newest.number]
+    voting = [machine for machine in running if machine.is_voting and machine.voters.number == newest.number]
     return len(voting) - losses >= majority_of(members=newest.members)
 
 
