--- a/sailward/control/administration/status_report.py
+++ b/sailward/control/administration/status_report.py
@@ -6,7 +6,7 @@
 from sailward import constants
 from sailward.control.administration.metrics import show_metrics
 from sailward.control.administration.status_sources import StatusSources
-from sailward.control.group.disaster_recovery import read_founding
+from sailward.control.group.disaster_recovery import read_last_recovery
 from sailward.control.group.quorum_contact import NEVER
 from sailward.control.group.repair import count_core
 from sailward.discovery.peer_table import PeerTable, kind_of
@@ -101,7 +101,7 @@
 
 
 def _show_founding(*, sources: StatusSources, now: float) -> dict:
-    founding = read_founding(value=sources.voter.learned_voters().value)
+    founding = read_last_recovery(value=sources.voter.learned_voters().value)
     if not founding.number:
         return {}
     return {
--- a/sailward/control/group/disaster_recovery.py
+++ b/sailward/control/group/disaster_recovery.py
@@ -16,17 +16,17 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Founding:
+class RecordedRecovery:
     """The last disaster recovery that a value of the voters register records."""
 
     number: int
     survivors: tuple
-    unknown_outcomes: bool
-    base: dict
+    has_unknown_outcomes: bool
+    base_members: dict
 
 
 @dataclass(frozen=True, kw_only=True)
-class NotFounded:
+class RecoveryRefused:
     """Why a recovery order is refused; nothing is changed."""
 
     code: int
@@ -34,26 +34,26 @@
     detail: str
 
 
-def read_founding(*, value: RegisterValue) -> Founding:
+def read_last_recovery(*, value: RegisterValue) -> RecordedRecovery:
     """The last recovery recorded in a value of the voters register; its number is 0 if there was none."""
     decoded = json.loads(value["text"]).get("anew") if value["text"] else None
     if not decoded:
-        return Founding(number=0, survivors=(), unknown_outcomes=False, base={})
-    return Founding(
+        return RecordedRecovery(number=0, survivors=(), has_unknown_outcomes=False, base_members={})
+    return RecordedRecovery(
         number=decoded["number"],
         survivors=tuple(decoded["survivors"]),
-        unknown_outcomes=decoded["doubt"],
-        base=decoded["base"],
+        has_unknown_outcomes=decoded["doubt"],
+        base_members=decoded["base"],
     )
 
 
-def make_founding(
-    *, own: str, names: list[str], is_confirmed: bool, value: RegisterValue, opened: int, controllers: dict
-) -> RegisterValue | NotFounded:
+def make_recovery_value(
+    *, own: str, names: list[str], is_confirmed: bool, value: RegisterValue, completed_recovery: int, controllers: dict
+) -> RegisterValue | RecoveryRefused:
     """The value of the voters register with the named survivors as its only members.
 
-    `value` is the newest vote known, `opened` the number of the last recovery completed here, `controllers` the
-    controllers that are alive according to the peer table.
+    `value` is the newest vote known, `completed_recovery` the number of the last recovery completed here, `controllers`
+    the controllers that are alive according to the peer table.
     """
     members = json.loads(value["text"])["members"] if value["text"] else {}
     identity_by_name = {identity.split("#")[0]: identity for identity in members}
@@ -65,13 +65,13 @@
     if not is_confirmed:
         lost = sorted(set(members) - set(survivors))
         detail = f"confirm that these are permanently lost and stay switched off: {lost}"
-        return NotFounded(code=409, reason="not-confirmed", detail=detail)
-    last_recovery = read_founding(value=value)
-    if last_recovery.number > opened and list(last_recovery.survivors) == survivors:
+        return RecoveryRefused(code=409, reason="not-confirmed", detail=detail)
+    last_recovery = read_last_recovery(value=value)
+    if last_recovery.number > completed_recovery and list(last_recovery.survivors) == survivors:
         return value
     # the voter set whose chosen values the survivors hold: the last one under which voters acted
-    base = last_recovery.base if last_recovery.number > opened else members
-    number = _next_founding_number(value=value, survivors=survivors)
+    base = last_recovery.base_members if last_recovery.number > completed_recovery else members
+    number = _next_recovery_number(value=value, survivors=survivors)
     unknown_outcomes = len(set(survivors) & set(base)) < blocking_of(members=base)
     text = {
         "members": {name: members[name] for name in survivors},
@@ -81,46 +81,46 @@
     return {"number": number, "mark": f"anew-{number}", "trail": [], "text": json.dumps(text, sort_keys=True)}
 
 
-def _refuse_survivors(*, own: str, members: dict[str, str], survivors: list[str]) -> NotFounded | None:
+def _refuse_survivors(*, own: str, members: dict[str, str], survivors: list[str]) -> RecoveryRefused | None:
     """Why these can't be the survivors, judged by the voter set alone; None if they can."""
     if not members:
         detail = "this controller belongs to no core; use `found` to form a core from new controllers"
-        return NotFounded(code=409, reason="never-founded", detail=detail)
+        return RecoveryRefused(code=409, reason="never-founded", detail=detail)
     if not survivors:
         detail = "name the controllers that still have their disks"
-        return NotFounded(code=422, reason="no-survivor", detail=detail)
+        return RecoveryRefused(code=422, reason="no-survivor", detail=detail)
     unknown = [name for name in survivors if name not in members]
     if unknown:
         known = sorted({identity.split("#")[0] for identity in members})
         detail = f"not among the voters {known}: {unknown}"
-        return NotFounded(code=404, reason="survivor-unknown", detail=detail)
+        return RecoveryRefused(code=404, reason="survivor-unknown", detail=detail)
     if own not in survivors:
         detail = "send this order to one of the survivors that it names"
-        return NotFounded(code=409, reason="not-a-survivor", detail=detail)
+        return RecoveryRefused(code=409, reason="not-a-survivor", detail=detail)
     return None
 
 
-def _refuse_by_peers(*, members: dict[str, str], survivors: list[str], controllers: dict) -> NotFounded | None:
+def _refuse_by_peers(*, members: dict[str, str], survivors: list[str], controllers: dict) -> RecoveryRefused | None:
     """Why these can't be the survivors, judged by the controllers that are alive now; None if they can."""
     alive = {identity for identity in members if identity in controllers}
     voting = [identity for identity in alive if controllers[identity]["fit"]]
     if 2 * len(voting) > len(members):
         detail = f"{len(voting)} of {len(members)} voters are active; remove single voters with `part`"
-        return NotFounded(code=409, reason="core-whole", detail=detail)
+        return RecoveryRefused(code=409, reason="core-whole", detail=detail)
     unreachable = sorted(set(survivors) - alive)
     if unreachable:
-        return NotFounded(
+        return RecoveryRefused(
             code=409, reason="survivor-unreachable", detail=f"no heartbeat from these survivors: {unreachable}"
         )
     lost_alive = sorted(alive - set(survivors))
     if lost_alive:
-        return NotFounded(
+        return RecoveryRefused(
             code=409, reason="member-alive", detail=f"these still send heartbeats, so they are not lost: {lost_alive}"
         )
     return None
 
 
-def _next_founding_number(*, value: RegisterValue, survivors: list[str]) -> int:
+def _next_recovery_number(*, value: RegisterValue, survivors: list[str]) -> int:
     """A number far enough ahead that no change made under the old voter set can reach it.
 
     Within the gap each set of survivors has its own offset, so that of two recoveries on two sides of a partition one
@@ -143,41 +143,43 @@
 
     copying: Copying
     number: int = 0
-    since: float = -1e9
+    known_since: float = -1e9
 
     def step(self, *, now: float, voters: LearnedValue, event: tuple | None) -> list[Command]:
         """Take a (sender, `copied` message), or None for the passage of time."""
-        self.note(now=now, voters=voters)
+        self.observe(now=now, voters=voters)
         return self.copying.step(now=now, voters=voters, event=event)
 
-    def note(self, *, now: float, voters: LearnedValue) -> None:
+    def observe(self, *, now: float, voters: LearnedValue) -> None:
         """Start the clock when a recovery is first known here."""
-        number = read_founding(value=voters.value).number
+        number = read_last_recovery(value=voters.value).number
         if number != self.number:
-            self.number, self.since = number, now
+            self.number, self.known_since = number, now
 
     def is_over(self, *, now: float) -> bool:
         """Have all survivors sent all of their votes, and have the leases granted under the old set expired?"""
         return (
             len(self.copying.done) == len(self.copying.old)
-            and now - self.since >= constants.LEASE_DURATION + constants.SLOT_MOVE_MARGIN
+            and now - self.known_since >= constants.LEASE_DURATION + constants.SLOT_MOVE_MARGIN
         )
 
     def has_unknown_outcomes(self, *, now: float, voters: LearnedValue) -> bool:
         """May this recovery have lost claims that have not expired yet?"""
-        return read_founding(value=voters.value).unknown_outcomes and now - self.since < constants.CLAIM_TTL
+        return (
+            read_last_recovery(value=voters.value).has_unknown_outcomes and now - self.known_since < constants.CLAIM_TTL
+        )
 
 
-def merge_survivors(*, slots: dict, told: list[dict], now: float) -> dict[str, Slot]:
+def merge_survivor_votes(*, slots: dict, survivor_votes: list[dict], now: float) -> dict[str, Slot]:
     """All survivors' votes merged: for each register the vote with the highest ballot.
 
     Under the shared first ballot survivors may hold different claims of one key, and no survivor can tell which was
     chosen. The key then stays claimed with no owner, so that nobody can declare its request unsent.
     """
     merged = {}
-    for name in sorted({*slots, *(name for rows in told for name in rows)}):
+    for name in sorted({*slots, *(name for rows in survivor_votes for name in rows)}):
         own = slots.get(name)
-        votes = [vote for vote in (own.vote() if own else [], *(rows.get(name, []) for rows in told)) if vote]
+        votes = [vote for vote in (own.vote() if own else [], *(rows.get(name, []) for rows in survivor_votes)) if vote]
         if not votes:
             continue
         ballot = max(vote[0] for vote in votes)
@@ -191,14 +193,14 @@
     return merged
 
 
-def log_founding(*, value: RegisterValue) -> LogEvent:
+def log_recovery_order(*, value: RegisterValue) -> LogEvent:
     """The log event that tells operators of an ordered recovery."""
-    founding = read_founding(value=value)
+    recovery = read_last_recovery(value=value)
     return LogEvent(
         event="recovery-ordered",
         fields={
-            "number": founding.number,
-            "survivors": ",".join(founding.survivors),
-            "claims": "in-doubt" if founding.unknown_outcomes else "kept",
+            "number": recovery.number,
+            "survivors": ",".join(recovery.survivors),
+            "claims": "in-doubt" if recovery.has_unknown_outcomes else "kept",
         },
     )
--- a/sailward/control/group/membership.py
+++ b/sailward/control/group/membership.py
@@ -16,10 +16,10 @@
 from sailward.control.group.copying import Copying, copy_page
 from sailward.control.group.disaster_recovery import (
     DisasterRecovery,
-    NotFounded,
-    make_founding,
-    merge_survivors,
-    read_founding,
+    RecoveryRefused,
+    make_recovery_value,
+    merge_survivor_votes,
+    read_last_recovery,
 )
 from sailward.control.group.repair import Repair, count_core
 from sailward.control.group.voter import Voter
@@ -63,21 +63,21 @@
 
     def step(self, *, now: float) -> StepResult:
         """Report a lost quorum; copy, recover, repair, or ask the other controllers for updates."""
-        others = self._peer_table.alive(kind="controller")
-        self.controllers = {other["identity"]: other for other in [*others, self._peer_table.own_entry()]}
-        commands = self._report_quorum(now=now, others=others)
+        peers = self._peer_table.alive(kind="controller")
+        self.controllers = {peer["identity"]: peer for peer in [*peers, self._peer_table.own_entry()]}
+        commands = self._report_quorum(now=now, peers=peers)
         # a controller that does not vote yet also tracks the voters, to know on joining how long each has been lost
-        repair_commands, begins = self._repair(now=now, others=others)
+        repair_commands, begins = self._repair(now=now, peers=peers)
         if self._voter.is_voting:
             return StepResult(commands + repair_commands, begins)
-        return StepResult(commands + self._copy_or_recover(now=now) + self._request_updates(now=now, others=others), [])
+        return StepResult(commands + self._copy_or_recover(now=now) + self._request_updates(now=now, peers=peers), [])
 
     def has_unknown_outcomes(self, *, now: float) -> bool:
         """May a recovery have lost claims that have not expired yet?"""
-        self.recovery.note(now=now, voters=self._voter.learned_voters())
+        self.recovery.observe(now=now, voters=self._voter.learned_voters())
         return self.recovery.has_unknown_outcomes(now=now, voters=self._voter.learned_voters())
 
-    def request_soon(self) -> None:
+    def request_updates_soon(self) -> None:
         """Ask the other controllers for updates at the next step, because they know a newer voter set."""
         self._requested_at = -1e9
 
@@ -125,15 +125,15 @@
                 event=event, code=422, reason="survivors", detail="give survivors: a list of controllers' names"
             )
         newest = max((voter.learned_voters().value, voter.voted_voters()), key=lambda value: value["number"])
-        recovery_value = make_founding(
+        recovery_value = make_recovery_value(
             own=voter.identity,
             names=names,
             is_confirmed=event.query.get("confirm") == "yes",
             value=newest,
-            opened=voter.write_ahead.completed_recovery,
+            completed_recovery=voter.write_ahead.completed_recovery,
             controllers=self.controllers,
         )
-        if isinstance(recovery_value, NotFounded):
+        if isinstance(recovery_value, RecoveryRefused):
             return _refuse(
                 event=event, code=recovery_value.code, reason=recovery_value.reason, detail=recovery_value.detail
             )
@@ -147,17 +147,17 @@
         number = recovery_value["number"]
         record = {"k": "vote", "r": "voters", "b": [number, "founder"], "v": recovery_value}
         fold_record(slots=voter.acceptor.slots, record=record, now=now)
-        founding = read_founding(value=recovery_value)
+        recovery = read_last_recovery(value=recovery_value)
         body = {
             "outcome": "accepted",
             "number": number,
-            "survivors": list(founding.survivors),
-            "claims": "in-doubt" if founding.unknown_outcomes else "kept",
+            "survivors": list(recovery.survivors),
+            "claims": "in-doubt" if recovery.has_unknown_outcomes else "kept",
         }
         answer = answer_json(token=event.token, code=200, body=body)
         return RecoveryOrder(record=record, ballot=[number, "founder"], value=recovery_value, answer=answer)
 
-    def is_out(self, *, value: RegisterValue) -> bool:
+    def is_removed_by(self, *, value: RegisterValue) -> bool:
         """Does this chosen voter set remove this controller? A delayed message with an older set does not."""
         voter = self._voter
         return (
@@ -181,7 +181,7 @@
             del self._page_names[sender]
         return voter.write_ahead.step(records=[], replies=[SendMessage(to=sender, body=page)])
 
-    def take_page(self, *, now: float, event: tuple) -> list[Command]:
+    def on_page(self, *, now: float, event: tuple) -> list[Command]:
         """Fold a received page; after the last one this controller may vote."""
         voter = self._voter
         if "voters" not in voter.learner.values:
@@ -191,7 +191,7 @@
         return self._step_copy(now=now, event=event)
 
     def _step_copy(self, *, now: float, event: tuple | None) -> list[Command]:
-        """Request pages, or fold one; this voter's own votes count as well if others may copy from it."""
+        """Request pages, or fold one; this voter's own votes count as well if peers may copy from it."""
         voter = self._voter
         own = voter.acceptor.slots if voter.is_copy_source else None
         commands = self.copying.step(now=now, voters=voter.learned_voters(), event=event)
@@ -201,7 +201,7 @@
         if own is None:
             commands += voter.discard_votes()
         voter.write_ahead.has_copied, voter.write_ahead.copied_under = True, self.copying.number
-        voter.write_ahead.completed_recovery = read_founding(value=voter.learned_voters().value).number
+        voter.write_ahead.completed_recovery = read_last_recovery(value=voter.learned_voters().value).number
         log = LogEvent(event="copied", fields={"slots": len(slots), "under": self.copying.number})
         commands += [
             log,
@@ -223,16 +223,16 @@
         ]
 
     def _recovery_records(self) -> list[Record]:
-        opened = self._voter.write_ahead.completed_recovery
-        return [{"k": "opened", "n": opened}] if opened else []
+        number = self._voter.write_ahead.completed_recovery
+        return [{"k": "opened", "n": number}] if number else []
 
     def _step_recovery(self, *, now: float, event: tuple | None) -> list[Command]:
         voter = self._voter
         commands = self.recovery.step(now=now, voters=voter.learned_voters(), event=event)
         if not self.recovery.is_over(now=now):
             return commands
-        told = list(self.recovery.copying.copied.values())
-        slots = merge_survivors(slots=voter.acceptor.slots, told=told, now=now)
+        survivor_votes = list(self.recovery.copying.copied.values())
+        slots = merge_survivor_votes(slots=voter.acceptor.slots, survivor_votes=survivor_votes, now=now)
         for name, learned in voter.learner.values.items():
             # keep a chosen value that proxies and other controllers already have if every survivor's vote is older
             slot = slots.get(name)
@@ -241,7 +241,7 @@
             ):
                 ballot = max(learned.ballot, slot.promised) if slot else learned.ballot
                 slots[name] = Slot(promised=ballot, ballot=ballot, value=learned.value, since=now)
-        voter.write_ahead.completed_recovery = read_founding(value=voter.learned_voters().value).number
+        voter.write_ahead.completed_recovery = read_last_recovery(value=voter.learned_voters().value).number
         log = LogEvent(
             event="recovery-completed",
             fields={
@@ -256,14 +256,14 @@
             *voter.write_ahead.step(records=[*voter.store_slots(slots=slots), *self._recovery_records()], replies=[]),
         ]
 
-    def _repair(self, *, now: float, others: list[dict]) -> StepResult:
+    def _repair(self, *, now: float, peers: list[dict]) -> StepResult:
         voter = self._voter
         text = self.repair.step(
             now=now,
             own=voter.identity,
             voters=voter.voters,
             text=voter.learned_voters().value["text"],
-            controllers=[*others, self._peer_table.own_entry()],
+            controllers=[*peers, self._peer_table.own_entry()],
         )
         if not text:
             return StepResult([], [])
@@ -285,7 +285,7 @@
             return self._step_copy(now=now, event=None)
         return self._step_recovery(now=now, event=None) if voter.is_recovering else []
 
-    def _request_updates(self, *, now: float, others: list[dict]) -> list[Command]:
+    def _request_updates(self, *, now: float, peers: list[dict]) -> list[Command]:
         voter = self._voter
         is_copying = voter.is_member and "voters" in voter.learner.values and not voter.has_required_copy
         if is_copying or now - self._requested_at < self._request_backoff():
@@ -298,7 +298,7 @@
             "report": {},
             "daemon": self._peer_table.own_entry(),
         }
-        return [SendMessage(to=other["post"], body=body) for other in others]
+        return [SendMessage(to=peer["post"], body=body) for peer in peers]
 
     def _request_backoff(self) -> float:
         is_waiting = self._voter.voters.number and not self._voter.is_member
@@ -308,10 +308,10 @@
             else self._options.repair_every
         )
 
-    def _report_quorum(self, *, now: float, others: list[dict]) -> list[Command]:
+    def _report_quorum(self, *, now: float, peers: list[dict]) -> list[Command]:
         """Log when too few voters are left for any change, and when the quorum is restored."""
         members = self._voter.voters.members
-        voting_counts = count_core(members=members, controllers=[*others, self._peer_table.own_entry()])
+        voting_counts = count_core(members=members, controllers=[*peers, self._peer_table.own_entry()])
         is_quorum_lost = bool(members) and voting_counts["voting"] < voting_counts["needed"]
         if not is_quorum_lost:
             self._quorum_seen_at = now
--- a/sailward/control/group/voter.py
+++ b/sailward/control/group/voter.py
@@ -9,7 +9,7 @@
 from sailward.consensus.learner import LearnedValue, Learner
 from sailward.consensus.voter_set import VoterSet, read_voters
 from sailward.control.bootstrap import Bootstrap, make_founder
-from sailward.control.group.disaster_recovery import read_founding
+from sailward.control.group.disaster_recovery import read_last_recovery
 from sailward.control.group.write_ahead import WriteAhead
 from sailward.discovery.peer_table import Location
 from sailward.events import Command, SendMessage
@@ -115,7 +115,7 @@
     @property
     def is_recovering(self) -> bool:
         """Is this process barred from voting until a disaster recovery is complete?"""
-        return read_founding(value=self.learned_voters().value).number > self.write_ahead.completed_recovery
+        return read_last_recovery(value=self.learned_voters().value).number > self.write_ahead.completed_recovery
 
     @property
     def is_voting(self) -> bool:
--- a/sailward/control/message_handlers.py
+++ b/sailward/control/message_handlers.py
@@ -74,7 +74,7 @@
     def _on_vote_request(self, *, now: float, sender: str, body: Message) -> list[Command]:
         if self._is_bootstrapped and body["voters"] > self._voter.voters.number:
             # the sender acts under a newer voter set: request or read that set soon
-            self._membership.request_soon()
+            self._membership.request_updates_soon()
             self._catch_up.record_behind(now=now, name="voters")
         return self._voter.answer(now=now, sender=sender, body=body)
 
@@ -116,7 +116,7 @@
         return commands + self._membership.send_page(sender=sender, body=body)
 
     def _on_copied(self, *, now: float, sender: str, body: Message) -> list[Command]:
-        return self._membership.take_page(now=now, event=(sender, body))
+        return self._membership.on_page(now=now, event=(sender, body))
 
     def _on_grant(self, *, now: float, sender: str, body: Message) -> list[Command]:
         """Ignored: the reply to this process's own request for updates; the missing values are pushed separately."""
--- a/sailward/control/operator_requests.py
+++ b/sailward/control/operator_requests.py
@@ -8,7 +8,7 @@
 from sailward.control.administration.status_sources import StatusSources
 from sailward.control.endpoints.endpoint_list import EndpointList
 from sailward.control.group.contact_watch import ContactWatch
-from sailward.control.group.disaster_recovery import log_founding
+from sailward.control.group.disaster_recovery import log_recovery_order
 from sailward.control.group.membership import Membership
 from sailward.control.group.redirect import redirect_or_reject
 from sailward.control.group.write_ahead import WriteAhead
@@ -68,5 +68,5 @@
             return [order]
         commands = self._registers.learn(now=now, name="voters", ballot=order.ballot, value=order.value, announce=True)
         # announced only after the record is synced
-        replies = [log_founding(value=order.value), *commands, order.answer]
+        replies = [log_recovery_order(value=order.value), *commands, order.answer]
         return self._write_ahead.step(records=[order.record], replies=replies)
--- a/sailward/control/registers.py
+++ b/sailward/control/registers.py
@@ -90,7 +90,7 @@
         if not self._voter.learner.step(name=name, ballot=ballot, value=value):
             return []
         logs = [LogEvent(event="in-force", fields={"register": name, "number": value["number"]})]
-        if name == "voters" and was_member and self._membership.is_out(value=value):
+        if name == "voters" and was_member and self._membership.is_removed_by(value=value):
             logs.append(LogEvent(event="removed-from-voters", fields={"was": self._voter.identity}))
         if config is not None:
             self._admin_api.full, self._shard_moves.plan = config
--- a/simulation/sim/sabotage.py
+++ b/simulation/sim/sabotage.py
@@ -246,11 +246,13 @@
     "first-quorum": _method(proposer, "fast_of", lambda old: lambda *, members: 2),
     "majority-kept": _method(admin_api, "keeps_majority", lambda old: lambda *, text, well: True),
     "merge": _method(
-        membership, "merge_survivors", lambda old: lambda *, slots, told, now: old(slots=slots, told=[], now=now)
+        membership,
+        "merge_survivor_votes",
+        lambda old: lambda *, slots, survivor_votes, now: old(slots=slots, survivor_votes=[], now=now),
     ),
     "doubt": _method(routing_state.RoutingState, "has_unknown_outcomes", lambda old: lambda self, *, now: False),
     "told-back": _method(learner.Learner, "send", lambda old: lambda self, *, to, name: []),
-    "fence": _method(membership.Membership, "is_out", lambda old: lambda self, *, value: False),
+    "fence": _method(membership.Membership, "is_removed_by", lambda old: lambda self, *, value: False),
     "slots-last-resort": _method(
         shard_assignment.ShardAssignment, "_tiers", lambda old: lambda self, **pool: old(self, **pool)[:2]
     ),
