--- a/sailward/control/administration/admin_api.py
+++ b/sailward/control/administration/admin_api.py
@@ -291,7 +291,7 @@
                 return Outcome(kind="refused", code=404, reason="voter-unknown", detail=f"no voter {given!r}")
             text = change_members(text=job.text, number=job.number, drop=identity)
         well = {name for name, entry in self.controllers.items() if entry["fit"]}
-        if len(members) + (1 if kind == "join" else -1) < 1 or not keeps_majority(text=text, well=well):
+        if len(members) + (1 if kind == "join" else -1) < 1 or not keeps_majority(text=text, healthy=well):
             return Outcome(
                 kind="refused",
                 code=409,
--- a/sailward/control/administration/metrics.py
+++ b/sailward/control/administration/metrics.py
@@ -11,7 +11,7 @@
 from typing import Literal
 
 from sailward.control.administration.status_sources import StatusSources
-from sailward.control.group.repair import count_core
+from sailward.control.group.repair import count_voting_members
 from sailward.events import Respond
 
 CONTENT_TYPE = "application/openmetrics-text; version=1.0.0; charset=utf-8"
@@ -79,7 +79,7 @@
     voter, peer_table = sources.voter, sources.peer_table
     members = voter.voters.members
     controllers = [*peer_table.alive(kind="controller"), peer_table.own_entry()]
-    core = count_core(members=members, controllers=controllers)
+    core = count_voting_members(members=members, controllers=controllers)
     copying = sorted(
         controller["id"] for controller in controllers if controller["identity"] in members and not controller["fit"]
     )
--- a/sailward/control/administration/status_report.py
+++ b/sailward/control/administration/status_report.py
@@ -8,14 +8,14 @@
 from sailward.control.administration.status_sources import StatusSources
 from sailward.control.group.disaster_recovery import read_last_recovery
 from sailward.control.group.quorum_contact import NEVER
-from sailward.control.group.repair import count_core
+from sailward.control.group.repair import count_voting_members
 from sailward.discovery.peer_table import PeerTable, kind_of
 
 
 def show_status(*, sources: StatusSources, now: float) -> dict:
     """The status of the core, the zones and the proxies, as this controller sees it."""
     voter, peer_table, subscribers = sources.voter, sources.peer_table, sources.subscribers
-    core = count_core(
+    core = count_voting_members(
         members=voter.voters.members, controllers=[*peer_table.alive(kind="controller"), peer_table.own_entry()]
     )
     return {
--- a/sailward/control/group/copying.py
+++ b/sailward/control/group/copying.py
@@ -19,17 +19,17 @@
     """Owner of one copy. `step` requests pages, or folds one; it is over when enough voters have sent all their votes.
 
     Each request carries the voter set that contains the new voter. A voter stores that set before it sends a page,
-    and so casts no more votes under the previous set: everything chosen under that set is in the copy. `old` holds the
-    members of the previous set, `others` those of them to copy from, `cursors` the last name received from each.
+    and so casts no more votes under the previous set: everything chosen under that set is in the copy. `sources` are
+    the previous members to copy from, `cursors` the last register name received from each.
     """
 
     identity: str
     number: int = 0
-    old: dict = field(default_factory=dict)
-    others: dict = field(default_factory=dict)
-    copied: dict = field(default_factory=dict)
+    previous_members: dict = field(default_factory=dict)
+    sources: dict = field(default_factory=dict)
+    copied_votes: dict = field(default_factory=dict)
     cursors: dict = field(default_factory=dict)
-    done: set = field(default_factory=set)
+    completed_sources: set = field(default_factory=set)
     retry_at: float = -1e9
     backoff: float = field(default_factory=lambda: constants.COPY_RETRY_INTERVAL)
 
@@ -45,8 +45,8 @@
         self.retry_at = now + self.backoff
         return [
             self._request_page(to=address, voters=voters)
-            for address in self.others.values()
-            if address not in self.done
+            for address in self.sources.values()
+            if address not in self.completed_sources
         ]
 
     def is_over(self, *, own: dict[str, Slot] | None = None) -> bool:
@@ -56,20 +56,20 @@
         every majority) is enough, as no more may be left. If, under the first ballot, these votes don't show which
         value was chosen, it takes a majority.
         """
-        if not self.old:
+        if not self.previous_members:
             return False
-        count = len(self.done) + (own is not None)
-        if own is None or count >= majority_of(members=self.old):
-            return count >= majority_of(members=self.old)
-        return count >= blocking_of(members=self.old) and not self._has_conflict(own=own)
+        count = len(self.completed_sources) + (own is not None)
+        if own is None or count >= majority_of(members=self.previous_members):
+            return count >= majority_of(members=self.previous_members)
+        return count >= blocking_of(members=self.previous_members) and not self._has_conflict(own=own)
 
-    def slots(self, *, now: float, own: dict[str, Slot] | None = None) -> dict[str, Slot]:
+    def merge_votes(self, *, now: float, own: dict[str, Slot] | None = None) -> dict[str, Slot]:
         """The values that may have been chosen under the previous set, by the votes that were copied."""
-        sources = self._counted_votes(own=own)
+        votes_by_source = self._counted_votes(own=own)
         slots = {}
-        for name in sorted({name for copied in sources for name in copied}):
-            votes = [copied.get(name, []) for copied in sources]
-            value = newest_of(votes=votes, members=self.old)
+        for name in sorted({name for copied in votes_by_source for name in copied}):
+            votes = [copied.get(name, []) for copied in votes_by_source]
+            value = newest_of(votes=votes, members=self.previous_members)
             if value["number"]:
                 ballot = max(vote[0] for vote in votes if vote)
                 promised = max(ballot, own[name].promised) if own is not None and name in own else ballot
@@ -78,10 +78,10 @@
 
     def _counted_votes(self, *, own: dict[str, Slot] | None) -> list[dict]:
         """The votes of each voter that counts, by register."""
-        sources = [self.copied.get(address, {}) for address in sorted(self.done)]
+        votes_by_source = [self.copied_votes.get(address, {}) for address in sorted(self.completed_sources)]
         if own is not None:
-            sources.append({name: slot.vote() for name, slot in own.items() if slot.value is not None})
-        return sources
+            votes_by_source.append({name: slot.vote() for name, slot in own.items() if slot.value is not None})
+        return votes_by_source
 
     def _has_conflict(self, *, own: dict[str, Slot] | None) -> bool:
         """Do these voters hold different values of a register under the first ballot?"""
@@ -95,11 +95,15 @@
     def _restart(self, *, members: VoterSet) -> None:
         self.number = members.number
         before = members.before or VoterSet(members=members.members)
-        self.old = {name: post for name, post in before.members.items() if name != self.identity or members.before}
+        self.previous_members = {
+            name: post for name, post in before.members.items() if name != self.identity or members.before
+        }
         # after a restart with an empty disk, this voter has the address of a previous member that no longer exists
         own = members.members.get(self.identity)
-        self.others = {name: post for name, post in self.old.items() if name != self.identity and post != own}
-        self.copied, self.cursors, self.done = {}, {}, set()
+        self.sources = {
+            name: post for name, post in self.previous_members.items() if name != self.identity and post != own
+        }
+        self.copied_votes, self.cursors, self.completed_sources = {}, {}, set()
 
     def _request_page(self, *, to: str, voters: LearnedValue) -> SendMessage:
         return SendMessage(
@@ -110,15 +114,15 @@
     def _fold(self, *, now: float, voters: LearnedValue, sender: str, body: Message) -> list[Command]:
         if (
             body["voters"] != self.number
-            or sender not in self.others.values()
-            or sender in self.done
+            or sender not in self.sources.values()
+            or sender in self.completed_sources
             or body["after"] != self.cursors.get(sender, "")
         ):
             return []
-        copied = self.copied.setdefault(sender, {})
+        copied = self.copied_votes.setdefault(sender, {})
         copied.update({name: [ballot, value] for name, ballot, value in body["slots"]})
         if not body["next"]:
-            self.done.add(sender)
+            self.completed_sources.add(sender)
             return []
         self.cursors[sender] = body["next"]
         return [self._request_page(to=sender, voters=voters)]
--- a/sailward/control/group/disaster_recovery.py
+++ b/sailward/control/group/disaster_recovery.py
@@ -159,7 +159,7 @@
     def is_over(self, *, now: float) -> bool:
         """Have all survivors sent all of their votes, and have the leases granted under the old set expired?"""
         return (
-            len(self.copying.done) == len(self.copying.old)
+            len(self.copying.completed_sources) == len(self.copying.previous_members)
             and now - self.known_since >= constants.LEASE_DURATION + constants.SLOT_MOVE_MARGIN
         )
 
--- a/sailward/control/group/graceful_shutdown.py
+++ b/sailward/control/group/graceful_shutdown.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from sailward import constants
-from sailward.control.group.repair import is_waiting
+from sailward.control.group.repair import may_join
 from sailward.control.group.voter import Voter
 from sailward.discovery.peer_table import PeerTable
 from sailward.events import Command, ExitProcess, LogEvent, SendMessage
@@ -56,4 +56,4 @@
             return False
         if not voter.is_member:
             return voter.is_copy_source and any(name in peers and not peers[name]["fit"] for name in members)
-        return voter.is_voting and any(is_waiting(entry=other, members=members) for other in peers.values())
+        return voter.is_voting and any(may_join(entry=other, members=members) for other in peers.values())
--- a/sailward/control/group/membership.py
+++ b/sailward/control/group/membership.py
@@ -21,7 +21,7 @@
     merge_survivor_votes,
     read_last_recovery,
 )
-from sailward.control.group.repair import Repair, count_core
+from sailward.control.group.repair import Repair, count_voting_members
 from sailward.control.group.voter import Voter
 from sailward.discovery.peer_table import PeerTable
 from sailward.events import Command, LogEvent, RequestReceived, Respond, SendMessage
@@ -51,7 +51,9 @@
     ) -> None:
         self._voter, self._peer_table, self._options, self._op_prefix = voter, peer_table, options, op_prefix
         self.repair = Repair(
-            replace_after=options.replace_after, every=options.repair_every, is_brisk=options.bootstrap is not None
+            replace_after=options.replace_after,
+            check_interval_s=options.repair_every,
+            is_self_managed=options.bootstrap is not None,
         )
         self.copying = Copying(identity=voter.identity, backoff=options.copy_again)
         self.recovery = DisasterRecovery(copying=Copying(identity=voter.identity, backoff=options.copy_again))
@@ -197,7 +199,7 @@
         commands = self.copying.step(now=now, voters=voter.learned_voters(), event=event)
         if not self.copying.is_over(own=own):
             return commands
-        slots = self.copying.slots(now=now, own=own)
+        slots = self.copying.merge_votes(now=now, own=own)
         if own is None:
             commands += voter.discard_votes()
         voter.write_ahead.has_copied, voter.write_ahead.copied_under = True, self.copying.number
@@ -231,7 +233,7 @@
         commands = self.recovery.step(now=now, voters=voter.learned_voters(), event=event)
         if not self.recovery.is_over(now=now):
             return commands
-        survivor_votes = list(self.recovery.copying.copied.values())
+        survivor_votes = list(self.recovery.copying.copied_votes.values())
         slots = merge_survivor_votes(slots=voter.acceptor.slots, survivor_votes=survivor_votes, now=now)
         for name, learned in voter.learner.values.items():
             # keep a chosen value that proxies and other controllers already have if every survivor's vote is older
@@ -311,7 +313,7 @@
     def _report_quorum(self, *, now: float, peers: list[dict]) -> list[Command]:
         """Log when too few voters are left for any change, and when the quorum is restored."""
         members = self._voter.voters.members
-        voting_counts = count_core(members=members, controllers=[*peers, self._peer_table.own_entry()])
+        voting_counts = count_voting_members(members=members, controllers=[*peers, self._peer_table.own_entry()])
         is_quorum_lost = bool(members) and voting_counts["voting"] < voting_counts["needed"]
         if not is_quorum_lost:
             self._quorum_seen_at = now
--- a/sailward/control/group/repair.py
+++ b/sailward/control/group/repair.py
@@ -26,36 +26,39 @@
 class Repair:
     """Owner of the decision. `step` returns the next text of the voters register, or "".
 
-    `is_brisk`: the core founded itself; it grows and swaps voters on its own, and its voters take turns at proposing.
+    `is_self_managed`: the core founded itself; it grows and swaps voters on its own, and its voters take turns at
+    proposing. `pending_since` is the number of the voter set that needs a change, and since when; `last_proposed` the
+    number of the set for which this voter last proposed a change, and when; `replaced_at` when a voter that was still
+    alive was replaced.
     """
 
-    seen: dict = field(default_factory=dict)
+    last_seen_at: dict = field(default_factory=dict)
     last_check_at: float = -1e9
     replace_after: float = field(default_factory=lambda: constants.VOTER_REPLACEMENT_DELAY)
-    every: float = field(default_factory=lambda: constants.REPAIR_INTERVAL)
-    is_brisk: bool = False
-    well_at: dict = field(default_factory=dict)
-    failed: dict = field(default_factory=dict)
-    due: tuple = (-1, 0.0)
-    tried: tuple = (-1, 0.0)
+    check_interval_s: float = field(default_factory=lambda: constants.REPAIR_INTERVAL)
+    is_self_managed: bool = False
+    last_voting_at: dict = field(default_factory=dict)
+    replaced_at: dict = field(default_factory=dict)
+    pending_since: tuple = (-1, 0.0)
+    last_proposed: tuple = (-1, 0.0)
 
     def step(self, *, now: float, own: str, voters: VoterSet, text: str, controllers: list[PeerEntry]) -> str:
         """Decide from the live `controllers`; only one voter, chosen by rendezvous hashing, proposes the change."""
-        if now - self.last_check_at < self.every or not text:
+        if now - self.last_check_at < self.check_interval_s or not text:
             return ""
         self.last_check_at = now
         members, number = voters.members, voters.number
         alive = {entry["identity"]: entry for entry in controllers}
-        if self.is_brisk:
+        if self.is_self_managed:
             return self._step_self_managed(now=now, own=own, number=number, text=text, members=members, alive=alive)
-        self.seen = {name: now if name in alive else self.seen.get(name, now) for name in members}
-        well = [name for name in members if name in alive and alive[name]["fit"]]
-        if choose_names(key=f"repair{number}", names=well, count=1) != [own]:
+        self.last_seen_at = {name: now if name in alive else self.last_seen_at.get(name, now) for name in members}
+        healthy = [name for name in members if name in alive and alive[name]["fit"]]
+        if choose_names(key=f"repair{number}", names=healthy, count=1) != [own]:
             return ""
         to_replace = self._lost_voters(now=now, members=members, alive=alive)
         joining = [name for name in members if name in alive and not alive[name]["fit"]]
         size = json.loads(text).get("size", len(members))
-        waiting = sorted(name for name in alive if is_waiting(entry=alive[name], members=members))
+        waiting = sorted(name for name in alive if may_join(entry=alive[name], members=members))
         if waiting and len(members) < size and not joining:
             # after a disaster recovery the core grows back to its size
             return change_members(text=text, number=number, add=(waiting[0], alive[waiting[0]]["post"]))
@@ -64,7 +67,7 @@
         if len(members) > size:
             # the newcomer must have copied everything before the lost voter may be removed
             text = change_members(text=text, number=number, drop=to_replace[0])
-            return "" if joining or not keeps_majority(text=text, well=set(well)) else text
+            return "" if joining or not keeps_majority(text=text, healthy=set(healthy)) else text
         if waiting:
             return change_members(text=text, number=number, add=(waiting[0], alive[waiting[0]]["post"]))
         return ""
@@ -76,45 +79,50 @@
             name
             for name in members
             if name not in alive
-            and (identity_by_name.get(name.split("#")[0], name) != name or now - self.seen[name] > self.replace_after)
+            and (
+                identity_by_name.get(name.split("#")[0], name) != name
+                or now - self.last_seen_at[name] > self.replace_after
+            )
         )
 
     def _step_self_managed(
         self, *, now: float, own: str, number: int, text: str, members: Mapping[str, str], alive: dict
     ) -> str:
-        well = [name for name in members if name in alive and alive[name]["fit"]]
-        self.seen = {name: now if name in alive else self.seen.get(name, now) for name in members}
-        self.well_at = {name: now if name in well else self.well_at.get(name, now) for name in members}
+        healthy = [name for name in members if name in alive and alive[name]["fit"]]
+        self.last_seen_at = {name: now if name in alive else self.last_seen_at.get(name, now) for name in members}
+        self.last_voting_at = {name: now if name in healthy else self.last_voting_at.get(name, now) for name in members}
         change = (
-            self._choose_change(now=now, number=number, text=text, members=members, alive=alive, well=well)
-            if own in well
+            self._choose_change(now=now, number=number, text=text, members=members, alive=alive, healthy=healthy)
+            if own in healthy
             else ""
         )
         if not change:
-            self.due = (-1, now)
+            self.pending_since = (-1, now)
             return ""
-        if self.due[0] != number:
-            self.due = (number, now)
-        turn = choose_names(key=f"repair{number}", names=well, count=len(well)).index(own)
-        is_tried = self.tried[0] == number and now - self.tried[1] < constants.REPAIR_RETRY_INTERVAL
-        if is_tried or now - self.due[1] < turn * constants.REPAIR_STAGGER_DELAY:
+        if self.pending_since[0] != number:
+            self.pending_since = (number, now)
+        turn = choose_names(key=f"repair{number}", names=healthy, count=len(healthy)).index(own)
+        is_already_proposed = (
+            self.last_proposed[0] == number and now - self.last_proposed[1] < constants.REPAIR_RETRY_INTERVAL
+        )
+        if is_already_proposed or now - self.pending_since[1] < turn * constants.REPAIR_STAGGER_DELAY:
             return ""
-        self.tried = (number, now)
+        self.last_proposed = (number, now)
         return change
 
     def _choose_change(
-        self, *, now: float, number: int, text: str, members: Mapping[str, str], alive: dict, well: list
+        self, *, now: float, number: int, text: str, members: Mapping[str, str], alive: dict, healthy: list
     ) -> str:
         """The next change of the voters: one member added, removed or swapped; "" if none is needed."""
         size = json.loads(text).get("size", len(members))
         to_replace = self._voters_to_replace(now=now, members=members, alive=alive)
-        if any(name in alive and name not in well and name not in to_replace for name in members):
+        if any(name in alive and name not in healthy and name not in to_replace for name in members):
             # one newcomer at a time: one is still copying
             return ""
         remaining = [name for name in members if name not in to_replace[:1]]
         newcomer = self._choose_newcomer(
             now=now,
-            waiting=[name for name in alive if is_waiting(entry=alive[name], members=members)],
+            waiting=[name for name in alive if may_join(entry=alive[name], members=members)],
             remaining=remaining,
             alive=alive,
         )
@@ -126,11 +134,11 @@
                 text=text, number=number, add=add if grows or swaps else None, drop="" if grows else to_replace[0]
             )
             if to_replace[0] in alive:
-                self.failed[to_replace[0]] = now
-            return new_text if keeps_majority(text=new_text, well=set(well)) else ""
+                self.replaced_at[to_replace[0]] = now
+            return new_text if keeps_majority(text=new_text, healthy=set(healthy)) else ""
         if add and not to_replace and len(members) < size:
             new_text = change_members(text=text, number=number, add=add)
-            return new_text if len(members) < 3 or keeps_majority(text=new_text, well=set(well)) else ""
+            return new_text if len(members) < 3 or keeps_majority(text=new_text, healthy=set(healthy)) else ""
         return ""
 
     def _voters_to_replace(self, *, now: float, members: Mapping[str, str], alive: dict) -> list[str]:
@@ -140,10 +148,10 @@
         """
         identity_by_address = {entry["post"]: name for name, entry in alive.items() if name}
         wiped = {name for name in members if name not in alive and identity_by_address.get(members[name], name) != name}
-        lost = {name for name in members if name not in alive and now - self.seen[name] > self.replace_after}
+        lost = {name for name in members if name not in alive and now - self.last_seen_at[name] > self.replace_after}
         leaving = {name for name in members if name in alive and alive[name].get("leaving")}
         not_voting = {
-            name for name in members if name in alive and now - self.well_at[name] > constants.VOTER_JOIN_TIMEOUT
+            name for name in members if name in alive and now - self.last_voting_at[name] > constants.VOTER_JOIN_TIMEOUT
         }
         diskless = {name for name in members if name in alive and alive[name].get("disk") is False}
         order = (wiped, lost | not_voting, leaving, diskless)
@@ -156,12 +164,12 @@
         """
         zones = [alive[name]["hall"] for name in remaining if name in alive]
         regions = [alive[name]["region"] for name in remaining if name in alive]
-        self.failed = {name: at for name, at in self.failed.items() if now - at < constants.PEER_TTL}
+        self.replaced_at = {name: at for name, at in self.replaced_at.items() if now - at < constants.PEER_TTL}
         return min(
             waiting,
             default="",
             key=lambda name: (
-                name in self.failed,
+                name in self.replaced_at,
                 zones.count(alive[name]["hall"]),
                 regions.count(alive[name]["region"]),
                 -min(alive[name]["beat"], 40),
@@ -189,18 +197,18 @@
     return json.dumps({**value, "members": members, "joined": joined, "before": before}, sort_keys=True)
 
 
-def is_waiting(*, entry: PeerEntry, members: Mapping[str, str]) -> bool:
+def may_join(*, entry: PeerEntry, members: Mapping[str, str]) -> bool:
     """May this controller be added? Not if it reports that it votes: it does not know yet that it was removed."""
     return bool(entry["identity"]) and entry["identity"] not in members and not (entry["fit"] or entry.get("leaving"))
 
 
-def count_core(*, members: Mapping[str, str], controllers: list[PeerEntry]) -> dict:
+def count_voting_members(*, members: Mapping[str, str], controllers: list[PeerEntry]) -> dict:
     """How many voters are alive and voting, how many a majority needs, and which are missing."""
-    well = {entry["identity"] for entry in controllers if entry["fit"]} & set(members)
-    return {"voting": len(well), "needed": majority_of(members=members), "missing": sorted(set(members) - well)}
+    healthy = {entry["identity"] for entry in controllers if entry["fit"]} & set(members)
+    return {"voting": len(healthy), "needed": majority_of(members=members), "missing": sorted(set(members) - healthy)}
 
 
-def keeps_majority(*, text: str, well: set) -> bool:
+def keeps_majority(*, text: str, healthy: set) -> bool:
     """Are the healthy members a majority of this set?"""
     members = json.loads(text)["members"]
-    return len(well & set(members)) >= majority_of(members=members)
+    return len(healthy & set(members)) >= majority_of(members=members)
--- a/simulation/model/changes.py
+++ b/simulation/model/changes.py
@@ -21,7 +21,7 @@
     newcomer = state.node(change.add) if change.add else None
     if newcomer is not None and newcomer.facts.identity in members:
         return ""
-    well = {node.facts.identity for node in state.nodes if node.facts.is_voting}
+    healthy = {node.facts.identity for node in state.nodes if node.facts.is_voting}
     if change.is_repair:
         return _text_of_repair(state=state, change=change, lost=lost, text=text, members=members)
     add = (newcomer.facts.identity, newcomer.post) if newcomer else None
@@ -29,7 +29,7 @@
     if add is None or not lost:
         # an operator's order sets the size as well
         made = json.dumps({**json.loads(made), "size": len(json.loads(made)["members"])}, sort_keys=True)
-    return made if keeps_majority(text=made, well=well) else ""
+    return made if keeps_majority(text=made, healthy=healthy) else ""
 
 
 def _text_of_repair(*, state: State, change: Change, lost: str, text: str, members: dict) -> str:
@@ -46,8 +46,8 @@
         if node.facts.identity != lost and (node.facts.identity in members or node.name == change.add)
     }
     number = state.node(change.at).facts.number
-    repair = Repair(is_brisk=True, replace_after=0.0, seen=dict.fromkeys(members, -1.0))
-    repair.well_at = dict.fromkeys(members, 0.0)
-    well = [name for name in members if name in alive and alive[name]["fit"]]
+    repair = Repair(is_self_managed=True, replace_after=0.0, last_seen_at=dict.fromkeys(members, -1.0))
+    repair.last_voting_at = dict.fromkeys(members, 0.0)
+    healthy = [name for name in members if name in alive and alive[name]["fit"]]
     # the product's rule, judged at one moment
-    return repair._choose_change(now=0.0, number=number, text=text, members=members, alive=alive, well=well)
+    return repair._choose_change(now=0.0, number=number, text=text, members=members, alive=alive, healthy=healthy)
--- a/simulation/model/node.py
+++ b/simulation/model/node.py
@@ -260,7 +260,7 @@
     held = sorted(
         (name, one.ballot, one.value["number"], one.value["mark"]) for name, one in controller.learner.values.items()
     )
-    copied = (copying.number, sorted(copying.done), repr(sorted(copying.copied.items())))
+    copied = (copying.number, sorted(copying.completed_sources), repr(sorted(copying.copied_votes.items())))
     waiting = [(seq, len(replies)) for seq, replies in write_ahead.pending_replies]
     return repr(
         (
--- a/simulation/sim/sabotage.py
+++ b/simulation/sim/sabotage.py
@@ -228,7 +228,7 @@
     "leaving": _method(endpoint_table.EndpointTable, "step", _never_leaving),
     "disk-votes": _method(write_ahead.WriteAhead, "receive", _failures_unheard),
     "last-resort": _method(load_balancer, "share_zones", _no_last_resort),
-    "copy": _method(copying.Copying, "slots", lambda old: lambda self, *, now, own=None: {}),
+    "copy": _method(copying.Copying, "merge_votes", lambda old: lambda self, *, now, own=None: {}),
     "repair": _constant("VOTER_REPLACEMENT_DELAY", 1e9),
     "closing": _method(shard_assignment.ShardAssignment, "_judge", _opens_at_once),
     "witness": _method(quiescence.Quiescence, "check", lambda old: lambda self, *, closing, slot: None),
--- a/tests/test_bootstrap.py
+++ b/tests/test_bootstrap.py
@@ -195,7 +195,7 @@
 
 
 def test_default_repair_intervals() -> None:
-    assert (Repair().replace_after, Repair().every, Repair().is_brisk) == (20.0, 1.0, False)
+    assert (Repair().replace_after, Repair().check_interval_s, Repair().is_self_managed) == (20.0, 1.0, False)
 
 
 def test_a_newcomer_knows_a_value_held_only_by_the_lost_voter_and_one_other() -> None:
--- a/tests/test_group_machine.py
+++ b/tests/test_group_machine.py
@@ -55,7 +55,7 @@
 
 
 def copy_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(copying.Copying, "slots", lambda self, **_: {})
+    monkeypatch.setattr(copying.Copying, "merge_votes", lambda self, **_: {})
 
 
 def propose_to_one(monkeypatch: pytest.MonkeyPatch) -> None:
