--- a/sailward/control/administration/metrics.py
+++ b/sailward/control/administration/metrics.py
@@ -99,17 +99,17 @@
 def _collect_registers(*, sources: StatusSources, now: float) -> list[Family]:
     learned, catch_up = sources.voter.learner.values, sources.catch_up
     numbers = {name: value.value["number"] for name, value in learned.items()}
-    ages = {name: round(now - at, 3) for name, at in catch_up.confirmed.items()}
+    ages = {name: round(now - at, 3) for name, at in catch_up.confirmed_at.items()}
     families = [
         _labelled("register_number", "Number of the value that this controller holds.", "register", numbers),
         _labelled("register_age_seconds", "Time since a majority showed that value as its newest.", "register", ages),
     ]
     if ages:
         families.append(_gauge("majority_age_seconds", "Time since a majority answered.", min(ages.values())))
-    if catch_up.caught_up_after is not None:
+    if catch_up.caught_up_after_s is not None:
         families.append(
             _gauge(
-                "catch_up_seconds", "Time from the start to the first newest configuration.", catch_up.caught_up_after
+                "catch_up_seconds", "Time from the start to the first newest configuration.", catch_up.caught_up_after_s
             )
         )
     return families
--- a/sailward/control/administration/status_report.py
+++ b/sailward/control/administration/status_report.py
@@ -89,12 +89,12 @@
     accepted since.
     """
     watch = sources.contact_watch
-    shown_at = watch.shown_at(now=now)
+    shown_at = watch.last_majority_at(now=now)
     age = round(now - shown_at, 2) if shown_at > NEVER else None
     return {
         "majority": now - shown_at <= constants.QUORUM_CONTACT_TTL,
         "serves": watch.may_serve(now=now),
-        "to_read": sorted(watch.contact.unread),
+        "to_read": sorted(watch.contact.unread_registers),
         "config": sources.voter.learner.number(name="config"),
         "served_age_s": age,
     }
--- a/sailward/control/controller.py
+++ b/sailward/control/controller.py
@@ -126,12 +126,12 @@
 
     def _build_contact(self, *, now: float) -> None:
         """Contact with a majority, and reads of stale registers."""
-        contact = QuorumContact(started=now)
+        contact = QuorumContact(started_at=now)
         self._required_contact = contact if self.options.is_mesh else None
         self.catch_up = CatchUp(
             voter=self.voter,
             op_prefix=self._operation_prefix,
-            every=self.options.read_every,
+            read_interval_s=self.options.read_every,
             contact=self._required_contact,
         )
         self.contact_watch = ContactWatch(
--- a/sailward/control/group/catch_up.py
+++ b/sailward/control/group/catch_up.py
@@ -14,29 +14,30 @@
 class CatchUp:
     """Owner of a controller's own reads. `step` begins those that are due; `finish` takes the end of an operation.
 
-    Each register is read every `every` s. Where a newer value is known to exist it is read after STALLED_VOTE_TIMEOUT,
-    within which the chosen value is usually announced. With `contact`, a register that must be read before it may be
-    served is read every STALLED_VOTE_TIMEOUT until a read succeeds, also by a controller that is not a voter.
+    Each register is read every `read_interval_s`. Where a newer value is known to exist it is read after
+    STALLED_VOTE_TIMEOUT, within which the chosen value is usually announced. With `contact`, a register that must be
+    read before it may be served is read every STALLED_VOTE_TIMEOUT until a read succeeds, also by a controller that is
+    not a voter.
     """
 
-    def __init__(self, *, voter: Voter, op_prefix: str, every: float, contact: QuorumContact | None) -> None:
-        self._voter, self._op_prefix, self._every, self._contact = voter, op_prefix, every, contact
+    def __init__(self, *, voter: Voter, op_prefix: str, read_interval_s: float, contact: QuorumContact | None) -> None:
+        self._voter, self._op_prefix, self._read_interval_s, self._contact = voter, op_prefix, read_interval_s, contact
         self._reads_in_flight: dict[str, str] = {}
         self._begun_at: dict[str, float] = {}
         self._read_at: dict[str, float] = {}
         self._stale_since: dict[str, float] = {}
         self._read_count = 0
         self._started_at: float | None = None
-        self.confirmed: dict[str, float] = {}
-        self.caught_up_after: float | None = None
+        self.confirmed_at: dict[str, float] = {}
+        self.caught_up_after_s: float | None = None
 
     def record_confirmed(self, *, now: float, name: str) -> None:
         """Record that a majority has just confirmed the newest value of this register."""
-        self.confirmed[name] = now
-        if name == "config" and self.caught_up_after is None and self._started_at is not None:
-            self.caught_up_after = round(now - self._started_at, 3)
+        self.confirmed_at[name] = now
+        if name == "config" and self.caught_up_after_s is None and self._started_at is not None:
+            self.caught_up_after_s = round(now - self._started_at, 3)
 
-    def record_behind(self, *, now: float, name: str) -> None:
+    def record_stale(self, *, now: float, name: str) -> None:
         """Read this register at the next tick, because the value held here is known to be stale."""
         self._stale_since.setdefault(name, now - constants.STALLED_VOTE_TIMEOUT)
 
@@ -52,9 +53,9 @@
         """Was this finished operation one of these reads? A successful one is recorded."""
         if self._reads_in_flight.pop(end.op, None) is None:
             return False
-        begun = self._begun_at.pop(end.op)
+        begun_at = self._begun_at.pop(end.op)
         if self._contact is not None and isinstance(end.outcome, Accepted):
-            self._contact.finish_read(now=now, register=end.register, begun=begun)
+            self._contact.finish_read(now=now, register=end.register, begun_at=begun_at)
         return True
 
     def step(self, *, now: float) -> list[StartOperation]:
@@ -69,7 +70,7 @@
         if self._voter.is_member:
             return sorted({*CONTROL, *self._voter.acceptor.slots.control})
         if self._contact is not None and self._voter.voters.members:
-            return sorted({*self._contact.unread, *self._stale_since})
+            return sorted({*self._contact.unread_registers, *self._stale_since})
         return []
 
     def _is_due(self, *, now: float, name: str) -> bool:
@@ -80,8 +81,8 @@
         elif self._stale_since.get(name, now) >= now:
             self._stale_since.pop(name, None)
         is_stalled = name in self._stale_since and now - self._stale_since[name] >= constants.STALLED_VOTE_TIMEOUT
-        is_needed = self._contact is not None and self._contact.had_contact and name in self._contact.unread
-        interval = constants.STALLED_VOTE_TIMEOUT if is_stalled or is_needed else self._every
+        is_needed = self._contact is not None and self._contact.had_contact and name in self._contact.unread_registers
+        interval = constants.STALLED_VOTE_TIMEOUT if is_stalled or is_needed else self._read_interval_s
         return now - self._read_at.get(name, NEVER) >= interval and name not in self._reads_in_flight.values()
 
     def _begin(self, *, now: float, name: str) -> StartOperation:
--- a/sailward/control/group/contact_watch.py
+++ b/sailward/control/group/contact_watch.py
@@ -61,9 +61,11 @@
         """
         return self.may_serve(now=now) or self.contact.is_starting(now=now)
 
-    def shown_at(self, *, now: float) -> float:
+    def last_majority_at(self, *, now: float) -> float:
         """The latest moment at which a majority is known to have been reachable."""
-        return self.contact.shown_at(now=now, members=self._voter.voters.members, own=self._own_voter_identity())
+        return self.contact.last_majority_at(
+            now=now, members=self._voter.voters.members, own=self._own_voter_identity()
+        )
 
     def step(self, *, now: float) -> list[Command]:
         """Update the state of contact; operators' orders that it holds up are answered, not left waiting."""
@@ -86,7 +88,7 @@
         peer_table.voted = [newest_vote(slots=self._voter.acceptor.slots, name=name)[0] for name in ANNOUNCED_REGISTERS]
         commands = peer_table.step(now=now, event=None)
         if peer_table.heartbeat != heartbeat_before:
-            self.contact.record_question(now=now, question=peer_table.echo_number())
+            self.contact.record_request(now=now, request=peer_table.echo_number())
         return commands
 
     def on_heartbeat(self, *, now: float, sender: str, body: Message) -> None:
@@ -101,7 +103,7 @@
         ):
             return
         number, *voted = echo
-        self.contact.on_answer(peer=sender, question=number)
+        self.contact.on_reply(peer=sender, request=number)
         self._record_newer_votes(now=now, voted=voted)
 
     def _record_newer_votes(self, *, now: float, voted: list[int]) -> None:
--- a/sailward/control/group/quorum_contact.py
+++ b/sailward/control/group/quorum_contact.py
@@ -29,32 +29,32 @@
 class QuorumContact:
     """Owner of the evidence of contact. All times are of this process's monotonic clock, in s.
 
-    `started` is when this process started; `reached` maps each peer's address to the sending time of the newest
-    request that it answered; `unread` holds the control registers that must be read before this controller serves;
-    `lost_at` is when contact was last found to be missing.
+    `started_at` is when this process started; `reached_at` maps each peer's address to the sending time of the newest
+    request that it answered; `unread_registers` holds the control registers that must be read before this controller
+    serves; `lost_at` is when contact was last found to be missing.
     """
 
-    started: float
+    started_at: float
     lost_at: float = NEVER
-    reached: dict[str, float] = field(default_factory=dict)
-    unread: set[str] = field(default_factory=lambda: set(CONTROL))
+    reached_at: dict[str, float] = field(default_factory=dict)
+    unread_registers: set[str] = field(default_factory=lambda: set(CONTROL))
     had_contact: bool = False
     _sent_at: dict[int | str, float] = field(default_factory=dict)
 
-    def record_question(self, *, now: float, question: int | str) -> None:
+    def record_request(self, *, now: float, request: int | str) -> None:
         """Record when a request was sent: a heartbeat's echo number, or the name of an operation on a register."""
-        self._sent_at.setdefault(question, now)
+        self._sent_at.setdefault(request, now)
 
-    def on_answer(self, *, peer: str, question: int | str) -> None:
+    def on_reply(self, *, peer: str, request: int | str) -> None:
         """Record that the voter at this address answered a request.
 
         A reply to a request that was never sent, or that has expired, proves nothing.
         """
-        sent_at = self._sent_at.get(question)
+        sent_at = self._sent_at.get(request)
         if sent_at is not None:
-            self.reached[peer] = max(self.reached.get(peer, NEVER), sent_at)
+            self.reached_at[peer] = max(self.reached_at.get(peer, NEVER), sent_at)
 
-    def shown_at(self, *, now: float, members: Mapping[str, str], own: str) -> float:
+    def last_majority_at(self, *, now: float, members: Mapping[str, str], own: str) -> float:
         """The latest moment at which a majority of these voters was reached; NEVER if there is none.
 
         `members` is {identity: address}. `own` is this controller's identity if it is a voter with a complete copy of
@@ -62,19 +62,19 @@
         """
         if not members:
             return NEVER
-        times = [now if identity == own else self.reached.get(post, NEVER) for identity, post in members.items()]
+        times = [now if identity == own else self.reached_at.get(post, NEVER) for identity, post in members.items()]
         return sorted(times, reverse=True)[majority_of(members=members) - 1]
 
     def has_contact(self, *, now: float, members: Mapping[str, str], own: str) -> bool:
         """Was a majority reached within the last QUORUM_CONTACT_TTL seconds?"""
-        return now - self.shown_at(now=now, members=members, own=own) <= constants.QUORUM_CONTACT_TTL
+        return now - self.last_majority_at(now=now, members=members, own=own) <= constants.QUORUM_CONTACT_TTL
 
     def may_serve(self, *, now: float, members: Mapping[str, str], own: str) -> bool:
         """Is there contact, and has every control register been read since contact was last lost?"""
         if not self.has_contact(now=now, members=members, own=own):
             self._on_contact_lost(now=now)
             return False
-        return not self.unread
+        return not self.unread_registers
 
     def step(self, *, now: float, members: Mapping[str, str], own: str) -> bool:
         """Update the state of contact and drop expired requests; returns whether contact was just established."""
@@ -91,16 +91,16 @@
 
         An operator's call is then attempted at a majority.
         """
-        return not self.had_contact and self.lost_at == NEVER and now - self.started <= constants.QUORUM_CONTACT_TTL
+        return not self.had_contact and self.lost_at == NEVER and now - self.started_at <= constants.QUORUM_CONTACT_TTL
 
-    def finish_read(self, *, now: float, register: str, begun: float) -> None:
+    def finish_read(self, *, now: float, register: str, begun_at: float) -> None:
         """Record a successful read of a register at a majority.
 
         A read that began before contact was lost, or more than QUORUM_CONTACT_TTL ago, proves nothing.
         """
-        if begun >= self.lost_at and now - begun <= constants.QUORUM_CONTACT_TTL:
-            self.unread.discard(register)
+        if begun_at >= self.lost_at and now - begun_at <= constants.QUORUM_CONTACT_TTL:
+            self.unread_registers.discard(register)
 
     def _on_contact_lost(self, *, now: float) -> None:
         if self.had_contact:
-            self.had_contact, self.lost_at, self.unread = False, now, set(CONTROL)
+            self.had_contact, self.lost_at, self.unread_registers = False, now, set(CONTROL)
--- a/sailward/control/message_handlers.py
+++ b/sailward/control/message_handlers.py
@@ -75,7 +75,7 @@
         if self._is_bootstrapped and body["voters"] > self._voter.voters.number:
             # the sender acts under a newer voter set: request or read that set soon
             self._membership.request_updates_soon()
-            self._catch_up.record_behind(now=now, name="voters")
+            self._catch_up.record_stale(now=now, name="voters")
         return self._voter.answer(now=now, sender=sender, body=body)
 
     def _on_nack(self, *, now: float, sender: str, body: Message) -> list[Command]:
--- a/sailward/control/proxies/serving.py
+++ b/sailward/control/proxies/serving.py
@@ -156,7 +156,7 @@
         for name, newest in have.items():
             is_newer = isinstance(newest, list) and newest[0] > self._voter.learner.number(name=name)
             if is_control(name=name) and is_newer:
-                self._catch_up.record_behind(now=now, name=name)
+                self._catch_up.record_stale(now=now, name=name)
                 if self._voter.is_recovering:
                     commands.append(SendMessage(to=sender, body={"kind": "want", "register": name}))
         return commands
--- a/sailward/control/registers.py
+++ b/sailward/control/registers.py
@@ -57,7 +57,7 @@
     def receive(self, *, now: float, sender: str, body: Message) -> list[Command]:
         """Handle a voter's reply to an operation; a nack proves no contact, as it may come under another voter set."""
         if self._contact is not None and body["kind"] != "nack":
-            self._contact.on_answer(peer=sender, question=body["op"])
+            self._contact.on_reply(peer=sender, request=body["op"])
         commands, finished = self._proposer.step(now=now, voters=self._voter.voters, event=(sender, body))
         return commands + self._finish(now=now, finished=finished)
 
@@ -66,7 +66,7 @@
         commands = []
         for begin in begins:
             if self._contact is not None:
-                self._contact.record_question(now=now, question=begin.op)
+                self._contact.record_request(now=now, request=begin.op)
             more, finished = self._proposer.step(now=now, voters=self._voter.voters, event=begin)
             commands += more + self._finish(now=now, finished=finished)
         return commands
--- a/sailward/control/shards/shard_leases.py
+++ b/sailward/control/shards/shard_leases.py
@@ -89,7 +89,7 @@
         for name, newest in body["newest"].items():
             if isinstance(newest, list) and newest and newest[0] > voter.learner.number(name=name):
                 # chosen or not, it is newer than what would be granted from
-                self._catch_up.record_behind(now=now, name=name)
+                self._catch_up.record_stale(now=now, name=name)
         return self.freshness.step(
             now=now,
             body=body,
--- a/simulation/hosted/sabotage.py
+++ b/simulation/hosted/sabotage.py
@@ -126,7 +126,7 @@
 def _forgets_to_read(old):
     def lose(self, *, now):
         old(self, now=now)
-        self.unread = set()
+        self.unread_registers = set()
 
     return lose
 
--- a/tests/test_quorum_contact.py
+++ b/tests/test_quorum_contact.py
@@ -24,32 +24,32 @@
 
 def read_all(contact: QuorumContact, *, now: float) -> None:
     for name in CONTROL:
-        contact.finish_read(now=now, register=name, begun=now)
+        contact.finish_read(now=now, register=name, begun_at=now)
 
 
 def test_contact_lasts_from_the_request_not_from_the_reply() -> None:
-    contact = QuorumContact(started=0.0)
-    contact.record_question(now=10.0, question=7)
-    contact.on_answer(peer="post1", question=7)  # however late it arrived
+    contact = QuorumContact(started_at=0.0)
+    contact.record_request(now=10.0, request=7)
+    contact.on_reply(peer="post1", request=7)  # however late it arrived
     assert has(contact, now=10.0 + TTL) and not has(contact, now=10.0 + TTL + 0.01)
 
 
 def test_a_reply_to_an_unknown_or_expired_request_proves_nothing() -> None:
-    contact = QuorumContact(started=0.0)
-    contact.record_question(now=10.0, question=7)
-    contact.on_answer(peer="post1", question=8)
+    contact = QuorumContact(started_at=0.0)
+    contact.record_request(now=10.0, request=7)
+    contact.on_reply(peer="post1", request=8)
     assert not has(contact, now=10.1)
     contact.step(now=10.0 + TTL + 0.1, members=MEMBERS, own="v0")
-    contact.on_answer(peer="post1", question=7)
+    contact.on_reply(peer="post1", request=7)
     assert not has(contact, now=10.0 + TTL + 0.1)
 
 
 def test_a_retried_request_counts_from_its_first_sending() -> None:
-    contact = QuorumContact(started=0.0)
-    contact.record_question(now=10.0, question="read")
-    contact.record_question(now=11.0, question="read")
-    contact.on_answer(peer="post1", question="read")
-    assert contact.shown_at(now=11.1, members=MEMBERS, own="v0") == 10.0
+    contact = QuorumContact(started_at=0.0)
+    contact.record_request(now=10.0, request="read")
+    contact.record_request(now=11.0, request="read")
+    contact.on_reply(peer="post1", request="read")
+    assert contact.last_majority_at(now=11.1, members=MEMBERS, own="v0") == 10.0
 
 
 @pytest.mark.parametrize("size", [1, 2, 3, 4, 5, 6])
@@ -59,24 +59,24 @@
     others = [post for name, post in members.items() if not (is_voter and name == "v0")]
     for count in range(len(others) + 1):
         for answering in itertools.combinations(others, count):
-            contact = QuorumContact(started=0.0)
-            contact.record_question(now=10.0, question=1)
+            contact = QuorumContact(started_at=0.0)
+            contact.record_request(now=10.0, request=1)
             for post in answering:
-                contact.on_answer(peer=post, question=1)
+                contact.on_reply(peer=post, request=1)
             expected = 2 * (count + is_voter) > size
             assert has(contact, now=10.5, members=members, own="v0" if is_voter else "") is expected
 
 
 def test_without_voters_there_is_no_contact() -> None:
-    assert not has(QuorumContact(started=0.0), now=1.0, members={}, own="")
+    assert not has(QuorumContact(started_at=0.0), now=1.0, members={}, own="")
 
 
 def test_it_serves_only_when_each_register_was_read_after_the_gap() -> None:
-    contact = QuorumContact(started=0.0)
+    contact = QuorumContact(started_at=0.0)
 
     def reach(now: float) -> None:
-        contact.record_question(now=now, question=f"q{now}")
-        contact.on_answer(peer="post1", question=f"q{now}")
+        contact.record_request(now=now, request=f"q{now}")
+        contact.on_reply(peer="post1", request=f"q{now}")
         contact.step(now=now, members=MEMBERS, own="v0")
 
     reach(1.0)
@@ -86,23 +86,23 @@
     contact.step(now=9.0, members=MEMBERS, own="v0")
     reach(9.5)
     assert not contact.may_serve(now=9.5, members=MEMBERS, own="v0")
-    contact.finish_read(now=9.6, register="config", begun=8.9)
-    assert contact.unread == set(CONTROL)  # that read began before the gap was noticed
+    contact.finish_read(now=9.6, register="config", begun_at=8.9)
+    assert contact.unread_registers == set(CONTROL)  # that read began before the gap was noticed
     for name in CONTROL[:-1]:
-        contact.finish_read(now=9.6, register=name, begun=9.5)
+        contact.finish_read(now=9.6, register=name, begun_at=9.5)
     assert not contact.may_serve(now=9.6, members=MEMBERS, own="v0")
-    contact.finish_read(now=9.6, register=CONTROL[-1], begun=9.5)
+    contact.finish_read(now=9.6, register=CONTROL[-1], begun_at=9.5)
     assert contact.may_serve(now=9.6, members=MEMBERS, own="v0")
 
 
 def test_a_process_resumed_after_a_suspend_has_no_contact() -> None:
-    contact = QuorumContact(started=0.0)
-    contact.record_question(now=1.0, question=1)
-    contact.on_answer(peer="post1", question=1)
+    contact = QuorumContact(started_at=0.0)
+    contact.record_request(now=1.0, request=1)
+    contact.on_reply(peer="post1", request=1)
     contact.step(now=1.0, members=MEMBERS, own="v0")
     read_all(contact, now=1.0)
     # after a suspend, queued messages are handled before any timer: a reply to an old request, then a config request
-    contact.on_answer(peer="post2", question=1)
+    contact.on_reply(peer="post2", request=1)
     assert not contact.may_serve(now=31.0, members=MEMBERS, own="v0")
 
 
@@ -193,7 +193,7 @@
     net = found(replace_after=99.0)
     put(net, label=1, on="0")
     controller = net.machines[0].controller
-    controller.contact_watch.contact.reached.clear()
+    controller.contact_watch.contact.reached_at.clear()
     event = RequestReceived(token="desk x", method="GET", path="/config", query={}, headers={}, body=b"")
     [answer] = controller.step(now=net.now, event=event)
     assert answer.code == 307
