--- a/sailward/control/bootstrap.py
+++ b/sailward/control/bootstrap.py
@@ -7,7 +7,7 @@
 
 from sailward.wire_types import RegisterValue
 
-FIRST_START = "0"
+FOUNDER_NONCE = "0"
 """The nonce in a founder's identity: a constant, as the founders exchange no messages to agree on one."""
 
 
@@ -24,25 +24,25 @@
     budget: int = 1
 
     @property
-    def target(self) -> int:
+    def target_size(self) -> int:
         """How many voters tolerate the loss of `budget` machines: at least three."""
         return max(3, 2 * self.budget + 1)
 
     def founders(self) -> tuple[str, ...]:
         """The addresses of the seeds that found the core."""
-        return tuple(dict.fromkeys(self.posts))[: self.target]
+        return tuple(dict.fromkeys(self.posts))[: self.target_size]
 
     def is_founder(self, *, post: str) -> bool:
         """Does the daemon at this address found the core on an empty disk?"""
         return self.is_first and post in self.founders()
 
-    def value(self) -> RegisterValue:
+    def founding_value(self) -> RegisterValue:
         """The first value of the voters register, the same at every founder."""
-        members = {make_founder(post=post): post for post in self.founders()}
-        text = json.dumps({"members": members, "size": self.target}, sort_keys=True)
+        members = {make_founder_identity(post=post): post for post in self.founders()}
+        text = json.dumps({"members": members, "size": self.target_size}, sort_keys=True)
         return {"number": 1, "mark": "founded", "trail": [], "text": text}
 
 
-def make_founder(*, post: str) -> str:
+def make_founder_identity(*, post: str) -> str:
     """A founder's identity, which the other founders can derive from its address without any message from it."""
-    return f"{post}#{FIRST_START}"
+    return f"{post}#{FOUNDER_NONCE}"
--- a/sailward/control/controller.py
+++ b/sailward/control/controller.py
@@ -99,7 +99,7 @@
             location=self.location,
             start=self.start,
             identity=self.voter.identity,
-            every=options.gossip_every,
+            every=options.gossip_interval,
             suspect=options.suspect_after,
             is_mesh=options.is_mesh,
             has_disk=options.has_disk,
@@ -120,7 +120,7 @@
         self.admin_api = AdminApi(
             identity=self._operation_prefix,
             dialect=self.options.dialect or OwnDialect(),
-            timeout=self.options.operation_wait,
+            timeout=self.options.operation_timeout,
             zones=frozenset(zone for zone, _ in self.options.zones),
         )
 
@@ -131,7 +131,7 @@
         self.catch_up = CatchUp(
             voter=self.voter,
             op_prefix=self._operation_prefix,
-            read_interval_s=self.options.read_every,
+            read_interval_s=self.options.read_interval,
             contact=self._required_contact,
         )
         self.contact_watch = ContactWatch(
@@ -327,7 +327,7 @@
         return commands + self._repair_disk(now=now)
 
     def _step_proxy_registry(self, *, now: float) -> list[Command]:
-        if not self.options.tells_fleet:
+        if not self.options.publishes_proxy_list:
             return []
         controllers = [*self.peer_table.alive(kind="controller"), self.peer_table.own_entry()]
         return self.proxy_registry.step(
--- a/sailward/control/controller_options.py
+++ b/sailward/control/controller_options.py
@@ -24,10 +24,10 @@
     platform's list of workers; None for the product's own format. `bootstrap`: None where an operator founds the core.
     `list_rate`: calls/s to the list that the platform allows from all daemons together, 0 if no bound is known.
     `zones`: every zone in the settings, with its region. `grants`: the format of grants to workers, None where no
-    service is sharded by key range. `tells_fleet`: proxies are sent the list of all proxies, for the directory.
-    `is_mesh`: controllers exchange heartbeats instead of whole peer tables; for cores whose proxies don't gossip.
-    `has_disk`: without a disk a controller serves proxies and operators, and votes only if it is a founder, until a
-    controller with a disk replaces it. All others are times in s.
+    service is sharded by key range. `publishes_proxy_list`: proxies are sent the list of all proxies, for the
+    directory. `is_mesh`: controllers exchange heartbeats instead of whole peer tables; for cores whose proxies don't
+    gossip. `has_disk`: without a disk a controller serves proxies and operators, and votes only if it is a founder,
+    until a controller with a disk replaces it. All others are times in s.
     """
 
     dialect: Dialect | None = None
@@ -37,14 +37,14 @@
     zones: tuple[tuple[str, str], ...] = ()
     list_rate: float = 0.0
     replace_after: float = field(default_factory=lambda: constants.VOTER_REPLACEMENT_DELAY)
-    repair_every: float = field(default_factory=lambda: constants.REPAIR_INTERVAL)
-    copy_again: float = field(default_factory=lambda: constants.COPY_RETRY_INTERVAL)
-    gossip_every: float = field(default_factory=lambda: constants.GOSSIP_INTERVAL)
+    repair_interval: float = field(default_factory=lambda: constants.REPAIR_INTERVAL)
+    copy_retry_interval: float = field(default_factory=lambda: constants.COPY_RETRY_INTERVAL)
+    gossip_interval: float = field(default_factory=lambda: constants.GOSSIP_INTERVAL)
     suspect_after: float = field(default_factory=lambda: constants.HEARTBEAT_TIMEOUT)
-    read_every: float = field(default_factory=lambda: constants.REGISTER_READ_INTERVAL)
-    operation_wait: float = field(default_factory=lambda: constants.OPERATION_TIMEOUT)
+    read_interval: float = field(default_factory=lambda: constants.REGISTER_READ_INTERVAL)
+    operation_timeout: float = field(default_factory=lambda: constants.OPERATION_TIMEOUT)
     grants: GrantCodec | None = None
     lease_max: float = field(default_factory=lambda: constants.GRANT_DURATION)
-    tells_fleet: bool = False
+    publishes_proxy_list: bool = False
     is_mesh: bool = False
     has_disk: bool = True
--- a/sailward/control/group/membership.py
+++ b/sailward/control/group/membership.py
@@ -52,11 +52,11 @@
         self._voter, self._peer_table, self._options, self._op_prefix = voter, peer_table, options, op_prefix
         self.repair = Repair(
             replace_after=options.replace_after,
-            check_interval_s=options.repair_every,
+            check_interval_s=options.repair_interval,
             is_self_managed=options.bootstrap is not None,
         )
-        self.copying = Copying(identity=voter.identity, backoff=options.copy_again)
-        self.recovery = DisasterRecovery(copying=Copying(identity=voter.identity, backoff=options.copy_again))
+        self.copying = Copying(identity=voter.identity, backoff=options.copy_retry_interval)
+        self.recovery = DisasterRecovery(copying=Copying(identity=voter.identity, backoff=options.copy_retry_interval))
         self.controllers: dict[str, dict] = {}
         self._requested_at = -1e9
         self._page_names: dict[str, list[str]] = {}
@@ -307,7 +307,7 @@
         return (
             constants.WAITING_CONTROLLER_POLL_INTERVAL
             if self._options.bootstrap and is_waiting
-            else self._options.repair_every
+            else self._options.repair_interval
         )
 
     def _report_quorum(self, *, now: float, peers: list[dict]) -> list[Command]:
--- a/sailward/control/group/voter.py
+++ b/sailward/control/group/voter.py
@@ -8,7 +8,7 @@
 from sailward.consensus.acceptor import CLAIM, KNOWN, Acceptor, Slot, Slots, fold_record, slot_records
 from sailward.consensus.learner import LearnedValue, Learner
 from sailward.consensus.voter_set import VoterSet, read_voters
-from sailward.control.bootstrap import Bootstrap, make_founder
+from sailward.control.bootstrap import Bootstrap, make_founder_identity
 from sailward.control.group.disaster_recovery import read_last_recovery
 from sailward.control.group.write_ahead import WriteAhead
 from sailward.discovery.peer_table import Location
@@ -77,7 +77,7 @@
         is_new = not stored.identity
         is_founder = is_new and bootstrap is not None and bootstrap.is_founder(post=location.post)
         self.identity = stored.identity or (
-            make_founder(post=location.post) if is_founder else make_identity(name=location.name, nonce=nonce)
+            make_founder_identity(post=location.post) if is_founder else make_identity(name=location.name, nonce=nonce)
         )
         self.learner = Learner()
         self.acceptor = Acceptor(slots=stored.slots)
@@ -94,7 +94,7 @@
         self.write_ahead.start(records=records)
         first_records = [{"k": "identity", "id": self.identity}] if is_new else []
         if is_founder and bootstrap is not None:
-            first_records += self._found_core(now=now, value=bootstrap.value())
+            first_records += self._found_core(now=now, value=bootstrap.founding_value())
         self.startup_commands: list[Command] = self.write_ahead.step(records=first_records, replies=[])
         self._swept_at = now
 
--- a/sailward/control/proxies/serving.py
+++ b/sailward/control/proxies/serving.py
@@ -52,12 +52,12 @@
             proxy_registry,
         )
         self._contact_watch = contact_watch
-        self._tells_fleet, self._is_bootstrapped = options.tells_fleet, options.bootstrap is not None
+        self._publishes_proxy_list, self._is_bootstrapped = options.publishes_proxy_list, options.bootstrap is not None
         self.wall_offset = 0.0
 
     def answer(self, *, now: float, sender: str, body: Message) -> list[Command]:
         """Answer one `ask`: push what it lacks, and grant."""
-        if self._tells_fleet and kind_of(entry=body["daemon"]) != "controller":
+        if self._publishes_proxy_list and kind_of(entry=body["daemon"]) != "controller":
             return self._answer_proxy(now=now, sender=sender, body=body)
         commands: list[Command] = [*self._subscribers.step(now=now, event=(sender, body), updates=self.updates())]
         # before the joiner is heard: what is granted from is what was known when it asked
@@ -90,7 +90,7 @@
         workers = self._endpoint_list
         if workers.value is not None:
             updates["workers"] = (workers.revision, [workers.epoch, ""], workers.value)
-        fleet = self._proxy_registry.value() if self._tells_fleet else None
+        fleet = self._proxy_registry.value() if self._publishes_proxy_list else None
         if fleet is not None:
             updates["fleet"] = (fleet["number"], [0, ""], fleet)
         return updates
--- a/simulation/core_group.py
+++ b/simulation/core_group.py
@@ -123,11 +123,11 @@
             options=ControllerOptions(
                 bootstrap=Bootstrap(is_first=is_first, posts=self.posts()),
                 is_mesh=True,
-                tells_fleet=True,
+                publishes_proxy_list=True,
                 expand=lambda written: EMPTY_FULL,
                 replace_after=2.0,
-                repair_every=0.25,
-                copy_again=0.25,
+                repair_interval=0.25,
+                copy_retry_interval=0.25,
             ),
         )
         self.watch(member)
--- a/simulation/model/node.py
+++ b/simulation/model/node.py
@@ -20,7 +20,7 @@
 """A number for each state of a node: equal for states that act alike."""
 STEPS: dict[tuple, Stepped] = {}
 """What came of an event at a node in a state: many global states share one of a node."""
-OPTIONS = ControllerOptions(copy_again=0.0)
+OPTIONS = ControllerOptions(copy_retry_interval=0.0)
 NEVER = 1e12
 """s. An operation under the explorer expires only when an action says so."""
 
--- a/tests/core_net.py
+++ b/tests/core_net.py
@@ -71,7 +71,13 @@
         self.answers: dict[str, Respond] = {}
         self.calls = 0
         self.rows: list[dict] = []
-        self.options = {"list_rate": 37.0, "replace_after": 1.0, "repair_every": 0.25, "copy_again": 0.25, **options}
+        self.options = {
+            "list_rate": 37.0,
+            "replace_after": 1.0,
+            "repair_interval": 0.25,
+            "copy_retry_interval": 0.25,
+            **options,
+        }
 
     def after(self, delay: float, action) -> None:
         self._count += 1
@@ -96,7 +102,7 @@
             zones=tuple(ZONES.items()),
             bootstrap=Bootstrap(is_first=bootstrap, posts=self.posts, budget=self.budget),
             is_mesh=True,
-            tells_fleet=True,
+            publishes_proxy_list=True,
             has_disk=machine.name not in self.bare,
             **self.options,
         )
--- a/tests/test_bootstrap.py
+++ b/tests/test_bootstrap.py
@@ -190,7 +190,7 @@
 
 def test_target_and_founders() -> None:
     bootstrap = Bootstrap(is_first=True, posts=("a:1", "b:1", "c:1"), budget=2)
-    assert bootstrap.target == 5 and bootstrap.is_founder(post="c:1") and not bootstrap.is_founder(post="d:1")
+    assert bootstrap.target_size == 5 and bootstrap.is_founder(post="c:1") and not bootstrap.is_founder(post="d:1")
     assert not Bootstrap(is_first=False, posts=("a:1",), budget=1).is_founder(post="a:1")
 
 
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -82,7 +82,9 @@
         rng=random.Random(1),
         records=[],
         now=0.0,
-        options=ControllerOptions(is_mesh=True, tells_fleet=True, reader=Reader(), expand=lambda written: EMPTY_FULL),
+        options=ControllerOptions(
+            is_mesh=True, publishes_proxy_list=True, reader=Reader(), expand=lambda written: EMPTY_FULL
+        ),
     )
 
 
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -80,7 +80,7 @@
 
 
 def test_operators_calls_are_counted_by_how_they_ended() -> None:
-    net = CoreNet(zones=["gdl-a", "ens-a", "gdl-b"], operation_wait=1.0)
+    net = CoreNet(zones=["gdl-a", "ens-a", "gdl-b"], operation_timeout=1.0)
     for machine in net.machines:
         net.start(machine, bootstrap=True)
     net.run(1.0)
