--- a/tests/core_net.py
+++ b/tests/core_net.py
@@ -45,7 +45,7 @@
         self.name, self.zone, self.post = name, zone, post
         self.disk: list[dict] = []
         self.controller: Controller | None = None
-        self.life, self.starts = 0, 0
+        self.incarnation, self.starts = 0, 0
 
 
 class CoreNet:
@@ -94,7 +94,7 @@
         return False
 
     def start(self, machine: Machine, *, bootstrap: bool = False, start: int | None = None) -> None:
-        machine.life, machine.starts = machine.life + 1, machine.starts + 1
+        machine.incarnation, machine.starts = machine.incarnation + 1, machine.starts + 1
         options = ControllerOptions(
             dialect=OPERATORS.OperatorsDialect(zones=ZONES),
             expand=lambda written: CONFIG.expand(written, ZONES),
@@ -128,10 +128,10 @@
             now=self.now,
             options=options,
         )
-        self._tick(machine=machine, life=machine.life)
+        self._tick(machine=machine, incarnation=machine.incarnation)
 
     def kill(self, machine: Machine, *, wipe: bool = False) -> None:
-        machine.controller, machine.life = None, machine.life + 1
+        machine.controller, machine.incarnation = None, machine.incarnation + 1
         if wipe:
             machine.disk = []
 
@@ -176,19 +176,19 @@
     def give(self, machine: Machine, *, event: object) -> None:
         if machine.controller is None:
             return
-        life = machine.life
+        incarnation = machine.incarnation
         for command in machine.controller.step(now=self.now, event=event):
-            if machine.life == life:
+            if machine.incarnation == incarnation:
                 self._carry_out(machine=machine, command=command)
 
     def _later(self, machine: Machine, *, delay: float, event: object) -> None:
-        life = machine.life
-        self.after(delay, lambda: self.give(machine, event=event) if machine.life == life else None)
+        incarnation = machine.incarnation
+        self.after(delay, lambda: self.give(machine, event=event) if machine.incarnation == incarnation else None)
 
-    def _tick(self, *, machine: Machine, life: int) -> None:
-        if machine.life == life:
+    def _tick(self, *, machine: Machine, incarnation: int) -> None:
+        if machine.incarnation == incarnation:
             self.give(machine, event=TimerFired(wall=1000.0 + self.now))
-            self.after(TICK, lambda: self._tick(machine=machine, life=life))
+            self.after(TICK, lambda: self._tick(machine=machine, incarnation=incarnation))
 
     def _carry_out(self, *, machine: Machine, command: object) -> None:
         if isinstance(command, SendMessage):
@@ -204,7 +204,12 @@
         elif isinstance(command, Respond):
             self.answers[command.token] = command
         elif isinstance(command, (AppendRecords, RewriteRecords)):
-            self.after(SYNC, lambda life=machine.life: self._synced(machine=machine, command=command, life=life))
+            self.after(
+                SYNC,
+                lambda incarnation=machine.incarnation: self._synced(
+                    machine=machine, command=command, incarnation=incarnation
+                ),
+            )
         elif isinstance(command, ValidateConfig):
             self._later(
                 machine,
@@ -221,8 +226,8 @@
         elif isinstance(command, ExitProcess):
             self.kill(machine)
 
-    def _synced(self, *, machine: Machine, command: AppendRecords | RewriteRecords, life: int) -> None:
-        if machine.life != life:
+    def _synced(self, *, machine: Machine, command: AppendRecords | RewriteRecords, incarnation: int) -> None:
+        if machine.incarnation != incarnation:
             return
         machine.disk = (machine.disk if isinstance(command, AppendRecords) else []) + list(command.records)
         self.give(machine, event=RecordsSynced(seq=command.seq))
--- a/tests/orders_net.py
+++ b/tests/orders_net.py
@@ -53,8 +53,8 @@
     code: int = 0
     answer: object = None
     tokens: list = field(default_factory=list)
-    waits_on: str = ""
-    sendings: list = field(default_factory=list)
+    awaited_token: str = ""
+    sent_moments: list = field(default_factory=list)
 
     @property
     def is_open(self) -> bool:
@@ -114,19 +114,19 @@
         """Send an order on a zone."""
         return self._begin(call=Call(method="POST" if is_emptied else "DELETE", path=f"/evacuation/{zone}"), at=at)
 
-    def look(self, *, at: int, path: str) -> Call:
+    def read(self, *, at: int, path: str) -> Call:
         """Send a read."""
         return self._begin(call=Call(method="GET", path=path), at=at)
 
     def resend(self, *, call: Call, at: int) -> None:
         """The operator closes its open connections and resends the call to a machine."""
-        self.leave(call=call)
+        self.disconnect(call=call)
         self.moment += 1
-        call.sendings.append(self.moment)
+        call.sent_moments.append(self.moment)
         self._send(call=call, at=at)
-        call.waits_on = call.tokens[-1]
+        call.awaited_token = call.tokens[-1]
 
-    def leave(self, *, call: Call) -> None:
+    def disconnect(self, *, call: Call) -> None:
         """The operator closes all connections of a call."""
         for token in call.tokens:
             self.at[token].admin.drop(token=token)
@@ -161,7 +161,7 @@
         call = next(candidate for candidate in self.calls if answer.token in candidate.tokens)
         is_clear = answer.code == 200 or answer.code in REFUSED or (call.method == "GET" and answer.code == 404)
         # an answer on a connection that the operator has closed reaches nobody
-        if not is_lost and answer.token == call.waits_on and call.is_open and is_clear:
+        if not is_lost and answer.token == call.awaited_token and call.is_open and is_clear:
             self.moment += 1
             call.code, call.ended, call.answer = answer.code, self.moment, json.loads(answer.body)
 
@@ -177,7 +177,7 @@
             self._carry_out(node=node, commands=commands)
             self._finish(node=node, finished=finished)
 
-    def calm(self, *, rounds: int = 40) -> None:
+    def settle(self, *, rounds: int = 40) -> None:
         """Deliver everything in order for a number of rounds."""
         for _ in range(rounds):
             for _ in range(200):
@@ -192,11 +192,11 @@
 
     def finish(self) -> Violation | None:
         """Settle, read everything at each machine, and return the first violation on any object."""
-        self.calm()
+        self.settle()
         for at in range(NODES):
-            self.look(at=at, path="/config")
-            self.look(at=at, path="/orders")
-            self.calm(rounds=10)
+            self.read(at=at, path="/config")
+            self.read(at=at, path="/orders")
+            self.settle(rounds=10)
         violations = [find_violation(operations=self._config(), model=LabelledRegister())]
         violations += [find_violation(operations=self._zone(zone=zone), model=Zone()) for zone in TESTED_ZONES]
         return next((violation for violation in violations if violation is not None), None)
@@ -230,10 +230,10 @@
     def _begin(self, *, call: Call, at: int) -> Call:
         self.moment += 1
         call.begun = self.moment
-        call.sendings.append(self.moment)
+        call.sent_moments.append(self.moment)
         self.calls.append(call)
         self._send(call=call, at=at)
-        call.waits_on = call.tokens[-1]
+        call.awaited_token = call.tokens[-1]
         return call
 
     def _send(self, *, call: Call, at: int) -> None:
@@ -291,7 +291,7 @@
     but not after the order was acknowledged. A copy that arrived late has no effect.
     """
     name, act = f"{call.method}: {call.code}", ZoneOrder(is_emptied=call.method == "POST")
-    copies = call.sendings if call.is_open else call.sendings[:-1]
+    copies = call.sent_moments if call.is_open else call.sent_moments[:-1]
     attempts = [Operation(name=name, begun=copy, ended=call.ended, call=act, is_certain=False) for copy in copies]
     return attempts if call.is_open else [*attempts, _operation(call=call, name=name, act=act)]
 
@@ -338,7 +338,7 @@
         elif chance < 0.42 and sent:
             net.send_late(call=rng.choice(sent), at=rng.randrange(NODES))
         elif chance < 0.50:
-            net.look(at=rng.randrange(NODES), path=rng.choice(("/config", "/orders")))
+            net.read(at=rng.randrange(NODES), path=rng.choice(("/config", "/orders")))
         elif chance < 0.51:
             net.crash(at=rng.randrange(NODES))
         elif chance < 0.60:
@@ -357,7 +357,7 @@
         elif chance < 0.4 and sent:
             net.send_late(call=rng.choice(sent), at=rng.randrange(NODES))
         elif chance < 0.6:
-            net.look(at=rng.randrange(NODES), path="/orders")
+            net.read(at=rng.randrange(NODES), path="/orders")
         elif chance < 0.62:
             net.crash(at=rng.randrange(NODES))
         elif chance < 0.7:
--- a/tests/test_admin_api.py
+++ b/tests/test_admin_api.py
@@ -51,16 +51,16 @@
         base = label
     losers = [net.change(at=at % NODES, base=at, label=900, is_patch=False, variant=at) for at in range(1, 8)]
     for call in losers:
-        net.leave(call=call)
+        net.disconnect(call=call)
     net.answers.clear()
     for label in range(9, 9 + between):
         call = net.change(at=label % NODES, base=base, label=label, is_patch=label % 2 == 0, variant=label % 200)
-        net.calm(rounds=2)
+        net.settle(rounds=2)
         assert call.code == 200, (label, call.code)
         base = label
     for at, call in enumerate([*first, *losers]):
         net.resend(call=call, at=at % NODES)
-    net.calm(rounds=3)
+    net.settle(rounds=3)
     assert [one.code for one in first] == [200] * 8
     assert [loser.code for loser in losers] == [412] * 7
     assert net.finish() is None
@@ -70,11 +70,11 @@
     monkeypatch.setattr(constants, "HISTORY_SEGMENT_CHANGES", 8)
     net = OrdersNet()
     first = net.change(at=0, base=0, label=1, is_patch=False, variant=1)
-    net.calm(rounds=1)
+    net.settle(rounds=1)
     first.code = 0  # its acknowledgement was lost
     for label in range(2, 30):
         assert net.change(at=label % NODES, base=label - 1, label=label, is_patch=False, variant=label)
-        net.calm(rounds=2)
+        net.settle(rounds=2)
     net.change(at=1, base=0, label=1, is_patch=False, variant=2)
     net.resend(call=first, at=2)
     for _ in range(200):
@@ -88,15 +88,15 @@
     """What can't hold: on a connection that is still up nothing tells a late copy from another order."""
     net = OrdersNet()
     order = net.order(at=0, zone="gdl-a", is_emptied=True)
-    net.calm(rounds=2)
+    net.settle(rounds=2)
     back = net.order(at=1, zone="gdl-a", is_emptied=False)
-    net.calm(rounds=2)
+    net.settle(rounds=2)
     assert (order.code, back.code) == (200, 200)
     copy = net.order(at=2, zone="gdl-a", is_emptied=True)
-    net.calm(rounds=2)
-    look = net.look(at=0, path="/orders")
-    net.calm(rounds=2)
-    assert copy.code == 200 and look.answer["orders"]["emptied"] == ["gdl-a"]
+    net.settle(rounds=2)
+    read = net.read(at=0, path="/orders")
+    net.settle(rounds=2)
+    assert copy.code == 200 and read.answer["orders"]["emptied"] == ["gdl-a"]
 
 
 def _method(owner: object, name: str, make) -> object:
@@ -192,7 +192,7 @@
 
     @rule(at=at, path=st.sampled_from(("/config", "/orders")))
     def look(self, at: int, path: str) -> None:
-        self.net.look(at=at, path=path)
+        self.net.read(at=at, path=path)
 
     @precondition(lambda self: any(one.is_open and one.method != "GET" for one in self.net.calls))
     @rule(at=at, index=st.integers(0, 7))
