--- a/sailward/control/administration/metrics.py
+++ b/sailward/control/administration/metrics.py
@@ -11,7 +11,7 @@
 from typing import Literal
 
 from sailward.control.administration.status_sources import StatusSources
-from sailward.control.group.repair import count_core
+from sailward.control.group.repair import count_voting_members
 from sailward.events import Respond
 
 CONTENT_TYPE = "application/openmetrics-text; version=1.0.0; charset=utf-8"
@@ -79,12 +79,12 @@
     voter, peer_table = sources.voter, sources.peer_table
     members = voter.voters.members
     controllers = [*peer_table.alive(kind="controller"), peer_table.own_entry()]
-    core = count_core(members=members, controllers=controllers)
+    core = count_voting_members(members=members, controllers=controllers)
     copying = sorted(
         controller["id"] for controller in controllers if controller["identity"] in members and not controller["fit"]
     )
     return [
-        _gauge("voting", "Whether this controller votes.", voter.voting),
+        _gauge("voting", "Whether this controller votes.", voter.is_voting),
         _gauge("voters", "Members of the set of voters.", len(members)),
         _gauge("voters_voting", "Voters that are heard of as voting.", core["voting"]),
         _gauge("voters_needed", "Voters that a majority needs.", core["needed"]),
@@ -99,17 +99,17 @@
 def _collect_registers(*, sources: StatusSources, now: float) -> list[Family]:
     learned, catch_up = sources.voter.learner.values, sources.catch_up
     numbers = {name: value.value["number"] for name, value in learned.items()}
-    ages = {name: round(now - at, 3) for name, at in catch_up.confirmed.items()}
+    ages = {name: round(now - at, 3) for name, at in catch_up.confirmed_at.items()}
     families = [
         _labelled("register_number", "Number of the value that this controller holds.", "register", numbers),
         _labelled("register_age_seconds", "Time since a majority showed that value as its newest.", "register", ages),
     ]
     if ages:
         families.append(_gauge("majority_age_seconds", "Time since a majority answered.", min(ages.values())))
-    if catch_up.caught_up_after is not None:
+    if catch_up.caught_up_after_s is not None:
         families.append(
             _gauge(
-                "catch_up_seconds", "Time from the start to the first newest configuration.", catch_up.caught_up_after
+                "catch_up_seconds", "Time from the start to the first newest configuration.", catch_up.caught_up_after_s
             )
         )
     return families
@@ -118,11 +118,11 @@
 def _collect_disk(*, sources: StatusSources) -> list[Family]:
     write_ahead = sources.voter.write_ahead
     return [
-        _gauge("data_file_bytes", "Bytes of the data file, without how JSON escapes them.", write_ahead.size),
-        _gauge("data_file_live_bytes", "Bytes that the last rewrite of the data file left.", write_ahead.live_size),
-        _counter("data_file_rewrites", "Rewrites of the data file that were begun.", write_ahead.rewrites),
-        _gauge("disk_usable", "Whether the disk takes writes.", write_ahead.usable),
-        _gauge("disk_waiting", "Answers that wait for a sync.", len(write_ahead.waiting)),
+        _gauge("data_file_bytes", "Bytes of the data file, without how JSON escapes them.", write_ahead.file_bytes),
+        _gauge("data_file_live_bytes", "Bytes that the last rewrite of the data file left.", write_ahead.live_bytes),
+        _counter("data_file_rewrites", "Rewrites of the data file that were begun.", write_ahead.rewrite_count),
+        _gauge("disk_usable", "Whether the disk takes writes.", write_ahead.is_usable),
+        _gauge("disk_waiting", "Answers that wait for a sync.", len(write_ahead.pending_replies)),
     ]
 
 
--- a/sailward/control/administration/status_report.py
+++ b/sailward/control/administration/status_report.py
@@ -6,16 +6,16 @@
 from sailward import constants
 from sailward.control.administration.metrics import show_metrics
 from sailward.control.administration.status_sources import StatusSources
-from sailward.control.group.disaster_recovery import read_founding
+from sailward.control.group.disaster_recovery import read_last_recovery
 from sailward.control.group.quorum_contact import NEVER
-from sailward.control.group.repair import count_core
+from sailward.control.group.repair import count_voting_members
 from sailward.discovery.peer_table import PeerTable, kind_of
 
 
 def show_status(*, sources: StatusSources, now: float) -> dict:
     """The status of the core, the zones and the proxies, as this controller sees it."""
     voter, peer_table, subscribers = sources.voter, sources.peer_table, sources.subscribers
-    core = count_core(
+    core = count_voting_members(
         members=voter.voters.members, controllers=[*peer_table.alive(kind="controller"), peer_table.own_entry()]
     )
     return {
@@ -25,8 +25,8 @@
         "version": sailward.__version__,
         "founding": _show_founding(sources=sources, now=now),
         "post": voter.location.post,
-        "voting": voter.voting,
-        "disk_usable": voter.write_ahead.usable,
+        "voting": voter.is_voting,
+        "disk_usable": voter.write_ahead.is_usable,
         "contact": _show_contact(sources=sources, now=now),
         "voters": voter.voters.show(),
         "registers": _show_registers(sources=sources),
@@ -93,25 +93,25 @@
     accepted since.
     """
     watch = sources.contact_watch
-    shown_at = watch.shown_at(now=now)
+    shown_at = watch.last_majority_at(now=now)
     age = round(now - shown_at, 2) if shown_at > NEVER else None
     return {
         "majority": now - shown_at <= constants.QUORUM_CONTACT_TTL,
         "serves": watch.may_serve(now=now),
-        "to_read": sorted(watch.contact.unread),
+        "to_read": sorted(watch.contact.unread_registers),
         "config": sources.voter.learner.number(name="config"),
         "served_age_s": age,
     }
 
 
 def _show_founding(*, sources: StatusSources, now: float) -> dict:
-    founding = read_founding(value=sources.voter.learned_voters().value)
+    founding = read_last_recovery(value=sources.voter.learned_voters().value)
     if not founding.number:
         return {}
     return {
         "number": founding.number,
         "survivors": list(founding.survivors),
-        "acts": not sources.voter.is_opening,
+        "acts": not sources.voter.is_recovering,
         "claims": "in-doubt" if sources.membership.has_unknown_outcomes(now=now) else "kept",
     }
 
--- a/sailward/control/bootstrap.py
+++ b/sailward/control/bootstrap.py
@@ -1,4 +1,4 @@
-"""Founding a core without an operator: the seeds that all daemons are told alike found it, each by itself."""
+"""Bootstrap of a core without an operator: each seed named in the shared settings founds it independently."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 from sailward.wire_types import RegisterValue
 
-FIRST_START = "0"
-"""The nonce of a founder's identity: the same at every founder, as none of them talks to another."""
+FOUNDER_NONCE = "0"
+"""The nonce in a founder's identity: a constant, as the founders exchange no messages to agree on one."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Bootstrap:
-    """What the settings say of the core.
+    """The settings of the core.
 
-    `is_first`: the whole system starts for the first time, on empty disks. `posts`: the posts of the seeds in the order
-    of the settings, the same for all. `budget`: machines of the core that may be lost at once.
+    `is_first`: the whole system starts for the first time, on empty disks. `posts`: the seeds' addresses in the order
+    of the settings, the same on all daemons. `budget`: machines of the core that may be lost at once.
     """
 
     is_first: bool
@@ -24,25 +24,25 @@
     budget: int = 1
 
     @property
-    def target(self) -> int:
-        """How many voters bear the loss of the budget: never under three."""
+    def target_size(self) -> int:
+        """How many voters tolerate the loss of `budget` machines: at least three."""
         return max(3, 2 * self.budget + 1)
 
     def founders(self) -> tuple[str, ...]:
-        """The posts that found the core."""
-        return tuple(dict.fromkeys(self.posts))[: self.target]
+        """The addresses of the seeds that found the core."""
+        return tuple(dict.fromkeys(self.posts))[: self.target_size]
 
     def is_founder(self, *, post: str) -> bool:
-        """Does the daemon at this post found the core on an empty disk?"""
+        """Does the daemon at this address found the core on an empty disk?"""
         return self.is_first and post in self.founders()
 
-    def value(self) -> RegisterValue:
+    def founding_value(self) -> RegisterValue:
         """The first value of the voters register, the same at every founder."""
-        members = {make_founder(post=post): post for post in self.founders()}
-        text = json.dumps({"members": members, "size": self.target}, sort_keys=True)
+        members = {make_founder_identity(post=post): post for post in self.founders()}
+        text = json.dumps({"members": members, "size": self.target_size}, sort_keys=True)
         return {"number": 1, "mark": "founded", "trail": [], "text": text}
 
 
-def make_founder(*, post: str) -> str:
-    """A founder's identity: what the others know of it without having heard from it."""
-    return f"{post}#{FIRST_START}"
+def make_founder_identity(*, post: str) -> str:
+    """A founder's identity, which the other founders can derive from its address without any message from it."""
+    return f"{post}#{FOUNDER_NONCE}"
--- a/sailward/control/controller.py
+++ b/sailward/control/controller.py
@@ -1,4 +1,4 @@
-"""The whole of a controller: its parts, put together, and which of them each event concerns."""
+"""The controller: builds its parts and dispatches each event to the part that handles it."""
 
 from __future__ import annotations
 
@@ -50,10 +50,10 @@
 
 
 class Controller:
-    """Owner of a controller process. `step` takes one event and gives commands.
+    """Owner of a controller process. `step` takes one event and returns commands.
 
-    It only puts the parts together and hands each event to the part that it concerns; each part is given by name what
-    it needs, and none knows the controller.
+    It only wires the parts together and dispatches events. Each part receives its dependencies by keyword, and none
+    depends on the controller.
     """
 
     def __init__(
@@ -80,12 +80,12 @@
         self._build_proxies()
         self._build_shards()
         self._build_dispatch()
-        self._moves_begun = 0
-        self._startup_commands = self.voter.begun
+        self._move_count = 0
+        self._startup_commands = self.voter.startup_commands
         self._health_updated_at, self._rewrite_tried_at = NEVER, NEVER
 
     def _build_voter(self, *, nonce: str, rng: random.Random, records: list[Record], now: float) -> None:
-        """Votes, learned values, records on the disk, and the proposer of operations on registers."""
+        """Votes, learned values, records on disk, and the proposer of operations on registers."""
         self.voter = Voter(
             location=self.location, nonce=nonce, records=records, now=now, bootstrap=self.options.bootstrap
         )
@@ -93,13 +93,13 @@
         self.proposer = Proposer(identity=self._operation_prefix, rng=rng)
 
     def _build_membership(self, *, now: float) -> None:
-        """The peers heard of by gossip, and who of them votes."""
+        """The peers known by gossip, and which of them vote."""
         options = self.options
         self.peer_table = PeerTable(
             location=self.location,
             start=self.start,
             identity=self.voter.identity,
-            every=options.gossip_every,
+            every=options.gossip_interval,
             suspect=options.suspect_after,
             is_mesh=options.is_mesh,
             has_disk=options.has_disk,
@@ -120,18 +120,18 @@
         self.admin_api = AdminApi(
             identity=self._operation_prefix,
             dialect=self.options.dialect or OwnDialect(),
-            timeout=self.options.operation_wait,
+            timeout=self.options.operation_timeout,
             zones=frozenset(zone for zone, _ in self.options.zones),
         )
 
     def _build_contact(self, *, now: float) -> None:
-        """Contact with a majority, and reads of registers that are behind."""
-        contact = QuorumContact(started=now)
+        """Contact with a majority, and reads of stale registers."""
+        contact = QuorumContact(started_at=now)
         self._required_contact = contact if self.options.is_mesh else None
         self.catch_up = CatchUp(
             voter=self.voter,
             op_prefix=self._operation_prefix,
-            every=self.options.read_every,
+            read_interval_s=self.options.read_interval,
             contact=self._required_contact,
         )
         self.contact_watch = ContactWatch(
@@ -155,7 +155,7 @@
         )
 
     def _build_proxies(self) -> None:
-        """What proxies subscribe to, what they report, and who they are."""
+        """The proxies' subscriptions, their reports, and the registry of proxies."""
         self.subscribers = Subscribers(post=self.location.post if self.options.reader else "")
         self.aggregated_health = AggregatedHealth()
         self.proxy_registry = ProxyRegistry(
@@ -175,12 +175,12 @@
         )
 
     def _build_shards(self) -> None:
-        """Moves of shards, and leases on key ranges where the platform's workers take them."""
+        """Moves of shards, and leases on key ranges if the platform's workers support them."""
         self.shard_moves = ShardMoves()
         self.shard_leases = self._make_shard_leases(codec=self.options.grants) if self.options.grants else None
 
     def _build_dispatch(self) -> None:
-        """What joins the parts: operations on registers, messages by kind, operators' requests and the status."""
+        """The dispatchers over the parts: operations on registers, messages by kind, operators' requests and status."""
         self.registers = Registers(
             voter=self.voter,
             proposer=self.proposer,
@@ -233,24 +233,24 @@
         )
 
     def step(self, *, now: float, event: Event) -> list[Command]:
-        """Answer one event with commands."""
+        """Handle one event; returns commands."""
         commands, self._startup_commands = self._startup_commands, []
         return commands + self._dispatch(now=now, event=event)
 
     @property
     def identity(self) -> str:
-        """The identity under which this process votes; a new one after it was taken out of the voters."""
+        """The identity under which this process votes; a new one after it was removed from the voters."""
         return self.voter.identity
 
     @property
     def voters(self) -> VoterSet:
-        """The set of voters that this process acts under."""
+        """The voter set under which this process acts."""
         return self.voter.voters
 
     @property
-    def voting(self) -> bool:
+    def is_voting(self) -> bool:
         """May this process vote and grant?"""
-        return self.voter.voting
+        return self.voter.is_voting
 
     def _dispatch(self, *, now: float, event: Event) -> list[Command]:
         match event:
@@ -275,20 +275,20 @@
                 return self.unexpected.add_unknown(event=event)
 
     def _drop_order(self, *, now: float, event: ClientDisconnected) -> list[Command]:
-        """The caller has gone, most likely to another controller: its order on a zone, if not begun, never begins."""
+        """Drop a zone order that has not begun: its caller has gone and has probably retried at another controller."""
         self.admin_api.drop(token=event.token)
         return []
 
-    # calls to the platform's list and to workers
+    # calls to the platform's list of workers and to workers
 
     def _on_call_finished(self, *, now: float, event: CallFinished) -> list[Command]:
         if event.token.startswith(("grant ", "release ")):
             return self.registers.step_shard_leases(now=now, event=event)
-        return self._step_list(now=now, event=event)
+        return self._step_endpoint_list(now=now, event=event)
 
-    def _step_list(self, *, now: float, event: CallFinished | None) -> list[Command]:
-        # a controller outside the core reads the list only for proxies that follow it
-        is_needed = not self.voters.members or self.voting or self.subscribers.has_followers()
+    def _step_endpoint_list(self, *, now: float, event: CallFinished | None) -> list[Command]:
+        # a controller that is not a voter reads the list only if proxies subscribe to it
+        is_needed = not self.voters.members or self.is_voting or self.subscribers.has_followers()
         commands, is_newer = self.endpoint_list.step(
             now=now, event=event, peer_table=self.peer_table, is_needed=is_needed
         )
@@ -308,26 +308,26 @@
             op_prefix=self._operation_prefix,
         )
 
-    # time going on
+    # periodic work
 
     def _tick(self, *, now: float, event: TimerFired) -> list[Command]:
         self.serving.wall_offset = event.wall - now
         commands = self.contact_watch.step(now=now)
         commands += self.registers.tick(now=now)
         commands += self.contact_watch.send_heartbeats(now=now)
-        commands += self._step_list(now=now, event=None)
+        commands += self._step_endpoint_list(now=now, event=None)
         commands += self._move_slots(now=now)
         commands += self._step_proxy_registry(now=now)
         commands += self.registers.step_shard_leases(now=now, event=None)
         commands += self.registers.begin(now=now, begins=self.catch_up.step(now=now))
-        commands += self.voter.sweep_claims(now=now)
+        commands += self.voter.drop_expired_claims(now=now)
         commands += self._step_membership(now=now)
-        self._describe_itself(now=now)
+        self._update_own_entry(now=now)
         commands += self._update_aggregated_health(now=now) + self.graceful_shutdown.step(now=now)
         return commands + self._repair_disk(now=now)
 
     def _step_proxy_registry(self, *, now: float) -> list[Command]:
-        if not self.options.tells_fleet:
+        if not self.options.publishes_proxy_list:
             return []
         controllers = [*self.peer_table.alive(kind="controller"), self.peer_table.own_entry()]
         return self.proxy_registry.step(
@@ -339,13 +339,13 @@
         self.admin_api.controllers = self.membership.controllers
         return commands + self.registers.begin(now=now, begins=begins)
 
-    def _describe_itself(self, *, now: float) -> None:
-        """What the peer table tells others of this process."""
-        self.peer_table.fit = self.voting
+    def _update_own_entry(self, *, now: float) -> None:
+        """Update what the peer table announces about this process."""
+        self.peer_table.fit = self.is_voting
         self.peer_table.asks = "" if self.options.is_mesh else self.subscribers.active_proxy_names(now=now)
         if self.options.bootstrap:
-            # one that waits and can't write is not brought in
-            may_act = (self.write_ahead.usable and self.options.has_disk) or self.voter.is_member
+            # a non-member that can't write to disk must not be added to the voters
+            may_act = (self.write_ahead.is_usable and self.options.has_disk) or self.voter.is_member
             self.peer_table.identity = self.identity if may_act else ""
 
     def _update_aggregated_health(self, *, now: float) -> list[Command]:
@@ -355,10 +355,10 @@
         return self.serving.push(now=now) + self.aggregated_health.step(now=now, proxies=self.subscribers.proxies())
 
     def _repair_disk(self, *, now: float) -> list[Command]:
-        """Try the whole file again while the disk can't be written."""
+        """Retry a rewrite of the file while the disk can't be written."""
         if (
-            self.write_ahead.usable
-            or self.write_ahead.rewriting
+            self.write_ahead.is_usable
+            or self.write_ahead.rewrite_seq
             or now - self._rewrite_tried_at <= constants.REPAIR_INTERVAL
         ):
             return []
@@ -366,7 +366,7 @@
         return [self.write_ahead.rewrite()]
 
     def _move_slots(self, *, now: float) -> list[Command]:
-        if not self.voting:
+        if not self.is_voting:
             return []
         changes = self.shard_moves.step(
             now=now,
@@ -380,8 +380,8 @@
         )
         begins = []
         for name, number, text in changes:
-            self._moves_begun += 1
-            op = f"{self._operation_prefix}/move{self._moves_begun}"
+            self._move_count += 1
+            op = f"{self._operation_prefix}/move{self._move_count}"
             begins.append(
                 StartOperation(op=op, register=name, expected=number, text=text, timeout=constants.ROUND_TIMEOUT * 3)
             )
--- a/sailward/control/group/copying.py
+++ b/sailward/control/group/copying.py
@@ -1,4 +1,4 @@
-"""How a new voter learns every register before it votes: from a majority of those before it."""
+"""State transfer: a new voter copies every register from a majority of the previous voters before it votes."""
 
 from __future__ import annotations
 
@@ -16,24 +16,25 @@
 
 @dataclass(kw_only=True)
 class Copying:
-    """Owner of one copy. `step` asks for pages, or folds one; it is over when enough voters told all.
+    """Owner of one copy. `step` requests pages, or folds one; it is over when enough voters have sent all their votes.
 
-    Each page is asked for with the set of voters that has the new one in it. Who tells a page keeps that
-    set first, and so votes no more for changes under the set before: what they chose is in the copy.
+    Each request carries the voter set that contains the new voter. A voter stores that set before it sends a page,
+    and so casts no more votes under the previous set: everything chosen under that set is in the copy. `sources` are
+    the previous members to copy from, `cursors` the last register name received from each.
     """
 
     identity: str
     number: int = 0
-    old: dict = field(default_factory=dict)
-    others: dict = field(default_factory=dict)
-    copied: dict = field(default_factory=dict)
+    previous_members: dict = field(default_factory=dict)
+    sources: dict = field(default_factory=dict)
+    copied_votes: dict = field(default_factory=dict)
     cursors: dict = field(default_factory=dict)
-    done: set = field(default_factory=set)
+    completed_sources: set = field(default_factory=set)
     retry_at: float = -1e9
     backoff: float = field(default_factory=lambda: constants.COPY_RETRY_INTERVAL)
 
     def step(self, *, now: float, voters: LearnedValue, event: tuple | None) -> list[Command]:
-        """Take a (sender, copied) or None for time going on."""
+        """Take a (sender, `copied` message), or None for the passage of time."""
         members = read_voters(value=voters.value)
         if members.number != self.number:
             self._restart(members=members)
@@ -44,48 +45,48 @@
         self.retry_at = now + self.backoff
         return [
             self._request_page(to=address, voters=voters)
-            for address in self.others.values()
-            if address not in self.done
+            for address in self.sources.values()
+            if address not in self.completed_sources
         ]
 
     def is_over(self, *, own: dict[str, Slot] | None = None) -> bool:
-        """Have enough voters told everything? `own` are this one's slots, if it was one of the set before and acted.
+        """Have enough voters sent everything? `own` are this voter's slots, if it could vote under the previous set.
 
-        A majority of the set before is enough. For one that stays in a smaller set, so many that every majority had one
-        of them, as more may not be left; under the first ballot these may leave open which value was chosen: then a
-        majority.
+        A majority of the previous set is enough. For a voter that stays in a smaller set, a blocking set (one voter of
+        every majority) is enough, as no more may be left. If, under the first ballot, these votes don't show which
+        value was chosen, it takes a majority.
         """
-        if not self.old:
+        if not self.previous_members:
             return False
-        count = len(self.done) + (own is not None)
-        if own is None or count >= majority_of(members=self.old):
-            return count >= majority_of(members=self.old)
-        return count >= blocking_of(members=self.old) and not self._is_open(own=own)
-
-    def slots(self, *, now: float, own: dict[str, Slot] | None = None) -> dict[str, Slot]:
-        """What may have been chosen under the set before, by what these voters told."""
-        sources = self._sources(own=own)
+        count = len(self.completed_sources) + (own is not None)
+        if own is None or count >= majority_of(members=self.previous_members):
+            return count >= majority_of(members=self.previous_members)
+        return count >= blocking_of(members=self.previous_members) and not self._has_conflict(own=own)
+
+    def merge_votes(self, *, now: float, own: dict[str, Slot] | None = None) -> dict[str, Slot]:
+        """The values that may have been chosen under the previous set, by the votes that were copied."""
+        votes_by_source = self._counted_votes(own=own)
         slots = {}
-        for name in sorted({name for copied in sources for name in copied}):
-            votes = [copied.get(name, []) for copied in sources]
-            value = newest_of(votes=votes, members=self.old)
+        for name in sorted({name for copied in votes_by_source for name in copied}):
+            votes = [copied.get(name, []) for copied in votes_by_source]
+            value = newest_of(votes=votes, members=self.previous_members)
             if value["number"]:
                 ballot = max(vote[0] for vote in votes if vote)
                 promised = max(ballot, own[name].promised) if own is not None and name in own else ballot
                 slots[name] = Slot(promised=promised, ballot=ballot, value=value, since=now)
         return slots
 
-    def _sources(self, *, own: dict[str, Slot] | None) -> list[dict]:
+    def _counted_votes(self, *, own: dict[str, Slot] | None) -> list[dict]:
         """The votes of each voter that counts, by register."""
-        sources = [self.copied.get(address, {}) for address in sorted(self.done)]
+        votes_by_source = [self.copied_votes.get(address, {}) for address in sorted(self.completed_sources)]
         if own is not None:
-            sources.append({name: slot.vote() for name, slot in own.items() if slot.value is not None})
-        return sources
+            votes_by_source.append({name: slot.vote() for name, slot in own.items() if slot.value is not None})
+        return votes_by_source
 
-    def _is_open(self, *, own: dict[str, Slot] | None) -> bool:
-        """Do some of these voters hold different values of a register under the first ballot?"""
+    def _has_conflict(self, *, own: dict[str, Slot] | None) -> bool:
+        """Do these voters hold different values of a register under the first ballot?"""
         marks: dict[str, set] = {}
-        for copied in self._sources(own=own):
+        for copied in self._counted_votes(own=own):
             for name, (ballot, value) in copied.items():
                 if ballot == FIRST:
                     marks.setdefault(name, set()).add(value["mark"])
@@ -94,11 +95,15 @@
     def _restart(self, *, members: VoterSet) -> None:
         self.number = members.number
         before = members.before or VoterSet(members=members.members)
-        self.old = {name: post for name, post in before.members.items() if name != self.identity or members.before}
-        # one that came back with an empty disk has the address of a member that is no more
+        self.previous_members = {
+            name: post for name, post in before.members.items() if name != self.identity or members.before
+        }
+        # after a restart with an empty disk, this voter has the address of a previous member that no longer exists
         own = members.members.get(self.identity)
-        self.others = {name: post for name, post in self.old.items() if name != self.identity and post != own}
-        self.copied, self.cursors, self.done = {}, {}, set()
+        self.sources = {
+            name: post for name, post in self.previous_members.items() if name != self.identity and post != own
+        }
+        self.copied_votes, self.cursors, self.completed_sources = {}, {}, set()
 
     def _request_page(self, *, to: str, voters: LearnedValue) -> SendMessage:
         return SendMessage(
@@ -109,27 +114,27 @@
     def _fold(self, *, now: float, voters: LearnedValue, sender: str, body: Message) -> list[Command]:
         if (
             body["voters"] != self.number
-            or sender not in self.others.values()
-            or sender in self.done
+            or sender not in self.sources.values()
+            or sender in self.completed_sources
             or body["after"] != self.cursors.get(sender, "")
         ):
             return []
-        copied = self.copied.setdefault(sender, {})
+        copied = self.copied_votes.setdefault(sender, {})
         copied.update({name: [ballot, value] for name, ballot, value in body["slots"]})
         if not body["next"]:
-            self.done.add(sender)
+            self.completed_sources.add(sender)
             return []
         self.cursors[sender] = body["next"]
         return [self._request_page(to=sender, voters=voters)]
 
 
 def copy_page(*, slots: dict, names: list[str], after: str, number: int) -> dict:
-    """One page of this voter's votes, by the sorted names."""
-    at = bisect_right(names, after)
-    page = names[at : at + constants.COPY_PAGE_SLOTS]
+    """One page of this voter's votes, in the order of the sorted names."""
+    start = bisect_right(names, after)
+    page_names = names[start : start + constants.COPY_PAGE_SLOTS]
     rows = [
         [name, slots[name].ballot, slots[name].value]
-        for name in page
+        for name in page_names
         if name in slots and slots[name].value is not None
     ]
     return {
@@ -137,5 +142,5 @@
         "after": after,
         "voters": number,
         "slots": rows,
-        "next": page[-1] if at + len(page) < len(names) else "",
+        "next": page_names[-1] if start + len(page_names) < len(names) else "",
     }
--- a/sailward/control/group/membership.py
+++ b/sailward/control/group/membership.py
@@ -1,4 +1,4 @@
-"""A controller's place among the voters: founding, joining, copying, founding anew, and being taken out."""
+"""A controller's membership in the voter set: founding, joining, copying, disaster recovery and removal."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 from sailward.control.group.copying import Copying, copy_page
 from sailward.control.group.disaster_recovery import (
     DisasterRecovery,
-    NotFounded,
-    make_founding,
-    merge_survivors,
-    read_founding,
+    RecoveryRefused,
+    make_recovery_value,
+    merge_survivor_votes,
+    read_last_recovery,
 )
-from sailward.control.group.repair import Repair, count_core
+from sailward.control.group.repair import Repair, count_voting_members
 from sailward.control.group.voter import Voter
 from sailward.discovery.peer_table import PeerTable
 from sailward.events import Command, LogEvent, RequestReceived, Respond, SendMessage
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RecoveryOrder:
-    """An order to go on with the survivors alone, already voted for here: to be told once `record` is synced."""
+    """An accepted recovery order, already voted for here; it is announced once `record` is synced."""
 
     record: Record
     ballot: Ballot
@@ -44,45 +44,47 @@
 
 
 class Membership:
-    """Owner of a controller's membership. `step` judges the moment and gives (commands, operations to begin)."""
+    """Owner of a controller's membership. `step` runs periodically and returns (commands, operations to begin)."""
 
     def __init__(
         self, *, voter: Voter, peer_table: PeerTable, options: ControllerOptions, op_prefix: str, now: float
     ) -> None:
         self._voter, self._peer_table, self._options, self._op_prefix = voter, peer_table, options, op_prefix
         self.repair = Repair(
-            replace_after=options.replace_after, every=options.repair_every, is_brisk=options.bootstrap is not None
+            replace_after=options.replace_after,
+            check_interval_s=options.repair_interval,
+            is_self_managed=options.bootstrap is not None,
         )
-        self.copying = Copying(identity=voter.identity, backoff=options.copy_again)
-        self.recovery = DisasterRecovery(copying=Copying(identity=voter.identity, backoff=options.copy_again))
+        self.copying = Copying(identity=voter.identity, backoff=options.copy_retry_interval)
+        self.recovery = DisasterRecovery(copying=Copying(identity=voter.identity, backoff=options.copy_retry_interval))
         self.controllers: dict[str, dict] = {}
         self._requested_at = -1e9
-        self._names: dict[str, list[str]] = {}
-        self._short_since, self._short_reported = now, False
-        self._ops = 0
+        self._page_names: dict[str, list[str]] = {}
+        self._quorum_seen_at, self._is_loss_reported = now, False
+        self._repair_count = 0
 
     def step(self, *, now: float) -> StepResult:
-        """Say when the core is short; copy, found anew, repair, or ask for news."""
-        others = self._peer_table.alive(kind="controller")
-        self.controllers = {other["identity"]: other for other in [*others, self._peer_table.own_entry()]}
-        commands = self._report_core(now=now, others=others)
-        # one that does not act yet watches the voters too: when it joins it knows for how long each was lost
-        more, begins = self._repair(now=now, others=others)
-        if self._voter.voting:
-            return StepResult(commands + more, begins)
-        return StepResult(commands + self._catch_up(now=now) + self._request_updates(now=now, others=others), [])
+        """Report a lost quorum; copy, recover, repair, or ask the other controllers for updates."""
+        peers = self._peer_table.alive(kind="controller")
+        self.controllers = {peer["identity"]: peer for peer in [*peers, self._peer_table.own_entry()]}
+        commands = self._report_quorum(now=now, peers=peers)
+        # a controller that does not vote yet also tracks the voters, to know on joining how long each has been lost
+        repair_commands, begins = self._repair(now=now, peers=peers)
+        if self._voter.is_voting:
+            return StepResult(commands + repair_commands, begins)
+        return StepResult(commands + self._copy_or_recover(now=now) + self._request_updates(now=now, peers=peers), [])
 
     def has_unknown_outcomes(self, *, now: float) -> bool:
-        """May claims have been lost whose life is not over?"""
-        self.recovery.note(now=now, voters=self._voter.learned_voters())
+        """May a recovery have lost claims that have not expired yet?"""
+        self.recovery.observe(now=now, voters=self._voter.learned_voters())
         return self.recovery.has_unknown_outcomes(now=now, voters=self._voter.learned_voters())
 
-    def request_soon(self) -> None:
-        """Others know newer voters: ask for them at the next look."""
+    def request_updates_soon(self) -> None:
+        """Ask the other controllers for updates at the next step, because they know a newer voter set."""
         self._requested_at = -1e9
 
     def found(self, *, now: float, event: RequestReceived) -> list[Command]:
-        """Join new controllers into a core: the same value at each of them."""
+        """Found a core from new controllers; the operator sends the same member list to each of them."""
         voter = self._voter
         members = _read_field(event=event, name="members")
         if not is_members(members) or voter.identity not in members:
@@ -108,16 +110,16 @@
         record = {"k": "vote", "r": "voters", "b": [0, "founder"], "v": value}
         if slot is None:
             fold_record(slots=voter.acceptor.slots, record=record, now=now)
-        voter.write_ahead.copied = True
+        voter.write_ahead.has_copied = True
         voter.learner.step(name="voters", ballot=[0, "founder"], value=value)
         answer = answer_json(token=event.token, code=200, body={"outcome": "accepted", "number": 1})
         return [
-            *voter.write_ahead.know(ballot=[0, "founder"], value=value),
+            *voter.write_ahead.store_known_voters(ballot=[0, "founder"], value=value),
             *voter.write_ahead.step(records=[record, {"k": "copied"}] if slot is None else [], replies=[answer]),
         ]
 
     def order_recovery(self, *, now: float, event: RequestReceived) -> Respond | RecoveryOrder:
-        """Take an operator's order to go on with the named survivors alone: the refusal, or what is to be done."""
+        """Judge an operator's order to continue with the named survivors only: a refusal, or the accepted order."""
         voter = self._voter
         names = _read_field(event=event, name="survivors")
         if not is_names(names):
@@ -125,92 +127,95 @@
                 event=event, code=422, reason="survivors", detail="give survivors: a list of controllers' names"
             )
         newest = max((voter.learned_voters().value, voter.voted_voters()), key=lambda value: value["number"])
-        made = make_founding(
+        recovery_value = make_recovery_value(
             own=voter.identity,
             names=names,
             is_confirmed=event.query.get("confirm") == "yes",
             value=newest,
-            opened=voter.write_ahead.opened,
+            completed_recovery=voter.write_ahead.completed_recovery,
             controllers=self.controllers,
         )
-        if isinstance(made, NotFounded):
-            return _refuse(event=event, code=made.code, reason=made.reason, detail=made.detail)
-        if not voter.write_ahead.usable or not voter.write_ahead.copied:
+        if isinstance(recovery_value, RecoveryRefused):
+            return _refuse(
+                event=event, code=recovery_value.code, reason=recovery_value.reason, detail=recovery_value.detail
+            )
+        if not voter.write_ahead.is_usable or not voter.write_ahead.has_copied:
             return _refuse(
                 event=event,
                 code=503,
                 reason="not-usable",
                 detail="this controller can't write, or never had the core's registers",
             )
-        number = made["number"]
-        record = {"k": "vote", "r": "voters", "b": [number, "founder"], "v": made}
+        number = recovery_value["number"]
+        record = {"k": "vote", "r": "voters", "b": [number, "founder"], "v": recovery_value}
         fold_record(slots=voter.acceptor.slots, record=record, now=now)
-        founding = read_founding(value=made)
+        recovery = read_last_recovery(value=recovery_value)
         body = {
             "outcome": "accepted",
             "number": number,
-            "survivors": list(founding.survivors),
-            "claims": "in-doubt" if founding.unknown_outcomes else "kept",
+            "survivors": list(recovery.survivors),
+            "claims": "in-doubt" if recovery.has_unknown_outcomes else "kept",
         }
         answer = answer_json(token=event.token, code=200, body=body)
-        return RecoveryOrder(record=record, ballot=[number, "founder"], value=made, answer=answer)
+        return RecoveryOrder(record=record, ballot=[number, "founder"], value=recovery_value, answer=answer)
 
-    def is_out(self, *, value: RegisterValue) -> bool:
-        """Does this chosen set of voters take this controller out? An older one, told late, does not."""
+    def is_removed_by(self, *, value: RegisterValue) -> bool:
+        """Does this chosen voter set remove this controller? A delayed message with an older set does not."""
         voter = self._voter
         return (
-            voter.write_ahead.copied
+            voter.write_ahead.has_copied
             and voter.identity not in read_voters(value=value).members
             and value["number"] >= voter.voted_voters()["number"]
         )
 
     def send_page(self, *, sender: str, body: Message) -> list[Command]:
-        """A page of all this voter has voted for, to one that copies under the same set."""
+        """Send a page of this voter's votes to a controller that copies under the same voter set."""
         voter, number = self._voter, self._voter.voters.number
         if not voter.is_copy_source or number != body["value"]["number"]:
             return []
-        if body["after"] == "" or sender not in self._names:
-            # nothing is voted for under the old set from here on: one order for the whole copy
+        if body["after"] == "" or sender not in self._page_names:
+            # no more votes are cast under the old set from here on, so one sorted list of names serves the whole copy
             copiers = {*voter.voters.members.values()}
-            self._names = {post: names for post, names in self._names.items() if post in copiers}
-            self._names[sender] = sorted(voter.acceptor.slots)
-        page = copy_page(slots=voter.acceptor.slots, names=self._names[sender], after=body["after"], number=number)
+            self._page_names = {post: names for post, names in self._page_names.items() if post in copiers}
+            self._page_names[sender] = sorted(voter.acceptor.slots)
+        page = copy_page(slots=voter.acceptor.slots, names=self._page_names[sender], after=body["after"], number=number)
         if not page["next"]:
-            del self._names[sender]
+            del self._page_names[sender]
         return voter.write_ahead.step(records=[], replies=[SendMessage(to=sender, body=page)])
 
-    def take_page(self, *, now: float, event: tuple) -> list[Command]:
-        """Fold a page; with the last one this controller may act."""
+    def on_page(self, *, now: float, event: tuple) -> list[Command]:
+        """Fold a received page; after the last one this controller may vote."""
         voter = self._voter
         if "voters" not in voter.learner.values:
             return []
-        if voter.is_complete:
-            return self._step_recovery(now=now, event=event) if voter.is_opening else []
+        if voter.has_required_copy:
+            return self._step_recovery(now=now, event=event) if voter.is_recovering else []
         return self._step_copy(now=now, event=event)
 
     def _step_copy(self, *, now: float, event: tuple | None) -> list[Command]:
-        """Ask for pages, or fold one; the votes of this voter count as well if others may copy from it."""
+        """Request pages, or fold one; this voter's own votes count as well if peers may copy from it."""
         voter = self._voter
         own = voter.acceptor.slots if voter.is_copy_source else None
         commands = self.copying.step(now=now, voters=voter.learned_voters(), event=event)
         if not self.copying.is_over(own=own):
             return commands
-        slots = self.copying.slots(now=now, own=own)
+        slots = self.copying.merge_votes(now=now, own=own)
         if own is None:
-            commands += voter.forget()
-        voter.write_ahead.copied, voter.write_ahead.under = True, self.copying.number
-        voter.write_ahead.opened = read_founding(value=voter.learned_voters().value).number
+            commands += voter.discard_votes()
+        voter.write_ahead.has_copied, voter.write_ahead.copied_under = True, self.copying.number
+        voter.write_ahead.completed_recovery = read_last_recovery(value=voter.learned_voters().value).number
         log = LogEvent(event="copied", fields={"slots": len(slots), "under": self.copying.number})
         commands += [
             log,
             *voter.write_ahead.step(
-                records=[*voter.put(slots=slots), voter.write_ahead.copied_record(), *self._opened()], replies=[]
+                records=[*voter.store_slots(slots=slots), voter.write_ahead.copied_record(), *self._recovery_records()],
+                replies=[],
             ),
         ]
-        return commands + (self._announce() if self._options.bootstrap else [])
+        return commands + (self._announce_voting() if self._options.bootstrap else [])
 
-    def _announce(self) -> list[Command]:
-        """Tell the other voters at once that this one acts: gossip would take its rounds."""
+    def _announce_voting(self) -> list[Command]:
+        """Tell the other voters at once that this one votes; gossip would take several rounds."""
         peer_table = self._peer_table
         peer_table.fit, peer_table.heartbeat = True, peer_table.heartbeat + 1
         body = {"kind": "gossip", "entries": [peer_table.own_entry()], "reply": True}
@@ -219,68 +224,72 @@
             for post in sorted({*self._voter.voters.members.values()} - {peer_table.location.post})
         ]
 
-    def _opened(self) -> list[Record]:
-        opened = self._voter.write_ahead.opened
-        return [{"k": "opened", "n": opened}] if opened else []
+    def _recovery_records(self) -> list[Record]:
+        number = self._voter.write_ahead.completed_recovery
+        return [{"k": "opened", "n": number}] if number else []
 
     def _step_recovery(self, *, now: float, event: tuple | None) -> list[Command]:
         voter = self._voter
         commands = self.recovery.step(now=now, voters=voter.learned_voters(), event=event)
         if not self.recovery.is_over(now=now):
             return commands
-        told = list(self.recovery.copying.copied.values())
-        slots = merge_survivors(slots=voter.acceptor.slots, told=told, now=now)
+        survivor_votes = list(self.recovery.copying.copied_votes.values())
+        slots = merge_survivor_votes(slots=voter.acceptor.slots, survivor_votes=survivor_votes, now=now)
         for name, learned in voter.learner.values.items():
-            # what proxies and other controllers were told, if no survivor's vote is as new
+            # keep a chosen value that proxies and other controllers already have if every survivor's vote is older
             slot = slots.get(name)
             if is_control(name=name) and (
                 slot is None or slot.value is None or slot.value["number"] < learned.value["number"]
             ):
                 ballot = max(learned.ballot, slot.promised) if slot else learned.ballot
                 slots[name] = Slot(promised=ballot, ballot=ballot, value=learned.value, since=now)
-        voter.write_ahead.opened = read_founding(value=voter.learned_voters().value).number
+        voter.write_ahead.completed_recovery = read_last_recovery(value=voter.learned_voters().value).number
         log = LogEvent(
             event="recovery-completed",
             fields={
-                "number": voter.write_ahead.opened,
+                "number": voter.write_ahead.completed_recovery,
                 "slots": len(slots),
                 "claims": "in-doubt" if self.has_unknown_outcomes(now=now) else "kept",
             },
         )
-        return [*commands, log, *voter.write_ahead.step(records=[*voter.put(slots=slots), *self._opened()], replies=[])]
+        return [
+            *commands,
+            log,
+            *voter.write_ahead.step(records=[*voter.store_slots(slots=slots), *self._recovery_records()], replies=[]),
+        ]
 
-    def _repair(self, *, now: float, others: list[dict]) -> StepResult:
+    def _repair(self, *, now: float, peers: list[dict]) -> StepResult:
         voter = self._voter
         text = self.repair.step(
             now=now,
             own=voter.identity,
             voters=voter.voters,
             text=voter.learned_voters().value["text"],
-            controllers=[*others, self._peer_table.own_entry()],
+            controllers=[*peers, self._peer_table.own_entry()],
         )
         if not text:
             return StepResult([], [])
-        self._ops += 1
+        self._repair_count += 1
         begin = StartOperation(
-            op=f"{self._op_prefix}/repair{self._ops}",
+            op=f"{self._op_prefix}/repair{self._repair_count}",
             register="voters",
             expected=voter.voters.number,
             text=text,
         )
         return StepResult([LogEvent(event="voters-change", fields={"from": voter.voters.number, "to": text})], [begin])
 
-    def _catch_up(self, *, now: float) -> list[Command]:
-        """Copy what the voters hold, or open a founding anew."""
+    def _copy_or_recover(self, *, now: float) -> list[Command]:
+        """Copy the registers from the voters, or complete a disaster recovery."""
         voter = self._voter
         if not voter.is_member or "voters" not in voter.learner.values:
             return []
-        if not voter.is_complete:
+        if not voter.has_required_copy:
             return self._step_copy(now=now, event=None)
-        return self._step_recovery(now=now, event=None) if voter.is_opening else []
+        return self._step_recovery(now=now, event=None) if voter.is_recovering else []
 
-    def _request_updates(self, *, now: float, others: list[dict]) -> list[Command]:
+    def _request_updates(self, *, now: float, peers: list[dict]) -> list[Command]:
         voter = self._voter
-        is_copying = voter.is_member and "voters" in voter.learner.values and not voter.is_complete
+        is_copying = voter.is_member and "voters" in voter.learner.values and not voter.has_required_copy
         if is_copying or now - self._requested_at < self._request_backoff():
             return []
         self._requested_at = now
@@ -291,45 +300,45 @@
             "report": {},
             "daemon": self._peer_table.own_entry(),
         }
-        return [SendMessage(to=other["post"], body=body) for other in others]
+        return [SendMessage(to=peer["post"], body=body) for peer in peers]
 
     def _request_backoff(self) -> float:
         is_waiting = self._voter.voters.number and not self._voter.is_member
         return (
             constants.WAITING_CONTROLLER_POLL_INTERVAL
             if self._options.bootstrap and is_waiting
-            else self._options.repair_every
+            else self._options.repair_interval
         )
 
-    def _report_core(self, *, now: float, others: list[dict]) -> list[Command]:
-        """Say so when too much is lost for any change, and when it is back."""
+    def _report_quorum(self, *, now: float, peers: list[dict]) -> list[Command]:
+        """Log when too few voters are left for any change, and when the quorum is restored."""
         members = self._voter.voters.members
-        core = count_core(members=members, controllers=[*others, self._peer_table.own_entry()])
-        short = bool(members) and core["voting"] < core["needed"]
-        if not short:
-            self._short_since = now
-        was_reported, self._short_reported = (
-            self._short_reported,
-            short and now - self._short_since > constants.HEARTBEAT_TIMEOUT,
+        voting_counts = count_voting_members(members=members, controllers=[*peers, self._peer_table.own_entry()])
+        is_quorum_lost = bool(members) and voting_counts["voting"] < voting_counts["needed"]
+        if not is_quorum_lost:
+            self._quorum_seen_at = now
+        was_reported, self._is_loss_reported = (
+            self._is_loss_reported,
+            is_quorum_lost and now - self._quorum_seen_at > constants.HEARTBEAT_TIMEOUT,
         )
-        if was_reported == self._short_reported:
+        if was_reported == self._is_loss_reported:
             return []
         return [
             LogEvent(
                 event="quorum-lost" if not was_reported else "quorum-restored",
                 fields={
-                    "voting": core["voting"],
-                    "needed": core["needed"],
-                    "missing": ",".join(core["missing"]) or "none",
+                    "voting": voting_counts["voting"],
+                    "needed": voting_counts["needed"],
+                    "missing": ",".join(voting_counts["missing"]) or "none",
                 },
             )
         ]
 
 
 def _read_field(*, event: RequestReceived, name: str) -> Any:
-    """One field of the JSON object that an operator sent; None if there is no such object, or no such field in it."""
-    given = read_config(text=event.body or b"")
-    return None if isinstance(given, Unsound) else given.get(name)
+    """One field of the JSON object in an operator's request; None if the body is no JSON object or lacks the field."""
+    decoded = read_config(text=event.body or b"")
+    return None if isinstance(decoded, Unsound) else decoded.get(name)
 
 
 def _refuse(*, event: RequestReceived, code: int, reason: str, detail: str) -> Respond:
--- a/sailward/control/group/redirect.py
+++ b/sailward/control/group/redirect.py
@@ -1,4 +1,4 @@
-"""What a controller without contact with a majority says: who else may be asked, and answers that settle nothing."""
+"""Replies of a controller without contact with a majority: redirects to others, and non-definitive refusals."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 
 
 def other_controllers(*, peer_table: PeerTable, members: Mapping[str, str], own: str) -> list[list[str]]:
-    """[[post, zone, region], ...] of the controllers known here, also those that are out of reach from here."""
-    places = {
+    """[[address, zone, region], ...] of the controllers known here, including those that are unreachable from here."""
+    locations = {
         known.entry["post"]: [known.entry["post"], known.entry["hall"], known.entry["region"]]
         for known in peer_table.known.values()
         if kind_of(entry=known.entry) == "controller"
     }
     for post in members.values():
-        places.setdefault(post, [post, "", ""])
-    places.pop(own, None)
-    return [places[post] for post in sorted(places)[: constants.MAX_REDIRECT_CONTROLLERS]]
+        locations.setdefault(post, [post, "", ""])
+    locations.pop(own, None)
+    return [locations[post] for post in sorted(locations)[: constants.MAX_REDIRECT_CONTROLLERS]]
 
 
 def redirect_or_reject(*, now: float, event: RequestReceived, dialect: Dialect, peer_table: PeerTable) -> Respond:
-    """307 to a controller that was heard to have contact just now, or 503 with when to come back; nothing definite."""
-    able = [
+    """307 to a controller that recently announced contact, or 503 with Retry-After; nothing was read or changed."""
+    candidates = [
         known.entry
         for known in peer_table.known.values()
         if kind_of(entry=known.entry) == "controller"
@@ -34,10 +34,11 @@
         and known.entry["fit"]
         and known.contact
     ]
-    if able:
+    if candidates:
         location = peer_table.location
         nearest = min(
-            able, key=lambda entry: (entry["region"] != location.region, entry["hall"] != location.zone, entry["id"])
+            candidates,
+            key=lambda entry: (entry["region"] != location.region, entry["hall"] != location.zone, entry["id"]),
         )
         headers = {"Location": f"http://{nearest['http']}{event.target or event.path}"}
         body = {"outcome": "elsewhere", "detail": "this controller has no contact with a majority of the voters"}
--- a/sailward/control/proxies/serving.py
+++ b/sailward/control/proxies/serving.py
@@ -52,16 +52,16 @@
             proxy_registry,
         )
         self._contact_watch = contact_watch
-        self._tells_fleet, self._is_bootstrapped = options.tells_fleet, options.bootstrap is not None
+        self._publishes_proxy_list, self._is_bootstrapped = options.publishes_proxy_list, options.bootstrap is not None
         self.wall_offset = 0.0
 
     def answer(self, *, now: float, sender: str, body: Message) -> list[Command]:
         """Answer one `ask`: push the values that the sender lacks, and grant a lease."""
-        if self._tells_fleet and kind_of(entry=body["daemon"]) != "controller":
+        if self._publishes_proxy_list and kind_of(entry=body["daemon"]) != "controller":
             return self._answer_proxy(now=now, sender=sender, body=body)
         commands: list[Command] = [*self._subscribers.step(now=now, event=(sender, body), updates=self.updates())]
         # read before the joining controller is recorded: the grant reflects what was known when it asked
-        newest = self._voter.newest()
+        newest = self._voter.newest_votes()
         if self._is_bootstrapped:
             commands += self._on_joiner(now=now, sender=sender, daemon=body["daemon"])
             learned = self._voter.learner.values.get("voters")
@@ -90,7 +90,7 @@
         workers = self._endpoint_list
         if workers.value is not None:
             updates["workers"] = (workers.revision, [workers.epoch, ""], workers.value)
-        fleet = self._proxy_registry.value() if self._tells_fleet else None
+        fleet = self._proxy_registry.value() if self._publishes_proxy_list else None
         if fleet is not None:
             updates["fleet"] = (fleet["number"], [0, ""], fleet)
         return updates
@@ -122,7 +122,7 @@
             "seq": body["seq"],
             "newest": {},
             "identity": "",
-            "voting": self._voter.voting,
+            "voting": self._voter.is_voting,
             "proxies": 0,
             "view": {"place": [location.zone, location.region]},
         }
@@ -141,7 +141,7 @@
                 "seq": body["seq"],
                 "newest": newest,
                 "identity": self._voter.identity,
-                "voting": self._voter.voting,
+                "voting": self._voter.is_voting,
                 "proxies": len(self._subscribers.proxies()),
                 "view": {
                     **self._aggregated_health.view(with_slow_start=is_new_subscriber),
@@ -157,8 +157,8 @@
         for name, newest in have.items():
             is_newer = isinstance(newest, list) and newest[0] > self._voter.learner.number(name=name)
             if is_control(name=name) and is_newer:
-                self._catch_up.record_behind(now=now, name=name)
-                if self._voter.is_opening:
+                self._catch_up.record_stale(now=now, name=name)
+                if self._voter.is_recovering:
                     commands.append(SendMessage(to=sender, body={"kind": "want", "register": name}))
         return commands
 
--- a/sailward/control/registers.py
+++ b/sailward/control/registers.py
@@ -1,4 +1,4 @@
-"""Operations on registers, and what follows from a value that is known to have been chosen."""
+"""Operations on registers, and the propagation of chosen values."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 
 
 class Registers:
-    """Owner of the operations under way.
+    """Owner of the operations in flight.
 
-    `begin` begins some, `receive` and `tick` move them on, `learn` takes a chosen value.
+    `begin` starts operations, `receive` and `tick` advance them, `learn` takes a chosen value.
     """
 
     def __init__(
@@ -50,14 +50,14 @@
         self._unreadable_change: str | None = None
 
     def tick(self, *, now: float) -> list[Command]:
-        """Time goes on: operations are retried, or expire."""
+        """Retry or expire operations as time passes."""
         commands, finished = self._proposer.step(now=now, voters=self._voter.voters, event=None)
         return commands + self._finish(now=now, finished=finished)
 
     def receive(self, *, now: float, sender: str, body: Message) -> list[Command]:
-        """Take a voter's answer to an operation; only one of a voter of the same set shows contact."""
+        """Handle a voter's reply to an operation; a nack proves no contact, as it may come under another voter set."""
         if self._contact is not None and body["kind"] != "nack":
-            self._contact.on_answer(peer=sender, question=body["op"])
+            self._contact.on_reply(peer=sender, request=body["op"])
         commands, finished = self._proposer.step(now=now, voters=self._voter.voters, event=(sender, body))
         return commands + self._finish(now=now, finished=finished)
 
@@ -66,20 +66,20 @@
         commands = []
         for begin in begins:
             if self._contact is not None:
-                self._contact.record_question(now=now, question=begin.op)
+                self._contact.record_request(now=now, request=begin.op)
             more, finished = self._proposer.step(now=now, voters=self._voter.voters, event=begin)
             commands += more + self._finish(now=now, finished=finished)
         return commands
 
     def step_shard_leases(self, *, now: float, event: CallFinished | None) -> list[Command]:
-        """Step the grants of divided services, where there are any, and begin the changes that they ask for."""
+        """Step the shard leases, if there are any, and begin the operations that they request."""
         if self._shard_leases is None:
             return []
         commands, begins = self._shard_leases.step(now=now, event=event)
         return commands + self.begin(now=now, begins=begins)
 
     def learn(self, *, now: float, name: str, ballot: Ballot, value: RegisterValue, announce: bool) -> list[Command]:
-        """Hold a value that is known to have been chosen, push it on, and `announce` it to the other controllers."""
+        """Keep a chosen value, push it to subscribers, and if `announce` is set send it to the other controllers."""
         if not is_control(name=name):
             return []
         config = self._load_config(name=name, value=value)
@@ -90,11 +90,11 @@
         if not self._voter.learner.step(name=name, ballot=ballot, value=value):
             return []
         logs = [LogEvent(event="in-force", fields={"register": name, "number": value["number"]})]
-        if name == "voters" and was_member and self._membership.is_out(value=value):
+        if name == "voters" and was_member and self._membership.is_removed_by(value=value):
             logs.append(LogEvent(event="removed-from-voters", fields={"was": self._voter.identity}))
         if config is not None:
             self._admin_api.full, self._shard_moves.plan = config
-        commands = self._voter.write_ahead.know(ballot=ballot, value=value) if name == "voters" else []
+        commands = self._voter.write_ahead.store_known_voters(ballot=ballot, value=value) if name == "voters" else []
         commands += self._serving.push(now=now)
         if announce:
             commands += self._announce_chosen(name=name, ballot=ballot, value=value)
@@ -106,7 +106,7 @@
         return load_config(value=value, expand=self._expand)
 
     def _finish(self, *, now: float, finished: list[OperationFinished]) -> list[Command]:
-        """Take the ends of operations: learn the value each of them found, and tell who began it."""
+        """Handle finished operations: learn the value that each found, and notify the part that began it."""
         commands = []
         for end in finished:
             ballot, value = getattr(end.outcome, "ballot", [0, ""]), getattr(end.outcome, "value", None)
@@ -123,14 +123,14 @@
 
     def _announce_chosen(self, *, name: str, ballot: Ballot, value: RegisterValue) -> list[Command]:
         body = {"kind": "chosen", "register": name, "ballot": ballot, "value": value}
-        posts = {
+        addresses = {
             *self._voter.voters.members.values(),
             *(peer["post"] for peer in self._peer_table.alive(kind="controller")),
         }
-        return [SendMessage(to=post, body=body) for post in sorted(posts - {self._voter.location.post})]
+        return [SendMessage(to=post, body=body) for post in sorted(addresses - {self._voter.location.post})]
 
 
 def _without_value(*, end: OperationFinished) -> OperationFinished:
-    """The end of an operation that found a value which can't be read: it is as if none had been found."""
+    """The end of an operation that found an unreadable value, reported as if it had found none."""
     outcome = Refused(reason="unreadable", value=EMPTY, ballot=[0, ""])
     return OperationFinished(op=end.op, register=end.register, outcome=outcome)
--- a/sailward/control/shards/shard_leases.py
+++ b/sailward/control/shards/shard_leases.py
@@ -67,14 +67,14 @@
         voter = self._voter
         if body["kind"] == "confirm":
             known, learned = voter.voters.number, voter.learner.values.get("voters")
-            if voter.voting and body["voters"] < known and learned is not None:
+            if voter.is_voting and body["voters"] < known and learned is not None:
                 return [
                     SendMessage(
                         to=sender,
                         body={"kind": "chosen", "register": "voters", "ballot": learned.ballot, "value": learned.value},
                     )
                 ]
-            if not voter.voting or body["voters"] != known:
+            if not voter.is_voting or body["voters"] != known:
                 return []
             newest = {
                 name: newest_vote(slots=voter.acceptor.slots, name=name)
@@ -89,7 +89,7 @@
         for name, newest in body["newest"].items():
             if isinstance(newest, list) and newest and newest[0] > voter.learner.number(name=name):
                 # chosen or not, it is newer than the value that grants would be based on
-                self._catch_up.record_behind(now=now, name=name)
+                self._catch_up.record_stale(now=now, name=name)
         return self.freshness.step(
             now=now,
             body=body,
@@ -143,7 +143,7 @@
         return [
             name
             for name, voter_identity in chosen_voters.items()
-            if self._voter.voting and voter_identity == self._voter.identity
+            if self._voter.is_voting and voter_identity == self._voter.identity
         ]
 
     def _step_freshness(self, *, now: float, acting: list[str]) -> list[Command]:
--- a/simulation/model/node.py
+++ b/simulation/model/node.py
@@ -20,7 +20,7 @@
 """A number for each state of a node: equal for states that act alike."""
 STEPS: dict[tuple, Stepped] = {}
 """What came of an event at a node in a state: many global states share one of a node."""
-OPTIONS = ControllerOptions(copy_again=0.0)
+OPTIONS = ControllerOptions(copy_retry_interval=0.0)
 NEVER = 1e12
 """s. An operation under the explorer expires only when an action says so."""
 
@@ -238,7 +238,7 @@
         identity=controller.identity,
         number=voters.number,
         members=tuple(sorted(voters.members.items())),
-        is_voting=controller.voting,
+        is_voting=controller.is_voting,
         live=frozenset(_work(op=op, work=work) for op, work in controller.proposer._live.items()),
         told=told[0].body if told else {},
     )
@@ -260,10 +260,20 @@
     held = sorted(
         (name, one.ballot, one.value["number"], one.value["mark"]) for name, one in controller.learner.values.items()
     )
-    copied = (copying.number, sorted(copying.done), repr(sorted(copying.copied.items())))
-    waiting = [(seq, len(replies)) for seq, replies in write_ahead.waiting]
+    copied = (copying.number, sorted(copying.completed_sources), repr(sorted(copying.copied_votes.items())))
+    waiting = [(seq, len(replies)) for seq, replies in write_ahead.pending_replies]
     return repr(
-        (controller.identity, write_ahead.copied, write_ahead.known, waiting, proposer, operations, slots, held, copied)
+        (
+            controller.identity,
+            write_ahead.has_copied,
+            write_ahead.known_voters,
+            waiting,
+            proposer,
+            operations,
+            slots,
+            held,
+            copied,
+        )
     )
 
 
--- a/simulation/sim/sabotage.py
+++ b/simulation/sim/sabotage.py
@@ -228,7 +228,7 @@
     "leaving": _method(endpoint_table.EndpointTable, "step", _never_leaving),
     "disk-votes": _method(write_ahead.WriteAhead, "receive", _failures_unheard),
     "last-resort": _method(load_balancer, "share_zones", _no_last_resort),
-    "copy": _method(copying.Copying, "slots", lambda old: lambda self, *, now, own=None: {}),
+    "copy": _method(copying.Copying, "merge_votes", lambda old: lambda self, *, now, own=None: {}),
     "repair": _constant("VOTER_REPLACEMENT_DELAY", 1e9),
     "closing": _method(shard_assignment.ShardAssignment, "_next_state", _opens_at_once),
     "witness": _method(quiescence.Quiescence, "check", lambda old: lambda self, *, closed_slot, slot: None),
@@ -246,11 +246,13 @@
     "first-quorum": _method(proposer, "fast_of", lambda old: lambda *, members: 2),
     "majority-kept": _method(admin_api, "keeps_majority", lambda old: lambda *, text, well: True),
     "merge": _method(
-        membership, "merge_survivors", lambda old: lambda *, slots, told, now: old(slots=slots, told=[], now=now)
+        membership,
+        "merge_survivor_votes",
+        lambda old: lambda *, slots, survivor_votes, now: old(slots=slots, survivor_votes=[], now=now),
     ),
     "doubt": _method(routing_state.RoutingState, "has_unknown_outcomes", lambda old: lambda self, *, now: False),
     "told-back": _method(learner.Learner, "send", lambda old: lambda self, *, to, name: []),
-    "fence": _method(membership.Membership, "is_out", lambda old: lambda self, *, value: False),
+    "fence": _method(membership.Membership, "is_removed_by", lambda old: lambda self, *, value: False),
     "slots-last-resort": _method(
         shard_assignment.ShardAssignment, "_tiers", lambda old: lambda self, **pool: old(self, **pool)[:2]
     ),
@@ -273,7 +275,7 @@
             )
         ),
     ),
-    "known": _method(write_ahead.WriteAhead, "know", lambda old: lambda self, *, ballot, value: []),
+    "known": _method(write_ahead.WriteAhead, "store_known_voters", lambda old: lambda self, *, ballot, value: []),
     "word": _method(
         proxied_requests, "answer_refusal", lambda old: lambda **fields: dataclasses.replace(old(**fields), headers={})
     ),
--- a/tests/core_net.py
+++ b/tests/core_net.py
@@ -1,4 +1,4 @@
-"""A core of controllers on virtual time: two regions 55 ms apart, disks that sync, kills, wipes and cuts."""
+"""A core of controllers in simulated time: two regions 55 ms apart, disk syncs, kills, wipes and partitions."""
 
 from __future__ import annotations
 
@@ -39,17 +39,17 @@
 
 
 class Machine:
-    """One machine with a disk and, when up, a controller."""
+    """One machine with a disk and, while it runs, a controller."""
 
     def __init__(self, *, name: str, zone: str, post: str) -> None:
         self.name, self.zone, self.post = name, zone, post
         self.disk: list[dict] = []
         self.controller: Controller | None = None
-        self.life, self.starts = 0, 0
+        self.incarnation, self.starts = 0, 0
 
 
 class CoreNet:
-    """Machines, messages and operators' calls on virtual time."""
+    """Machines, messages and operators' calls in simulated time."""
 
     def __init__(
         self,
@@ -62,7 +62,7 @@
         **options: object,
     ) -> None:
         self.bare = bare
-        self.now, self._line, self._count = 0.0, [], 0
+        self.now, self._queue, self._count = 0.0, [], 0
         self.rng = random.Random(seed)
         self.machines = [Machine(name=f"m{at}", zone=zone, post=f"10.0.0.{at}:7620") for at, zone in enumerate(zones)]
         self.posts = tuple(machine.post for machine in self.machines[:seeds])
@@ -71,24 +71,30 @@
         self.answers: dict[str, Respond] = {}
         self.calls = 0
         self.rows: list[dict] = []
-        self.options = {"list_rate": 37.0, "replace_after": 1.0, "repair_every": 0.25, "copy_again": 0.25, **options}
+        self.options = {
+            "list_rate": 37.0,
+            "replace_after": 1.0,
+            "repair_interval": 0.25,
+            "copy_retry_interval": 0.25,
+            **options,
+        }
 
-    def after(self, delay: float, act) -> None:
+    def after(self, delay: float, action) -> None:
         self._count += 1
-        heapq.heappush(self._line, (self.now + delay, self._count, act))
+        heapq.heappush(self._queue, (self.now + delay, self._count, action))
 
     def run(self, seconds: float, until=None) -> bool:
         end = self.now + seconds
-        while self._line and self._line[0][0] <= end:
-            self.now, _, act = heapq.heappop(self._line)
-            act()
+        while self._queue and self._queue[0][0] <= end:
+            self.now, _, action = heapq.heappop(self._queue)
+            action()
             if until is not None and until():
                 return True
         self.now = end
         return False
 
     def start(self, machine: Machine, *, bootstrap: bool = False, start: int | None = None) -> None:
-        machine.life, machine.starts = machine.life + 1, machine.starts + 1
+        machine.incarnation, machine.starts = machine.incarnation + 1, machine.starts + 1
         options = ControllerOptions(
             dialect=OPERATORS.OperatorsDialect(zones=ZONES),
             expand=lambda written: CONFIG.expand(written, ZONES),
@@ -96,7 +102,7 @@
             zones=tuple(ZONES.items()),
             bootstrap=Bootstrap(is_first=bootstrap, posts=self.posts, budget=self.budget),
             is_mesh=True,
-            tells_fleet=True,
+            publishes_proxy_list=True,
             has_disk=machine.name not in self.bare,
             **self.options,
         )
@@ -122,15 +128,15 @@
             now=self.now,
             options=options,
         )
-        self._tick(machine=machine, life=machine.life)
+        self._tick(machine=machine, incarnation=machine.incarnation)
 
     def kill(self, machine: Machine, *, wipe: bool = False) -> None:
-        machine.controller, machine.life = None, machine.life + 1
+        machine.controller, machine.incarnation = None, machine.incarnation + 1
         if wipe:
             machine.disk = []
 
     def voting(self) -> list[Machine]:
-        return [machine for machine in self.machines if machine.controller is not None and machine.controller.voting]
+        return [machine for machine in self.machines if machine.controller is not None and machine.controller.is_voting]
 
     def members(self) -> list[str]:
         newest = max(
@@ -149,7 +155,7 @@
         if_match: str | None = None,
         wait: float = 8.0,
     ) -> tuple:
-        """(code, body, seconds) of an operator's call; code 0 if nothing came."""
+        """(code, body, seconds) of an operator's call; code 0 if there was no answer."""
         token = self.send(machine, method=method, path=path, body=body, if_match=if_match)
         begun = self.now
         self.run(wait, until=lambda: token in self.answers)
@@ -170,33 +176,40 @@
     def give(self, machine: Machine, *, event: object) -> None:
         if machine.controller is None:
             return
-        life = machine.life
+        incarnation = machine.incarnation
         for command in machine.controller.step(now=self.now, event=event):
-            if machine.life == life:
+            if machine.incarnation == incarnation:
                 self._carry_out(machine=machine, command=command)
 
     def _later(self, machine: Machine, *, delay: float, event: object) -> None:
-        life = machine.life
-        self.after(delay, lambda: self.give(machine, event=event) if machine.life == life else None)
+        incarnation = machine.incarnation
+        self.after(delay, lambda: self.give(machine, event=event) if machine.incarnation == incarnation else None)
 
-    def _tick(self, *, machine: Machine, life: int) -> None:
-        if machine.life == life:
+    def _tick(self, *, machine: Machine, incarnation: int) -> None:
+        if machine.incarnation == incarnation:
             self.give(machine, event=TimerFired(wall=1000.0 + self.now))
-            self.after(TICK, lambda: self._tick(machine=machine, life=life))
+            self.after(TICK, lambda: self._tick(machine=machine, incarnation=incarnation))
 
     def _carry_out(self, *, machine: Machine, command: object) -> None:
         if isinstance(command, SendMessage):
-            to = next((one for one in self.machines if one.post == command.to and one.controller is not None), None)
+            to = next(
+                (other for other in self.machines if other.post == command.to and other.controller is not None), None
+            )
             assert isinstance(check_message(body=command.body), dict), command.body
             if to is None or ({machine.name, to.name} & self.cut and machine is not to):
                 return
-            near = ZONES[machine.zone] == ZONES[to.zone]
-            delay = 0.0001 if to is machine else 0.0014 if near else 0.055
+            is_same_region = ZONES[machine.zone] == ZONES[to.zone]
+            delay = 0.0001 if to is machine else 0.0014 if is_same_region else 0.055
             self._later(to, delay=delay, event=MessageReceived(sender=machine.post, body=command.body))
         elif isinstance(command, Respond):
             self.answers[command.token] = command
         elif isinstance(command, (AppendRecords, RewriteRecords)):
-            self.after(SYNC, lambda life=machine.life: self._synced(machine=machine, command=command, life=life))
+            self.after(
+                SYNC,
+                lambda incarnation=machine.incarnation: self._synced(
+                    machine=machine, command=command, incarnation=incarnation
+                ),
+            )
         elif isinstance(command, ValidateConfig):
             self._later(
                 machine,
@@ -213,15 +226,15 @@
         elif isinstance(command, ExitProcess):
             self.kill(machine)
 
-    def _synced(self, *, machine: Machine, command: AppendRecords | RewriteRecords, life: int) -> None:
-        if machine.life != life:
+    def _synced(self, *, machine: Machine, command: AppendRecords | RewriteRecords, incarnation: int) -> None:
+        if machine.incarnation != incarnation:
             return
         machine.disk = (machine.disk if isinstance(command, AppendRecords) else []) + list(command.records)
         self.give(machine, event=RecordsSynced(seq=command.seq))
 
 
 def make_written(*, label: int, routes: int = 4, weight: int = 90) -> dict:
-    """A configuration in the platform's words."""
+    """A configuration in the platform's format."""
 
     def rule(at: int) -> dict:
         return {
--- a/tests/test_bootstrap.py
+++ b/tests/test_bootstrap.py
@@ -1,4 +1,4 @@
-"""A core that founds itself, grows, and brings itself back after losses."""
+"""A core that bootstraps itself, grows, and repairs itself after losses."""
 
 from __future__ import annotations
 
@@ -31,9 +31,9 @@
     raise AssertionError(f"{label} was never taken")
 
 
-def test_three_seeds_found_one_core_without_talk_and_the_fourth_waits() -> None:
+def test_three_seeds_found_one_core_without_messages_and_the_fourth_waits() -> None:
     net = found()
-    assert [one.name for one in net.voting()] == ["m0", "m1", "m2"]
+    assert [machine.name for machine in net.voting()] == ["m0", "m1", "m2"]
     assert {machine.controller.voters.number for machine in net.machines} == {1}
     put(net, label=3, on="0")
     assert net.members() == sorted(net.posts)
@@ -46,18 +46,18 @@
     net.run(1.0)
     net.start(net.machines[1], bootstrap=True)
     assert net.run(6.0, until=lambda: len(net.voting()) == 3)
-    assert net.machines[3].controller.voting and not net.machines[2].controller
+    assert net.machines[3].controller.is_voting and not net.machines[2].controller
     net.start(net.machines[2], bootstrap=False)
     net.run(3.0)
     assert len(net.voting()) == 3
     put(net, label=1, on="0")
 
 
-def test_it_grows_to_what_the_budget_asks_spread_over_halls() -> None:
+def test_the_core_grows_to_the_size_of_its_budget_spread_over_zones() -> None:
     net = found(zones=["gdl-a", "ens-a", "gdl-b", "gdl-a", "gdl-a", "ens-b", "gdl-b"], budget=2)
     assert net.run(8.0, until=lambda: len(net.voting()) == 5 and len(net.members()) == 5)
-    assert net.machines[5].controller.voting
-    assert len({one.zone for one in net.voting()}) == 4
+    assert net.machines[5].controller.is_voting
+    assert len({machine.zone for machine in net.voting()}) == 4
 
 
 def test_fewer_seeds_than_the_target_grow_as_well() -> None:
@@ -66,7 +66,7 @@
 
 
 @pytest.mark.parametrize("at", [0, 1, 2])
-def test_a_wiped_voter_is_made_up_for_within_seconds_of_its_return(at: int) -> None:
+def test_a_wiped_voter_is_replaced_within_seconds_of_its_return(at: int) -> None:
     net = found(zones=FOUR[:3])
     put(net, label=1, on="0")
     machine = net.machines[at]
@@ -74,9 +74,9 @@
     net.run(1.0)
     begun = net.now
     net.start(machine)
-    assert net.run(3.0, until=lambda: machine.controller.voting)
+    assert net.run(3.0, until=lambda: machine.controller.is_voting)
     assert net.now - begun < 2.5
-    # and the one after it may be lost at once
+    # the next voter may be lost at once
     other = net.machines[(at + 1) % 3]
     net.kill(other, wipe=True)
     put(net, label=2, on="r1")
@@ -85,30 +85,30 @@
     assert net.ask(machine, method="GET", path="/config")[1]["generation"] == "r2"
 
 
-def test_a_voter_that_stays_away_is_replaced_and_its_place_is_taken_on_its_return() -> None:
+def test_a_voter_that_stays_down_is_replaced_and_does_not_vote_on_its_return() -> None:
     net = found()
     put(net, label=1, on="0")
     lost = net.machines[1]
     net.kill(lost)
-    assert net.run(7.0, until=lambda: net.machines[3].controller.voting)
+    assert net.run(7.0, until=lambda: net.machines[3].controller.is_voting)
     net.start(lost)
     net.run(2.0)
-    assert not lost.controller.voting and len(net.members()) == 3
+    assert not lost.controller.is_voting and len(net.members()) == 3
     put(net, label=2, on="r1")
 
 
-def test_a_replacement_at_a_new_address_takes_its_part() -> None:
+def test_a_replacement_at_a_new_address_votes() -> None:
     net = found(zones=[*FOUR[:3], "gdl-b"])
     net.kill(net.machines[3], wipe=True)
     put(net, label=1, on="0")
     net.kill(net.machines[2], wipe=True)
     net.run(0.5)
     net.start(net.machines[3])
-    assert net.run(7.0, until=lambda: net.machines[3].controller.voting)
+    assert net.run(7.0, until=lambda: net.machines[3].controller.is_voting)
     assert net.ask(net.machines[3], method="GET", path="/config")[0] == 200
 
 
-def test_a_newcomer_that_dies_before_it_has_copied_does_not_stand_in_the_way() -> None:
+def test_a_newcomer_that_dies_before_it_has_copied_does_not_block_repair() -> None:
     net = found()
     put(net, label=1, on="0")
     net.kill(net.machines[2], wipe=True)
@@ -120,14 +120,14 @@
     put(net, label=2, on="r1")
 
 
-def test_a_newcomer_that_cannot_copy_is_exchanged() -> None:
+def test_a_newcomer_that_cannot_copy_is_replaced() -> None:
     net = found()
     net.kill(net.machines[2], wipe=True)
     net.machines[3].controller.membership.copying.step = lambda **_: []
     net.run(7.0, until=lambda: net.machines[3].post in net.members())
     net.start(net.machines[2])
     assert net.run(14.0, until=lambda: len(net.voting()) == 3)
-    assert not net.machines[3].controller.voting
+    assert not net.machines[3].controller.is_voting
 
 
 def test_all_killed_at_once_come_back_with_what_was_acknowledged() -> None:
@@ -158,11 +158,11 @@
     assert net.ask(net.machines[3], method="GET", path="/config")[1] == make_written(label=1)
 
 
-def test_a_voter_cut_off_and_exchanged_can_choose_nothing() -> None:
+def test_a_partitioned_and_replaced_voter_can_choose_nothing() -> None:
     net = found()
     put(net, label=1, on="0")
     net.cut = {"m1"}
-    assert net.run(8.0, until=lambda: net.machines[3].controller.voting)
+    assert net.run(8.0, until=lambda: net.machines[3].controller.is_voting)
     assert net.ask(net.machines[1], method="PUT", path="/config", body=make_written(label=2), if_match="r1")[0] in (
         0,
         503,
@@ -170,7 +170,7 @@
     put(net, label=3, on="r1")
     net.cut = set()
     net.run(7.0)
-    assert not net.machines[1].controller.voting
+    assert not net.machines[1].controller.is_voting
     assert net.ask(net.machines[1], method="GET", path="/config")[1]["generation"] == "r3"
 
 
@@ -190,19 +190,19 @@
 
 def test_target_and_founders() -> None:
     bootstrap = Bootstrap(is_first=True, posts=("a:1", "b:1", "c:1"), budget=2)
-    assert bootstrap.target == 5 and bootstrap.is_founder(post="c:1") and not bootstrap.is_founder(post="d:1")
+    assert bootstrap.target_size == 5 and bootstrap.is_founder(post="c:1") and not bootstrap.is_founder(post="d:1")
     assert not Bootstrap(is_first=False, posts=("a:1",), budget=1).is_founder(post="a:1")
 
 
-def test_default_repair_keeps_its_pace() -> None:
-    assert (Repair().replace_after, Repair().every, Repair().is_brisk) == (20.0, 1.0, False)
+def test_default_repair_intervals() -> None:
+    assert (Repair().replace_after, Repair().check_interval_s, Repair().is_self_managed) == (20.0, 1.0, False)
 
 
-def test_a_newcomer_knows_what_only_the_lost_one_and_one_other_had_voted_for() -> None:
+def test_a_newcomer_knows_a_value_held_only_by_the_lost_voter_and_one_other() -> None:
     net = found()
     put(net, label=1, on="0")
     for machine in net.machines:
-        # no reads of their own: they would mend what this is about
+        # no periodic reads: they would repair the stale register that this test is about
         machine.controller.catch_up.step = lambda **_: []
     net.run(1.0)
     net.cut = {"m1"}
@@ -210,7 +210,7 @@
     net.run(0.5)
     net.kill(net.machines[2], wipe=True)
     net.cut = set()
-    assert net.run(8.0, until=lambda: net.machines[3].controller.voting)
+    assert net.run(8.0, until=lambda: net.machines[3].controller.is_voting)
     net.kill(net.machines[0], wipe=True)
     net.run(0.2)
     assert net.ask(net.machines[1], method="GET", path="/config")[1] == make_written(label=2)
@@ -225,7 +225,7 @@
     net.kill(net.machines[other])
     net.start(net.machines[0])
     begun = net.now
-    assert net.run(6.0, until=lambda: net.machines[0].controller.voting)
+    assert net.run(6.0, until=lambda: net.machines[0].controller.is_voting)
     assert net.now - begun < 2.3
 
 
@@ -233,7 +233,7 @@
 def test_founders_without_a_disk_make_room_for_those_that_have_one(bare: set) -> None:
     net = found(zones=["gdl-a", "ens-a", "gdl-b", "gdl-a", "ens-b", "gdl-b", "ens-a"], budget=1, bare=frozenset(bare))
     assert len(net.voting()) >= 2
-    assert net.run(8.0, until=lambda: len(net.voting()) == 3 and not {one.name for one in net.voting()} & bare)
+    assert net.run(8.0, until=lambda: len(net.voting()) == 3 and not {machine.name for machine in net.voting()} & bare)
     put(net, label=1, on="0")
     for machine in net.machines:
         net.kill(machine)
@@ -242,15 +242,15 @@
         net.start(machine)
     net.run(6.0)
     assert net.ask(net.voting()[0], method="GET", path="/config", wait=2.0)[0] == 200
-    assert not {one.name for one in net.voting()} & bare
+    assert not {machine.name for machine in net.voting()} & bare
 
 
-def test_a_controller_without_a_disk_is_never_brought_in_but_takes_changes() -> None:
+def test_a_diskless_controller_is_never_added_to_the_voters_but_takes_changes() -> None:
     net = found(zones=[*FOUR, "gdl-a"], bare=frozenset({"m4"}))
     net.kill(net.machines[0])
     net.kill(net.machines[3])
     net.run(12.0)
-    assert "m4" not in {one.name for one in net.voting()}
+    assert "m4" not in {machine.name for machine in net.voting()}
     for label, on in ((1, "0"), (2, "r1")):
         assert (
             net.ask(
--- a/tests/test_group_machine.py
+++ b/tests/test_group_machine.py
@@ -1,4 +1,4 @@
-"""Long random histories of a whole control group, and the faults that they must find."""
+"""Long random histories of a control group, and the planted faults that they must find."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 from tests.planted_faults import answer_before_sync
 
 EXAMPLES = int(os.environ.get("SAILWARD_MODEL_EXAMPLES", "15"))
-"""Histories of the sound product; wide runs give more by the environment."""
+"""Histories of the unmodified product; long runs set a larger number by the environment variable."""
 PLANTED_EXAMPLES, STEPS = 3000, 30
-"""Histories in which a planted fault is looked for: the search ends with the first that shows it. What hypothesis draws
-also depends on the constants of the loaded modules, so how many are needed varies: a copy from one voter was found
+"""The most histories to search for a planted fault; the search ends with the first that exposes it. What hypothesis
+draws also depends on the constants of the loaded modules, so the number needed varies: a copy from one voter was found
 within 150 when this file ran alone, and between 600 and 3000 with the whole suite loaded."""
 
 
@@ -41,7 +41,7 @@
     run_machine(examples=EXAMPLES, phases=(Phase.generate,))
 
 
-def hold_older(monkeypatch: pytest.MonkeyPatch) -> None:
+def learn_older_value(monkeypatch: pytest.MonkeyPatch) -> None:
     def step(self, *, name, ballot, value):
         is_newer = name not in self.values or value["mark"] != self.values[name].value["mark"]
         self.values[name] = learner.LearnedValue(ballot=ballot, value=value)
@@ -55,45 +55,45 @@
 
 
 def copy_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(copying.Copying, "slots", lambda self, **_: {})
+    monkeypatch.setattr(copying.Copying, "merge_votes", lambda self, **_: {})
 
 
 def propose_to_one(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(proposer, "majority_of", lambda *, members: 1)
 
 
-def hold_own_vote_at_start(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A start takes the last vote on its disk for what is in force."""
-    old = controller.Controller._tick
+def learn_own_vote_at_start(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A restarted controller treats the last vote on its disk as the chosen value."""
+    original = controller.Controller._tick
 
     def tick(self, *, now, event):
         slot = self.acceptor.slots.get("config")
         if "config" not in self.learner.values and slot is not None and slot.value is not None:
             self.learner.step(name="config", ballot=slot.ballot, value=slot.value)
-        return old(self, now=now, event=event)
+        return original(self, now=now, event=event)
 
     monkeypatch.setattr(controller.Controller, "_tick", tick)
 
 
 def keep_identity_without_data(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A wiped machine comes back under the identity that it founded with, and as one that has all registers."""
-    old = controller.Controller.__init__
+    """A wiped machine comes back with its identity as a founder and claims a complete copy of the registers."""
+    original = controller.Controller.__init__
 
     def init(self, *, records, location, **fields):
         if not records:
             records = [{"k": "identity", "id": f"{location.post}#0"}, {"k": "copied"}]
-        old(self, records=records, location=location, **fields)
+        original(self, records=records, location=location, **fields)
 
     monkeypatch.setattr(controller.Controller, "__init__", init)
 
 
 PLANTED = {
     "answers before the sync": answer_before_sync,
-    "holds an older value": hold_older,
+    "holds an older value": learn_older_value,
     "copies from one voter": copy_from_one,
     "copies nothing": copy_nothing,
     "proposes to one voter": propose_to_one,
-    "serves its own last vote after a start": hold_own_vote_at_start,
+    "serves its own last vote after a start": learn_own_vote_at_start,
     "keeps its identity on an empty disk": keep_identity_without_data,
 }
 
