--- a/sailward/client/client.py
+++ b/sailward/client/client.py
@@ -39,7 +39,7 @@
         """One exchange. A change that may have arrived is not sent to another controller."""
         reasons: list[str] = []
         for controller in self.controllers:
-            reply = request_once(address=controller, method=method, path=path, body=body, headers=headers or {})
+            reply = send_request(address=controller, method=method, path=path, body=body, headers=headers or {})
             if isinstance(reply, Reply):
                 return reply
             reasons += reply.reasons
@@ -48,7 +48,7 @@
         return Unreachable(reasons=tuple(reasons), sent=False)
 
 
-def request_once(
+def send_request(
     *, address: str, method: str, path: str, body: bytes = b"", headers: dict | None = None
 ) -> Reply | Unreachable:
     """One exchange with one daemon."""
--- a/sailward/client/forecast.py
+++ b/sailward/client/forecast.py
@@ -18,22 +18,22 @@
     text: str
 
 
-def forecast(*, full: dict, now_full: dict, workers: list, rates: dict, states: dict) -> list[Finding]:
+def forecast(*, full: dict, current_full: dict, workers: list, rates: dict, states: dict) -> list[Finding]:
     """Findings for the full form of a new configuration against the one in force, workers, loads and statuses."""
-    well = [
+    ready_workers = [
         worker
         for worker in workers
         if not worker["leaving"] and states.get(f"{worker['id']}/{worker['generation']}", True)
     ]
     return [
-        *_find_moves(full=full, old=now_full),
-        *_find_strangers(full=full, workers=workers),
-        *_find_empty_residency(full=full, workers=well),
-        *_find_short(full=full, workers=well, rates=rates),
+        *_find_moves(full=full, old=current_full),
+        *_find_unconfigured(full=full, workers=workers),
+        *_find_empty_residency(full=full, workers=ready_workers),
+        *_find_shortfalls(full=full, workers=ready_workers, rates=rates),
     ]
 
 
-def shares_of(*, full: dict) -> dict:
+def zone_shares(*, full: dict) -> dict:
     """{(path, zone): expected part of the match while all is well}."""
     shares: dict = defaultdict(float)
     for match in full.get("matches", []):
@@ -46,7 +46,7 @@
 
 
 def _find_moves(*, full: dict, old: dict) -> Iterator[Finding]:
-    before, after = shares_of(full=old), shares_of(full=full)
+    before, after = zone_shares(full=old), zone_shares(full=full)
     for zone_key in sorted({*before, *after}):
         left, right = before.get(zone_key, 0.0), after.get(zone_key, 0.0)
         if abs(left - right) > 1e-9:
@@ -57,7 +57,7 @@
             )
 
 
-def _find_strangers(*, full: dict, workers: list) -> Iterator[Finding]:
+def _find_unconfigured(*, full: dict, workers: list) -> Iterator[Finding]:
     for service in full["services"]:
         if not any(worker["service"] == service for worker in workers):
             yield Finding(kind="warning", path=f"services.{service}", text="no worker of this service is listed")
@@ -84,7 +84,7 @@
             )
 
 
-def _find_short(*, full: dict, workers: list, rates: dict) -> Iterator[Finding]:
+def _find_shortfalls(*, full: dict, workers: list, rates: dict) -> Iterator[Finding]:
     losses = [("hall", zone, {zone}) for zone in full["halls"]]
     losses += [
         ("region", region, {zone for zone, inner in full["halls"].items() if inner["region"] == region})
--- a/sailward/config/check.py
+++ b/sailward/config/check.py
@@ -9,7 +9,7 @@
 
 from sailward import constants
 from sailward.config.errors import list_errors
-from sailward.config.matches import sort_matches
+from sailward.config.matches import split_matches
 from sailward.config.residency import list_zones
 from sailward.config.schema import CONFIG
 from sailward.config.template_expansion import expand_stamps
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Sound:
+class ValidConfig:
     """A configuration that may be accepted, as written and with its templates stamped out."""
 
     written: dict
@@ -34,40 +34,40 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Unsound:
+class InvalidConfig:
     """A configuration that may not."""
 
     faults: tuple
 
 
-def read_config(*, text: bytes | str) -> dict | Unsound:
+def read_config(*, text: bytes | str) -> dict | InvalidConfig:
     """The JSON object in this text; names given twice are a fault."""
     if len(text) > constants.MAX_CONFIG_BYTES:
-        return Unsound(faults=(Fault(path="", reason=f"longer than {constants.MAX_CONFIG_BYTES} bytes"),))
+        return InvalidConfig(faults=(Fault(path="", reason=f"longer than {constants.MAX_CONFIG_BYTES} bytes"),))
     twice: list[str] = []
     try:
         config = load_json(text=text, twice=twice)
     except BadJson as fault:
-        return Unsound(faults=(Fault(path="", reason=str(fault)),))
+        return InvalidConfig(faults=(Fault(path="", reason=str(fault)),))
     if twice:
-        return Unsound(faults=tuple(Fault(path=name, reason="given twice") for name in twice))
+        return InvalidConfig(faults=tuple(Fault(path=name, reason="given twice") for name in twice))
     if not isinstance(config, dict):
-        return Unsound(faults=(Fault(path="", reason="not a JSON object"),))
+        return InvalidConfig(faults=(Fault(path="", reason="not a JSON object"),))
     return config
 
 
-def check_config(*, config: dict) -> Sound | Unsound:
+def check_config(*, config: dict) -> ValidConfig | InvalidConfig:
     """Every fault of a configuration, or its full form with warnings."""
     faults, full = _check_shape(config=config)
     if faults:
-        return Unsound(faults=tuple(faults))
+        return InvalidConfig(faults=tuple(faults))
     if config.get("stamps"):
         full, wrong = expand_stamps(config=config)
         faults = [Fault(path=path, reason=reason) for path, reason in wrong]
         if not faults:
             faults, full = _check_shape(config=full)
         if faults:
-            return Unsound(faults=tuple(faults))
+            return InvalidConfig(faults=tuple(faults))
     full = {name: part for name, part in full.items() if name not in ("templates", "stamps")}
     faults = [
         *_check_pools(full=full),
@@ -77,8 +77,8 @@
     ]
     faults = faults or list(_check_shared_keys(full=full))
     if faults:
-        return Unsound(faults=tuple(faults))
-    return Sound(written=config, full=full, warnings=(*_warn_of_caps(full=full), *_warn_of_residency(full=full)))
+        return InvalidConfig(faults=tuple(faults))
+    return ValidConfig(written=config, full=full, warnings=(*_warn_of_caps(full=full), *_warn_of_residency(full=full)))
 
 
 def _check_shape(*, config: dict) -> tuple[list[Fault], dict]:
@@ -87,22 +87,23 @@
     So matches that are plainly sound don't take part in it: there may be hundreds.
     """
     validator = Validator(CONFIG)
-    plain, odd = sort_matches(matches=config.get("matches"))
-    given = {**config, "matches": [config["matches"][at] for at in odd]} if plain else config
+    plain, other_indexes = split_matches(matches=config.get("matches"))
+    given = {**config, "matches": [config["matches"][at] for at in other_indexes]} if plain else config
     try:
-        is_sound = validator.validate(_without_near(config=given))
+        is_valid = validator.validate(_without_near(config=given))
     except Exception as fault:  # noqa: BLE001 - cerberus trips over some foreign shapes
         return [Fault(path="", reason=f"unreadable shape: {fault}")], {}
-    if not is_sound:
+    if not is_valid:
         errors = validator.errors
         if plain:
             errors = {
-                name: _locate(errors=inner, odd=odd) if name == "matches" else inner for name, inner in errors.items()
+                name: _locate(errors=inner, other_indexes=other_indexes) if name == "matches" else inner
+                for name, inner in errors.items()
             }
         return [Fault(path=path, reason=reason) for path, reason in list_errors(errors=errors)], {}
     full = validator.document
     if plain:
-        rest = dict(zip(odd, full["matches"], strict=True))
+        rest = dict(zip(other_indexes, full["matches"], strict=True))
         full["matches"] = [plain[at] if at in plain else rest[at] for at in range(len(config["matches"]))]
     for name, pool in full["pools"].items():
         if pool.get("tiers") == "near":
@@ -110,10 +111,10 @@
     return [], full
 
 
-def _locate(*, errors: list, odd: list) -> list:
+def _locate(*, errors: list, other_indexes: list) -> list:
     """The errors of the matches that took part, under the places that they were written at."""
     return [
-        {odd[at] if isinstance(at, int) else at: inner for at, inner in error.items()}
+        {other_indexes[at] if isinstance(at, int) else at: inner for at, inner in error.items()}
         if isinstance(error, dict)
         else error
         for error in errors
--- a/sailward/config/dialect.py
+++ b/sailward/config/dialect.py
@@ -7,7 +7,7 @@
 from typing import Any, Protocol
 
 from sailward import constants
-from sailward.config.check import Unsound, read_config
+from sailward.config.check import InvalidConfig, read_config
 from sailward.config.patch import merge_patch
 from sailward.events import RequestReceived, Respond
 from sailward.routing.proxied_request import answer_json
@@ -27,10 +27,10 @@
 
     kind: str
     register: str
-    given: Any = None
+    argument: Any = None
     expected: int | None = None
     is_confirmed: bool = False
-    is_dry: bool = False
+    is_dry_run: bool = False
     digest: str = ""
 
 
@@ -49,7 +49,7 @@
     number: int | None = None
     value: RegisterValue = field(default_factory=lambda: RegisterValue(number=0, mark="", trail=[], text=""))
     faults: tuple = ()
-    notes: dict = field(default_factory=dict)
+    extra: dict = field(default_factory=dict)
 
 
 class Dialect(Protocol):
@@ -67,17 +67,17 @@
     def answer(self, *, token: str, order: Order | None, outcome: Outcome) -> Respond:
         """The answer in the operators' words."""
 
-    def merge(self, *, written: dict, patch: dict) -> dict | Unsound:
+    def merge(self, *, written: dict, patch: dict) -> dict | InvalidConfig:
         """A configuration with a patch laid over it."""
 
-    def expand(self, *, written: dict) -> dict | Unsound:
+    def expand(self, *, written: dict) -> dict | InvalidConfig:
         """The configuration in the product's form, for the product's check."""
 
     def label(self, *, written: dict) -> int:
         """The version that a configuration bears."""
 
 
-class OwnDialect:
+class NativeDialect:
     """The product's own JSON."""
 
     is_labelled = False
@@ -92,10 +92,10 @@
         if parts in (["orders"], ["voters"]) and event.method == "GET":
             return Order(kind="get", register=parts[0])
         if len(parts) == 3 and parts[0] == "voters" and parts[2] in ("join", "part") and event.method == "POST":
-            return Order(kind=parts[2], register="voters", given=parts[1])
+            return Order(kind=parts[2], register="voters", argument=parts[1])
         if len(parts) == 3 and parts[0] == "halls" and parts[2] in ("empty", "refill") and event.method == "POST":
             return Order(
-                kind=parts[2], register="orders", given=parts[1], is_confirmed=event.query.get("confirm") == "yes"
+                kind=parts[2], register="orders", argument=parts[1], is_confirmed=event.query.get("confirm") == "yes"
             )
         return _refused(code=404, reason="unknown", detail=f"{event.method} {event.path}"[:200])
 
@@ -105,10 +105,10 @@
             return _show(token=token, register=order.register, value=outcome.value)
         if outcome.kind == "sound":
             return answer_json(
-                token=token, code=200, body={"outcome": "sound", "number": outcome.number, **outcome.notes}
+                token=token, code=200, body={"outcome": "sound", "number": outcome.number, **outcome.extra}
             )
         if outcome.kind == "accepted":
-            body = {"outcome": "accepted", "number": outcome.number, **outcome.notes}
+            body = {"outcome": "accepted", "number": outcome.number, **outcome.extra}
             return answer_json(token=token, code=200, body=body, headers={"ETag": f'"{outcome.number}"'})
         body = {
             "outcome": "unknown" if outcome.kind == "unknown" else "refused",
@@ -120,13 +120,13 @@
         if outcome.number is not None:
             body["number"] = outcome.number
         headers = {"Retry-After": str(constants.RETRY_AFTER)} if outcome.code >= 500 else {}
-        return answer_json(token=token, code=outcome.code, headers=headers, body={**body, **outcome.notes})
+        return answer_json(token=token, code=outcome.code, headers=headers, body={**body, **outcome.extra})
 
-    def merge(self, *, written: dict, patch: dict) -> dict | Unsound:
+    def merge(self, *, written: dict, patch: dict) -> dict | InvalidConfig:
         """A JSON merge patch."""
         return merge_patch(target=written, patch=patch)
 
-    def expand(self, *, written: dict) -> dict | Unsound:
+    def expand(self, *, written: dict) -> dict | InvalidConfig:
         """It is in the product's form."""
         return written
 
@@ -143,22 +143,22 @@
             expected = expected.strip().strip('"')
             if not (expected.isascii() and expected.isdigit() and len(expected) < 16):
                 return _refused(code=400, reason="if-match", detail="If-Match is a number in quotes")
-        given = read_config(text=event.body)
-        if isinstance(given, Unsound):
-            return refused_unsound(unsound=given)
+        argument = read_config(text=event.body)
+        if isinstance(argument, InvalidConfig):
+            return refuse_invalid(invalid=argument)
         return Order(
             kind=event.method.lower(),
             register="config",
-            given=given,
-            is_dry=event.query.get("dry") == "yes",
+            argument=argument,
+            is_dry_run=event.query.get("dry") == "yes",
             expected=None if expected is None else int(expected),
         )
 
 
-def refused_unsound(*, unsound: Unsound) -> Outcome:
+def refuse_invalid(*, invalid: InvalidConfig) -> Outcome:
     """The refusal of a configuration with faults."""
     return Outcome(
-        kind="refused", code=422, reason="invalid", detail=f"{len(unsound.faults)} faults", faults=unsound.faults
+        kind="refused", code=422, reason="invalid", detail=f"{len(invalid.faults)} faults", faults=invalid.faults
     )
 
 
--- a/sailward/config/history.py
+++ b/sailward/config/history.py
@@ -37,13 +37,13 @@
 class Segment:
     """Digests of changes taken in a row, joined; the first of them built on the label `since`."""
 
-    since: int
+    base_label: int
     digests: str = ""
 
-    def has(self, *, digest: str) -> bool:
+    def contains(self, *, digest: str) -> bool:
         """Is this change among them?"""
-        places = range(0, len(self.digests), DIGEST_LENGTH)
-        return any(self.digests.startswith(digest, place) for place in places)
+        offsets = range(0, len(self.digests), DIGEST_LENGTH)
+        return any(self.digests.startswith(digest, offset) for offset in offsets)
 
     def is_full(self) -> bool:
         """Does the next change begin another segment?"""
@@ -51,30 +51,30 @@
 
     def with_change(self, *, digest: str) -> Segment:
         """The segment with one change more."""
-        return Segment(since=self.since, digests=self.digests + digest)
+        return Segment(base_label=self.base_label, digests=self.digests + digest)
 
 
 @dataclass(frozen=True, kw_only=True)
-class Labelled:
+class LabelledConfig:
     """What a register holds; `history` has the newest segment last. A register that is empty has the label 0."""
 
     written: dict | None = None
     label: int = 0
-    history: tuple[Segment, ...] = (Segment(since=0),)
+    history: tuple[Segment, ...] = (Segment(base_label=0),)
 
-    def judge(self, *, expected: int, digest: str) -> Verdict:
+    def classify(self, *, expected: int, digest: str) -> Verdict:
         """How the change with this digest, which builds on the label `expected`, stands to what is held."""
-        if self.has(digest=digest):
+        if self.contains(digest=digest):
             return Verdict.TAKEN
         if expected == self.label:
             return Verdict.NEXT
         if expected > self.label:
             return Verdict.AHEAD
-        return Verdict.LOST if expected >= self.history[0].since else Verdict.FORGOTTEN
+        return Verdict.LOST if expected >= self.history[0].base_label else Verdict.FORGOTTEN
 
-    def has(self, *, digest: str) -> bool:
+    def contains(self, *, digest: str) -> bool:
         """Does the history hold this very change?"""
-        return any(segment.has(digest=digest) for segment in self.history)
+        return any(segment.contains(digest=digest) for segment in self.history)
 
 
 def digest_change(*, method: str, expected: int | None, given: object) -> str:
@@ -83,23 +83,23 @@
     return _shorten(digest=hashlib.blake2b(text.encode(), digest_size=12).digest())
 
 
-def read_labelled(*, text: str) -> Labelled:
+def read_labelled(*, text: str) -> LabelledConfig:
     """What the text of a register holds."""
     if not text:
-        return Labelled()
+        return LabelledConfig()
     inner = json.loads(text)
     if "changes" in inner:
-        history = tuple(Segment(since=since, digests=digests) for since, digests in inner["changes"])
+        history = tuple(Segment(base_label=base_label, digests=digests) for base_label, digests in inner["changes"])
     else:
         history = (_read_pairs(pairs=inner["history"], label=inner["label"]),)
-    return Labelled(written=inner["written"], label=inner["label"], history=history)
+    return LabelledConfig(written=inner["written"], label=inner["label"], history=history)
 
 
-def write_labelled(*, before: Labelled, written: dict, label: int, digest: str) -> str:
+def write_labelled(*, before: LabelledConfig, written: dict, label: int, digest: str) -> str:
     """The text with one change more."""
     *older, newest = before.history
     if newest.is_full():
-        older, newest = [*older, newest], Segment(since=before.label)
+        older, newest = [*older, newest], Segment(base_label=before.label)
     segments = [*older, newest.with_change(digest=digest)][-constants.HISTORY_SEGMENTS :]
     return json.dumps(
         {
@@ -107,7 +107,7 @@
             "label": label,
             # what the last version calls its history: it finds none, and does not stumble
             "history": [],
-            "changes": [[segment.since, segment.digests] for segment in segments],
+            "changes": [[segment.base_label, segment.digests] for segment in segments],
         },
         separators=(",", ":"),
     )
@@ -119,9 +119,9 @@
     What the first of them built on is not known.
     """
     if not pairs:
-        return Segment(since=label)
+        return Segment(base_label=label)
     digests = "".join(_shorten(digest=bytes.fromhex(digest)) for _, digest in pairs)
-    return Segment(since=pairs[0][0], digests=digests)
+    return Segment(base_label=pairs[0][0], digests=digests)
 
 
 def _shorten(*, digest: bytes) -> str:
--- a/sailward/config/schema.py
+++ b/sailward/config/schema.py
@@ -39,7 +39,7 @@
 PATH = r"^/[^?#\s]*$"
 HOST = r"^[^\s/]{0,253}$"
 METHOD = "^[A-Z]{1,16}$"
-KINDS = ["", "repeatable", "once"]
+MATCH_KINDS = ["", "repeatable", "once"]
 MATCH: dict[str, Any] = {
     "path": {"type": "string", "regex": PATH, "required": True},
     "methods": {"type": "list", "schema": {"type": "string", "regex": METHOD}, "default": []},
@@ -59,7 +59,7 @@
     },
     "name": {"type": "string", "maxlength": 1000},
     "host": {"type": "string", "regex": HOST},
-    "kind": {"type": "string", "allowed": KINDS},
+    "kind": {"type": "string", "allowed": MATCH_KINDS},
     "expiry_s": {"type": "number", "min": 0.05, "max": 3600},
     "tries": {"type": "integer", "min": 1, "max": 10},
     "target_s": {"type": "number", "min": 0, "max": 1e6},
--- a/sailward/config/template_expansion.py
+++ b/sailward/config/template_expansion.py
@@ -7,12 +7,12 @@
 
 from deepmerge import Merger
 
-KINDS = {"string": str, "integer": int, "list": list}
-OVER = Merger([(dict, ["merge"]), (list, ["override"])], ["override"], ["override"])
-PARTS = ("pools", "tenants", "matches")
+PARAMETER_TYPES = {"string": str, "integer": int, "list": list}
+OVERLAY_MERGER = Merger([(dict, ["merge"]), (list, ["override"])], ["override"], ["override"])
+EXPANDABLE_PARTS = ("pools", "tenants", "matches")
 
 
-class Pattern(string.Template):
+class ParameterTemplate(string.Template):
     """Parameters are written ${name}."""
 
     idpattern = r"(?a:[a-z][a-z0-9_]*)"
@@ -30,13 +30,13 @@
         if template is None:
             faults.append((f"{path}.template", f"no template {stamp['template']!r}"))
             continue
-        given, wrong = _fill_parameters(template=template, stamp=stamp, path=path)
-        shape = _fill(shape=template["shape"], given={**given, "stamp": name}, path=path, faults=wrong)
-        faults += wrong
-        if wrong:
+        given, stamp_faults = _fill_parameters(template=template, stamp=stamp, path=path)
+        shape = _fill(shape=template["shape"], given={**given, "stamp": name}, path=path, faults=stamp_faults)
+        faults += stamp_faults
+        if stamp_faults:
             continue
-        shape = OVER.merge(shape, copy.deepcopy(stamp.get("overlay") or {}))
-        faults += _add(full=full, shape=shape, path=path)
+        shape = OVERLAY_MERGER.merge(shape, copy.deepcopy(stamp.get("overlay") or {}))
+        faults += _add_parts(full=full, shape=shape, path=path)
     return full, faults
 
 
@@ -48,7 +48,7 @@
         value = given.get(name, rule.get("default"))
         if value is None:
             faults.append((f"{path}.parameters.{name}", "missing"))
-        elif not isinstance(value, KINDS[rule["type"]]) or isinstance(value, bool):
+        elif not isinstance(value, PARAMETER_TYPES[rule["type"]]) or isinstance(value, bool):
             faults.append((f"{path}.parameters.{name}", f"must be of type {rule['type']}"))
         else:
             filled[name] = value
@@ -67,7 +67,7 @@
         return [_fill(shape=inner, given=given, path=path, faults=faults) for inner in shape]
     if not isinstance(shape, str) or "$" not in shape:
         return shape
-    pattern = Pattern(shape)
+    pattern = ParameterTemplate(shape)
     if not pattern.is_valid():
         faults.append((path, f"ill-formed parameter in {shape!r}"))
         return shape
@@ -83,11 +83,11 @@
     return pattern.substitute(given)
 
 
-def _add(*, full: dict, shape: dict, path: str) -> list[tuple[str, str]]:
+def _add_parts(*, full: dict, shape: dict, path: str) -> list[tuple[str, str]]:
     faults = []
     for part, inner in shape.items():
-        if part not in PARTS or not isinstance(inner, list if part == "matches" else dict):
-            faults.append((f"{path}.{part}", f"a template holds {', '.join(PARTS)} only"))
+        if part not in EXPANDABLE_PARTS or not isinstance(inner, list if part == "matches" else dict):
+            faults.append((f"{path}.{part}", f"a template holds {', '.join(EXPANDABLE_PARTS)} only"))
         elif part == "matches":
             full.setdefault(part, []).extend(inner)
         else:
--- a/sailward/consensus/acceptor.py
+++ b/sailward/consensus/acceptor.py
@@ -6,13 +6,13 @@
 
 from sailward.wire_types import Ballot, Message, RegisterValue
 
-CLAIM = "exchange/"
+CLAIM_PREFIX = "exchange/"
 """What the name of a claim's register begins with."""
-KNOWN = "known/voters"
+KNOWN_VOTERS_RECORD = "known/voters"
 """What a record of the voters that are known to be chosen is written under: a promise, to versions that don't know
 it."""
-NONE = [0, ""]
-FIRST = [0, "first"]
+NO_BALLOT = [0, ""]
+FIRST_BALLOT = [0, "first"]
 """The ballot that every proposer shares for a register that has no vote yet."""
 
 
@@ -20,10 +20,10 @@
 class Slot:
     """What a voter remembers of one register."""
 
-    promised: Ballot = field(default_factory=lambda: list(NONE))
-    ballot: Ballot = field(default_factory=lambda: list(NONE))
+    promised: Ballot = field(default_factory=lambda: list(NO_BALLOT))
+    ballot: Ballot = field(default_factory=lambda: list(NO_BALLOT))
     value: RegisterValue | None = None
-    since: float = 0.0
+    updated_at: float = 0.0
 
     def vote(self) -> list:
         """The vote as a message carries it: empty if none was cast."""
@@ -35,12 +35,12 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.control: set[str] = set()
+        self.control_names: set[str] = set()
 
     def __setitem__(self, name: str, slot: Slot) -> None:
         """Keep the slot, and its name with the control registers if it is no claim."""
-        if not name.startswith(CLAIM):
-            self.control.add(name)
+        if not name.startswith(CLAIM_PREFIX):
+            self.control_names.add(name)
         super().__setitem__(name, slot)
 
 
@@ -77,17 +77,17 @@
 
     def _vote_first(self, *, now: float, body: Message, slot: Slot) -> tuple[list[dict], dict]:
         name, op = body["register"], body["op"]
-        voted = {"kind": "voted", "op": op, "register": name, "ballot": FIRST}
+        voted = {"kind": "voted", "op": op, "register": name, "ballot": FIRST_BALLOT}
         if (
             slot.value is not None
-            and slot.ballot == FIRST
+            and slot.ballot == FIRST_BALLOT
             and slot.value["mark"] == body["value"]["mark"]
-            and slot.promised == FIRST
+            and slot.promised == FIRST_BALLOT
         ):
             return [], voted
-        if slot.value is not None or slot.promised != NONE:
-            return [], _nack(op=op, name=name, ballot=FIRST, reason="taken", highest_round=slot.promised[0])
-        record = {"k": "vote", "r": name, "b": FIRST, "v": body["value"]}
+        if slot.value is not None or slot.promised != NO_BALLOT:
+            return [], _nack(op=op, name=name, ballot=FIRST_BALLOT, reason="taken", highest_round=slot.promised[0])
+        record = {"k": "vote", "r": name, "b": FIRST_BALLOT, "v": body["value"]}
         fold_record(slots=self.slots, record=record, now=now)
         return [record], voted
 
@@ -100,7 +100,7 @@
     slot = slots.get(record["r"])
     if slot is None:
         slot = slots[record["r"]] = Slot()
-    slot.since = now
+    slot.updated_at = now
     slot.promised = max(slot.promised, record["b"])
     if record["k"] == "vote":
         slot.ballot, slot.value = record["b"], record["v"]
--- a/sailward/consensus/learner.py
+++ b/sailward/consensus/learner.py
@@ -4,17 +4,17 @@
 
 from dataclasses import dataclass, field
 
-from sailward.consensus.proposer import EMPTY
+from sailward.consensus.proposer import EMPTY_VALUE
 from sailward.consensus.voter_set import VoterSet, read_voters
 from sailward.events import Command, SendMessage
 from sailward.wire_types import Ballot, RegisterValue
 
-CONTROL = ("config", "orders", "voters")
+CONTROL_REGISTERS = ("config", "orders", "voters")
 
 
-def is_control(*, name: str) -> bool:
+def is_control_register(*, name: str) -> bool:
     """Is this a register that proxies act on?"""
-    return name in CONTROL or name.startswith("slots/")
+    return name in CONTROL_REGISTERS or name.startswith("slots/")
 
 
 @dataclass(kw_only=True)
@@ -22,7 +22,7 @@
     """A register's value that is known to have been chosen."""
 
     ballot: Ballot = field(default_factory=lambda: [0, ""])
-    value: RegisterValue = field(default_factory=EMPTY.copy)
+    value: RegisterValue = field(default_factory=EMPTY_VALUE.copy)
 
 
 @dataclass(kw_only=True)
@@ -64,7 +64,7 @@
             else []
         )
 
-    def have(self) -> dict:
+    def known_versions(self) -> dict:
         """Number, mark and ballot of each register held."""
         return {
             name: [values.value["number"], values.value["mark"], values.ballot] for name, values in self.values.items()
--- a/sailward/consensus/messages.py
+++ b/sailward/consensus/messages.py
@@ -13,7 +13,7 @@
 from flatbuffers import flexbuffers
 
 from sailward import constants
-from sailward.consensus.acceptor import KNOWN
+from sailward.consensus.acceptor import KNOWN_VOTERS_RECORD
 from sailward.shapes import (
     Check,
     either_of,
@@ -33,74 +33,74 @@
 )
 from sailward.wire_types import Message
 
-SLOTS = "slots/"
+SLOTS_PREFIX = "slots/"
 """What the name of a divided service's register begins with."""
-OWN_LISTS = ("workers", "fleet")
+PER_SENDER_LISTS = ("workers", "fleet")
 """What is told under a number of the teller's own, with its teller's name."""
 
 
-def is_ballot(given: object) -> bool:
+def is_ballot(value: object) -> bool:
     """Is it [round, proposer]?"""
-    return isinstance(given, list) and len(given) == 2 and is_complete(given[0]) and isinstance(given[1], str)
+    return isinstance(value, list) and len(value) == 2 and is_complete(value[0]) and isinstance(value[1], str)
 
 
-VALUE: dict[str, Check] = {"number": is_count, "mark": is_text, "trail": list_of(is_text), "text": is_text}
+VALUE_CHECKS: dict[str, Check] = {"number": is_count, "mark": is_text, "trail": list_of(is_text), "text": is_text}
 """The fields of a register's value, and no others: a vote is written to the disk as it came."""
 
 
-def is_value(given: object) -> bool:
+def is_value(value: object) -> bool:
     """Is it a register's value?"""
     return (
-        isinstance(given, dict)
-        and given.keys() == VALUE.keys()
-        and all(fits(given[name]) for name, fits in VALUE.items())
+        isinstance(value, dict)
+        and value.keys() == VALUE_CHECKS.keys()
+        and all(check(value[name]) for name, check in VALUE_CHECKS.items())
     )
 
 
-def is_vote(given: object) -> bool:
+def is_vote(value: object) -> bool:
     """Is it [ballot, value]?"""
-    return isinstance(given, list) and len(given) == 2 and is_ballot(given[0]) and is_value(given[1])
+    return isinstance(value, list) and len(value) == 2 and is_ballot(value[0]) and is_value(value[1])
 
 
-def is_vote_or_none(given: object) -> bool:
+def is_vote_or_none(value: object) -> bool:
     """Is it a vote, or empty for none?"""
-    return given == [] or is_vote(given)
+    return value == [] or is_vote(value)
 
 
-def is_register(given: object) -> bool:
+def is_register(value: object) -> bool:
     """Is it a register's name? One name is kept for a record of the disk."""
-    return isinstance(given, str) and given != KNOWN
+    return isinstance(value, str) and value != KNOWN_VOTERS_RECORD
 
 
-def is_bucket(given: object) -> bool:
+def is_bucket(value: object) -> bool:
     """Is it the number of a bucket of keys?"""
-    return is_count(given) and given < constants.KEY_LOAD_BUCKETS  # type: ignore[operator]
+    return is_count(value) and value < constants.KEY_LOAD_BUCKETS  # type: ignore[operator]
 
 
-def is_bucket_name(given: object) -> bool:
+def is_bucket_name(value: object) -> bool:
     """Is it the number of a bucket of keys, as the name of a field?"""
-    is_digits = isinstance(given, str) and given.isascii() and given.isdigit() and len(given) < 10
-    return is_digits and is_bucket(int(given))  # type: ignore[call-overload]
+    is_digits = isinstance(value, str) and value.isascii() and value.isdigit() and len(value) < 10
+    return is_digits and is_bucket(int(value))  # type: ignore[call-overload]
 
 
-def is_location(given: object) -> bool:
+def is_location(value: object) -> bool:
     """Is it SERVICE|ZONE?"""
-    return isinstance(given, str) and "|" in given
+    return isinstance(value, str) and "|" in value
 
 
-def is_rates(given: object) -> bool:
+def is_load_summary(value: object) -> bool:
     """Is it a whole in tenths, then at least two ends of parts; or empty?"""
-    return given == [] or (
-        isinstance(given, list) and len(given) >= 3 and is_count(given[0]) and all(map(is_bucket, given[1:]))
+    return value == [] or (
+        isinstance(value, list) and len(value) >= 3 and is_count(value[0]) and all(map(is_bucket, value[1:]))
     )
 
 
 _is_pace = row_of(is_amount, is_count)
 
 
-def is_pace(given: Any) -> bool:
+def is_pace(value: Any) -> bool:
     """Is it a pace and how many times are behind it, one at least?"""
-    return _is_pace(given) and given[1] > 0
+    return _is_pace(value) and value[1] > 0
 
 
 _is_digest = row_of(is_complete, is_text, is_ballot)
@@ -111,12 +111,12 @@
 """Listed workers, healthy ones, and the state of a zone."""
 
 
-def is_have(given: object) -> bool:
+def is_known_versions(value: object) -> bool:
     """Is it what an asker holds, by name?"""
     return (
-        isinstance(given, dict)
-        and all(isinstance(name, str) and _is_known_version(held) for name, held in given.items())
-        and all(len(given[name]) > 1 for name in OWN_LISTS if name in given)
+        isinstance(value, dict)
+        and all(isinstance(name, str) and _is_known_version(version) for name, version in value.items())
+        and all(len(value[name]) > 1 for name in PER_SENDER_LISTS if name in value)
     )
 
 
@@ -160,12 +160,12 @@
 is_loads = record_of(
     needed={},
     optional={
-        "rates": map_of(is_rates),
+        "rates": map_of(is_load_summary),
         "paces": map_of(is_pace),
     },
 )
 
-MESSAGES: dict[str, dict[str, Check]] = {
+MESSAGE_CHECKS: dict[str, dict[str, Check]] = {
     "prepare": {"op": is_text, "register": is_register, "ballot": is_ballot, "voters": is_complete},
     "promise": {"op": is_text, "register": is_register, "ballot": is_ballot, "vote": is_vote_or_none},
     "accept": {"op": is_text, "register": is_register, "ballot": is_ballot, "voters": is_complete, "value": is_value},
@@ -183,7 +183,7 @@
     "told": {"op": is_text, "register": is_register, "vote": is_vote_or_none},
     "chosen": {"register": is_register, "ballot": is_ballot, "value": is_value},
     "want": {"register": is_text},
-    "ask": {"seq": is_complete, "have": is_have, "report": is_report, "daemon": is_daemon},
+    "ask": {"seq": is_complete, "have": is_known_versions, "report": is_report, "daemon": is_daemon},
     "grant": {
         "seq": is_complete,
         "newest": map_of(_is_digest),
@@ -212,7 +212,7 @@
     "confirmed": {"seq": is_complete, "identity": is_text, "newest": map_of(_is_digest)},
     "fleet": {
         "number": is_complete,
-        "rows": either_of(lambda given: given == ["same"], list_of(is_proxy_row)),
+        "rows": either_of(lambda value: value == ["same"], list_of(is_proxy_row)),
         "loads": is_loads,
         "down": map_of(is_count),
     },
@@ -225,7 +225,7 @@
     },
 }
 """Each kind's fields in the order in which a frame carries them, with the check of each."""
-FIELDS: dict[str, tuple[str, ...]] = {kind: tuple(fields) for kind, fields in MESSAGES.items()}
+FIELDS: dict[str, tuple[str, ...]] = {kind: tuple(fields) for kind, fields in MESSAGE_CHECKS.items()}
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -254,11 +254,11 @@
     if not isinstance(body, dict):
         return BadMessage(reason="not-a-map")
     kind = body.get("kind")
-    fields = MESSAGES.get(kind) if isinstance(kind, str) else None
+    fields = MESSAGE_CHECKS.get(kind) if isinstance(kind, str) else None
     if fields is None:
         return BadMessage(reason="unknown-kind")
-    for name, fits in fields.items():
-        if name not in body or not fits(body[name]):
+    for name, check in fields.items():
+        if name not in body or not check(body[name]):
             return BadMessage(reason=f"field:{kind}.{name}")
     for register, value in _values_in(body=body):
         if not is_readable(register=register, text=value["text"]):
@@ -286,7 +286,7 @@
 
 def is_readable(*, register: str, text: str) -> bool:
     """Can a control register's text be read? The configuration, which is large, is checked where it is read."""
-    if register in ("voters", "orders") or register.startswith(SLOTS):
+    if register in ("voters", "orders") or register.startswith(SLOTS_PREFIX):
         return text == "" or _is_readable(register=register.split("/", maxsplit=1)[0], text=text)
     return True
 
@@ -294,19 +294,19 @@
 @lru_cache(maxsize=64)
 def _is_readable(*, register: str, text: str) -> bool:
     try:
-        inner = json.loads(text)
+        decoded = json.loads(text)
     except (ValueError, RecursionError):
         return False
-    return _TEXTS[register](inner)
+    return _TEXT_CHECKS[register](decoded)
 
 
-_TEXTS: dict[str, Check] = {
+_TEXT_CHECKS: dict[str, Check] = {
     "voters": record_of(
         needed={"members": map_of(is_text)},
         optional={
             "size": is_count,
             "anew": either_of(
-                lambda given: given is None,
+                lambda value: value is None,
                 record_of(
                     needed={
                         "number": is_count,
--- a/sailward/consensus/proposer.py
+++ b/sailward/consensus/proposer.py
@@ -9,12 +9,12 @@
 from typing import NamedTuple
 
 from sailward import constants
-from sailward.consensus.acceptor import FIRST
+from sailward.consensus.acceptor import FIRST_BALLOT
 from sailward.consensus.voter_set import VoterSet
 from sailward.events import Command, SendMessage
 from sailward.wire_types import Ballot, Message, RegisterValue
 
-EMPTY: RegisterValue = {"number": 0, "mark": "", "trail": [], "text": ""}
+EMPTY_VALUE: RegisterValue = {"number": 0, "mark": "", "trail": [], "text": ""}
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -62,7 +62,7 @@
     register: str
     expected: int = 0
     text: str | None = None
-    first: bool = False
+    use_first_ballot: bool = False
     timeout: float = constants.OPERATION_TIMEOUT
 
 
@@ -87,20 +87,20 @@
     `offered`: its change may have been accepted by some voter. `against`: voters that refused the first round.
     """
 
-    begin: StartOperation
-    mark: str
+    request: StartOperation
+    change_id: str
     expiry: float
     voters: Mapping[str, str]
     number: int = 0
     phase: Phase = Phase.READ
     ballot: Ballot = field(default_factory=lambda: [0, ""])
     answers: dict = field(default_factory=dict)
-    value: RegisterValue = field(default_factory=EMPTY.copy)
-    offered: bool = False
+    value: RegisterValue = field(default_factory=EMPTY_VALUE.copy)
+    may_be_accepted: bool = False
     retry_at: float = 0.0
     attempts: int = 0
     highest_round: int = 0
-    against: set = field(default_factory=set)
+    refused_by: set = field(default_factory=set)
 
 
 class ProposerResult(NamedTuple):
@@ -124,7 +124,7 @@
         self.identity = identity
         self._rng = rng
         self._count = 0
-        self._live: dict[str, Operation] = {}
+        self._pending: dict[str, Operation] = {}
         self._round = 0
 
     def step(
@@ -132,43 +132,47 @@
     ) -> ProposerResult:
         """Take an operation to start, a message from a voter (sender, body), or None for time going on."""
         if isinstance(event, StartOperation):
-            return self._begin(now=now, voters=voters, begin=event)
+            return self._begin(now=now, voters=voters, request=event)
         if event is None:
             return self._on_timer(now=now, voters=voters)
         sender, body = event
         # the op on the wire carries the process's name, so that no other's is taken for it
-        operation = self._live.get(body["op"])
-        if operation is None or body["register"] != operation.begin.register or sender not in operation.voters.values():
+        operation = self._pending.get(body["op"])
+        if (
+            operation is None
+            or body["register"] != operation.request.register
+            or sender not in operation.voters.values()
+        ):
             return ProposerResult([], [])
         return self._on_reply(now=now, operation=operation, sender=sender, body=body)
 
-    def _begin(self, *, now: float, voters: VoterSet, begin: StartOperation) -> ProposerResult:
+    def _begin(self, *, now: float, voters: VoterSet, request: StartOperation) -> ProposerResult:
         if not voters.members:
-            outcome = Refused(reason="no-voters", value=EMPTY, ballot=[0, ""])
-            return ProposerResult([], [OperationFinished(op=begin.op, register=begin.register, outcome=outcome)])
+            outcome = Refused(reason="no-voters", value=EMPTY_VALUE, ballot=[0, ""])
+            return ProposerResult([], [OperationFinished(op=request.op, register=request.register, outcome=outcome)])
         self._count += 1
         operation = Operation(
-            begin=begin,
-            mark=f"{self.identity}.{self._count}",
-            expiry=now + begin.timeout,
+            request=request,
+            change_id=f"{self.identity}.{self._count}",
+            expiry=now + request.timeout,
             voters=voters.members,
             number=voters.number,
             highest_round=self._round,
         )
-        self._live[begin.op] = operation
-        operation.phase = Phase.READ if begin.text is None else Phase.PREPARE
-        if begin.first and begin.expected == 0 and begin.text is not None:
-            operation.phase, operation.ballot, operation.offered = Phase.FIRST, FIRST, True
-            operation.value = {"number": 1, "mark": operation.mark, "trail": [], "text": begin.text}
+        self._pending[request.op] = operation
+        operation.phase = Phase.READ if request.text is None else Phase.PREPARE
+        if request.use_first_ballot and request.expected == 0 and request.text is not None:
+            operation.phase, operation.ballot, operation.may_be_accepted = Phase.FIRST, FIRST_BALLOT, True
+            operation.value = {"number": 1, "mark": operation.change_id, "trail": [], "text": request.text}
         return ProposerResult(self._open_round(now=now, operation=operation), [])
 
     def _open_round(self, *, now: float, operation: Operation) -> list[Command]:
-        size = len(operation.begin.text or "") + len(operation.value.get("text", ""))
+        size = len(operation.request.text or "") + len(operation.value.get("text", ""))
         operation.answers, operation.retry_at = (
             {},
             now + constants.ROUND_TIMEOUT + size * constants.ROUND_TIMEOUT_PER_BYTE,
         )
-        body = {"op": operation.begin.op, "register": operation.begin.register, "voters": operation.number}
+        body = {"op": operation.request.op, "register": operation.request.register, "voters": operation.number}
         if operation.phase == Phase.READ:
             body["kind"] = "read"
         elif operation.phase == Phase.FIRST:
@@ -183,7 +187,7 @@
 
     def _on_timer(self, *, now: float, voters: VoterSet) -> ProposerResult:
         commands, finished = [], []
-        for operation in list(self._live.values()):
+        for operation in list(self._pending.values()):
             if now >= operation.expiry:
                 finished.append(self._give_up(operation=operation))
             elif now >= operation.retry_at:
@@ -193,13 +197,15 @@
         return ProposerResult(commands, finished)
 
     def _give_up(self, *, operation: Operation) -> OperationFinished:
-        if operation.offered:
+        if operation.may_be_accepted:
             return self._finish(operation=operation, outcome=Unknown(reason="accept-round-unfinished"))
-        return self._finish(operation=operation, outcome=Refused(reason="no-majority", value=EMPTY, ballot=[0, ""]))
+        return self._finish(
+            operation=operation, outcome=Refused(reason="no-majority", value=EMPTY_VALUE, ballot=[0, ""])
+        )
 
     def _finish(self, *, operation: Operation, outcome: Accepted | Refused | Unknown) -> OperationFinished:
-        del self._live[operation.begin.op]
-        return OperationFinished(op=operation.begin.op, register=operation.begin.register, outcome=outcome)
+        del self._pending[operation.request.op]
+        return OperationFinished(op=operation.request.op, register=operation.request.register, outcome=outcome)
 
     def _on_reply(self, *, now: float, operation: Operation, sender: str, body: Message) -> ProposerResult:
         kind = body["kind"]
@@ -211,19 +217,21 @@
         if kind != expected or (kind != "told" and body["ballot"] != operation.ballot):
             return ProposerResult([], [])
         operation.answers[sender] = body.get("vote", [])
-        quorum_of = fast_of if operation.phase == Phase.FIRST else majority_of
-        need = quorum_of(members=operation.voters)
-        if len(operation.answers) < need:
+        quorum_size = fast_quorum_size if operation.phase == Phase.FIRST else majority_size
+        needed = quorum_size(members=operation.voters)
+        if len(operation.answers) < needed:
             return ProposerResult([], [])
         if operation.phase == Phase.READ:
-            return self._judge_read(now=now, operation=operation)
+            return self._evaluate_read(now=now, operation=operation)
         if operation.phase == Phase.PREPARE:
-            return self._judge_promises(now=now, operation=operation)
-        return ProposerResult([], [self._finish(operation=operation, outcome=self._judge_votes(operation=operation))])
+            return self._evaluate_promises(now=now, operation=operation)
+        return ProposerResult(
+            [], [self._finish(operation=operation, outcome=self._evaluate_votes(operation=operation))]
+        )
 
     def _on_register_taken(self, *, now: float, operation: Operation, sender: str) -> list[Command]:
-        operation.against.add(sender)
-        if len(operation.against) <= len(operation.voters) - fast_of(members=operation.voters):
+        operation.refused_by.add(sender)
+        if len(operation.refused_by) <= len(operation.voters) - fast_quorum_size(members=operation.voters):
             return []
         operation.phase = Phase.PREPARE
         return self._open_round(now=now, operation=operation)
@@ -238,43 +246,43 @@
         operation.ballot, operation.answers = [0, ""], {}
         return []
 
-    def _judge_read(self, *, now: float, operation: Operation) -> ProposerResult:
+    def _evaluate_read(self, *, now: float, operation: Operation) -> ProposerResult:
         votes = list(operation.answers.values())
         for vote in votes:
-            is_first = bool(vote) and vote[0] == FIRST
-            need = fast_of(members=operation.voters) if is_first else majority_of(members=operation.voters)
-            if votes.count(vote) >= need:
-                ballot, value = vote if vote else ([0, ""], EMPTY)
+            is_first = bool(vote) and vote[0] == FIRST_BALLOT
+            needed = fast_quorum_size(members=operation.voters) if is_first else majority_size(members=operation.voters)
+            if votes.count(vote) >= needed:
+                ballot, value = vote if vote else ([0, ""], EMPTY_VALUE)
                 return ProposerResult(
-                    [], [self._finish(operation=operation, outcome=_read(ballot=ballot, value=value))]
+                    [], [self._finish(operation=operation, outcome=_read_outcome(ballot=ballot, value=value))]
                 )
         operation.retry_at = (
             now if len(votes) == len(operation.voters) else min(operation.retry_at, now + constants.PROPOSER_BACKOFF)
         )
         return ProposerResult([], [])
 
-    def _judge_promises(self, *, now: float, operation: Operation) -> ProposerResult:
-        value = newest_of(votes=list(operation.answers.values()), members=operation.voters)
-        begin = operation.begin
-        if begin.text is None or operation.mark in (value["mark"], *value["trail"]):
+    def _evaluate_promises(self, *, now: float, operation: Operation) -> ProposerResult:
+        value = possibly_chosen_value(votes=list(operation.answers.values()), members=operation.voters)
+        request = operation.request
+        if request.text is None or operation.change_id in (value["mark"], *value["trail"]):
             operation.value = value
-        elif value["number"] == begin.expected:
+        elif value["number"] == request.expected:
             trail = [value["mark"], *value["trail"]][: constants.REGISTER_HISTORY_LENGTH]
             operation.value = {
                 "number": value["number"] + 1,
-                "mark": operation.mark,
+                "mark": operation.change_id,
                 "trail": trail,
-                "text": begin.text,
+                "text": request.text,
             }
-            operation.offered = True
+            operation.may_be_accepted = True
         else:
             operation.value = value
         if operation.value["number"] == 0:
             return ProposerResult(
                 [],
                 [
-                    self._finish(operation=operation, outcome=_read(ballot=[0, ""], value=EMPTY))
-                    if begin.text is None
+                    self._finish(operation=operation, outcome=_read_outcome(ballot=[0, ""], value=EMPTY_VALUE))
+                    if request.text is None
                     else self._refuse(operation=operation)
                 ],
             )
@@ -286,52 +294,52 @@
             operation=operation, outcome=Refused(reason="number", value=operation.value, ballot=operation.ballot)
         )
 
-    def _judge_votes(self, *, operation: Operation) -> Accepted | Refused | Unknown:
-        ours = operation.mark in (operation.value["mark"], *operation.value["trail"])
-        if operation.begin.text is None:
-            return _read(ballot=operation.ballot, value=operation.value)
-        if ours:
-            return Accepted(number=operation.begin.expected + 1, ballot=operation.ballot, value=operation.value)
+    def _evaluate_votes(self, *, operation: Operation) -> Accepted | Refused | Unknown:
+        is_ours = operation.change_id in (operation.value["mark"], *operation.value["trail"])
+        if operation.request.text is None:
+            return _read_outcome(ballot=operation.ballot, value=operation.value)
+        if is_ours:
+            return Accepted(number=operation.request.expected + 1, ballot=operation.ballot, value=operation.value)
         if (
-            operation.offered
-            and operation.value["number"] > operation.begin.expected + constants.REGISTER_HISTORY_LENGTH
+            operation.may_be_accepted
+            and operation.value["number"] > operation.request.expected + constants.REGISTER_HISTORY_LENGTH
         ):
             return Unknown(reason="trail-too-short")
         return Refused(reason="number", value=operation.value, ballot=operation.ballot)
 
 
-def _read(*, ballot: Ballot, value: RegisterValue) -> Accepted:
+def _read_outcome(*, ballot: Ballot, value: RegisterValue) -> Accepted:
     return Accepted(number=value["number"], ballot=ballot, value=value)
 
 
-def newest_of(*, votes: list, members: Mapping[str, str]) -> RegisterValue:
+def possibly_chosen_value(*, votes: list, members: Mapping[str, str]) -> RegisterValue:
     """The value that may have been chosen, by the votes of so many voters; empty if none can have been.
 
     Under the first ballot voters may hold different values: one can have been chosen only if so many of
     these hold it that, with all others, they reach the quorum of that ballot.
     """
-    cast = [vote for vote in votes if vote]
-    top = max((vote[0] for vote in cast), default=[0, ""])
-    newest: list[RegisterValue] = [vote[1] for vote in cast if vote[0] == top]
-    if top != FIRST:
-        return newest[0] if newest else EMPTY
-    need = fast_of(members=members) + len(votes) - len(members)
-    for value in newest:
-        if sum(other["mark"] == value["mark"] for other in newest) >= need:
+    cast_votes = [vote for vote in votes if vote]
+    highest_ballot = max((vote[0] for vote in cast_votes), default=[0, ""])
+    candidates: list[RegisterValue] = [vote[1] for vote in cast_votes if vote[0] == highest_ballot]
+    if highest_ballot != FIRST_BALLOT:
+        return candidates[0] if candidates else EMPTY_VALUE
+    needed = fast_quorum_size(members=members) + len(votes) - len(members)
+    for value in candidates:
+        if sum(other["mark"] == value["mark"] for other in candidates) >= needed:
             return value
-    return EMPTY
+    return EMPTY_VALUE
 
 
-def fast_of(*, members: Mapping[str, str]) -> int:
+def fast_quorum_size(*, members: Mapping[str, str]) -> int:
     """How many voters choose under the first ballot: any two such sets and a majority have one in common."""
-    return (2 * len(members) - majority_of(members=members)) // 2 + 1
+    return (2 * len(members) - majority_size(members=members)) // 2 + 1
 
 
-def majority_of(*, members: Mapping[str, str]) -> int:
+def majority_size(*, members: Mapping[str, str]) -> int:
     """How many of these voters are a majority."""
     return len(members) // 2 + 1
 
 
-def blocking_of(*, members: Mapping[str, str]) -> int:
+def blocking_size(*, members: Mapping[str, str]) -> int:
     """How many of these voters have one in common with every majority."""
-    return len(members) - majority_of(members=members) + 1
+    return len(members) - majority_size(members=members) + 1
--- a/sailward/control/administration/admin_api.py
+++ b/sailward/control/administration/admin_api.py
@@ -12,9 +12,9 @@
 from dataclasses import dataclass, field
 
 from sailward import constants
-from sailward.config.check import Fault, Sound, Unsound
-from sailward.config.dialect import Dialect, Order, Outcome, OwnDialect, refused_unsound
-from sailward.config.history import Labelled, Verdict, read_labelled, write_labelled
+from sailward.config.check import Fault, InvalidConfig, ValidConfig
+from sailward.config.dialect import Dialect, NativeDialect, Order, Outcome, refuse_invalid
+from sailward.config.history import LabelledConfig, Verdict, read_labelled, write_labelled
 from sailward.consensus.proposer import Accepted, OperationFinished, Refused, StartOperation, StepResult, Unknown
 from sailward.control.administration.residency import find_homeless
 from sailward.control.administration.zone_orders import read_zone_orders, write_zone_orders
@@ -52,7 +52,7 @@
     """
 
     identity: str
-    dialect: Dialect = field(default_factory=OwnDialect)
+    dialect: Dialect = field(default_factory=NativeDialect)
     zones: frozenset = frozenset()
     timeout: float = field(default_factory=lambda: constants.OPERATION_TIMEOUT)
     jobs: dict = field(default_factory=dict)
@@ -91,7 +91,7 @@
     def _on_request(self, *, event: RequestReceived) -> StepResult:
         dialect, order = self.dialect, self.dialect.read(event=event)
         if order is None:
-            dialect = OwnDialect()
+            dialect = NativeDialect()
             order = dialect.read(event=event)
         if isinstance(order, Order) and order.register == "config" and dialect.is_labelled != self.dialect.is_labelled:
             order = Outcome(
@@ -181,29 +181,29 @@
     def _weigh_labelled(self, *, job: Job) -> StepResult:
         """Judge a change of a labelled configuration by the one that is current."""
         order, current = job.order, read_labelled(text=job.text)
-        verdict = current.judge(expected=order.expected or 0, digest=order.digest)
+        verdict = current.classify(expected=order.expected or 0, digest=order.digest)
         if verdict is Verdict.NEXT:
             return self._begin_check(job=job, written=current.written or {}, current=current)
         if verdict is Verdict.TAKEN:
             # maybe by another controller: what is sent again is answered again
             return self._end(job=job, outcome=Outcome(kind="accepted", number=job.number))
         # one that does not go beyond what it builds on is invalid whenever that comes
-        label = job.dialect.label(written=order.given) if isinstance(order.given, dict) else 0
+        label = job.dialect.label(written=order.argument) if isinstance(order.argument, dict) else 0
         is_void = verdict is Verdict.AHEAD and label <= (order.expected or 0)
         if verdict is Verdict.LOST or is_void:
             detail = f"the current version is {current.label}"
             return self._end(job=job, outcome=_stale(number=current.label, detail=detail))
         return self._end(job=job, outcome=_unjudged(verdict=verdict, order=order, current=current))
 
-    def _begin_check(self, *, job: Job, written: dict, current: Labelled | None = None) -> StepResult:
-        given = job.order.given
+    def _begin_check(self, *, job: Job, written: dict, current: LabelledConfig | None = None) -> StepResult:
+        given = job.order.argument
         if job.order.kind == "patch":
             given = job.dialect.merge(written=written, patch=given)
-        config = given if isinstance(given, Unsound) else job.dialect.expand(written=given)
-        if isinstance(config, Unsound):
-            return self._end(job=job, outcome=refused_unsound(unsound=config))
+        config = given if isinstance(given, InvalidConfig) else job.dialect.expand(written=given)
+        if isinstance(config, InvalidConfig):
+            return self._end(job=job, outcome=refuse_invalid(invalid=config))
         if current is not None and job.dialect.label(written=given) <= current.label:
-            return self._end(job=job, outcome=refused_unsound(unsound=_not_newer(label=current.label)))
+            return self._end(job=job, outcome=refuse_invalid(invalid=_not_newer(label=current.label)))
         job.written = given
         self.count += 1
         token = f"{self.identity}/desk{self.count}/check"
@@ -219,9 +219,9 @@
             timeout=self.timeout + len(text) * constants.ROUND_TIMEOUT_PER_BYTE,
         )
 
-    def _after_check(self, *, job: Job, verdict: Sound | Unsound) -> StepResult:
-        if isinstance(verdict, Unsound):
-            return self._end(job=job, outcome=refused_unsound(unsound=verdict))
+    def _after_check(self, *, job: Job, verdict: ValidConfig | InvalidConfig) -> StepResult:
+        if isinstance(verdict, InvalidConfig):
+            return self._end(job=job, outcome=refuse_invalid(invalid=verdict))
         job.notes = {"warnings": [{"path": warning.path, "reason": warning.reason} for warning in verdict.warnings]}
         if job.dialect.is_labelled:
             text = write_labelled(
@@ -233,11 +233,11 @@
         else:
             before = json.loads(job.text)["full"].get("label") if job.text else None
             if before is not None and "label" in verdict.full and verdict.full["label"] <= before:
-                return self._end(job=job, outcome=refused_unsound(unsound=_not_newer(label=before)))
+                return self._end(job=job, outcome=refuse_invalid(invalid=_not_newer(label=before)))
             text = json.dumps({"written": verdict.written, "full": verdict.full}, separators=(",", ":"))
-        if job.order.is_dry:
+        if job.order.is_dry_run:
             return self._end(
-                job=job, outcome=Outcome(kind="sound", number=job.number, notes={"dry": True, **job.notes})
+                job=job, outcome=Outcome(kind="sound", number=job.number, extra={"dry": True, **job.notes})
             )
         if len(text) > 2 * constants.MAX_CONFIG_BYTES:
             return self._end(
@@ -250,7 +250,7 @@
 
     def _make_orders(self, *, job: Job) -> str | Outcome:
         """The register's text with this order taken, or why it is not."""
-        zone, kind = str(job.order.given), job.order.kind
+        zone, kind = str(job.order.argument), job.order.kind
         orders = read_zone_orders(text=job.text)
         is_known = zone in self.full.get("halls", {}) or zone in self.zones
         if not is_known and not (kind == "refill" and zone in orders.emptied):
@@ -269,14 +269,14 @@
                 kind="refused",
                 code=409,
                 reason="homes-left-empty",
-                notes={"tenants": homeless},
+                extra={"tenants": homeless},
                 detail="these tenants would have no hall at home: confirm=yes empties it all the same",
             )
         return write_zone_orders(orders=changed)
 
     def _make_voters(self, *, job: Job) -> str | Outcome:
         """One member more or less, by its identity or its name; never one that would cost the majority."""
-        kind, given = job.order.kind, job.order.given
+        kind, given = job.order.kind, job.order.argument
         members = json.loads(job.text)["members"] if job.text else {}
         names = {member.split("#")[0]: member for member in (members if kind == "part" else self.controllers)}
         identity = names.get(given, given)
@@ -308,7 +308,7 @@
                 fields |= {"builds_on": job.order.expected, "digest": job.order.digest}
             log = LogEvent(event="accepted", fields=fields)
             commands, begins = self._end(
-                job=job, outcome=Outcome(kind="accepted", number=outcome.number, notes=job.notes)
+                job=job, outcome=Outcome(kind="accepted", number=outcome.number, extra=job.notes)
             )
             return StepResult([log, *commands], begins)
         if isinstance(outcome, Unknown):
@@ -349,17 +349,17 @@
     return Outcome(kind="refused", code=412, reason="number", number=number, detail=detail)
 
 
-def _unjudged(*, verdict: Verdict, order: Order, current: Labelled) -> Outcome:
+def _unjudged(*, verdict: Verdict, order: Order, current: LabelledConfig) -> Outcome:
     """The answer to a change that is neither taken by now nor lost for good, as far as the history tells."""
     if verdict is Verdict.AHEAD:
         detail = f"it builds on {order.expected}, the current version is {current.label}: nothing was changed by now"
         return Outcome(kind="unavailable", code=503, reason="not-current-yet", number=current.label, detail=detail)
     detail = (
-        f"it builds on {order.expected}, the history reaches back to {current.history[0].since}: "
+        f"it builds on {order.expected}, the history reaches back to {current.history[0].base_label}: "
         f"read the configuration, and look for digest {order.digest} in the logs of what was accepted"
     )
     return Outcome(kind="unknown", code=504, reason="history-too-short", number=current.label, detail=detail)
 
 
-def _not_newer(*, label: int) -> Unsound:
-    return Unsound(faults=(Fault(path="label", reason=f"must be over the current one, {label}"),))
+def _not_newer(*, label: int) -> InvalidConfig:
+    return InvalidConfig(faults=(Fault(path="label", reason=f"must be over the current one, {label}"),))
--- a/sailward/control/administration/status_report.py
+++ b/sailward/control/administration/status_report.py
@@ -70,7 +70,7 @@
             "version": known.entry["version"],
             "http": known.entry["http"],
         }
-        for known in peer_table.known.values()
+        for known in peer_table.peers.values()
     ]
     return sorted(daemons, key=lambda daemon: daemon["id"])
 
--- a/sailward/control/controller.py
+++ b/sailward/control/controller.py
@@ -5,7 +5,7 @@
 import random
 
 from sailward import constants
-from sailward.config.dialect import OwnDialect
+from sailward.config.dialect import NativeDialect
 from sailward.consensus.proposer import Proposer, StartOperation
 from sailward.consensus.voter_set import VoterSet
 from sailward.control.administration.admin_api import AdminApi
@@ -99,8 +99,8 @@
             location=self.location,
             start=self.start,
             identity=self.voter.identity,
-            every=options.gossip_every,
-            suspect=options.suspect_after,
+            interval=options.gossip_every,
+            timeout=options.suspect_after,
             is_mesh=options.is_mesh,
             has_disk=options.has_disk,
         )
@@ -119,7 +119,7 @@
         """The operators' requests in flight."""
         self.admin_api = AdminApi(
             identity=self._operation_prefix,
-            dialect=self.options.dialect or OwnDialect(),
+            dialect=self.options.dialect or NativeDialect(),
             timeout=self.options.operation_wait,
             zones=frozenset(zone for zone, _ in self.options.zones),
         )
@@ -341,8 +341,8 @@
 
     def _describe_itself(self, *, now: float) -> None:
         """What the peer table tells others of this process."""
-        self.peer_table.fit = self.voting
-        self.peer_table.asks = "" if self.options.is_mesh else self.subscribers.asks(now=now)
+        self.peer_table.is_fit = self.voting
+        self.peer_table.active_proxies = "" if self.options.is_mesh else self.subscribers.asks(now=now)
         if self.options.bootstrap:
             # one that waits and can't write is not brought in
             may_act = (self.write_ahead.usable and self.options.has_disk) or self.voter.is_member
--- a/sailward/control/endpoints/endpoint_poller.py
+++ b/sailward/control/endpoints/endpoint_poller.py
@@ -8,7 +8,7 @@
 from sailward import constants
 from sailward.control.endpoints.incarnations import Incarnations
 from sailward.discovery.endpoint_pages import Pager
-from sailward.discovery.endpoint_rows import UNREADABLE_LIST, is_incarnation, read_workers
+from sailward.discovery.endpoint_rows import UNREADABLE_LIST, is_incarnation_row, read_workers
 from sailward.discovery.rendezvous import choose_names
 from sailward.events import CallFinished, LogEvent, RefusedInput, SendMessage
 from sailward.wire_types import Message, PeerEntry
@@ -67,7 +67,7 @@
         self.last_update_at = now
         if not body["rows"]:
             return [], False
-        rows = read_workers(text=body["rows"], check=is_incarnation)
+        rows = read_workers(text=body["rows"], check=is_incarnation_row)
         if rows is None:
             return self.refused.add(kind="list", reason=UNREADABLE_LIST), False
         is_newer = self.incarnations.step(now=now, rows=rows)
--- a/sailward/control/group/catch_up.py
+++ b/sailward/control/group/catch_up.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from sailward import constants
-from sailward.consensus.learner import CONTROL
+from sailward.consensus.learner import CONTROL_REGISTERS
 from sailward.consensus.proposer import Accepted, OperationFinished, StartOperation
 from sailward.control.group.quorum_contact import QuorumContact
 from sailward.control.group.voter import Voter
@@ -65,7 +65,7 @@
 
     def _names(self) -> list[str]:
         if self._voter.is_member:
-            return sorted({*CONTROL, *self._voter.acceptor.slots.control})
+            return sorted({*CONTROL_REGISTERS, *self._voter.acceptor.slots.control_names})
         if self._contact is not None and self._voter.voters.members:
             return sorted({*self._contact.unread, *self._behind})
         return []
--- a/sailward/control/group/contact_watch.py
+++ b/sailward/control/group/contact_watch.py
@@ -81,8 +81,10 @@
     def send_heartbeats(self, *, now: float) -> list[Command]:
         """Let the peer table send what is due, and note each heartbeat as a question."""
         peer_table, before = self._peer_table, self._peer_table.heartbeat
-        peer_table.contact = self.may_serve(now=now)
-        peer_table.voted = [newest_vote(slots=self._voter.acceptor.slots, name=name)[0] for name in ANNOUNCED_REGISTERS]
+        peer_table.has_contact = self.may_serve(now=now)
+        peer_table.voted_numbers = [
+            newest_vote(slots=self._voter.acceptor.slots, name=name)[0] for name in ANNOUNCED_REGISTERS
+        ]
         commands = peer_table.step(now=now, event=None)
         if peer_table.heartbeat != before:
             self.contact.record_question(now=now, question=peer_table.echo_number())
--- a/sailward/control/group/copying.py
+++ b/sailward/control/group/copying.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass, field
 
 from sailward import constants
-from sailward.consensus.acceptor import FIRST, Slot
+from sailward.consensus.acceptor import FIRST_BALLOT, Slot
 from sailward.consensus.learner import LearnedValue
-from sailward.consensus.proposer import blocking_of, majority_of, newest_of
+from sailward.consensus.proposer import blocking_size, majority_size, possibly_chosen_value
 from sailward.consensus.voter_set import VoterSet, read_voters
 from sailward.events import Command, SendMessage
 from sailward.wire_types import Message
@@ -58,9 +58,9 @@
         if not self.old:
             return False
         count = len(self.done) + (own is not None)
-        if own is None or count >= majority_of(members=self.old):
-            return count >= majority_of(members=self.old)
-        return count >= blocking_of(members=self.old) and not self._is_open(own=own)
+        if own is None or count >= majority_size(members=self.old):
+            return count >= majority_size(members=self.old)
+        return count >= blocking_size(members=self.old) and not self._is_open(own=own)
 
     def slots(self, *, now: float, own: dict[str, Slot] | None = None) -> dict[str, Slot]:
         """What may have been chosen under the set before, by what these voters told."""
@@ -68,11 +68,11 @@
         slots = {}
         for name in sorted({name for copied in sources for name in copied}):
             votes = [copied.get(name, []) for copied in sources]
-            value = newest_of(votes=votes, members=self.old)
+            value = possibly_chosen_value(votes=votes, members=self.old)
             if value["number"]:
                 ballot = max(vote[0] for vote in votes if vote)
                 promised = max(ballot, own[name].promised) if own is not None and name in own else ballot
-                slots[name] = Slot(promised=promised, ballot=ballot, value=value, since=now)
+                slots[name] = Slot(promised=promised, ballot=ballot, value=value, updated_at=now)
         return slots
 
     def _sources(self, *, own: dict[str, Slot] | None) -> list[dict]:
@@ -87,7 +87,7 @@
         marks: dict[str, set] = {}
         for copied in self._sources(own=own):
             for name, (ballot, value) in copied.items():
-                if ballot == FIRST:
+                if ballot == FIRST_BALLOT:
                     marks.setdefault(name, set()).add(value["mark"])
         return any(len(marks_of_register) > 1 for marks_of_register in marks.values())
 
--- a/sailward/control/group/disaster_recovery.py
+++ b/sailward/control/group/disaster_recovery.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass
 
 from sailward import constants
-from sailward.consensus.acceptor import CLAIM, FIRST, Slot
+from sailward.consensus.acceptor import CLAIM_PREFIX, FIRST_BALLOT, Slot
 from sailward.consensus.learner import LearnedValue
-from sailward.consensus.proposer import blocking_of
+from sailward.consensus.proposer import blocking_size
 from sailward.control.group.copying import Copying
 from sailward.events import Command, LogEvent
 from sailward.wire_types import RegisterValue
@@ -71,7 +71,7 @@
     # the set whose choices the survivors hold: the last one that acted
     base = last.base if last.number > opened else members
     number = _next_founding_number(value=value, survivors=survivors)
-    unknown_outcomes = len(set(survivors) & set(base)) < blocking_of(members=base)
+    unknown_outcomes = len(set(survivors) & set(base)) < blocking_size(members=base)
     text = {
         "members": {name: members[name] for name in survivors},
         "size": json.loads(value["text"]).get("size", len(members)),
@@ -178,11 +178,15 @@
         ballot = max(vote[0] for vote in votes)
         values = [vote[1] for vote in votes if vote[0] == ballot]
         value = values[0]
-        if name.startswith(CLAIM) and ballot == FIRST and len({candidate["mark"] for candidate in values}) > 1:
+        if (
+            name.startswith(CLAIM_PREFIX)
+            and ballot == FIRST_BALLOT
+            and len({candidate["mark"] for candidate in values}) > 1
+        ):
             claim = json.loads(value["text"])
             value = {**value, "mark": "anew", "text": json.dumps({**claim, "o": "", "i": ""})}
         promised = max(ballot, own.promised) if own else ballot
-        merged[name] = Slot(promised=promised, ballot=ballot, value=value, since=own.since if own else now)
+        merged[name] = Slot(promised=promised, ballot=ballot, value=value, updated_at=own.updated_at if own else now)
     return merged
 
 
--- a/sailward/control/group/graceful_shutdown.py
+++ b/sailward/control/group/graceful_shutdown.py
@@ -34,7 +34,7 @@
         """Tell the others again, and end when it is time."""
         if self._begun is None:
             return []
-        commands = self._announce_departure(now=now) if now - self._announced_at >= self._peer_table.every else []
+        commands = self._announce_departure(now=now) if now - self._announced_at >= self._peer_table.interval else []
         if now - self._begun < constants.VOTER_HANDOVER_TIMEOUT and self._is_of_use():
             return commands
         log = LogEvent(
--- a/sailward/control/group/membership.py
+++ b/sailward/control/group/membership.py
@@ -7,9 +7,9 @@
 from typing import Any
 
 from sailward import constants
-from sailward.config.check import Unsound, read_config
+from sailward.config.check import InvalidConfig, read_config
 from sailward.consensus.acceptor import Slot, fold_record
-from sailward.consensus.learner import is_control
+from sailward.consensus.learner import is_control_register
 from sailward.consensus.proposer import StartOperation, StepResult
 from sailward.consensus.voter_set import read_voters
 from sailward.control.controller_options import ControllerOptions
@@ -212,7 +212,7 @@
     def _announce(self) -> list[Command]:
         """Tell the other voters at once that this one acts: gossip would take its rounds."""
         peer_table = self._peer_table
-        peer_table.fit, peer_table.heartbeat = True, peer_table.heartbeat + 1
+        peer_table.is_fit, peer_table.heartbeat = True, peer_table.heartbeat + 1
         body = {"kind": "gossip", "entries": [peer_table.own_entry()], "reply": True}
         return [
             SendMessage(to=post, body=body)
@@ -233,11 +233,11 @@
         for name, learned in voter.learner.values.items():
             # what proxies and other controllers were told, if no survivor's vote is as new
             slot = slots.get(name)
-            if is_control(name=name) and (
+            if is_control_register(name=name) and (
                 slot is None or slot.value is None or slot.value["number"] < learned.value["number"]
             ):
                 ballot = max(learned.ballot, slot.promised) if slot else learned.ballot
-                slots[name] = Slot(promised=ballot, ballot=ballot, value=learned.value, since=now)
+                slots[name] = Slot(promised=ballot, ballot=ballot, value=learned.value, updated_at=now)
         voter.write_ahead.opened = read_founding(value=voter.learned_voters().value).number
         log = LogEvent(
             event="recovery-completed",
@@ -287,7 +287,7 @@
         body = {
             "kind": "ask",
             "seq": 0,
-            "have": voter.learner.have(),
+            "have": voter.learner.known_versions(),
             "report": {},
             "daemon": self._peer_table.own_entry(),
         }
@@ -329,7 +329,7 @@
 def _read_field(*, event: RequestReceived, name: str) -> Any:
     """One field of the JSON object that an operator sent; None if there is no such object, or no such field in it."""
     given = read_config(text=event.body or b"")
-    return None if isinstance(given, Unsound) else given.get(name)
+    return None if isinstance(given, InvalidConfig) else given.get(name)
 
 
 def _refuse(*, event: RequestReceived, code: int, reason: str, detail: str) -> Respond:
--- a/sailward/control/group/quorum_contact.py
+++ b/sailward/control/group/quorum_contact.py
@@ -19,8 +19,8 @@
 from dataclasses import dataclass, field
 
 from sailward import constants
-from sailward.consensus.learner import CONTROL
-from sailward.consensus.proposer import majority_of
+from sailward.consensus.learner import CONTROL_REGISTERS
+from sailward.consensus.proposer import majority_size
 
 NEVER = -1e9
 
@@ -37,7 +37,7 @@
     started: float
     lost_at: float = NEVER
     reached: dict[str, float] = field(default_factory=dict)
-    unread: set[str] = field(default_factory=lambda: set(CONTROL))
+    unread: set[str] = field(default_factory=lambda: set(CONTROL_REGISTERS))
     had_contact: bool = False
     _questions: dict[int | str, float] = field(default_factory=dict)
 
@@ -63,7 +63,7 @@
         if not members:
             return NEVER
         times = [now if identity == own else self.reached.get(post, NEVER) for identity, post in members.items()]
-        return sorted(times, reverse=True)[majority_of(members=members) - 1]
+        return sorted(times, reverse=True)[majority_size(members=members) - 1]
 
     def has_contact(self, *, now: float, members: Mapping[str, str], own: str) -> bool:
         """Was a majority reached within the last QUORUM_CONTACT_TTL seconds?"""
@@ -103,4 +103,4 @@
 
     def _lose(self, *, now: float) -> None:
         if self.had_contact:
-            self.had_contact, self.lost_at, self.unread = False, now, set(CONTROL)
+            self.had_contact, self.lost_at, self.unread = False, now, set(CONTROL_REGISTERS)
--- a/sailward/control/group/redirect.py
+++ b/sailward/control/group/redirect.py
@@ -15,7 +15,7 @@
     """[[post, zone, region], ...] of the controllers known here, also those that are out of reach from here."""
     places = {
         known.entry["post"]: [known.entry["post"], known.entry["hall"], known.entry["region"]]
-        for known in peer_table.known.values()
+        for known in peer_table.peers.values()
         if kind_of(entry=known.entry) == "controller"
     }
     for post in members.values():
@@ -28,11 +28,11 @@
     """307 to a controller that was heard to have contact just now, or 503 with when to come back; nothing definite."""
     able = [
         known.entry
-        for known in peer_table.known.values()
+        for known in peer_table.peers.values()
         if kind_of(entry=known.entry) == "controller"
         and now - known.last_seen_at <= constants.QUORUM_CONTACT_REPORT_TTL
         and known.entry["fit"]
-        and known.contact
+        and known.has_contact
     ]
     if able:
         location = peer_table.location
--- a/sailward/control/group/repair.py
+++ b/sailward/control/group/repair.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 
 from sailward import constants
-from sailward.consensus.proposer import majority_of
+from sailward.consensus.proposer import majority_size
 from sailward.consensus.voter_set import VoterSet
 from sailward.discovery.rendezvous import choose_names
 from sailward.wire_types import PeerEntry
@@ -194,10 +194,10 @@
 def count_core(*, members: Mapping[str, str], controllers: list[PeerEntry]) -> dict:
     """How many voters are heard of as voting, how many a majority needs, and who is missing."""
     well = {entry["identity"] for entry in controllers if entry["fit"]} & set(members)
-    return {"voting": len(well), "needed": majority_of(members=members), "missing": sorted(set(members) - well)}
+    return {"voting": len(well), "needed": majority_size(members=members), "missing": sorted(set(members) - well)}
 
 
 def keeps_majority(*, text: str, well: set) -> bool:
     """Would the members that are well be a majority of this set?"""
     members = json.loads(text)["members"]
-    return len(well & set(members)) >= majority_of(members=members)
+    return len(well & set(members)) >= majority_size(members=members)
--- a/sailward/control/group/voter.py
+++ b/sailward/control/group/voter.py
@@ -5,7 +5,15 @@
 from dataclasses import dataclass
 
 from sailward import constants
-from sailward.consensus.acceptor import CLAIM, KNOWN, Acceptor, Slot, Slots, fold_record, slot_records
+from sailward.consensus.acceptor import (
+    CLAIM_PREFIX,
+    KNOWN_VOTERS_RECORD,
+    Acceptor,
+    Slot,
+    Slots,
+    fold_record,
+    slot_records,
+)
 from sailward.consensus.learner import LearnedValue, Learner
 from sailward.consensus.voter_set import VoterSet, read_voters
 from sailward.control.bootstrap import Bootstrap, make_founder
@@ -46,7 +54,7 @@
             opened = record["n"]
         elif record["k"] == "left":
             identity, copied, under, opened, slots = record["id"], False, 0, 0, Slots()
-        elif record.get("r") == KNOWN:
+        elif record.get("r") == KNOWN_VOTERS_RECORD:
             known = record
         else:
             fold_record(slots=slots, record=record, now=now)
@@ -151,7 +159,7 @@
     def newest(self) -> dict[str, list]:
         """Number, mark and ballot of the newest vote of each register that is no claim."""
         newest = {}
-        for name in self.acceptor.slots.control:
+        for name in self.acceptor.slots.control_names:
             slot = self.acceptor.slots[name]
             value = slot.value or {"number": 0, "mark": ""}
             newest[name] = [value["number"], value["mark"], slot.ballot]
@@ -169,7 +177,7 @@
         """What was voted for as a member of earlier sets is void."""
         for name in list(self.acceptor.slots):
             del self.acceptor.slots[name]
-        self.acceptor.slots.control.clear()
+        self.acceptor.slots.control_names.clear()
         self.write_ahead.copied, self.write_ahead.under, self.write_ahead.opened = False, 0, 0
         return self.write_ahead.step(records=[{"k": "left", "id": self.identity}], replies=[])
 
@@ -181,7 +189,7 @@
         old = [
             name
             for name, slot in self.acceptor.slots.items()
-            if name.startswith(CLAIM) and now - slot.since > constants.CLAIM_TTL
+            if name.startswith(CLAIM_PREFIX) and now - slot.updated_at > constants.CLAIM_TTL
         ]
         for name in old:
             del self.acceptor.slots[name]
@@ -193,7 +201,7 @@
         record = {"k": "vote", "r": "voters", "b": ballot, "v": value}
         fold_record(slots=self.acceptor.slots, record=record, now=now)
         self.write_ahead.copied = True
-        self.write_ahead.known = {"k": "promise", "r": KNOWN, "b": ballot, "v": value}
+        self.write_ahead.known = {"k": "promise", "r": KNOWN_VOTERS_RECORD, "b": ballot, "v": value}
         self.learner.step(name="voters", ballot=ballot, value=value)
         return [record, {"k": "copied"}, self.write_ahead.known]
 
--- a/sailward/control/group/write_ahead.py
+++ b/sailward/control/group/write_ahead.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from sailward import constants
-from sailward.consensus.acceptor import KNOWN, slot_records
+from sailward.consensus.acceptor import KNOWN_VOTERS_RECORD, slot_records
 from sailward.events import (
     AppendRecords,
     Command,
@@ -72,7 +72,7 @@
 
     def know(self, *, ballot: Ballot, value: RegisterValue) -> list[Command]:
         """Store the voters that are known to be chosen: after a start it is by them that the next set is found."""
-        self.known = {"k": "promise", "r": KNOWN, "b": ballot, "v": value}
+        self.known = {"k": "promise", "r": KNOWN_VOTERS_RECORD, "b": ballot, "v": value}
         return self.step(records=[self.known], replies=[]) if self.usable else []
 
     def copied_record(self) -> dict:
--- a/sailward/control/proxies/serving.py
+++ b/sailward/control/proxies/serving.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from sailward import constants
-from sailward.consensus.learner import is_control
+from sailward.consensus.learner import is_control_register
 from sailward.control.controller_options import ControllerOptions
 from sailward.control.endpoints.endpoint_list import EndpointList
 from sailward.control.group.catch_up import CatchUp
@@ -155,7 +155,7 @@
         commands: list[Command] = []
         for name, newest in have.items():
             is_newer = isinstance(newest, list) and newest[0] > self._voter.learner.number(name=name)
-            if is_control(name=name) and is_newer:
+            if is_control_register(name=name) and is_newer:
                 self._catch_up.record_behind(now=now, name=name)
                 if self._voter.is_opening:
                     commands.append(SendMessage(to=sender, body={"kind": "want", "register": name}))
--- a/sailward/control/registers.py
+++ b/sailward/control/registers.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable
 
-from sailward.consensus.learner import is_control
-from sailward.consensus.proposer import EMPTY, Accepted, OperationFinished, Proposer, Refused, StartOperation
+from sailward.consensus.learner import is_control_register
+from sailward.consensus.proposer import EMPTY_VALUE, Accepted, OperationFinished, Proposer, Refused, StartOperation
 from sailward.control.administration.admin_api import AdminApi
 from sailward.control.group.catch_up import CatchUp
 from sailward.control.group.membership import Membership
@@ -80,7 +80,7 @@
 
     def learn(self, *, now: float, name: str, ballot: Ballot, value: RegisterValue, announce: bool) -> list[Command]:
         """Hold a value that is known to have been chosen, push it on, and `announce` it to the other controllers."""
-        if not is_control(name=name):
+        if not is_control_register(name=name):
             return []
         config = self._load_config(name=name, value=value)
         if isinstance(config, Unreadable):
@@ -110,9 +110,9 @@
         commands = []
         for end in finished:
             ballot, value = getattr(end.outcome, "ballot", [0, ""]), getattr(end.outcome, "value", None)
-            if is_control(name=end.register) and value and value["number"]:
+            if is_control_register(name=end.register) and value and value["number"]:
                 commands += self.learn(now=now, name=end.register, ballot=ballot, value=value, announce=True)
-            if is_control(name=end.register) and isinstance(end.outcome, Accepted):
+            if is_control_register(name=end.register) and isinstance(end.outcome, Accepted):
                 self._catch_up.record_confirmed(now=now, name=end.register)
             if not self._catch_up.finish(now=now, end=end):
                 mark = value["mark"] if value else None
@@ -132,5 +132,5 @@
 
 def _without_value(*, end: OperationFinished) -> OperationFinished:
     """The end of an operation that found a value which can't be read: it is as if none had been found."""
-    outcome = Refused(reason="unreadable", value=EMPTY, ballot=[0, ""])
+    outcome = Refused(reason="unreadable", value=EMPTY_VALUE, ballot=[0, ""])
     return OperationFinished(op=end.op, register=end.register, outcome=outcome)
--- a/sailward/control/shards/freshness.py
+++ b/sailward/control/shards/freshness.py
@@ -11,7 +11,7 @@
 from sailward import constants
 from sailward.consensus.acceptor import Slots, newest_vote
 from sailward.consensus.learner import Learner
-from sailward.consensus.proposer import blocking_of
+from sailward.consensus.proposer import blocking_size
 from sailward.events import Command, SendMessage
 from sailward.wire_types import Message
 
@@ -90,7 +90,7 @@
                 and _covers(learner=learner, register=register, newest=confirmation.newest[register])
             ):
                 ends.append(confirmation.requested_at + constants.GRANT_CONFIRMATION_TTL)
-        need = blocking_of(members=members)
+        need = blocking_size(members=members)
         return sorted(ends, reverse=True)[need - 1] if len(ends) >= need else NEVER
 
 
--- a/sailward/control/shards/quiescence.py
+++ b/sailward/control/shards/quiescence.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from sailward import constants
-from sailward.consensus.proposer import majority_of
+from sailward.consensus.proposer import majority_size
 from sailward.control.proxies.subscribers import Subscriber
 from sailward.routing.shard_owners import PREFIX
 from sailward.wire_types import PeerEntry
@@ -46,7 +46,7 @@
         reporting = [entry for entry in self._voters() if self._is_after(entry=entry, closing=closing)]
         for voter in self._voters():
             closing.proxy_names |= set(filter(None, voter["asks"].split(",")))
-        if closing.is_clear or len(reporting) < majority_of(members=self.members):
+        if closing.is_clear or len(reporting) < majority_size(members=self.members):
             return
         known = {f"{proxy.entry.get('id')}#{proxy.entry.get('start')}": proxy for proxy in self.proxies}
         closing.is_clear = all(
--- a/sailward/control/shards/shard_leases.py
+++ b/sailward/control/shards/shard_leases.py
@@ -9,7 +9,7 @@
 
 from sailward import constants
 from sailward.consensus.acceptor import newest_vote
-from sailward.consensus.proposer import EMPTY, StartOperation, StepResult
+from sailward.consensus.proposer import EMPTY_VALUE, StartOperation, StepResult
 from sailward.control.endpoints.endpoint_list import EndpointList
 from sailward.control.grant_codec import GrantCodec
 from sailward.control.group.catch_up import CatchUp
@@ -159,7 +159,7 @@
             slots=voter.acceptor.slots,
         )
         return GrantContext(
-            value=learned.value if learned else EMPTY,
+            value=learned.value if learned else EMPTY_VALUE,
             workers=self._workers,
             fresh_until=fresh_until,
             is_acting=is_acting,
--- a/sailward/discovery/endpoint_pages.py
+++ b/sailward/discovery/endpoint_pages.py
@@ -7,12 +7,12 @@
 from urllib.parse import quote
 
 from sailward import constants
-from sailward.discovery.endpoint_rows import is_generation, is_incarnation
+from sailward.discovery.endpoint_rows import is_generation_row, is_incarnation_row
 from sailward.events import CallFinished, LogEvent, StartCall
 from sailward.json_text import BadJson, load_json
 from sailward.shapes import is_anything, is_complete, is_text, list_of, record_of
 
-TTL = {
+ROW_FIELDS = {
     "id": str,
     "generation": int,
     "service": str,
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class BrokenPass:
+class FailedPass:
     """A pass that failed, changed under way or was cut short."""
 
     reason: str
@@ -55,7 +55,7 @@
     def path(self, *, token: str) -> str:
         """The path and query of a page: of the first one if the token is empty."""
 
-    def read(self, *, body: bytes) -> ListPage | BrokenPass:
+    def read(self, *, body: bytes) -> ListPage | FailedPass:
         """The page in these bytes."""
 
 
@@ -69,71 +69,75 @@
     """
 
     platform: str
-    passes: int = 0
+    pass_count: int = 0
     next_at: float = 0.0
     token: str = ""
     pages: list = field(default_factory=list)
-    failing: bool = False
+    is_failing: bool = False
     reader: ListReader | None = None
     rate: float = 0.0
     pollers: int = 1
-    broken: int = 0
+    failed_passes: int = 0
     _page_count: int = 1
     rows: dict = field(default_factory=dict)
-    missed: set = field(default_factory=set)
+    missing_once: set = field(default_factory=set)
 
     def step(self, *, now: float, event: CallFinished | None) -> tuple[list, CompleteList | None]:
         """Take a page, or None for time going on."""
         if event is not None:
             if event.token != self.token:
                 return [], None
-            return self._take_words(now=now, event=event) if self.reader else self._take_page(event=event)
+            return (
+                self._take_reader_page(now=now, event=event) if self.reader else self._take_numbered_page(event=event)
+            )
         if not self.platform or self.token or now < self.next_at:
             return [], None
-        every = self._backoff() if self.reader else constants.ENDPOINT_LIST_INTERVAL
-        self.passes, self.pages, self.next_at = self.passes + 1, [], now + every
+        interval = self._backoff() if self.reader else constants.ENDPOINT_LIST_INTERVAL
+        self.pass_count, self.pages, self.next_at = self.pass_count + 1, [], now + interval
         return [self._request_page(after="")], None
 
     def _backoff(self) -> float:
         """The time between passes: all pollers together stay under ENDPOINT_LIST_RATE_RATIO of the platform's rate."""
         calls = max(1, self._page_count) * max(1, self.pollers)
-        every = constants.ENDPOINT_LIST_INTERVAL + constants.ENDPOINT_LIST_PAGE_DELAY * (max(1, self._page_count) - 1)
-        return max(every, calls / (constants.ENDPOINT_LIST_RATE_RATIO * self.rate) if self.rate > 0 else 0.0)
+        interval = constants.ENDPOINT_LIST_INTERVAL + constants.ENDPOINT_LIST_PAGE_DELAY * (
+            max(1, self._page_count) - 1
+        )
+        return max(interval, calls / (constants.ENDPOINT_LIST_RATE_RATIO * self.rate) if self.rate > 0 else 0.0)
 
-    def _take_words(self, *, now: float, event: CallFinished) -> tuple[list, CompleteList | None]:
+    def _take_reader_page(self, *, now: float, event: CallFinished) -> tuple[list, CompleteList | None]:
         page = (
-            BrokenPass(reason=event.fault or f"code:{event.code}")
+            FailedPass(reason=event.fault or f"code:{event.code}")
             if event.code != 200
             else _check_rows(page=self.reader.read(body=event.body))
         )
-        if isinstance(page, BrokenPass):
-            self.broken += 1
+        if isinstance(page, FailedPass):
+            self.failed_passes += 1
             # each further broken pass doubles the pause, to a bound
             self.next_at = now + min(
-                self._backoff() * 2 ** min(self.broken - 1, 8), constants.ENDPOINT_LIST_MAX_BACKOFF
+                self._backoff() * 2 ** min(self.failed_passes - 1, 8), constants.ENDPOINT_LIST_MAX_BACKOFF
             )
-            return self._break_off(fault=page)
+            return self._fail_pass(fault=page)
         self.pages.append(page)
         if page.next:
             if len(self.pages) >= constants.ENDPOINT_LIST_MAX_PAGES:
-                return self._break_off(fault=BrokenPass(reason="endless"))
+                return self._fail_pass(fault=FailedPass(reason="endless"))
             return [self._request_page(after=page.next)], None
-        self.token, self.broken, self._page_count = "", 0, len(self.pages)
-        commands = [LogEvent(event="endpoint-list-reread")] if self.failing else []
-        self.failing = False
-        return commands, CompleteList(epoch=0, revision=self.passes, workers=self._join())
+        self.token, self.failed_passes, self._page_count = "", 0, len(self.pages)
+        commands = [LogEvent(event="endpoint-list-reread")] if self.is_failing else []
+        self.is_failing = False
+        return commands, CompleteList(epoch=0, revision=self.pass_count, workers=self._merge_rows())
 
-    def _join(self) -> list:
+    def _merge_rows(self) -> list:
         """The rows of a pass: a later one wins; in a list of many pages one that is missing once is kept."""
         rows = {row["id"]: row for page in self.pages for row in page.rows}
         missing = set(self.rows) - set(rows)
-        still_missing = missing - self.missed if len(self.pages) > 1 else set()
+        still_missing = missing - self.missing_once if len(self.pages) > 1 else set()
         self.rows = {**rows, **{name: self.rows[name] for name in still_missing}}
-        self.missed = still_missing
+        self.missing_once = still_missing
         return [self.rows[name] for name in sorted(self.rows)]
 
     def _request_page(self, *, after: str) -> StartCall:
-        self.token = f"list.{self.passes}.{len(self.pages)}"
+        self.token = f"list.{self.pass_count}.{len(self.pages)}"
         path = (
             self.reader.path(token=after)
             if self.reader
@@ -151,29 +155,29 @@
             fresh=False,
         )
 
-    def _take_page(self, *, event: CallFinished) -> tuple[list, CompleteList | None]:
+    def _take_numbered_page(self, *, event: CallFinished) -> tuple[list, CompleteList | None]:
         page = read_page(event=event)
-        if isinstance(page, BrokenPass):
-            return self._break_off(fault=page)
+        if isinstance(page, FailedPass):
+            return self._fail_pass(fault=page)
         self.pages.append(page)
         if page["next"]:
             if len(self.pages) >= constants.ENDPOINT_LIST_MAX_PAGES:
-                return self._break_off(fault=BrokenPass(reason="endless"))
+                return self._fail_pass(fault=FailedPass(reason="endless"))
             return [self._request_page(after=page["next"])], None
         self.token = ""
         complete_list = join_pages(pages=self.pages)
-        if isinstance(complete_list, BrokenPass):
-            return self._break_off(fault=complete_list)
-        commands = [LogEvent(event="endpoint-list-reread")] if self.failing else []
-        self.failing = False
+        if isinstance(complete_list, FailedPass):
+            return self._fail_pass(fault=complete_list)
+        commands = [LogEvent(event="endpoint-list-reread")] if self.is_failing else []
+        self.is_failing = False
         return commands, complete_list
 
-    def _break_off(self, *, fault: BrokenPass) -> tuple[list, None]:
+    def _fail_pass(self, *, fault: FailedPass) -> tuple[list, None]:
         self.token = ""
         commands = (
-            [] if self.failing else [LogEvent(event="endpoint-list-pass-failed", fields={"reason": fault.reason})]
+            [] if self.is_failing else [LogEvent(event="endpoint-list-pass-failed", fields={"reason": fault.reason})]
         )
-        self.failing = True
+        self.is_failing = True
         return commands, None
 
 
@@ -188,32 +192,32 @@
 )
 
 
-def _check_rows(*, page: ListPage | BrokenPass) -> ListPage | BrokenPass:
+def _check_rows(*, page: ListPage | FailedPass) -> ListPage | FailedPass:
     """A reader's page, if it can be told to others as it is."""
-    if isinstance(page, ListPage) and not all(map(is_incarnation, page.rows)):
-        return BrokenPass(reason="worker-fields")
+    if isinstance(page, ListPage) and not all(map(is_incarnation_row, page.rows)):
+        return FailedPass(reason="worker-fields")
     return page
 
 
-def read_page(*, event: CallFinished) -> dict | BrokenPass:
+def read_page(*, event: CallFinished) -> dict | FailedPass:
     """One page of the list, checked."""
     if event.code != 200:
-        return BrokenPass(reason=event.fault or f"code:{event.code}")
+        return FailedPass(reason=event.fault or f"code:{event.code}")
     try:
         page = load_json(text=event.body)
     except BadJson:
-        return BrokenPass(reason="not-json")
+        return FailedPass(reason="not-json")
     if not _is_page(page):
-        return BrokenPass(reason="page-fields")
-    return page if all(map(is_generation, page["workers"])) else BrokenPass(reason="worker-fields")
+        return FailedPass(reason="page-fields")
+    return page if all(map(is_generation_row, page["workers"])) else FailedPass(reason="worker-fields")
 
 
-def join_pages(*, pages: list) -> CompleteList | BrokenPass:
+def join_pages(*, pages: list) -> CompleteList | FailedPass:
     """The whole list, if the pages are of one revision and count up."""
     first = pages[0]
     if any((page["epoch"], page["revision"]) != (first["epoch"], first["revision"]) for page in pages):
-        return BrokenPass(reason="changed-under-way")
+        return FailedPass(reason="changed-under-way")
     workers = [worker for page in pages for worker in page["workers"]]
     if len(workers) != first["total"] or len({worker["id"] for worker in workers}) != len(workers):
-        return BrokenPass(reason="cut-short")
+        return FailedPass(reason="cut-short")
     return CompleteList(epoch=first["epoch"], revision=first["revision"], workers=workers)
--- a/sailward/discovery/endpoint_rows.py
+++ b/sailward/discovery/endpoint_rows.py
@@ -30,11 +30,15 @@
     host, _, port = given.rpartition(":")
     is_port = port.isascii() and port.isdigit() and len(port) < 6 and 0 < int(port) < 65536
     return (
-        is_port and bool(host) and host.isascii() and host.isprintable() and not any(sign in host for sign in " /@#?")
+        is_port
+        and bool(host)
+        and host.isascii()
+        and host.isprintable()
+        and not any(character in host for character in " /@#?")
     )
 
 
-_LOCATION: dict[str, Check] = {
+_ROW_CHECKS: dict[str, Check] = {
     "id": is_text,
     "service": is_text,
     "address": is_address,
@@ -42,9 +46,9 @@
     "leaving": is_flag,
     "generation": is_complete,
 }
-is_generation = record_of(needed=_LOCATION)
+is_generation_row = record_of(needed=_ROW_CHECKS)
 """A worker of a list that tells generations."""
-is_incarnation = record_of(needed={**_LOCATION, "capacity": is_count, "cold_s": is_amount})
+is_incarnation_row = record_of(needed={**_ROW_CHECKS, "capacity": is_count, "cold_s": is_amount})
 """A worker of a list in which each start has an id of its own."""
 _is_fleet = record_of(
     needed={"proxies": list_of(is_proxy_row), "cellars": list_of(row_of(is_text, is_text, is_text))},
--- a/sailward/discovery/endpoint_table.py
+++ b/sailward/discovery/endpoint_table.py
@@ -36,12 +36,12 @@
     """Fold of all lists heard; `step` takes one and tells which keys came and went."""
 
     workers: dict = field(default_factory=dict)
-    newest: dict = field(default_factory=dict)
-    over: dict = field(default_factory=dict)
+    newest_generation: dict = field(default_factory=dict)
+    generation_states: dict = field(default_factory=dict)
     revision: tuple = (-1, -1)
-    came: dict = field(default_factory=dict)
-    gone: dict = field(default_factory=dict)
-    left: dict = field(default_factory=dict)
+    first_listed_at: dict = field(default_factory=dict)
+    removed_at: dict = field(default_factory=dict)
+    last_leaving_at: dict = field(default_factory=dict)
 
     def replace(self, *, now: float, workers: list) -> tuple[set, set]:
         """Take a list of lives whose number can't be compared with that of the one before: (came, went).
@@ -50,32 +50,34 @@
         ENDPOINT_REMOVAL_TTL, unless it had come as lately; after that a list that has it is believed.
         """
         before = set(self.workers)
-        self.gone = {name: at for name, at in self.gone.items() if now - at < constants.ENDPOINT_REMOVAL_TTL}
+        self.removed_at = {
+            name: at for name, at in self.removed_at.items() if now - at < constants.ENDPOINT_REMOVAL_TTL
+        }
         table = {}
         for row in workers:
             name = row["id"]
-            if name in self.gone:
+            if name in self.removed_at:
                 continue
             if row["leaving"]:
-                self.left[name] = now
+                self.last_leaving_at[name] = now
             table[name] = Worker(
                 name=name,
                 generation=0,
                 service=row["service"],
                 address=row["address"],
                 zone=row["hall"],
-                leaving=name in self.left,
+                leaving=name in self.last_leaving_at,
                 capacity=row["capacity"],
                 slow_start=row["cold_s"],
                 is_incarnation=True,
             )
-            self.came.setdefault(name, now)
+            self.first_listed_at.setdefault(name, now)
         for name in before - set(table):
-            if now - self.came.pop(name, now) >= constants.ENDPOINT_REMOVAL_TTL:
-                self.gone[name] = now
-        self.left = {
+            if now - self.first_listed_at.pop(name, now) >= constants.ENDPOINT_REMOVAL_TTL:
+                self.removed_at[name] = now
+        self.last_leaving_at = {
             name: now if name in table else at
-            for name, at in self.left.items()
+            for name, at in self.last_leaving_at.items()
             if name in table or now - at < constants.ENDPOINT_DEPARTURE_TTL
         }
         self.workers = table
@@ -95,13 +97,13 @@
                 service=row["service"],
                 address=row["address"],
                 zone=row["hall"],
-                leaving=row["leaving"] or self.over.get(row["id"], {}).get(row["generation"]) == "leaving",
+                leaving=row["leaving"] or self.generation_states.get(row["id"], {}).get(row["generation"]) == "leaving",
             )
-            if self.over.get(worker.name, {}).get(worker.generation) == "gone":
+            if self.generation_states.get(worker.name, {}).get(worker.generation) == "gone":
                 continue
-            if worker.generation < self.newest.get(worker.name, 0):
+            if worker.generation < self.newest_generation.get(worker.name, 0):
                 continue
-            self.newest[worker.name] = worker.generation
+            self.newest_generation[worker.name] = worker.generation
             if worker.leaving:
                 self._record_state(worker=worker, state="leaving")
             table[worker.key] = worker
@@ -112,7 +114,7 @@
 
     def _record_state(self, *, worker: Worker, state: str) -> None:
         # only the newest few generations of a name can come up again
-        marks = self.over.setdefault(worker.name, {})
-        marks[worker.generation] = state
-        while len(marks) > 4:
-            del marks[min(marks)]
+        states = self.generation_states.setdefault(worker.name, {})
+        states[worker.generation] = state
+        while len(states) > 4:
+            del states[min(states)]
--- a/sailward/discovery/peer_table.py
+++ b/sailward/discovery/peer_table.py
@@ -9,7 +9,7 @@
 from sailward.events import Command, LogEvent, SendMessage
 from sailward.wire_types import Message, PeerEntry
 
-ENTRY = {
+ENTRY_FIELDS = {
     "id": str,
     "kind": str,
     "hall": str,
@@ -61,7 +61,7 @@
     last_seen_at: float
     lost: bool = False
     echoed_heartbeat: int = 0
-    contact: bool = False
+    has_contact: bool = False
 
 
 @dataclass(kw_only=True)
@@ -70,19 +70,19 @@
 
     location: Location
     start: int
-    fit: bool = False
+    is_fit: bool = False
     identity: str = ""
-    asks: str = ""
+    active_proxies: str = ""
     heartbeat: int = 0
-    contact: bool = True
-    voted: list = field(default_factory=list)
-    known: dict = field(default_factory=dict)
+    has_contact: bool = True
+    voted_numbers: list = field(default_factory=list)
+    peers: dict = field(default_factory=dict)
     announced_at: float = -1e9
     is_mesh: bool = False
     has_disk: bool = True
     leaving: bool = False
-    every: float = field(default_factory=lambda: constants.GOSSIP_INTERVAL)
-    suspect: float = field(default_factory=lambda: constants.HEARTBEAT_TIMEOUT)
+    interval: float = field(default_factory=lambda: constants.GOSSIP_INTERVAL)
+    timeout: float = field(default_factory=lambda: constants.HEARTBEAT_TIMEOUT)
 
     def step(self, *, now: float, event: tuple | None) -> list[Command]:
         """Fold a (sender, body) or tell the watched."""
@@ -96,7 +96,7 @@
                 commands.append(SendMessage(to=sender, body=reply))
             return commands
         commands = self._judge(now=now)
-        if now - self.announced_at >= self.every:
+        if now - self.announced_at >= self.interval:
             self.announced_at, self.heartbeat = now, self.heartbeat + 1
             if self.is_mesh:
                 return commands + self._send_to_mesh(now=now)
@@ -109,20 +109,20 @@
 
         The whole peer table to the seeds now and then, and to all lost ones in turn.
         """
-        alive = [known for known in self.known.values() if not known.lost]
+        alive = [known for known in self.peers.values() if not known.lost]
         body = {
             "kind": "beat",
             "id": self.location.name,
             "start": self.start,
             "beat": self.heartbeat,
-            "fit": self.fit,
+            "fit": self.is_fit,
             "identity": self.identity,
-            **({} if self.contact else {"contact": False}),
+            **({} if self.has_contact else {"contact": False}),
         }
         commands: list[Command] = [
             SendMessage(to=known.entry["post"], body=self._with_echo(body=body, known=known)) for known in alive
         ]
-        lost = sorted(known.entry["post"] for known in self.known.values() if known.lost)
+        lost = sorted(known.entry["post"] for known in self.peers.values() if known.lost)
         if lost:
             # each lost one in turn: after a cut both sides find each other with the next heartbeats
             commands.append(SendMessage(to=lost[self.heartbeat % len(lost)], body=body))
@@ -149,10 +149,14 @@
 
         And tells the numbers voted for.
         """
-        return {**body, "echo": [known.echoed_heartbeat, *self.voted]} if self.fit and known.echoed_heartbeat else body
+        return (
+            {**body, "echo": [known.echoed_heartbeat, *self.voted_numbers]}
+            if self.is_fit and known.echoed_heartbeat
+            else body
+        )
 
     def _fold_heartbeat(self, *, now: float, sender: str, body: Message) -> list[Command]:
-        known = self.known.get(body["id"])
+        known = self.peers.get(body["id"])
         if known is None or known.entry["start"] != body["start"] or known.entry["post"] != sender:
             # another start, or one not heard of: its whole entry is wanted
             return [SendMessage(to=sender, body={"kind": "gossip", "entries": [self.own_entry()], "reply": False})]
@@ -162,11 +166,11 @@
         commands: list[Command] = (
             [LogEvent(event="daemon-found", fields={"daemon": body["id"], "at": sender})] if known.lost else []
         )
-        self.known[body["id"]] = PeerState(
+        self.peers[body["id"]] = PeerState(
             entry=entry,
             last_seen_at=now,
             echoed_heartbeat=echo_number(start=body["start"], heartbeat=body["beat"]),
-            contact=body.get("contact") is not False,
+            has_contact=body.get("contact") is not False,
         )
         return commands
 
@@ -182,29 +186,29 @@
             "http": location.http,
             "start": self.start,
             "beat": self.heartbeat,
-            "fit": self.fit,
+            "fit": self.is_fit,
             "version": location.version,
             "identity": self.identity,
-            "asks": self.asks,
+            "asks": self.active_proxies,
             **({} if self.has_disk else {"disk": False}),
             **({"leaving": True} if self.leaving else {}),
         }
 
     def alive(self, *, kind: str) -> list[dict]:
         """The entries of the daemons of this kind that are not lost."""
-        return [known.entry for known in self.known.values() if kind_of(entry=known.entry) == kind and not known.lost]
+        return [known.entry for known in self.peers.values() if kind_of(entry=known.entry) == kind and not known.lost]
 
     def _watched(self) -> list[str]:
-        others = {known.entry["id"]: known.entry["post"] for known in self.known.values()}
+        others = {known.entry["id"]: known.entry["post"] for known in self.peers.values()}
         names = choose_names(key=self.location.name, names=others, count=constants.GOSSIP_FANOUT)
         addresses = [others[name] for name in names]
-        alive = sum(not known.lost for known in self.known.values())
+        alive = sum(not known.lost for known in self.peers.values())
         if alive < constants.GOSSIP_FANOUT or self.heartbeat % 10 == 0:
             addresses += [seed for seed in self.location.seeds if seed not in addresses]
         return [address for address in addresses if address != self.location.post]
 
     def _entries(self, *, now: float) -> list[dict]:
-        fresh = [known.entry for known in self.known.values() if not known.lost]
+        fresh = [known.entry for known in self.peers.values() if not known.lost]
         return [self.own_entry(), *fresh]
 
     def _fold(self, *, now: float, entries: list, sender: str) -> list[Command]:
@@ -212,7 +216,7 @@
         for entry in entries:
             if not is_entry(given=entry) or entry["id"] == self.location.name:
                 continue
-            known = self.known.get(entry["id"])
+            known = self.peers.get(entry["id"])
             if known and not _is_newer(entry=entry, known=known):
                 continue
             if known is None or known.lost:
@@ -220,17 +224,17 @@
             echoed_heartbeat = known.echoed_heartbeat if known else 0
             if entry["post"] == sender:
                 echoed_heartbeat = echo_number(start=entry["start"], heartbeat=entry["beat"])
-            self.known[entry["id"]] = PeerState(entry=entry, last_seen_at=now, echoed_heartbeat=echoed_heartbeat)
+            self.peers[entry["id"]] = PeerState(entry=entry, last_seen_at=now, echoed_heartbeat=echoed_heartbeat)
         return commands
 
     def _judge(self, *, now: float) -> list[Command]:
         commands: list[Command] = []
-        for name, known in list(self.known.items()):
-            if not known.lost and now - known.last_seen_at > self.suspect:
+        for name, known in list(self.peers.items()):
+            if not known.lost and now - known.last_seen_at > self.timeout:
                 known.lost = True
                 commands.append(LogEvent(event="daemon-lost", fields={"daemon": name}))
             if now - known.last_seen_at > constants.PEER_TTL:
-                del self.known[name]
+                del self.peers[name]
         return commands
 
 
@@ -251,4 +255,4 @@
 
 def is_entry(*, given: object) -> bool:
     """Is it a daemon's entry, with all its fields?"""
-    return isinstance(given, dict) and all(isinstance(given.get(name), kind) for name, kind in ENTRY.items())
+    return isinstance(given, dict) and all(isinstance(given.get(name), kind) for name, kind in ENTRY_FIELDS.items())
--- a/sailward/programs/sailctl.py
+++ b/sailward/programs/sailctl.py
@@ -46,9 +46,9 @@
 from urllib.parse import quote, urlencode
 
 from sailward import constants
-from sailward.client.client import Client, Reply, Unreachable, request_once
+from sailward.client.client import Client, Reply, Unreachable, send_request
 from sailward.client.forecast import Finding, forecast
-from sailward.config.check import Sound, Unsound, check_config, read_config
+from sailward.config.check import InvalidConfig, ValidConfig, check_config, read_config
 from sailward.programs.common import read_flags
 
 
@@ -69,7 +69,7 @@
         _check(text=_read(path=flags["FILE"]), client=None if flags["--offline"] else client)
     elif flags["explain"]:
         query = urlencode({"tenant": flags["TENANT"], "method": flags["METHOD"], "path": flags["PATH"]})
-        _show(reply=request_once(address=flags["--proxy"], method="GET", path=f"/sailward/explain?{query}"))
+        _show(reply=send_request(address=flags["--proxy"], method="GET", path=f"/sailward/explain?{query}"))
     elif flags["join"] or flags["part"]:
         _show(
             reply=client.step(
@@ -88,7 +88,7 @@
 def _found(*, controllers: list[str]) -> None:
     members = {}
     for controller in controllers:
-        reply = request_once(address=controller, method="GET", path="/status")
+        reply = send_request(address=controller, method="GET", path="/status")
         if isinstance(reply, Unreachable) or "identity" not in reply.body:
             _end(code=constants.EXIT_UNREACHABLE, message=f"every controller named must answer; {controller} does not")
         members[reply.body["identity"]] = reply.body["post"]
@@ -96,7 +96,7 @@
         _end(code=constants.EXIT_USAGE, message="a controller is named twice")
     for controller in controllers:
         body = json.dumps({"members": members}).encode()
-        reply = request_once(address=controller, method="POST", path="/found", body=body)
+        reply = send_request(address=controller, method="POST", path="/found", body=body)
         if isinstance(reply, Unreachable):
             _end(code=constants.EXIT_UNKNOWN, message=f"{controller} did not answer: give the same command again")
         if reply.code != 200:
@@ -108,7 +108,7 @@
     """Each survivor must answer before any is told; one takes the order and tells the others."""
     answering: dict[str, str] = {}
     for controller in controllers:
-        reply = request_once(address=controller, method="GET", path="/status")
+        reply = send_request(address=controller, method="GET", path="/status")
         if isinstance(reply, Reply) and "identity" in reply.body:
             answering |= {reply.body["id"]: controller, reply.body["identity"]: controller}
     missing = [name for name in names if name not in answering]
@@ -116,7 +116,7 @@
         _end(code=constants.EXIT_UNREACHABLE, message=f"no answer from {missing} at --controllers; nothing was changed")
     body = json.dumps({"survivors": names}).encode()
     _show(
-        reply=request_once(
+        reply=send_request(
             address=answering[names[0]],
             method="POST",
             body=body,
@@ -138,8 +138,8 @@
 
 def _check(*, text: bytes, client: Client | None) -> None:
     config = read_config(text=text)
-    sound = config if isinstance(config, Unsound) else check_config(config=config)
-    if isinstance(sound, Unsound):
+    sound = config if isinstance(config, InvalidConfig) else check_config(config=config)
+    if isinstance(sound, InvalidConfig):
         for fault in sound.faults:
             print(f"fault: {fault.path or '(whole)'}: {fault.reason}")
         sys.exit(1)
@@ -162,7 +162,7 @@
     states = {key: key in status["well"] for key in keys} if status["well"] else {}
     return forecast(
         full=full,
-        now_full=old.full if isinstance(old, Sound) else {},
+        current_full=old.full if isinstance(old, ValidConfig) else {},
         workers=workers["workers"],
         rates=status["rates"],
         states=states,
--- a/sailward/proxy/directory_server.py
+++ b/sailward/proxy/directory_server.py
@@ -32,7 +32,7 @@
 
     def __init__(self, *, location: Location, start: int, rng: random.Random) -> None:
         self.location = location
-        self.peer_table = PeerTable(location=location, start=start, fit=True)
+        self.peer_table = PeerTable(location=location, start=start, is_fit=True)
         self.unexpected = UnexpectedEvents()
         self._rng = rng
 
@@ -64,7 +64,7 @@
         if event.path == "/status":
             daemons = [
                 {**known.entry, "kind": kind_of(entry=known.entry), "lost": known.lost}
-                for known in self.peer_table.known.values()
+                for known in self.peer_table.peers.values()
             ]
             return answer_json(token=event.token, code=200, body={"id": self.location.name, "daemons": daemons})
         zone = event.query.get("hall", self.location.zone)
--- a/sailward/proxy/proxy.py
+++ b/sailward/proxy/proxy.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 
 from sailward import constants
-from sailward.consensus.learner import Learner, is_control
-from sailward.discovery.endpoint_rows import UNREADABLE_LIST, is_incarnation, read_fleet, read_workers
+from sailward.consensus.learner import Learner, is_control_register
+from sailward.discovery.endpoint_rows import UNREADABLE_LIST, is_incarnation_row, read_fleet, read_workers
 from sailward.discovery.endpoint_table import EndpointTable
 from sailward.discovery.peer_table import KINDS_ON_WIRE, Location
 from sailward.events import (
@@ -160,13 +160,13 @@
                 return self.refused.add(kind=name, reason=UNREADABLE_LIST)
             self.lists[name] = (sender, value["number"])
             return [*commands, ack]
-        if not is_control(name=name):
+        if not is_control_register(name=name):
             return [LogEvent(event="push-unexpected", fields={"name": name})]
         commands = self._keep(now=now, name=name, ballot=body["ballot"], value=value)
         return [*commands, ack] if self.learner.number(name=name) >= value["number"] else commands
 
     def _take_workers(self, *, now: float, value: RegisterValue) -> list[Command] | None:
-        rows = read_workers(text=value["text"], check=is_incarnation)
+        rows = read_workers(text=value["text"], check=is_incarnation_row)
         if rows is None:
             return None
         came, went = self.endpoint_table.replace(now=now, workers=rows)
--- a/sailward/proxy/tenant_proxy.py
+++ b/sailward/proxy/tenant_proxy.py
@@ -6,10 +6,10 @@
 from dataclasses import replace
 
 from sailward import constants
-from sailward.consensus.acceptor import CLAIM
-from sailward.consensus.learner import CONTROL, Learner, is_control
+from sailward.consensus.acceptor import CLAIM_PREFIX
+from sailward.consensus.learner import CONTROL_REGISTERS, Learner, is_control_register
 from sailward.consensus.proposer import Accepted, OperationFinished, Proposer, StartOperation
-from sailward.discovery.endpoint_rows import UNREADABLE_LIST, is_generation, read_workers
+from sailward.discovery.endpoint_rows import UNREADABLE_LIST, is_generation_row, read_workers
 from sailward.discovery.peer_table import Location, PeerTable
 from sailward.events import (
     CallFinished,
@@ -168,7 +168,7 @@
         voters = self.learner.voters()
         addresses = {*voters.members.values(), *(peer["post"] for peer in self.peer_table.alive(kind="controller"))}
         epoch, revision = self.routing_state.endpoint_table.revision
-        have = {**self.learner.have(), "workers": [revision, str(epoch), [epoch, ""]]}
+        have = {**self.learner.known_versions(), "workers": [revision, str(epoch), [epoch, ""]]}
         report = {}
         if event is None:
             report = {
@@ -193,13 +193,13 @@
             commands = self._take_list(now=now, value=value)
             # what can't be read is not acknowledged: it is pushed again
             return [*commands, ack] if commands is not None else self.refused.add(kind=name, reason=UNREADABLE_LIST)
-        if not is_control(name=name):
+        if not is_control_register(name=name):
             return [LogEvent(event="push-unexpected", fields={"name": name})]
         commands = self._keep(now=now, name=name, ballot=body["ballot"], value=value)
         return [*commands, ack] if self.learner.number(name=name) >= value["number"] else commands
 
     def _take_list(self, *, now: float, value: RegisterValue) -> list[Command] | None:
-        rows = read_workers(text=value["text"], check=is_generation)
+        rows = read_workers(text=value["text"], check=is_generation_row)
         epoch = value["mark"]
         if rows is None or not (epoch.isascii() and epoch.removeprefix("-").isdigit() and len(epoch) < 20):
             return None
@@ -241,7 +241,7 @@
         commands = []
         for operation in finished:
             name = self._reading.pop(operation.op, None)
-            if operation.register.startswith(CLAIM):
+            if operation.register.startswith(CLAIM_PREFIX):
                 commands += self._dispatch(now=now, event=operation)
             elif name is not None and isinstance(operation.outcome, Accepted) and operation.outcome.value["number"]:
                 commands += self._keep(
@@ -267,7 +267,7 @@
         ]
         recent_counts = [count for at, count in self.controllers.values() if now - at < constants.SUBSCRIBER_TTL]
         self.routing_state.proxies = max([1, *recent_counts])
-        self.peer_table.fit = self.acting(now=now) and not self.suspect and self.stopping in STOPPING.marks["named"]
+        self.peer_table.is_fit = self.acting(now=now) and not self.suspect and self.stopping in STOPPING.marks["named"]
         return commands + self._check_shutdown(now=now)
 
     def _read_what_is_behind(self, *, now: float) -> list[Command]:
@@ -276,7 +276,7 @@
             if (
                 now - since >= constants.REGISTER_READ_DELAY
                 and name not in self._reading.values()
-                and is_control(name=name)
+                and is_control_register(name=name)
             ):
                 self._ops += 1
                 op = f"{self.identity}/read{self._ops}"
@@ -325,10 +325,10 @@
         }
         return {
             "id": self.location.name,
-            "fit": self.peer_table.fit,
+            "fit": self.peer_table.is_fit,
             "acting": self.acting(now=now),
             "suspect": self.suspect,
-            "registers": {name: self.learner.number(name=name) for name in CONTROL},
+            "registers": {name: self.learner.number(name=name) for name in CONTROL_REGISTERS},
             "proxies": self.routing_state.proxies,
             "halls": zones,
             "workers": workers,
--- a/sailward/routing/idempotency.py
+++ b/sailward/routing/idempotency.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from sailward import constants
-from sailward.consensus.acceptor import CLAIM
+from sailward.consensus.acceptor import CLAIM_PREFIX
 from sailward.consensus.proposer import Accepted, OperationFinished, Refused, StartOperation
 from sailward.events import SendMessage
 from sailward.routing.idempotency_cache import ClaimMemory, Memory
@@ -146,7 +146,12 @@
         text = json.dumps({"o": self.post, "i": self.identity, "f": exchange.fingerprint, "n": self.count})
         timeout = min(constants.CLAIM_TIMEOUT, max(0.05, exchange.expiry - now))
         return StartOperation(
-            op=op, register=CLAIM + exchange.digest, expected=expected, text=text, first=expected == 0, timeout=timeout
+            op=op,
+            register=CLAIM_PREFIX + exchange.digest,
+            expected=expected,
+            text=text,
+            use_first_ballot=expected == 0,
+            timeout=timeout,
         )
 
     def _on_operation_finished(
--- a/sailward/routing/lease.py
+++ b/sailward/routing/lease.py
@@ -6,7 +6,7 @@
 
 from sailward import constants
 from sailward.consensus.learner import Learner
-from sailward.consensus.proposer import blocking_of
+from sailward.consensus.proposer import blocking_size
 from sailward.consensus.voter_set import VoterSet
 from sailward.events import Command, LogEvent, SendMessage
 from sailward.state_machines import Chart
@@ -63,7 +63,7 @@
         """When the lease runs out."""
         members = voters.members
         ends = sorted((grant.until for name, grant in self._grants.items() if name in members), reverse=True)
-        need = blocking_of(members=members)
+        need = blocking_size(members=members)
         return ends[need - 1] if members and len(ends) >= need else -1e9
 
     def is_valid(self, *, now: float, voters: VoterSet) -> bool:
--- a/sailward/runtime/loop.py
+++ b/sailward/runtime/loop.py
@@ -13,7 +13,7 @@
 from typing import Protocol
 
 from sailward import constants
-from sailward.config.check import Fault, Unsound, check_config
+from sailward.config.check import Fault, InvalidConfig, check_config
 from sailward.events import (
     AppendRecords,
     CancelCall,
@@ -113,7 +113,7 @@
             verdict = check_config(config=command.config)
         except Exception as fault:  # noqa: BLE001 - what can't be checked can't be accepted
             write_log(event="check-fault", fields={"trace": traceback.format_exc()}, level="error")
-            verdict = Unsound(faults=(Fault(path="", reason=f"can't be checked: {fault}"),))
+            verdict = InvalidConfig(faults=(Fault(path="", reason=f"can't be checked: {fault}"),))
         self.loop.deliver(ConfigValidated(token=command.token, verdict=verdict))
 
 
--- a/sailward/storage/records.py
+++ b/sailward/storage/records.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from sailward.consensus.acceptor import KNOWN
+from sailward.consensus.acceptor import KNOWN_VOTERS_RECORD
 from sailward.consensus.messages import is_ballot, is_readable, is_value
 from sailward.shapes import Check, is_count, is_text, record_of
 
@@ -27,5 +27,5 @@
         return True
     if not fits(given):
         return False
-    register = "voters" if given.get("r") == KNOWN else given.get("r", "")
+    register = "voters" if given.get("r") == KNOWN_VOTERS_RECORD else given.get("r", "")
     return "v" not in given or is_readable(register=register, text=given["v"]["text"])
--- a/sailward/wire_types.py
+++ b/sailward/wire_types.py
@@ -21,4 +21,4 @@
 Record: TypeAlias = dict[str, Any]
 """The fields of a record on the disk by name; `k` says which it is."""
 PeerEntry: TypeAlias = dict[str, Any]
-"""What a daemon says of itself in gossip, by the names of `ENTRY` in `discovery/peer_table.py`."""
+"""What a daemon says of itself in gossip, by the names of `ENTRY_FIELDS` in `discovery/peer_table.py`."""
--- a/simulation/hosted/sabotage.py
+++ b/simulation/hosted/sabotage.py
@@ -184,10 +184,10 @@
     "zone-counts": _all(_patch(zone_orders.ZoneOrders, "count", lambda old: lambda self, *, kind, zone: 0)),
     "history": _all(
         _constant("HISTORY_SEGMENT_CHANGES", 16),
-        _patch(history.Labelled, "judge", _judged_by(change=_forgotten_is_lost)),
+        _patch(history.LabelledConfig, "classify", _judged_by(change=_forgotten_is_lost)),
     ),
-    "one-winner": _all(_patch(history.Labelled, "judge", _judged_by(change=_lost_is_taken))),
-    "resent": _all(_patch(history.Labelled, "has", lambda old: lambda self, *, digest: False)),
+    "one-winner": _all(_patch(history.LabelledConfig, "classify", _judged_by(change=_lost_is_taken))),
+    "resent": _all(_patch(history.LabelledConfig, "contains", lambda old: lambda self, *, digest: False)),
     "expect": _all(_patch(forwarding, "headers_to_worker", _without_expect)),
     "budget": _all(_patch(retry_budget.RetryBudget, "step", lambda old: lambda self, **fields: True)),
     "contact": _all(_patch(contact_watch.ContactWatch, "may_serve", _always_serves)),
@@ -205,7 +205,7 @@
     "fresh": _all(_patch(forwarding.Forwarder, "_call", _on_kept_connections)),
     "hang-up": _all(_patch(hosted_calls.Calls, "may_keep", lambda old: lambda self, *, code, is_named: True)),
     "sync": _all(_patch(write_ahead.WriteAhead, "step", _told_unsynced)),
-    "majority": _all(_patch(proposer, "majority_of", lambda old: lambda *, members: 1)),
+    "majority": _all(_patch(proposer, "majority_size", lambda old: lambda *, members: 1)),
     "hand-over": _all(
         _patch(graceful_shutdown.GracefulShutdown, "begin", lambda old: lambda self, *, now: [ExitProcess(code=0)])
     ),
--- a/simulation/model/actions.py
+++ b/simulation/model/actions.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 from itertools import combinations
 
-from sailward.consensus.proposer import StartOperation, fast_of, majority_of
+from sailward.consensus.proposer import StartOperation, fast_quorum_size, majority_size
 from sailward.control.controller import Controller
 from simulation.model.changes import text_of
 from simulation.model.checks import note_outcome
@@ -94,7 +94,7 @@
         for number in sorted(sets):
             names = sorted(post.split(":")[0] for _, post in sets[number])
             is_first = kind == "put" and bounds.is_first
-            need = (fast_of if is_first else majority_of)(members=dict(sets[number]))
+            need = (fast_quorum_size if is_first else majority_size)(members=dict(sets[number]))
             least = 1 if state.returns < bounds.returns else need
             for size in range(least, need + 1) if number >= own else ():
                 for chosen in combinations(names, size):
@@ -129,7 +129,7 @@
         if number == node.facts.number and node.facts.is_voting:
             continue
         old = _sources(state=state, node=node, number=number)
-        for size in range(1 if old else 0, majority_of(members=dict.fromkeys(old)) + 1):
+        for size in range(1 if old else 0, majority_size(members=dict.fromkeys(old)) + 1):
             for chosen in combinations(old, size):
                 yield f"copy {node.name} {number} {' '.join(chosen)}"
 
@@ -148,7 +148,9 @@
     begun = tuple(done + (index == at) for index, done in enumerate(state.begun))
     confirmed = max((one for one, _ in state.confirmed), default=0)
     if kind == "put":
-        start = StartOperation(op=op, register=DATA, expected=confirmed, text=op, first=bounds.is_first, timeout=NEVER)
+        start = StartOperation(
+            op=op, register=DATA, expected=confirmed, text=op, use_first_ballot=bounds.is_first, timeout=NEVER
+        )
     elif kind == "read":
         start = StartOperation(op=op, register=DATA, timeout=NEVER)
         state = state.but(wanted=(*state.wanted, (op, confirmed)))
--- a/simulation/model/faults.py
+++ b/simulation/model/faults.py
@@ -53,7 +53,7 @@
     # an acceptor answers before its disk has synced
     "early-answer": lambda: [_patch(write_ahead.WriteAhead, "step", _answers_before_sync)],
     # a newcomer copies from one voter
-    "copy-from-one": lambda: [mock.patch.object(copying, "majority_of", lambda *, members: 1)],
+    "copy-from-one": lambda: [mock.patch.object(copying, "majority_size", lambda *, members: 1)],
     # a newcomer counts before it has copied
     "counts-at-once": lambda: [mock.patch.object(Voter, "is_complete", property(lambda self: True))],
     # a member that was out and is in again goes on with what it voted for before
--- a/simulation/model/node.py
+++ b/simulation/model/node.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from sailward.consensus.acceptor import Slot, Slots
-from sailward.consensus.proposer import Operation, OperationFinished, Proposer, majority_of
+from sailward.consensus.proposer import Operation, OperationFinished, Proposer, majority_size
 from sailward.control.controller import Controller
 from sailward.control.controller_options import ControllerOptions
 from sailward.discovery.peer_table import Location
@@ -239,13 +239,13 @@
         number=voters.number,
         members=tuple(sorted(voters.members.items())),
         is_voting=controller.voting,
-        live=frozenset(_work(op=op, work=work) for op, work in controller.proposer._live.items()),
+        live=frozenset(_work(op=op, work=work) for op, work in controller.proposer._pending.items()),
         told=told[0].body if told else {},
     )
 
 
 def _work(*, op: str, work: Operation) -> tuple[str, str, int]:
-    return op, work.phase, majority_of(members=work.voters) - len(work.answers)
+    return op, work.phase, majority_size(members=work.voters) - len(work.answers)
 
 
 def fingerprint(*, controller: Controller) -> str:
@@ -254,7 +254,7 @@
     proposer = (controller.proposer._count, controller.proposer._round)
     operations = sorted(
         (op, work.phase, work.number, work.ballot, sorted(work.answers.items()), work.value, work.attempts)
-        for op, work in controller.proposer._live.items()
+        for op, work in controller.proposer._pending.items()
     )
     slots = sorted((name, _slot(slot=slot)) for name, slot in controller.acceptor.slots.items())
     held = sorted(
--- a/simulation/sim/sabotage.py
+++ b/simulation/sim/sabotage.py
@@ -8,7 +8,7 @@
 
 from sailward import constants
 from sailward.config import check as check_module
-from sailward.config.check import Sound
+from sailward.config.check import ValidConfig
 from sailward.consensus import learner, proposer
 from sailward.control.administration import admin_api
 from sailward.control.group import copying, membership, voter, write_ahead
@@ -60,7 +60,7 @@
 
 def _forgetful(old):
     def step(self, *, epoch, revision, workers):
-        self.newest, self.over, self.revision = {}, {}, (-1, -1)
+        self.newest_generation, self.generation_states, self.revision = {}, {}, (-1, -1)
         seen = old(self, epoch=epoch, revision=revision, workers=workers)
         self.revision = (-1, 0)
         return seen
@@ -106,8 +106,8 @@
 
 def _no_expected(old):
     def judge(self, *, now, operation):
-        value = proposer.newest_of(votes=list(operation.answers.values()), members=operation.voters)
-        object.__setattr__(operation.begin, "expected", value["number"])
+        value = proposer.possibly_chosen_value(votes=list(operation.answers.values()), members=operation.voters)
+        object.__setattr__(operation.request, "expected", value["number"])
         return old(self, now=now, operation=operation)
 
     return judge
@@ -186,7 +186,7 @@
     "homes": _method(routing_state.RoutingState, "views_of", _no_homes),
     "draw-first": _method(load_balancer.LoadBalancer, "step", _by_status),
     "never-older": _method(learner.Learner, "step", _older_too),
-    "expected": _method(proposer.Proposer, "_judge_promises", _no_expected),
+    "expected": _method(proposer.Proposer, "_evaluate_promises", _no_expected),
     "at-most-once": _method(proxied_requests, "judge_result", _bad_is_unsent),
     "whole-result": _method(response_check, "_find_fault", lambda old: lambda *, exchange, event: ""),
     "identity": _method(proxied_requests, "judge_result", _any_identity),
@@ -199,7 +199,7 @@
         check_module,
         "check_config",
         lambda old: (
-            lambda *, config: Sound(
+            lambda *, config: ValidConfig(
                 written=config,
                 full={"halls": {}, "services": {}, "pools": {}, "tenants": {}, "matches": []},
                 warnings=(),
@@ -224,7 +224,7 @@
     ),
     "new-identity": _method(voter, "make_identity", lambda old: lambda *, name, nonce: name),
     "sync-final": _method(write_ahead.WriteAhead, "receive", _failures_unheard),
-    "blocking": _method(lease, "blocking_of", lambda old: proposer.majority_of),
+    "blocking": _method(lease, "blocking_size", lambda old: proposer.majority_size),
     "leaving": _method(endpoint_table.EndpointTable, "step", _never_leaving),
     "disk-votes": _method(write_ahead.WriteAhead, "receive", _failures_unheard),
     "last-resort": _method(load_balancer, "share_zones", _no_last_resort),
@@ -243,7 +243,7 @@
     "self-doubt": _constant("SELF_SUSPICION_RATIO", 2.0),
     "fair-queues": _method(fair_queues.FairQueues, "step", _one_queue),
     "hot-bound": _constant("HOT_KEY_SHARE", 1e9),
-    "first-quorum": _method(proposer, "fast_of", lambda old: lambda *, members: 2),
+    "first-quorum": _method(proposer, "fast_quorum_size", lambda old: lambda *, members: 2),
     "majority-kept": _method(admin_api, "keeps_majority", lambda old: lambda *, text, well: True),
     "merge": _method(
         membership, "merge_survivors", lambda old: lambda *, slots, told, now: old(slots=slots, told=[], now=now)
@@ -280,11 +280,11 @@
     "stops": _method(tenant_proxy.TenantProxy, "_check_shutdown", lambda old: lambda self, *, now: []),
     "told-lost": _method(
         proposer.Proposer,
-        "_judge_votes",
+        "_evaluate_votes",
         lambda old: (
             lambda self, *, operation: (
                 proposer.Refused(reason="number", value=operation.value, ballot=operation.ballot)
-                if operation.begin.text
+                if operation.request.text
                 else old(self, operation=operation)
             )
         ),
--- a/tests/orders_net.py
+++ b/tests/orders_net.py
@@ -11,7 +11,7 @@
 import random
 from dataclasses import dataclass, field
 
-from sailward.config.check import Sound
+from sailward.config.check import ValidConfig
 from sailward.consensus.acceptor import Acceptor, Slots
 from sailward.consensus.proposer import Proposer, StartOperation
 from sailward.consensus.voter_set import VoterSet
@@ -250,7 +250,7 @@
             if isinstance(command, Respond):
                 self.answers.append(command)
             elif isinstance(command, ValidateConfig):
-                verdict = Sound(written=command.config, full=command.config, warnings=())
+                verdict = ValidConfig(written=command.config, full=command.config, warnings=())
                 self._admin(node=node, event=ConfigValidated(token=command.token, verdict=verdict))
         for begin in begins:
             self._propose(node=node, begin=begin)
--- a/tests/test_admin_api.py
+++ b/tests/test_admin_api.py
@@ -104,15 +104,15 @@
 
 
 def _judge(change):
-    return _method(history.Labelled, "judge", lambda old: lambda self, **given: change(old(self, **given)))
+    return _method(history.LabelledConfig, "classify", lambda old: lambda self, **given: change(old(self, **given)))
 
 
 def _unknown_is_accepted(old):
     def judge(self, *, operation):
         outcome = old(self, operation=operation)
-        is_lost = not isinstance(outcome, Accepted) and operation.begin.text is not None
+        is_lost = not isinstance(outcome, Accepted) and operation.request.text is not None
         return (
-            Accepted(number=operation.begin.expected + 1, ballot=operation.ballot, value=operation.value)
+            Accepted(number=operation.request.expected + 1, ballot=operation.ballot, value=operation.value)
             if is_lost
             else outcome
         )
@@ -136,13 +136,13 @@
         "",
         lambda: _judge(lambda verdict: Verdict.LOST if verdict is Verdict.FORGOTTEN else verdict),
     ),
-    "no history": (LONG, "", lambda: _method(Segment, "has", lambda old: lambda self, *, digest: False)),
+    "no history": (LONG, "", lambda: _method(Segment, "contains", lambda old: lambda self, *, digest: False)),
     "two confirmed on one version": (
         LONG,
         "",
         lambda: _judge(lambda verdict: Verdict.TAKEN if verdict is Verdict.LOST else verdict),
     ),
-    "a change that lost is confirmed": (LONG, "", lambda: _method(Proposer, "_judge_votes", _unknown_is_accepted)),
+    "a change that lost is confirmed": (LONG, "", lambda: _method(Proposer, "_evaluate_votes", _unknown_is_accepted)),
     "a change on a version to come is refused": (
         LONG,
         "chains",
--- a/tests/test_copy_sources.py
+++ b/tests/test_copy_sources.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from sailward.consensus.acceptor import KNOWN
+from sailward.consensus.acceptor import KNOWN_VOTERS_RECORD
 from sailward.control.group.repair import change_members
 from sailward.control.group.voter import Voter
 from sailward.discovery.peer_table import Location
@@ -31,7 +31,7 @@
     value = {"number": 3, "mark": "m3", "trail": [], "text": third}
     records = [
         {"k": "identity", "id": NEWCOMER},
-        {"k": "promise", "r": KNOWN, "b": [3, "a#1"], "v": value},
+        {"k": "promise", "r": KNOWN_VOTERS_RECORD, "b": [3, "a#1"], "v": value},
     ]
     if copied_under is not None:
         records.append({"k": "copied", "n": copied_under})
--- a/tests/test_dialect.py
+++ b/tests/test_dialect.py
@@ -9,7 +9,7 @@
 import pytest
 
 from sailward import constants
-from sailward.config.dialect import OwnDialect
+from sailward.config.dialect import NativeDialect
 from sailward.config.history import Segment, Verdict, digest_change, read_labelled, write_labelled
 from sailward.control.administration import admin_api
 from sailward.control.administration.admin_api import AdminApi
@@ -239,7 +239,7 @@
 
     def make(self, *, job):
         orders = admin_api.read_zone_orders(text=job.text)
-        if (job.order.given in orders.emptied) == (job.order.kind == "empty"):
+        if (job.order.argument in orders.emptied) == (job.order.kind == "empty"):
             return admin_api.Outcome(kind="accepted", number=job.number)
         return old(self, job=job)
 
@@ -269,7 +269,7 @@
     assert net.ask(net.machines[0], method="GET", path="/voters")[1]["voters"]["size"] == 3
     assert net.ask(net.machines[0], method="POST", path="/halls/ens-a/empty")[0] == 200
     assert net.ask(net.machines[0], method="DELETE", path="/config")[0] == 404
-    assert OwnDialect().label(written={"label": 3}) == 3
+    assert NativeDialect().label(written={"label": 3}) == 3
 
 
 def test_what_builds_on_a_version_to_come_is_not_refused_as_it_may_still_be_taken(net: CoreNet) -> None:
@@ -316,22 +316,22 @@
         pairs.append([label, hashlib.blake2b(text.encode(), digest_size=12).hexdigest()])
     held = read_labelled(text=json.dumps({"written": second, "label": 2, "history": pairs}))
     taken = digest_change(method="PUT", expected=0, given=first)
-    assert held.judge(expected=0, digest=taken) is Verdict.TAKEN
-    assert held.judge(expected=1, digest=digest_change(method="PUT", expected=1, given=second)) is Verdict.TAKEN
-    assert held.judge(expected=1, digest=digest_change(method="PUT", expected=1, given=first)) is Verdict.LOST
+    assert held.classify(expected=0, digest=taken) is Verdict.TAKEN
+    assert held.classify(expected=1, digest=digest_change(method="PUT", expected=1, given=second)) is Verdict.TAKEN
+    assert held.classify(expected=1, digest=digest_change(method="PUT", expected=1, given=first)) is Verdict.LOST
     # the last version did not say what its first change built on: another one on top of that can't be judged
-    assert held.judge(expected=0, digest=digest_change(method="PUT", expected=0, given=second)) is Verdict.FORGOTTEN
+    assert held.classify(expected=0, digest=digest_change(method="PUT", expected=0, given=second)) is Verdict.FORGOTTEN
     later = read_labelled(text=write_labelled(before=held, written=first, label=5, digest="d" * 12))
-    assert later.judge(expected=0, digest=taken) is Verdict.TAKEN and later.label == 5
-    assert later.judge(expected=2, digest="e" * 12) is Verdict.LOST
-    assert later.judge(expected=5, digest="e" * 12) is Verdict.NEXT
-    assert later.judge(expected=6, digest="e" * 12) is Verdict.AHEAD
+    assert later.classify(expected=0, digest=taken) is Verdict.TAKEN and later.label == 5
+    assert later.classify(expected=2, digest="e" * 12) is Verdict.LOST
+    assert later.classify(expected=5, digest="e" * 12) is Verdict.NEXT
+    assert later.classify(expected=6, digest="e" * 12) is Verdict.AHEAD
 
 
 def test_a_digest_is_found_only_where_one_begins() -> None:
-    segment = Segment(since=0).with_change(digest="abcdefghijkl").with_change(digest="mnopqrstuvwx")
-    assert segment.has(digest="abcdefghijkl") and segment.has(digest="mnopqrstuvwx")
-    assert not segment.has(digest="ghijklmnopqr")
+    segment = Segment(base_label=0).with_change(digest="abcdefghijkl").with_change(digest="mnopqrstuvwx")
+    assert segment.contains(digest="abcdefghijkl") and segment.contains(digest="mnopqrstuvwx")
+    assert not segment.contains(digest="ghijklmnopqr")
 
 
 def test_a_patch_moves_a_rule_to_another_host(net: CoreNet) -> None:
--- a/tests/test_endpoint_pages.py
+++ b/tests/test_endpoint_pages.py
@@ -12,7 +12,7 @@
 from sailward import constants
 from sailward.control.endpoints.incarnations import Incarnations
 from sailward.control.proxies.subscribers import Subscribers
-from sailward.discovery.endpoint_pages import BrokenPass, Pager
+from sailward.discovery.endpoint_pages import FailedPass, Pager
 from sailward.discovery.endpoint_table import EndpointTable
 from sailward.events import CallFinished, SendMessage
 from tests.core_net import WORKERS, CoreNet
@@ -118,7 +118,7 @@
     ],
 )
 def test_pages_that_cannot_be_read_break_the_pass(body: bytes) -> None:
-    assert isinstance(WORKERS.WorkersReader().read(body=body), BrokenPass)
+    assert isinstance(WORKERS.WorkersReader().read(body=body), FailedPass)
     assert Platform().run_pass(body) is None
 
 
--- a/tests/test_fuzz_edges.py
+++ b/tests/test_fuzz_edges.py
@@ -17,7 +17,7 @@
 from sailward.control.controller import Controller
 from sailward.control.shards.granting import GrantContext, Granting
 from sailward.discovery.endpoint_pages import Pager
-from sailward.discovery.endpoint_rows import is_generation, is_incarnation
+from sailward.discovery.endpoint_rows import is_generation_row, is_incarnation_row
 from sailward.discovery.endpoint_table import Worker
 from sailward.discovery.peer_table import Location
 from sailward.events import CallFinished, StartCall, TimerFired
@@ -79,7 +79,7 @@
                 now=now, event=CallFinished(token=token, code=code, headers={}, body=body, fault="", sent=True)
             )
             if whole is not None:
-                assert all(map(is_incarnation if is_platform else is_generation, whole.workers))
+                assert all(map(is_incarnation_row if is_platform else is_generation_row, whole.workers))
                 json.dumps(whole.workers, ensure_ascii=False).encode()
         now += 60.0
 
--- a/tests/test_group_machine.py
+++ b/tests/test_group_machine.py
@@ -51,7 +51,7 @@
 
 
 def copy_from_one(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(copying, "majority_of", lambda *, members: 1)
+    monkeypatch.setattr(copying, "majority_size", lambda *, members: 1)
 
 
 def copy_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -59,7 +59,7 @@
 
 
 def propose_to_one(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(proposer, "majority_of", lambda *, members: 1)
+    monkeypatch.setattr(proposer, "majority_size", lambda *, members: 1)
 
 
 def hold_own_vote_at_start(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_platform_config.py
+++ b/tests/test_platform_config.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from sailward.config.check import Sound, Unsound, check_config
+from sailward.config.check import InvalidConfig, ValidConfig, check_config
 from sailward.routing.plan import plan_of
 from tests.core_net import CONFIG, ZONES, make_written
 
@@ -81,26 +81,26 @@
 )
 def test_what_cannot_be_read_in_full_is_refused_with_its_place(path: str, value: object, where: str) -> None:
     found = read(changed(path, value))
-    assert isinstance(found, Unsound)
+    assert isinstance(found, InvalidConfig)
     assert any(fault.path.startswith(where) for fault in found.faults), found.faults
 
 
 @pytest.mark.parametrize("cut", [0, 1, 10, 400, -1])
 def test_a_document_cut_short_is_refused(cut: int) -> None:
-    assert isinstance(CONFIG.read_written(json.dumps(make_written(label=3)).encode()[:cut]), Unsound)
+    assert isinstance(CONFIG.read_written(json.dumps(make_written(label=3)).encode()[:cut]), InvalidConfig)
 
 
 @pytest.mark.parametrize(
     "body", [b"[]", b"null", b'"x"', b"\xff\xfe", b'{"generation":"r1","generation":"r2"}', b"[" * 100000]
 )
 def test_foreign_documents_are_refused(body: bytes) -> None:
-    assert isinstance(CONFIG.read_written(body), Unsound)
+    assert isinstance(CONFIG.read_written(body), InvalidConfig)
 
 
 @pytest.mark.parametrize("number", ["NaN", "Infinity", "-Infinity", "1e999"])
 def test_numbers_without_end_are_refused(number: str) -> None:
     body = json.dumps(make_written(label=3)).replace('"deadline_s": 2.5', f'"deadline_s": {number}', 1)
-    assert isinstance(CONFIG.read_written(body.encode()), Unsound)
+    assert isinstance(CONFIG.read_written(body.encode()), InvalidConfig)
 
 
 @pytest.mark.parametrize(
@@ -138,7 +138,7 @@
     written = read(changed(path, value))
     assert isinstance(written, dict), written
     verdict = check_config(config=CONFIG.expand(written, ZONES))
-    assert isinstance(verdict, Sound), verdict
+    assert isinstance(verdict, ValidConfig), verdict
     plan_of(full=verdict.full, number=1)
 
 
@@ -229,7 +229,7 @@
     ],
 )
 def test_patches_that_cannot_be_read(patch: dict) -> None:
-    assert isinstance(CONFIG.read_patch(json.dumps(patch).encode()), Unsound)
+    assert isinstance(CONFIG.read_patch(json.dumps(patch).encode()), InvalidConfig)
 
 
 @pytest.mark.parametrize(
@@ -259,7 +259,7 @@
 )
 def test_patches_that_make_an_unsound_configuration(patch: dict) -> None:
     assert isinstance(CONFIG.read_patch(json.dumps(patch).encode()), dict)
-    assert isinstance(CONFIG.merge(make_written(label=1), patch), Unsound)
+    assert isinstance(CONFIG.merge(make_written(label=1), patch), InvalidConfig)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_quorum_contact.py
+++ b/tests/test_quorum_contact.py
@@ -7,7 +7,7 @@
 import pytest
 
 from sailward import constants
-from sailward.consensus.learner import CONTROL
+from sailward.consensus.learner import CONTROL_REGISTERS
 from sailward.control.group.quorum_contact import QuorumContact
 from sailward.events import MessageReceived, RequestReceived
 from sailward.proxy.control_client import ControlClient
@@ -23,7 +23,7 @@
 
 
 def read_all(contact: QuorumContact, *, now: float) -> None:
-    for name in CONTROL:
+    for name in CONTROL_REGISTERS:
         contact.finish_read(now=now, register=name, begun=now)
 
 
@@ -87,11 +87,11 @@
     reach(9.5)
     assert not contact.may_serve(now=9.5, members=MEMBERS, own="v0")
     contact.finish_read(now=9.6, register="config", begun=8.9)
-    assert contact.unread == set(CONTROL)  # that read was begun before the gap was noticed
-    for name in CONTROL[:-1]:
+    assert contact.unread == set(CONTROL_REGISTERS)  # that read was begun before the gap was noticed
+    for name in CONTROL_REGISTERS[:-1]:
         contact.finish_read(now=9.6, register=name, begun=9.5)
     assert not contact.may_serve(now=9.6, members=MEMBERS, own="v0")
-    contact.finish_read(now=9.6, register=CONTROL[-1], begun=9.5)
+    contact.finish_read(now=9.6, register=CONTROL_REGISTERS[-1], begun=9.5)
     assert contact.may_serve(now=9.6, members=MEMBERS, own="v0")
 
 
--- a/tests/test_second_loss.py
+++ b/tests/test_second_loss.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from sailward.consensus.proposer import majority_of
+from sailward.consensus.proposer import majority_size
 from sailward.events import ShutdownRequested
 from tests.core_net import CoreNet, Machine, make_written
 from tests.test_bootstrap import found, put
@@ -21,7 +21,7 @@
     up = [one.controller for one in net.machines if one.controller is not None]
     newest = max((one.voters for one in up), key=lambda voters: voters.number)
     acting = [machine for machine in up if machine.voting and machine.voters.number == newest.number]
-    return len(acting) - losses >= majority_of(members=newest.members)
+    return len(acting) - losses >= majority_size(members=newest.members)
 
 
 def make_core(*, machines: int, budget: int, seed: int = 1, spare: int = 0) -> CoreNet:
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -12,7 +12,7 @@
 import pytest
 
 from sailward.config import check as check_module
-from sailward.config.check import Sound, Unsound, check_config
+from sailward.config.check import InvalidConfig, ValidConfig, check_config
 from sailward.consensus.proposer import Accepted, OperationFinished
 from sailward.control.administration.admin_api import AdminApi
 from sailward.events import ConfigValidated, RequestReceived, ValidateConfig
@@ -34,7 +34,7 @@
 
 def faults(config: dict) -> list[str]:
     verdict = check_config(config=config)
-    return [f"{fault.path}: {fault.reason}" for fault in verdict.faults] if isinstance(verdict, Unsound) else []
+    return [f"{fault.path}: {fault.reason}" for fault in verdict.faults] if isinstance(verdict, InvalidConfig) else []
 
 
 def test_a_match_says_host_kind_times_rank_and_homes() -> None:
@@ -103,7 +103,7 @@
 def test_a_pool_near_the_proxy_lists_no_halls() -> None:
     near = {**CONFIG, "pools": {**CONFIG["pools"], "near": {"service": SERVICE, "tiers": "near"}}}
     verdict = check_config(config=near)
-    assert isinstance(verdict, Sound) and verdict.full["pools"]["near"]["preferred"] == []
+    assert isinstance(verdict, ValidConfig) and verdict.full["pools"]["near"]["preferred"] == []
     assert not any("near" in warning.path for warning in verdict.warnings)
     assert plan_of(full=verdict.full, number=1).pools["near"].near
     far = {**CONFIG, "pools": {**CONFIG["pools"], "far": {"service": SERVICE}}}
@@ -215,11 +215,11 @@
     }
     spoiled = [spoil(base, rng) for _ in range(120)]
     quick = [check_config(config=copy.deepcopy(one)) for one in spoiled]
-    monkeypatch.setattr(check_module, "sort_matches", lambda *, matches: ({}, []))
+    monkeypatch.setattr(check_module, "split_matches", lambda *, matches: ({}, []))
     for one, verdict in zip(spoiled, quick, strict=True):
         slow = check_config(config=copy.deepcopy(one))
         assert type(slow) is type(verdict), (one["matches"], slow, verdict)
-        if isinstance(slow, Sound):
+        if isinstance(slow, ValidConfig):
             assert slow.full == verdict.full and slow.warnings == verdict.warnings
         else:
             assert sorted(map(str, slow.faults)) == sorted(map(str, verdict.faults)), one["matches"]
--- a/tests/test_storage_machine.py
+++ b/tests/test_storage_machine.py
@@ -57,7 +57,7 @@
         monkeypatch.setattr(
             write_ahead.WriteAhead,
             "_live_records",
-            lambda self: [one for one in old(self) if one["k"] != kind or one.get("r") == acceptor.KNOWN],
+            lambda self: [one for one in old(self) if one["k"] != kind or one.get("r") == acceptor.KNOWN_VOTERS_RECORD],
         )
 
     return plant
@@ -68,7 +68,7 @@
     monkeypatch.setattr(
         write_ahead.WriteAhead,
         "_live_records",
-        lambda self: [one for one in old(self) if one.get("r") != acceptor.KNOWN],
+        lambda self: [one for one in old(self) if one.get("r") != acceptor.KNOWN_VOTERS_RECORD],
     )
 
 
--- a/tests/test_words.py
+++ b/tests/test_words.py
@@ -175,7 +175,7 @@
         if not (service == "orders" and zone.startswith("gdl"))
     ]
     workers.append({**workers[0], "id": "lost", "hall": "attic", "service": "wine"})
-    findings = forecast(full=new, now_full=full, workers=workers, rates={"stock": 450.0, "notes": 900.0}, states={})
+    findings = forecast(full=new, current_full=full, workers=workers, rates={"stock": 450.0, "notes": 900.0}, states={})
     assert [f"{finding.kind}: {finding.path}: {finding.text}" for finding in findings] == snapshot
 
 
