--- a/sailward/client/client.py
+++ b/sailward/client/client.py
@@ -52,25 +52,25 @@
     *, address: str, method: str, path: str, body: bytes = b"", headers: dict | None = None
 ) -> Reply | Unreachable:
     """One exchange with one daemon."""
-    handle, out = pycurl.Curl(), io.BytesIO()
+    handle, output = pycurl.Curl(), io.BytesIO()
     handle.setopt(pycurl.URL, f"http://{address}{path}")
     handle.setopt(pycurl.PROXY, "")
     handle.setopt(pycurl.NOSIGNAL, 1)
     handle.setopt(pycurl.CONNECTTIMEOUT_MS, int(constants.CONNECT_TIMEOUT * 2000))
     handle.setopt(pycurl.TIMEOUT_MS, int(constants.SAILCTL_TIMEOUT * 1000))
-    rows = [f"{name}: {value}" for name, value in (headers or {}).items()]
-    handle.setopt(pycurl.HTTPHEADER, ["Expect:", "Content-Type: application/json", *rows])
+    header_lines = [f"{name}: {value}" for name, value in (headers or {}).items()]
+    handle.setopt(pycurl.HTTPHEADER, ["Expect:", "Content-Type: application/json", *header_lines])
     if method != "GET":
         handle.setopt(pycurl.POSTFIELDS, body)
         handle.setopt(pycurl.CUSTOMREQUEST, method)
-    handle.setopt(pycurl.WRITEDATA, out)
+    handle.setopt(pycurl.WRITEDATA, output)
     try:
         handle.perform()
     except pycurl.error as fault:
         return Unreachable(reasons=(f"{address}: {fault.args[1]}",), sent=fault.args[0] != pycurl.E_COULDNT_CONNECT)
     code = handle.getinfo(pycurl.RESPONSE_CODE)
     try:
-        answer = json.loads(out.getvalue())
+        answer = json.loads(output.getvalue())
     except ValueError:
         return Unreachable(reasons=(f"{address}: not a sailward daemon",), sent=True)
     return Reply(code=code, body=answer, controller=address)
--- a/sailward/client/forecast.py
+++ b/sailward/client/forecast.py
@@ -48,12 +48,12 @@
 def _find_moves(*, full: dict, old: dict) -> Iterator[Finding]:
     before, after = zone_shares(full=old), zone_shares(full=full)
     for zone_key in sorted({*before, *after}):
-        left, right = before.get(zone_key, 0.0), after.get(zone_key, 0.0)
-        if abs(left - right) > 1e-9:
+        share_before, share_after = before.get(zone_key, 0.0), after.get(zone_key, 0.0)
+        if abs(share_before - share_after) > 1e-9:
             yield Finding(
                 kind="note",
                 path=f"matches {zone_key[0]}",
-                text=f"hall {zone_key[1]} goes from {left:.1%} to {right:.1%}",
+                text=f"hall {zone_key[1]} goes from {share_before:.1%} to {share_after:.1%}",
             )
 
 
@@ -100,16 +100,16 @@
                 text=f"bounds of {capacity:g}/s for a load of {load:.0f}/s",
             )
         for kind, name, zones in losses:
-            left = sum(
+            remaining = sum(
                 service_config["rate"]
                 for worker in workers
                 if worker["service"] == service and worker["hall"] not in zones
             )
-            if load > left:
+            if load > remaining:
                 yield Finding(
                     kind="warning",
                     path=f"services.{service}",
-                    text=f"without {kind} {name}: bounds of {left:g}/s for a load of {load:.0f}/s",
+                    text=f"without {kind} {name}: bounds of {remaining:g}/s for a load of {load:.0f}/s",
                 )
     for name, pool in full["pools"].items():
         regions = {full["halls"][zone]["region"] for zone in (*pool["preferred"], *pool["fallback"])}
--- a/sailward/config/check.py
+++ b/sailward/config/check.py
@@ -88,7 +88,7 @@
     """
     validator = Validator(CONFIG)
     plain, other_indexes = split_matches(matches=config.get("matches"))
-    given = {**config, "matches": [config["matches"][at] for at in other_indexes]} if plain else config
+    given = {**config, "matches": [config["matches"][index] for index in other_indexes]} if plain else config
     try:
         is_valid = validator.validate(_without_near(config=given))
     except Exception as fault:  # noqa: BLE001 - cerberus trips over some foreign shapes
@@ -104,7 +104,7 @@
     full = validator.document
     if plain:
         rest = dict(zip(other_indexes, full["matches"], strict=True))
-        full["matches"] = [plain[at] if at in plain else rest[at] for at in range(len(config["matches"]))]
+        full["matches"] = [plain[index] if index in plain else rest[index] for index in range(len(config["matches"]))]
     for name, pool in full["pools"].items():
         if pool.get("tiers") == "near":
             pool["preferred"] = list(config["pools"][name].get("preferred", []))
@@ -114,7 +114,7 @@
 def _locate(*, errors: list, other_indexes: list) -> list:
     """The errors of the matches that took part, under the places that they were written at."""
     return [
-        {other_indexes[at] if isinstance(at, int) else at: inner for at, inner in error.items()}
+        {other_indexes[index] if isinstance(index, int) else index: inner for index, inner in error.items()}
         if isinstance(error, dict)
         else error
         for error in errors
@@ -167,9 +167,9 @@
     if sum(share["weight"] for share in match["pools"]) <= 0:
         yield Fault(path=path, reason="the weights add up to 0")
     known = [share["pool"] for share in match["pools"] if share["pool"] in full["pools"]]
-    for at, share in enumerate(match["pools"]):
+    for index, share in enumerate(match["pools"]):
         if share["pool"] not in full["pools"]:
-            yield Fault(path=f"{path}.{at}.pool", reason=f"no pool {share['pool']!r}")
+            yield Fault(path=f"{path}.{index}.pool", reason=f"no pool {share['pool']!r}")
     if not match.get("across") and len({full["pools"][pool]["service"] for pool in known}) > 1:
         yield Fault(path=path, reason="the pools are of different services")
     name = full["pools"][known[0]]["service"] if known else ""
--- a/sailward/config/errors.py
+++ b/sailward/config/errors.py
@@ -8,10 +8,10 @@
 def list_errors(*, errors: object, path: str = "") -> Iterator[tuple[str, str]]:
     """Walk cerberus's nested errors; a path names the fields down to the wrong one, with dots."""
     if isinstance(errors, dict):
-        for name, inner in errors.items():
-            yield from list_errors(errors=inner, path=f"{path}.{name}" if path else str(name))
+        for name, field_errors in errors.items():
+            yield from list_errors(errors=field_errors, path=f"{path}.{name}" if path else str(name))
     elif isinstance(errors, list):
-        for inner in errors:
-            yield from list_errors(errors=inner, path=path)
+        for field_errors in errors:
+            yield from list_errors(errors=field_errors, path=path)
     else:
         yield path, str(errors)
--- a/sailward/consensus/learner.py
+++ b/sailward/consensus/learner.py
@@ -38,11 +38,11 @@
 
     def step(self, *, name: str, ballot: Ballot, value: RegisterValue) -> bool:
         """Hold this value; is it news?"""
-        values = self.values.get(name) or LearnedValue()
-        if value["number"] < values.value["number"]:
+        known = self.values.get(name) or LearnedValue()
+        if value["number"] < known.value["number"]:
             return False
-        is_new = value["number"] > values.value["number"]
-        self.values[name] = LearnedValue(ballot=max(ballot, values.ballot), value=value if is_new else values.value)
+        is_new = value["number"] > known.value["number"]
+        self.values[name] = LearnedValue(ballot=max(ballot, known.ballot), value=value if is_new else known.value)
         if is_new and name == "voters":
             self._voters = read_voters(value=value)
         return is_new
@@ -53,30 +53,28 @@
 
     def send(self, *, to: str, name: str) -> list[Command]:
         """Give one who lost it what is held of a register."""
-        values = self.values.get(name)
+        known = self.values.get(name)
         return (
             [
                 SendMessage(
-                    to=to, body={"kind": "chosen", "register": name, "ballot": values.ballot, "value": values.value}
+                    to=to, body={"kind": "chosen", "register": name, "ballot": known.ballot, "value": known.value}
                 )
             ]
-            if values
+            if known
             else []
         )
 
     def known_versions(self) -> dict:
         """Number, mark and ballot of each register held."""
-        return {
-            name: [values.value["number"], values.value["mark"], values.ballot] for name, values in self.values.items()
-        }
+        return {name: [known.value["number"], known.value["mark"], known.ballot] for name, known in self.values.items()}
 
     def covers(self, *, name: str, newest: list) -> bool:
         """Is this vote (number, mark, ballot) held here, or older than what is?"""
         number, mark, ballot = newest
         if number == 0:
             return True
-        values = self.values.get(name)
-        return values is not None and (mark == values.value["mark"] or ballot <= values.ballot)
+        known = self.values.get(name)
+        return known is not None and (mark == known.value["mark"] or ballot <= known.ballot)
 
     def voters(self) -> VoterSet:
         """The voters as a proposer needs them."""
--- a/sailward/discovery/peer_table.py
+++ b/sailward/discovery/peer_table.py
@@ -109,7 +109,7 @@
 
         The whole peer table to the seeds now and then, and to all lost ones in turn.
         """
-        alive = [known for known in self.peers.values() if not known.lost]
+        alive = [peer for peer in self.peers.values() if not peer.lost]
         body = {
             "kind": "beat",
             "id": self.location.name,
@@ -120,9 +120,9 @@
             **({} if self.has_contact else {"contact": False}),
         }
         commands: list[Command] = [
-            SendMessage(to=known.entry["post"], body=self._with_echo(body=body, known=known)) for known in alive
+            SendMessage(to=peer.entry["post"], body=self._with_echo(body=body, peer=peer)) for peer in alive
         ]
-        lost = sorted(known.entry["post"] for known in self.peers.values() if known.lost)
+        lost = sorted(peer.entry["post"] for peer in self.peers.values() if peer.lost)
         if lost:
             # each lost one in turn: after a cut both sides find each other with the next heartbeats
             commands.append(SendMessage(to=lost[self.heartbeat % len(lost)], body=body))
@@ -131,12 +131,12 @@
             or self.heartbeat <= constants.GOSSIP_STARTUP_HEARTBEATS
             or self.heartbeat % constants.GOSSIP_SEED_HEARTBEATS == 0
         ):
-            known = {peer.entry["post"] for peer in alive}
+            addresses = {peer.entry["post"] for peer in alive}
             announcement = {"kind": "gossip", "entries": self._entries(now=now), "reply": False}
             commands += [
                 SendMessage(to=seed, body=announcement)
                 for seed in self.location.seeds
-                if seed != self.location.post and seed not in known
+                if seed != self.location.post and seed not in addresses
             ]
         return commands
 
@@ -144,27 +144,27 @@
         """By what an answer to this heartbeat is known."""
         return echo_number(start=self.start, heartbeat=self.heartbeat)
 
-    def _with_echo(self, *, body: Message, known: PeerState) -> dict:
+    def _with_echo(self, *, body: Message, peer: PeerState) -> dict:
         """A voter's heartbeat answers the last one that came from its receiver itself.
 
         And tells the numbers voted for.
         """
         return (
-            {**body, "echo": [known.echoed_heartbeat, *self.voted_numbers]}
-            if self.is_fit and known.echoed_heartbeat
+            {**body, "echo": [peer.echoed_heartbeat, *self.voted_numbers]}
+            if self.is_fit and peer.echoed_heartbeat
             else body
         )
 
     def _fold_heartbeat(self, *, now: float, sender: str, body: Message) -> list[Command]:
-        known = self.peers.get(body["id"])
-        if known is None or known.entry["start"] != body["start"] or known.entry["post"] != sender:
+        peer = self.peers.get(body["id"])
+        if peer is None or peer.entry["start"] != body["start"] or peer.entry["post"] != sender:
             # another start, or one not heard of: its whole entry is wanted
             return [SendMessage(to=sender, body={"kind": "gossip", "entries": [self.own_entry()], "reply": False})]
-        if body["beat"] <= known.entry["beat"]:
+        if body["beat"] <= peer.entry["beat"]:
             return []
-        entry = {**known.entry, "beat": body["beat"], "fit": body["fit"], "identity": body["identity"]}
+        entry = {**peer.entry, "beat": body["beat"], "fit": body["fit"], "identity": body["identity"]}
         commands: list[Command] = (
-            [LogEvent(event="daemon-found", fields={"daemon": body["id"], "at": sender})] if known.lost else []
+            [LogEvent(event="daemon-found", fields={"daemon": body["id"], "at": sender})] if peer.lost else []
         )
         self.peers[body["id"]] = PeerState(
             entry=entry,
@@ -196,19 +196,19 @@
 
     def alive(self, *, kind: str) -> list[dict]:
         """The entries of the daemons of this kind that are not lost."""
-        return [known.entry for known in self.peers.values() if kind_of(entry=known.entry) == kind and not known.lost]
+        return [peer.entry for peer in self.peers.values() if kind_of(entry=peer.entry) == kind and not peer.lost]
 
     def _watched(self) -> list[str]:
-        others = {known.entry["id"]: known.entry["post"] for known in self.peers.values()}
+        others = {peer.entry["id"]: peer.entry["post"] for peer in self.peers.values()}
         names = choose_names(key=self.location.name, names=others, count=constants.GOSSIP_FANOUT)
         addresses = [others[name] for name in names]
-        alive = sum(not known.lost for known in self.peers.values())
+        alive = sum(not peer.lost for peer in self.peers.values())
         if alive < constants.GOSSIP_FANOUT or self.heartbeat % 10 == 0:
             addresses += [seed for seed in self.location.seeds if seed not in addresses]
         return [address for address in addresses if address != self.location.post]
 
     def _entries(self, *, now: float) -> list[dict]:
-        fresh = [known.entry for known in self.peers.values() if not known.lost]
+        fresh = [peer.entry for peer in self.peers.values() if not peer.lost]
         return [self.own_entry(), *fresh]
 
     def _fold(self, *, now: float, entries: list, sender: str) -> list[Command]:
@@ -216,12 +216,12 @@
         for entry in entries:
             if not is_entry(given=entry) or entry["id"] == self.location.name:
                 continue
-            known = self.peers.get(entry["id"])
-            if known and not _is_newer(entry=entry, known=known):
+            peer = self.peers.get(entry["id"])
+            if peer and not _is_newer(entry=entry, peer=peer):
                 continue
-            if known is None or known.lost:
+            if peer is None or peer.lost:
                 commands.append(LogEvent(event="daemon-found", fields={"daemon": entry["id"], "at": entry["post"]}))
-            echoed_heartbeat = known.echoed_heartbeat if known else 0
+            echoed_heartbeat = peer.echoed_heartbeat if peer else 0
             if entry["post"] == sender:
                 echoed_heartbeat = echo_number(start=entry["start"], heartbeat=entry["beat"])
             self.peers[entry["id"]] = PeerState(entry=entry, last_seen_at=now, echoed_heartbeat=echoed_heartbeat)
@@ -229,11 +229,11 @@
 
     def _judge(self, *, now: float) -> list[Command]:
         commands: list[Command] = []
-        for name, known in list(self.peers.items()):
-            if not known.lost and now - known.last_seen_at > self.timeout:
-                known.lost = True
+        for name, peer in list(self.peers.items()):
+            if not peer.lost and now - peer.last_seen_at > self.timeout:
+                peer.lost = True
                 commands.append(LogEvent(event="daemon-lost", fields={"daemon": name}))
-            if now - known.last_seen_at > constants.PEER_TTL:
+            if now - peer.last_seen_at > constants.PEER_TTL:
                 del self.peers[name]
         return commands
 
@@ -246,11 +246,11 @@
     return (start + heartbeat) % constants.HEARTBEAT_ECHO_MODULUS + 1
 
 
-def _is_newer(*, entry: PeerEntry, known: PeerState) -> bool:
-    if known.lost and entry["start"] != known.entry["start"]:
+def _is_newer(*, entry: PeerEntry, peer: PeerState) -> bool:
+    if peer.lost and entry["start"] != peer.entry["start"]:
         # a start is a wall time: after the clock was turned back, the new one is the lower
         return True
-    return (entry["start"], entry["beat"]) > (known.entry["start"], known.entry["beat"])
+    return (entry["start"], entry["beat"]) > (peer.entry["start"], peer.entry["beat"])
 
 
 def is_entry(*, given: object) -> bool:
--- a/tests/test_dialect.py
+++ b/tests/test_dialect.py
@@ -35,31 +35,31 @@
     return net.ask(net.machines[at], method="PATCH", path="/config", body=given, if_match=if_match)[0]
 
 
-def shown(net: CoreNet, at: int = 1) -> object:
+def read_config(net: CoreNet, at: int = 1) -> object:
     return net.ask(net.machines[at], method="GET", path="/config")[1]
 
 
 def test_a_configuration_is_put_read_and_changed(net: CoreNet) -> None:
     assert net.ask(net.machines[0], method="GET", path="/config")[0] == 404
     assert put(net, make_written(label=5), "0") == 200
-    assert shown(net) == make_written(label=5)
+    assert read_config(net) == make_written(label=5)
     assert put(net, make_written(label=7, weight=1), "r5", at=3) == 200
-    assert shown(net) == make_written(label=7, weight=1)
+    assert read_config(net) == make_written(label=7, weight=1)
     assert net.machines[2].controller.shard_moves.plan.label == 7
 
 
 @pytest.mark.parametrize("at", [0, 1, 3])
 def test_a_large_one_is_answered_within_the_operators_patience(net: CoreNet, at: int) -> None:
-    code, _, took = net.ask(
+    code, _, seconds = net.ask(
         net.machines[at], method="PUT", path="/config", body=make_written(label=1, routes=400), if_match="0"
     )
-    assert code == 200 and took < 1.0
+    assert code == 200 and seconds < 1.0
 
 
 def test_with_one_of_three_lost_it_is_answered_as_soon(net: CoreNet) -> None:
     net.kill(net.machines[2])
-    code, _, took = net.ask(net.machines[0], method="PUT", path="/config", body=make_written(label=1), if_match="0")
-    assert code == 200 and took < 1.5
+    code, _, seconds = net.ask(net.machines[0], method="PUT", path="/config", body=make_written(label=1), if_match="0")
+    assert code == 200 and seconds < 1.5
 
 
 def test_what_is_sent_again_unchanged_is_answered_again_also_after_later_ones(net: CoreNet) -> None:
@@ -70,7 +70,7 @@
     assert put(net, make_written(label=4), "r2") == 200
     assert patch(net, {"remove": {"routes": ["r-1"]}, "generation": "r2"}, "r1", at=1) == 200
     assert put(net, make_written(label=1), "0", at=1) == 200
-    assert shown(net) == make_written(label=4)
+    assert read_config(net) == make_written(label=4)
     assert net.machines[0].controller.learner.number(name="config") == 3
 
 
@@ -88,7 +88,7 @@
 def test_of_two_on_top_of_one_version_one_wins(net: CoreNet) -> None:
     assert put(net, make_written(label=1), "0") == 200
     for label, labels in enumerate([(2, 2), (4, 5), (8, 7)]):
-        current = shown(net)["generation"]
+        current = read_config(net)["generation"]
         tokens = [
             net.send(
                 net.machines[at],
@@ -102,7 +102,7 @@
         net.run(6.0)
         assert sorted(net.answers[token].code for token in tokens) == [200, 412]
         winner = next(at for at, token in enumerate(tokens) if net.answers[token].code == 200)
-        assert shown(net) == make_written(label=labels[winner], weight=winner + label)
+        assert read_config(net) == make_written(label=labels[winner], weight=winner + label)
 
 
 @pytest.mark.parametrize(
@@ -119,7 +119,7 @@
 def test_wrong_versions(net: CoreNet, if_match: str | None, label: int, code: int) -> None:
     assert put(net, make_written(label=1), "0") == 200
     assert put(net, make_written(label=label, weight=3), if_match) == code
-    assert shown(net)["generation"] == ("r3" if code == 200 else "r1")
+    assert read_config(net)["generation"] == ("r3" if code == 200 else "r1")
 
 
 def test_a_large_body_and_a_cut_one(net: CoreNet) -> None:
@@ -129,7 +129,7 @@
     bad["listeners"][0]["ruleset"][0]["verdict"]["max_tries"] = 0
     code, body, _ = net.ask(net.machines[0], method="PUT", path="/config", body=bad, if_match="0")
     assert code == 400 and body["faults"][0]["path"] == "listeners.0.ruleset.0.verdict.max_tries"
-    assert shown(net) == {"error": "no-config"}
+    assert read_config(net) == {"error": "no-config"}
 
 
 def test_without_a_majority_nothing_definite_is_said(net: CoreNet) -> None:
@@ -146,7 +146,7 @@
     net.run(0.45)
     net.kill(net.machines[0])
     assert put(net, make_written(label=1), "0", at=1) == 200
-    assert shown(net) == make_written(label=1)
+    assert read_config(net) == make_written(label=1)
 
 
 def test_zones_are_evacuated_and_taken_back_any_number_of_times(net: CoreNet) -> None:
@@ -212,7 +212,7 @@
     token = net.send(net.machines[0], method="PUT", path="/config", body=make_written(label=1), if_match="0")
     net.after(0.01, lambda: net.give(net.machines[0], event=ClientDisconnected(token=token)))
     net.run(3.0)
-    assert net.answers[token].code == 200 and shown(net) == make_written(label=1)
+    assert net.answers[token].code == 200 and read_config(net) == make_written(label=1)
 
 
 def test_an_order_that_was_left_half_accepted_is_not_finished_after_the_opposite(net: CoreNet) -> None:
@@ -278,10 +278,10 @@
     # one that does not go beyond what it builds on never will be
     assert put(net, make_written(label=9, weight=3), "r9") == 412
     assert put(net, make_written(label=4, weight=3), "r9") == 412
-    assert shown(net)["generation"] == "r1"
+    assert read_config(net)["generation"] == "r1"
     assert put(net, make_written(label=9, weight=4), "r1") == 200
     assert put(net, make_written(label=12, weight=3), "r9", at=2) == 200
-    assert shown(net) == make_written(label=12, weight=3)
+    assert read_config(net) == make_written(label=12, weight=3)
 
 
 def test_the_history_is_bounded_and_what_is_older_gets_no_clear_answer(net: CoreNet, monkeypatch) -> None:
@@ -296,7 +296,7 @@
         assert put(net, make_written(label=40, weight=label), f"r{label - 1}", at=label % 4) == 412
     for label in range(1, 17):
         assert put(net, make_written(label=label), f"r{label - 1}" if label > 1 else "0", at=label % 4) == 503
-    assert shown(net) == make_written(label=39)
+    assert read_config(net) == make_written(label=39)
 
 
 def test_the_same_content_on_top_of_another_version_is_another_change(net: CoreNet) -> None:
@@ -345,7 +345,7 @@
         )
         == 200
     )
-    listeners = shown(net)["listeners"]
+    listeners = read_config(net)["listeners"]
     hosts = {listener["hostname"]: [rule["name"] for rule in listener["ruleset"]] for listener in listeners}
     assert hosts == {"one.example": ["r-2"], "two.example": ["r-1", "r-3", "r-0"]}
 
@@ -396,4 +396,4 @@
         winner = next(one for one in both if one.code == 200)
         label, current = int(winner.written["generation"][1:]), winner.written["generation"]
         net.run(4.0)
-        assert [shown(net, at=at) for at in range(4)] == [winner.written] * 4
+        assert [read_config(net, at=at) for at in range(4)] == [winner.written] * 4
--- a/tests/test_endpoint_pages.py
+++ b/tests/test_endpoint_pages.py
@@ -18,7 +18,7 @@
 from tests.core_net import WORKERS, CoreNet
 
 
-def entry(name: str, **more: object) -> dict:
+def entry(name: str, **overrides: object) -> dict:
     return {
         "id": name,
         "service": "red",
@@ -27,11 +27,11 @@
         "capacity": 4,
         "state": "admitted",
         "cold_left_s": 0,
-        **more,
+        **overrides,
     }
 
 
-def row(name: str, **more: object) -> dict:
+def row(name: str, **overrides: object) -> dict:
     return {
         "id": name,
         "generation": 0,
@@ -41,7 +41,7 @@
         "leaving": False,
         "capacity": 4,
         "cold_s": 0.0,
-        **more,
+        **overrides,
     }
 
 
@@ -52,20 +52,20 @@
 class Platform:
     """A pager with answers fed to it by hand."""
 
-    def __init__(self, **more: object) -> None:
-        self.pager = Pager(platform="10.9.9.9:1", reader=WORKERS.WorkersReader(), **more)
+    def __init__(self, **overrides: object) -> None:
+        self.pager = Pager(platform="10.9.9.9:1", reader=WORKERS.WorkersReader(), **overrides)
         self.now = 0.0
         self.paths: list[str] = []
 
     def run_pass(self, *pages: bytes | int) -> list | None:
         """One pass over these pages; the names it told, or None."""
         self.now = max(self.now, self.pager.next_at)
-        commands, whole = self.pager.step(now=self.now, event=None)
+        commands, complete_list = self.pager.step(now=self.now, event=None)
         for page in pages:
             call = commands[0]
             self.paths.append(call.path)
             code = page if isinstance(page, int) else 200
-            commands, whole = self.pager.step(
+            commands, complete_list = self.pager.step(
                 now=self.now,
                 event=CallFinished(
                     token=call.token,
@@ -76,7 +76,7 @@
                     sent=True,
                 ),
             )
-        return None if whole is None else [worker["id"] for worker in whole.workers]
+        return None if complete_list is None else [worker["id"] for worker in complete_list.workers]
 
 
 def test_pages_are_asked_for_by_token_and_read_into_rows() -> None:
@@ -184,23 +184,23 @@
 
 
 def test_leaving_stays_and_gone_stays_against_a_list_that_lags() -> None:
-    book = EndpointTable()
-    assert book.replace(now=0.0, workers=[row("i-1"), row("i-2", capacity=7, cold_s=2.0)]) == ({"i-1", "i-2"}, set())
-    assert (book.workers["i-2"].capacity, book.workers["i-2"].slow_start, book.workers["i-2"].key) == (7, 2.0, "i-2")
-    book.replace(now=10.0, workers=[row("i-1", leaving=True), row("i-2")])
-    book.replace(now=10.5, workers=[row("i-1"), row("i-2")])
-    assert book.workers["i-1"].leaving
-    assert book.replace(now=11.0, workers=[row("i-2")]) == (set(), {"i-1"})
-    assert book.replace(now=11.1, workers=[row("i-1"), row("i-2")]) == (set(), set())
-    assert set(book.workers) == {"i-2"}
+    table = EndpointTable()
+    assert table.replace(now=0.0, workers=[row("i-1"), row("i-2", capacity=7, cold_s=2.0)]) == ({"i-1", "i-2"}, set())
+    assert (table.workers["i-2"].capacity, table.workers["i-2"].slow_start, table.workers["i-2"].key) == (7, 2.0, "i-2")
+    table.replace(now=10.0, workers=[row("i-1", leaving=True), row("i-2")])
+    table.replace(now=10.5, workers=[row("i-1"), row("i-2")])
+    assert table.workers["i-1"].leaving
+    assert table.replace(now=11.0, workers=[row("i-2")]) == (set(), {"i-1"})
+    assert table.replace(now=11.1, workers=[row("i-1"), row("i-2")]) == (set(), set())
+    assert set(table.workers) == {"i-2"}
 
 
 def test_one_just_come_that_an_older_list_lacks_comes_back() -> None:
-    book = EndpointTable()
-    book.replace(now=0.0, workers=[row("i-1")])
-    book.replace(now=10.0, workers=[row("i-1"), row("i-new")])
-    book.replace(now=10.2, workers=[row("i-1")])
-    assert book.replace(now=10.7, workers=[row("i-1"), row("i-new")]) == ({"i-new"}, set())
+    table = EndpointTable()
+    table.replace(now=0.0, workers=[row("i-1")])
+    table.replace(now=10.0, workers=[row("i-1"), row("i-new")])
+    table.replace(now=10.2, workers=[row("i-1")])
+    assert table.replace(now=10.7, workers=[row("i-1"), row("i-new")]) == ({"i-new"}, set())
 
 
 def ask(have: list | None) -> dict:
@@ -209,7 +209,7 @@
 
 
 def test_a_list_is_pushed_only_to_those_that_follow_this_controller() -> None:
-    news = {"workers": (101, [0, ""], {"number": 101, "mark": "a:1", "trail": [], "text": "[]"})}
+    updates_by_name = {"workers": (101, [0, ""], {"number": 101, "mark": "a:1", "trail": [], "text": "[]"})}
     for have, is_pushed in (
         (None, True),
         ([-1, "", [0, ""]], True),
@@ -219,19 +219,19 @@
         ([7, "b:1", [0, ""]], False),
         ([500, "a:1", [0, ""]], True),
     ):
-        commands = Subscribers(post="a:1").step(now=1.0, event=("p:1", ask(have)), updates=news)
+        commands = Subscribers(post="a:1").step(now=1.0, event=("p:1", ask(have)), updates=updates_by_name)
         assert [command.body["number"] for command in commands if isinstance(command, SendMessage)] == (
             [101] if is_pushed else []
         ), have
 
 
 def test_a_push_is_repeated_only_when_an_asking_shows_that_it_was_lost() -> None:
-    news = {"workers": (101, [0, ""], {"number": 101, "mark": "a:1", "trail": [], "text": "[]"})}
+    updates_by_name = {"workers": (101, [0, ""], {"number": 101, "mark": "a:1", "trail": [], "text": "[]"})}
     subscribers = Subscribers(post="a:1")
-    assert subscribers.step(now=1.0, event=("p:1", ask([100, "a:1", [0, ""]])), updates=news)
-    assert not subscribers.step(now=1.4, event=None, updates=news)
-    assert subscribers.step(now=1.5, event=("p:1", ask([100, "a:1", [0, ""]])), updates=news)
-    assert not subscribers.step(now=2.0, event=("p:1", ask([101, "a:1", [0, ""]])), updates=news)
+    assert subscribers.step(now=1.0, event=("p:1", ask([100, "a:1", [0, ""]])), updates=updates_by_name)
+    assert not subscribers.step(now=1.4, event=None, updates=updates_by_name)
+    assert subscribers.step(now=1.5, event=("p:1", ask([100, "a:1", [0, ""]])), updates=updates_by_name)
+    assert not subscribers.step(now=2.0, event=("p:1", ask([101, "a:1", [0, ""]])), updates=updates_by_name)
 
 
 def test_controllers_page_the_list_and_tell_it() -> None:
--- a/tests/test_fuzz_messages.py
+++ b/tests/test_fuzz_messages.py
@@ -28,8 +28,10 @@
 
 def _with_bytes(value: object) -> object:
     if isinstance(value, dict):
-        return bytes(value["$bytes"]) if "$bytes" in value else {name: _with_bytes(one) for name, one in value.items()}
-    return [_with_bytes(one) for one in value] if isinstance(value, list) else value
+        return (
+            bytes(value["$bytes"]) if "$bytes" in value else {name: _with_bytes(inner) for name, inner in value.items()}
+        )
+    return [_with_bytes(inner) for inner in value] if isinstance(value, list) else value
 
 
 VALID = [_with_bytes(body) for rows in EXAMPLES.values() for body in rows]
@@ -48,7 +50,7 @@
 
 
 @functools.cache
-def whole_net() -> CoreNet:
+def make_running_net() -> CoreNet:
     net = CoreNet(zones=list(ZONES)[:3])
     for machine in net.machines:
         net.start(machine, bootstrap=True)
@@ -62,15 +64,15 @@
 @functools.cache
 def owners() -> dict:
     """One owner of each kind, as it stands in a fleet, and a controller that has just started on an empty disk."""
-    net = whole_net()
+    net = make_running_net()
     proxy = Proxy(
         location=make_location(kind="proxy"),
         start=1,
         rng=random.Random(1),
         options=ProxyOptions(expand=lambda given: CONFIG.expand(given, ZONES), regions=tuple(ZONES.items())),
     )
-    for name, held in net.machines[0].controller.learner.values.items():
-        body = {"kind": "push", "seq": 1, "name": name, "number": 1, "ballot": held.ballot, "value": held.value}
+    for name, learned in net.machines[0].controller.learner.values.items():
+        body = {"kind": "push", "seq": 1, "name": name, "number": 1, "ballot": learned.ballot, "value": learned.value}
         proxy.step(now=net.now, event=MessageReceived(sender="10.0.0.1:7620", body=body))
     return {
         "voter": net.machines[0].controller,
@@ -93,15 +95,15 @@
 
 def deliver(*, bodies: list) -> None:
     """Give messages to an owner of each kind, and let time go on behind them."""
-    now = whole_net().now
+    now = make_running_net().now
     for name, owner in owners().items():
-        made = copy.deepcopy(owner)
+        owner_copy = copy.deepcopy(owner)
         for at, body in enumerate(bodies):
             sender = "10.0.0.1:7620" if at % 2 else "10.0.0.2:7620"
-            commands = made.step(now=now, event=MessageReceived(sender=sender, body=copy.deepcopy(body)))
+            commands = owner_copy.step(now=now, event=MessageReceived(sender=sender, body=copy.deepcopy(body)))
             assert not [command for command in commands if isinstance(command, Respond)], name
         for heartbeat in range(1, 60, 6):
-            made.step(now=now + 0.05 * heartbeat, event=TimerFired(wall=7.0 + heartbeat))
+            owner_copy.step(now=now + 0.05 * heartbeat, event=TimerFired(wall=7.0 + heartbeat))
 
 
 def over_the_wire(*, body: object) -> dict | BadMessage | None:
@@ -132,10 +134,10 @@
         if isinstance(checked, BadMessage):
             assert checked.reason
             continue
-        came = over_the_wire(body=body)
-        if came is not None:
-            assert isinstance(came, BadMessage) or came["kind"] == body["kind"]
-            accepted += [came] if isinstance(came, dict) else []
+        received = over_the_wire(body=body)
+        if received is not None:
+            assert isinstance(received, BadMessage) or received["kind"] == body["kind"]
+            accepted += [received] if isinstance(received, dict) else []
     if accepted:
         deliver(bodies=accepted)
 
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -22,7 +22,7 @@
 CONFIG = make_arriaga().config
 POOL = next(iter(CONFIG["pools"]))
 SERVICE = CONFIG["pools"][POOL]["service"]
-OTHER = next(name for name, one in CONFIG["pools"].items() if one["service"] != SERVICE)
+OTHER = next(name for name, pool in CONFIG["pools"].items() if pool["service"] != SERVICE)
 
 
 def with_match(**more: object) -> dict:
@@ -147,7 +147,7 @@
     ]
 
 
-def spoil(config: dict, rng: random.Random) -> dict:
+def corrupt(config: dict, rng: random.Random) -> dict:
     config = copy.deepcopy(config)
     for _ in range(rng.randint(0, 3)):
         match = rng.choice(config["matches"])
@@ -213,17 +213,17 @@
             {"path": "/y", "pools": [{"pool": OTHER, "weight": 3}]},
         ],
     }
-    spoiled = [spoil(base, rng) for _ in range(120)]
-    quick = [check_config(config=copy.deepcopy(one)) for one in spoiled]
+    corrupted = [corrupt(base, rng) for _ in range(120)]
+    quick = [check_config(config=copy.deepcopy(config)) for config in corrupted]
     monkeypatch.setattr(check_module, "split_matches", lambda *, matches: ({}, []))
-    for one, verdict in zip(spoiled, quick, strict=True):
-        slow = check_config(config=copy.deepcopy(one))
-        assert type(slow) is type(verdict), (one["matches"], slow, verdict)
+    for config, verdict in zip(corrupted, quick, strict=True):
+        slow = check_config(config=copy.deepcopy(config))
+        assert type(slow) is type(verdict), (config["matches"], slow, verdict)
         if isinstance(slow, ValidConfig):
             assert slow.full == verdict.full and slow.warnings == verdict.warnings
         else:
-            assert sorted(map(str, slow.faults)) == sorted(map(str, verdict.faults)), one["matches"]
-    assert len({type(one) for one in quick}) == 2
+            assert sorted(map(str, slow.faults)) == sorted(map(str, verdict.faults)), config["matches"]
+    assert len({type(verdict) for verdict in quick}) == 2
 
 
 def test_a_register_that_holds_only_what_was_written_is_expanded() -> None:
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -54,28 +54,28 @@
         DirectoryServer(location=make_location(kind="directory"), start=1, rng=random.Random(1)),
         TenantProxy(location=make_location(kind="proxy"), nonce="1", start=1, rng=random.Random(1), now=0.0),
     ]
-    heard = {}
+    commands_by_kind = {}
     for kind, rows in MESSAGES.items():
         for row in rows:
             body = read_message(payload=base64.b64decode(row))
             assert isinstance(body, dict) and body["kind"] == kind
             for owner in owners:
                 commands = owner.step(now=1.0, event=MessageReceived(sender="10.0.0.1:7000", body=body))
-                heard.setdefault(kind, []).extend(commands)
+                commands_by_kind.setdefault(kind, []).extend(commands)
     for owner in owners:
         owner.step(now=1.1, event=TimerFired())
     # askings get grants, gossip gets gossip: the old ones were taken for what they are
-    assert any(getattr(one, "body", {}).get("kind") == "grant" for one in heard["ask"])
-    assert any(getattr(one, "body", {}).get("kind") == "gossip" for one in heard["gossip"])
+    assert any(getattr(command, "body", {}).get("kind") == "grant" for command in commands_by_kind["ask"])
+    assert any(getattr(command, "body", {}).get("kind") == "gossip" for command in commands_by_kind["gossip"])
 
 
 @pytest.mark.parametrize(
-    ("kind", "word"), [("controller", "cellar"), ("proxy", "sommelier"), ("directory", "concierge")]
+    ("kind", "wire_kind"), [("controller", "cellar"), ("proxy", "sommelier"), ("directory", "concierge")]
 )
-def test_a_daemon_is_known_by_its_kind_whichever_version_wrote_its_entry(kind: str, word: str) -> None:
-    teller = PeerTable(location=make_location(kind=kind), start=1)
-    written = teller.own_entry()
-    assert written["kind"] == word, "the last version knows this word only"
+def test_a_daemon_is_known_by_its_kind_whichever_version_wrote_its_entry(kind: str, wire_kind: str) -> None:
+    sender = PeerTable(location=make_location(kind=kind), start=1)
+    written = sender.own_entry()
+    assert written["kind"] == wire_kind, "the last version knows this word only"
     for at, entry in enumerate((written, {**written, "kind": kind})):
         entries = [{**entry, "id": f"other-{at}"}]
         reader = PeerTable(location=make_location(kind="proxy"), start=1)
