--- a/sailward/consensus/acceptor.py
+++ b/sailward/consensus/acceptor.py
@@ -1,4 +1,4 @@
-"""The voter: promises and votes, to be synced before they are told."""
+"""The acceptor (voter): its promises and votes, which must be synced to the disk before they are sent."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 from sailward.wire_types import Ballot, Message, RegisterValue
 
 CLAIM_PREFIX = "exchange/"
-"""What the name of a claim's register begins with."""
+"""Prefix of the name of a register that holds the claim of an idempotency key."""
 KNOWN_VOTERS_RECORD = "known/voters"
-"""What a record of the voters that are known to be chosen is written under: a promise, to versions that don't know
-it."""
+"""Register name of the record that holds the voter set known to be chosen. Versions that don't know this record read
+it as a promise."""
 NO_BALLOT = [0, ""]
 FIRST_BALLOT = [0, "first"]
-"""The ballot that every proposer shares for a register that has no vote yet."""
+"""The ballot that all proposers share for a register that has no vote yet."""
 
 
 @dataclass(kw_only=True)
 class Slot:
-    """What a voter remembers of one register."""
+    """A voter's state of one register. `updated_at` is the time of the last promise or vote."""
 
     promised: Ballot = field(default_factory=lambda: list(NO_BALLOT))
     ballot: Ballot = field(default_factory=lambda: list(NO_BALLOT))
@@ -26,32 +26,32 @@
     updated_at: float = 0.0
 
     def vote(self) -> list:
-        """The vote as a message carries it: empty if none was cast."""
+        """The vote in the form that messages carry: an empty list if none was cast."""
         return [list(self.ballot), self.value] if self.value is not None else []
 
 
 class Slots(dict):
-    """A voter's slots by register; `control` names those that are not claims, as claims are many."""
+    """A voter's slots by register. `control_names` lists those that are not claims, as there are many claims."""
 
     def __init__(self) -> None:
         super().__init__()
         self.control_names: set[str] = set()
 
     def __setitem__(self, name: str, slot: Slot) -> None:
-        """Keep the slot, and its name with the control registers if it is no claim."""
+        """Store the slot, and record its name as a control register unless it is a claim."""
         if not name.startswith(CLAIM_PREFIX):
             self.control_names.add(name)
         super().__setitem__(name, slot)
 
 
 class Acceptor:
-    """Owner of a voter's slots. `step` answers a message with (records to sync, reply)."""
+    """Owner of a voter's slots. `step` returns (records to sync, reply) for a message."""
 
     def __init__(self, *, slots: Slots) -> None:
         self.slots = slots
 
     def step(self, *, now: float, body: Message) -> tuple[list[dict], dict]:
-        """Judge one prepare, accept or read."""
+        """Process one prepare, accept, first or read message."""
         name, op = body["register"], body["op"]
         slot = self.slots.get(name) or Slot()
         if body["kind"] == "read":
@@ -63,7 +63,7 @@
             if ballot < slot.promised or ballot == slot.ballot:
                 return [], _nack(op=op, name=name, ballot=ballot, reason="promised", highest_round=slot.promised[0])
             if ballot == slot.promised:
-                # the same asking came twice
+                # a duplicate of the prepare that was promised last
                 return [], {"kind": "promise", "op": op, "register": name, "ballot": ballot, "vote": slot.vote()}
             record = {"k": "promise", "r": name, "b": ballot}
             reply = {"kind": "promise", "op": op, "register": name, "ballot": ballot, "vote": slot.vote()}
@@ -93,7 +93,7 @@
 
 
 def fold_record(*, slots: dict[str, Slot], record: dict, now: float) -> None:
-    """Fold one record, new or from the disk, into the slots."""
+    """Apply one record, new or read from the disk, to the slots."""
     if record["k"] == "drop":
         slots.pop(record["r"], None)
         return
@@ -107,7 +107,7 @@
 
 
 def slot_records(*, name: str, slot: Slot) -> list[dict]:
-    """The records that rebuild a slot."""
+    """The records from which a slot can be rebuilt."""
     records = []
     if slot.value is not None:
         records.append({"k": "vote", "r": name, "b": slot.ballot, "v": slot.value})
@@ -129,7 +129,7 @@
 
 
 def newest_vote(*, slots: Slots, name: str) -> list:
-    """Number, mark and ballot of a voter's newest vote of a register."""
+    """Value number, change id and ballot of a voter's newest vote on a register."""
     slot = slots.get(name)
     return (
         [slot.value["number"], slot.value["mark"], slot.ballot]
--- a/sailward/consensus/learner.py
+++ b/sailward/consensus/learner.py
@@ -27,17 +27,17 @@
 
 @dataclass(kw_only=True)
 class Learner:
-    """Owner of the chosen values; `step` folds one, and an older one never replaces a newer."""
+    """Owner of the chosen values. `step` learns one; an older value never replaces a newer one."""
 
     values: dict = field(default_factory=dict)
     _voters: VoterSet = field(default_factory=VoterSet)
 
     def is_newer(self, *, name: str, value: RegisterValue) -> bool:
-        """Is this value newer than what is held?"""
+        """Is this value newer than the learned one?"""
         return bool(value["number"] > self.number(name=name))
 
     def step(self, *, name: str, ballot: Ballot, value: RegisterValue) -> bool:
-        """Hold this value; is it news?"""
+        """Learn this value; True if it is newer than the one known before."""
         known = self.values.get(name) or LearnedValue()
         if value["number"] < known.value["number"]:
             return False
@@ -48,11 +48,11 @@
         return is_new
 
     def number(self, *, name: str) -> int:
-        """The number held, 0 if none."""
+        """The number of the learned value, 0 if none."""
         return self.values[name].value["number"] if name in self.values else 0
 
     def send(self, *, to: str, name: str) -> list[Command]:
-        """Give one who lost it what is held of a register."""
+        """Send the learned value of a register to a daemon that has lost it."""
         known = self.values.get(name)
         return (
             [
@@ -65,11 +65,11 @@
         )
 
     def known_versions(self) -> dict:
-        """Number, mark and ballot of each register held."""
+        """Value number, change id and ballot of each learned register."""
         return {name: [known.value["number"], known.value["mark"], known.ballot] for name, known in self.values.items()}
 
     def covers(self, *, name: str, newest: list) -> bool:
-        """Is this vote (number, mark, ballot) held here, or older than what is?"""
+        """Is this vote (value number, change id, ballot) learned already, or older than what is learned?"""
         number, mark, ballot = newest
         if number == 0:
             return True
--- a/sailward/consensus/messages.py
+++ b/sailward/consensus/messages.py
@@ -1,6 +1,6 @@
-"""The messages between sailward's processes: their fields, encoding and check.
+"""The messages between sailward's processes: their fields, encoding and validation.
 
-What passes the check can be given to any owner: an owner looks at no field's type again.
+A message that passes the check can be handed to any owner: owners don't check the types of fields again.
 """
 
 from __future__ import annotations
@@ -34,22 +34,22 @@
 from sailward.wire_types import Message
 
 SLOTS_PREFIX = "slots/"
-"""What the name of a divided service's register begins with."""
+"""Prefix of the name of a sharded service's register."""
 PER_SENDER_LISTS = ("workers", "fleet")
-"""What is told under a number of the teller's own, with its teller's name."""
+"""Lists whose numbers are assigned by each sender for itself; their versions therefore carry the sender's name."""
 
 
 def is_ballot(value: object) -> bool:
-    """Is it [round, proposer]?"""
+    """Is this a ballot, [round, proposer]?"""
     return isinstance(value, list) and len(value) == 2 and is_complete(value[0]) and isinstance(value[1], str)
 
 
 VALUE_CHECKS: dict[str, Check] = {"number": is_count, "mark": is_text, "trail": list_of(is_text), "text": is_text}
-"""The fields of a register's value, and no others: a vote is written to the disk as it came."""
+"""The fields of a register's value. No others are accepted, as a vote is written to the disk as it was received."""
 
 
 def is_value(value: object) -> bool:
-    """Is it a register's value?"""
+    """Is this a register's value?"""
     return (
         isinstance(value, dict)
         and value.keys() == VALUE_CHECKS.keys()
@@ -58,38 +58,38 @@
 
 
 def is_vote(value: object) -> bool:
-    """Is it [ballot, value]?"""
+    """Is this a vote, [ballot, value]?"""
     return isinstance(value, list) and len(value) == 2 and is_ballot(value[0]) and is_value(value[1])
 
 
 def is_vote_or_none(value: object) -> bool:
-    """Is it a vote, or empty for none?"""
+    """Is this a vote, or an empty list for none?"""
     return value == [] or is_vote(value)
 
 
 def is_register(value: object) -> bool:
-    """Is it a register's name? One name is kept for a record of the disk."""
+    """Is this a register's name? One name is reserved for a record in the data file."""
     return isinstance(value, str) and value != KNOWN_VOTERS_RECORD
 
 
 def is_bucket(value: object) -> bool:
-    """Is it the number of a bucket of keys?"""
+    """Is this the number of a bucket of keys?"""
     return is_count(value) and value < constants.KEY_LOAD_BUCKETS  # type: ignore[operator]
 
 
 def is_bucket_name(value: object) -> bool:
-    """Is it the number of a bucket of keys, as the name of a field?"""
+    """Is this the number of a bucket of keys in decimal digits, as used for field names?"""
     is_digits = isinstance(value, str) and value.isascii() and value.isdigit() and len(value) < 10
     return is_digits and is_bucket(int(value))  # type: ignore[call-overload]
 
 
 def is_location(value: object) -> bool:
-    """Is it SERVICE|ZONE?"""
+    """Is this of the form SERVICE|ZONE?"""
     return isinstance(value, str) and "|" in value
 
 
 def is_load_summary(value: object) -> bool:
-    """Is it a whole in tenths, then at least two ends of parts; or empty?"""
+    """Is this a total in tenths followed by at least two boundaries of parts, or an empty list?"""
     return value == [] or (
         isinstance(value, list) and len(value) >= 3 and is_count(value[0]) and all(map(is_bucket, value[1:]))
     )
@@ -99,20 +99,20 @@
 
 
 def is_pace(value: Any) -> bool:
-    """Is it a pace and how many times are behind it, one at least?"""
+    """Is this a pace followed by the number of samples behind it, at least one?"""
     return _is_pace(value) and value[1] > 0
 
 
 _is_digest = row_of(is_complete, is_text, is_ballot)
-"""Number, mark and ballot of a value."""
+"""Number, change id and ballot of a value."""
 _is_known_version = either_of(row_of(is_complete), row_of(is_complete, is_text), _is_digest)
-"""What an asker holds of a register: its number, and maybe more."""
+"""The version of a register that a requester has: its number, optionally with more."""
 _is_health = row_of(is_count, is_count, is_text)
-"""Listed workers, healthy ones, and the state of a zone."""
+"""The numbers of listed and of healthy workers, and the state of a zone."""
 
 
 def is_known_versions(value: object) -> bool:
-    """Is it what an asker holds, by name?"""
+    """Is this a map of the versions that a requester has, by register or list name?"""
     return (
         isinstance(value, dict)
         and all(isinstance(name, str) and _is_known_version(version) for name, version in value.items())
@@ -224,24 +224,24 @@
         "next": is_text,
     },
 }
-"""Each kind's fields in the order in which a frame carries them, with the check of each."""
+"""The fields of each kind of message, in the order in which a frame carries them, with the check of each field."""
 FIELDS: dict[str, tuple[str, ...]] = {kind: tuple(fields) for kind, fields in MESSAGE_CHECKS.items()}
 
 
 @dataclass(frozen=True, kw_only=True)
 class BadMessage:
-    """What came is not a message of ours."""
+    """The received data is not a valid message."""
 
     reason: str
 
 
 def pack_message(*, body: Message) -> bytes:
-    """The bytes of a message."""
+    """Encode a message."""
     return bytes(flexbuffers.Dumps(body))
 
 
 def read_message(*, payload: bytes) -> dict | BadMessage:
-    """The message in these bytes, or what is wrong with them."""
+    """Decode and check a message; BadMessage gives the reason if it is not valid."""
     try:
         body = flexbuffers.Loads(payload)
     except Exception as fault:  # noqa: BLE001 - the decoder raises many kinds on foreign bytes
@@ -250,7 +250,7 @@
 
 
 def check_message(*, body: object) -> dict | BadMessage:
-    """The message itself if its fields are all there and fit; else which one does not."""
+    """The message itself if all its fields are present and valid; else a BadMessage that names the first bad field."""
     if not isinstance(body, dict):
         return BadMessage(reason="not-a-map")
     kind = body.get("kind")
@@ -267,7 +267,7 @@
 
 
 def _values_in(*, body: Message) -> list[tuple[str, dict]]:
-    """Each value that the message carries, with the register that it belongs to."""
+    """Each register value that the message carries, as (register, value)."""
     match body["kind"]:
         case "accept" | "first" | "chosen":
             return [(body["register"], body["value"])]
@@ -285,7 +285,7 @@
 
 
 def is_readable(*, register: str, text: str) -> bool:
-    """Can a control register's text be read? The configuration, which is large, is checked where it is read."""
+    """Can a control register's text be parsed? The configuration is large and is checked where it is read."""
     if register in ("voters", "orders") or register.startswith(SLOTS_PREFIX):
         return text == "" or _is_readable(register=register.split("/", maxsplit=1)[0], text=text)
     return True
--- a/sailward/consensus/proposer.py
+++ b/sailward/consensus/proposer.py
@@ -1,4 +1,4 @@
-"""The proposer: changes and reads of registers in two rounds at a majority."""
+"""The proposer: reads and changes registers in two rounds (prepare, accept) at a majority of the voters."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Accepted:
-    """The change with this number was chosen; `value` is what stands now, which may be a later one."""
+    """The change with this number was chosen; `value` is the current value, which may be a later one."""
 
     number: int
     ballot: Ballot
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Refused:
-    """The change is not in force and never will be; `value` is the current one if it is known."""
+    """The change is not in force and never will be; `value` is the current value if it is known."""
 
     reason: str
     value: RegisterValue
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Unknown:
-    """The change may be in force, now or later: read back."""
+    """The change may take effect, now or later: read the register to find out."""
 
     reason: str
 
@@ -53,9 +53,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class StartOperation:
-    """Begin an operation: a read, or a change of the value numbered `expected`.
+    """Begin an operation: a read if `text` is None, else a change of the value numbered `expected`.
 
-    `first` attempts one round under the shared first ballot, for a register that likely has no value.
+    `use_first_ballot` first attempts a single round under the shared first ballot, for a register that likely has no
+    value yet. `timeout` is in s.
     """
 
     op: str
@@ -81,10 +82,11 @@
 
 @dataclass(kw_only=True)
 class Operation:
-    """One operation under way.
+    """One operation in progress.
 
-    `mark` is the id of its change; `voters` are the members of set `number`, by whose `answers` the round is judged.
-    `offered`: its change may have been accepted by some voter. `against`: voters that refused the first round.
+    `change_id` identifies its change. `voters` are the members of voter set `number`; the current round is decided by
+    their `answers`, which are keyed by address. `may_be_accepted`: some voter may have accepted its change.
+    `refused_by`: voters that refused the round under the first ballot.
     """
 
     request: StartOperation
@@ -104,21 +106,21 @@
 
 
 class ProposerResult(NamedTuple):
-    """What a step of the proposer gives: commands to carry out, and the operations that ended with it."""
+    """The result of a step of the proposer: commands to carry out, and the operations that this step finished."""
 
     commands: list[Command]
     finished: list[OperationFinished]
 
 
 class StepResult(NamedTuple):
-    """What a step of an owner gives that changes registers: commands to carry out, and operations to start."""
+    """The result of a step of an owner that changes registers: commands to carry out, and operations to start."""
 
     commands: list[Command]
     operations: list[StartOperation]
 
 
 class Proposer:
-    """Owner of the operations that this process has begun. `step` gives commands and the operations that ended."""
+    """Owner of the operations that this process has begun. `step` returns commands and the finished operations."""
 
     def __init__(self, *, identity: str, rng: random.Random) -> None:
         self.identity = identity
@@ -130,13 +132,13 @@
     def step(
         self, *, now: float, voters: VoterSet, event: StartOperation | tuple[str, Message] | None
     ) -> ProposerResult:
-        """Take an operation to start, a message from a voter (sender, body), or None for time going on."""
+        """Process an operation to start, a message (sender, body) from a voter, or None for a timer tick."""
         if isinstance(event, StartOperation):
             return self._begin(now=now, voters=voters, request=event)
         if event is None:
             return self._on_timer(now=now, voters=voters)
         sender, body = event
-        # the op on the wire carries the process's name, so that no other's is taken for it
+        # operation ids contain the process's name, so a reply to another process's operation is never mistaken for ours
         operation = self._pending.get(body["op"])
         if (
             operation is None
@@ -313,10 +315,10 @@
 
 
 def possibly_chosen_value(*, votes: list, members: Mapping[str, str]) -> RegisterValue:
-    """The value that may have been chosen, by the votes of so many voters; empty if none can have been.
+    """The value that may have been chosen, given the votes of some of the voters; empty if none can have been.
 
-    Under the first ballot voters may hold different values: one can have been chosen only if so many of
-    these hold it that, with all others, they reach the quorum of that ballot.
+    Under the first ballot, voters may hold different values: a value can have been chosen only if enough of these
+    voters hold it to reach that ballot's quorum together with all voters that have not answered.
     """
     cast_votes = [vote for vote in votes if vote]
     highest_ballot = max((vote[0] for vote in cast_votes), default=[0, ""])
@@ -331,15 +333,15 @@
 
 
 def fast_quorum_size(*, members: Mapping[str, str]) -> int:
-    """How many voters choose under the first ballot: any two such sets and a majority have one in common."""
+    """The quorum of the first ballot: any two such quorums and any majority have a voter in common."""
     return (2 * len(members) - majority_size(members=members)) // 2 + 1
 
 
 def majority_size(*, members: Mapping[str, str]) -> int:
-    """How many of these voters are a majority."""
+    """The number of these voters that form a majority."""
     return len(members) // 2 + 1
 
 
 def blocking_size(*, members: Mapping[str, str]) -> int:
-    """How many of these voters have one in common with every majority."""
+    """The number of these voters that always have a member in common with every majority."""
     return len(members) - majority_size(members=members) + 1
--- a/sailward/consensus/voter_set.py
+++ b/sailward/consensus/voter_set.py
@@ -1,4 +1,4 @@
-"""The set of voters that a value of the register `voters` names."""
+"""The voter set, as read from a value of the register `voters`."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class VoterSet:
-    """Who votes, under the number of the register's value; number 0 and no members before the core is founded.
+    """The voters; `number` is that of the register's value, 0 (with no members) before the core is bootstrapped.
 
-    `members` gives each member's address by its identity. `joined` gives for a member the number of the set under which
-    it must have copied at the earliest. `before` is the set before, as far as it is known, without its number.
+    `members` maps each member's identity to its address. `joined` maps a member to the number of the earliest voter set
+    under which its copy of the registers counts. `before` is the previous set, if it is known, without its number.
     """
 
     number: int = 0
@@ -23,7 +23,7 @@
     before: VoterSet | None = None
 
     def show(self) -> dict:
-        """The set as operators see it."""
+        """The set in the form that is shown to operators."""
         before = {"members": self.before.members, "joined": self.before.joined} if self.before else None
         return {"number": self.number, "members": self.members, "joined": self.joined, "before": before}
 
--- a/sailward/discovery/__init__.py
+++ b/sailward/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Membership: who the daemons are, whom each watches, and the platform's list of workers."""
+"""Membership: the known daemons, the peers that each gossips with, and the platform's list of workers."""
--- a/sailward/discovery/endpoint_pages.py
+++ b/sailward/discovery/endpoint_pages.py
@@ -1,4 +1,4 @@
-"""Paging the platform's list: a pass counts whole or not at all."""
+"""Paging through the platform's list of workers: a pass is used only if it completes."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
     "capacity": int,
     "cold_s": float,
 }
-"""What a row of a reader's page has; `generation` is 0, as each start of a worker has an id of its own."""
+"""The fields of a row of a reader's page. `generation` is 0, as each start of a worker has its own id."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class CompleteList:
-    """One unbroken pass over the platform's list."""
+    """The result of one complete pass over the platform's list."""
 
     epoch: int
     revision: int
@@ -36,36 +36,37 @@
 
 @dataclass(frozen=True, kw_only=True)
 class FailedPass:
-    """A pass that failed, changed under way or was cut short."""
+    """A pass that failed, was truncated, or during which the list changed."""
 
     reason: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class ListPage:
-    """One page as a reader understands it: rows of LIFE's fields, and the token of the next page, "" on the last."""
+    """One page as decoded by a reader: rows with the fields ROW_FIELDS, and the next page's token ("" on the last)."""
 
     rows: list
     next: str
 
 
 class ListReader(Protocol):
-    """The words of a platform whose list has no numbers."""
+    """Adapter for the API of a platform whose list has no revision numbers."""
 
     def path(self, *, token: str) -> str:
-        """The path and query of a page: of the first one if the token is empty."""
+        """The path and query of a page; an empty token means the first page."""
 
     def read(self, *, body: bytes) -> ListPage | FailedPass:
-        """The page in these bytes."""
+        """Decode a page."""
 
 
 @dataclass(kw_only=True)
 class Pager:
-    """Owner of the passes. `step` gives (commands, CompleteList or None).
+    """Owner of the passes. `step` returns (commands, CompleteList or None).
 
-    With a `reader` lists have no numbers of the platform's: each CompleteList has the next number of this pager, also
-    if nothing changed. `rate`: calls/s that the platform bears from all together, 0 if no bound is known; `pollers`:
-    how many daemons poll now.
+    With a `reader`, lists have no revision numbers of the platform: each CompleteList gets this pager's next number,
+    even if nothing changed. `rate`: the platform's limit in calls/s for all pollers together, 0 if no limit is known.
+    `pollers`: the number of daemons that poll at present. `failed_passes` counts failures in a row. `missing_once`: ids
+    that were kept although the last pass lacked them.
     """
 
     platform: str
@@ -83,7 +84,7 @@
     missing_once: set = field(default_factory=set)
 
     def step(self, *, now: float, event: CallFinished | None) -> tuple[list, CompleteList | None]:
-        """Take a page, or None for time going on."""
+        """Process a page, or None for a timer tick."""
         if event is not None:
             if event.token != self.token:
                 return [], None
@@ -97,7 +98,7 @@
         return [self._request_page(after="")], None
 
     def _backoff(self) -> float:
-        """The time between passes: all pollers together stay under ENDPOINT_LIST_RATE_RATIO of the platform's rate."""
+        """Seconds between passes: all pollers together stay under ENDPOINT_LIST_RATE_RATIO of the platform's rate."""
         calls = max(1, self._page_count) * max(1, self.pollers)
         interval = constants.ENDPOINT_LIST_INTERVAL + constants.ENDPOINT_LIST_PAGE_DELAY * (
             max(1, self._page_count) - 1
@@ -112,7 +113,7 @@
         )
         if isinstance(page, FailedPass):
             self.failed_passes += 1
-            # each further broken pass doubles the pause, to a bound
+            # exponential backoff: each further failed pass doubles the pause, up to a limit
             self.next_at = now + min(
                 self._backoff() * 2 ** min(self.failed_passes - 1, 8), constants.ENDPOINT_LIST_MAX_BACKOFF
             )
@@ -128,7 +129,10 @@
         return commands, CompleteList(epoch=0, revision=self.pass_count, workers=self._merge_rows())
 
     def _merge_rows(self) -> list:
-        """The rows of a pass: a later one wins; in a list of many pages one that is missing once is kept."""
+        """The rows of a pass; of rows with the same id, the later wins.
+
+        If the list has several pages, a row that one pass lacks is kept once, as paging can skip rows.
+        """
         rows = {row["id"]: row for page in self.pages for row in page.rows}
         missing = set(self.rows) - set(rows)
         still_missing = missing - self.missing_once if len(self.pages) > 1 else set()
@@ -193,14 +197,14 @@
 
 
 def _check_rows(*, page: ListPage | FailedPass) -> ListPage | FailedPass:
-    """A reader's page, if it can be told to others as it is."""
+    """A reader's page if its rows are valid and so can be passed on to other daemons unchanged."""
     if isinstance(page, ListPage) and not all(map(is_incarnation_row, page.rows)):
         return FailedPass(reason="worker-fields")
     return page
 
 
 def read_page(*, event: CallFinished) -> dict | FailedPass:
-    """One page of the list, checked."""
+    """Decode and check one page of the list."""
     if event.code != 200:
         return FailedPass(reason=event.fault or f"code:{event.code}")
     try:
@@ -213,7 +217,7 @@
 
 
 def join_pages(*, pages: list) -> CompleteList | FailedPass:
-    """The whole list, if the pages are of one revision and count up."""
+    """The complete list, if all pages are of one revision and contain the announced number of workers."""
     first = pages[0]
     if any((page["epoch"], page["revision"]) != (first["epoch"], first["revision"]) for page in pages):
         return FailedPass(reason="changed-under-way")
--- a/sailward/discovery/endpoint_rows.py
+++ b/sailward/discovery/endpoint_rows.py
@@ -1,4 +1,4 @@
-"""Texts of lists that one daemon tells another, read and checked: the workers, and the fleet."""
+"""Decodes and checks lists that one daemon sends to another: the workers, and the fleet."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 )
 
 UNREADABLE_LIST = "rows of a told list can't be read"
-"""Why what another daemon told of workers or the fleet is dropped."""
+"""Reason that is given when a list of workers or of the fleet from another daemon is dropped."""
 
 
 def is_address(given: object) -> bool:
-    """Is it HOST:PORT?"""
+    """Is this of the form HOST:PORT?"""
     if not isinstance(given, str):
         return False
     host, _, port = given.rpartition(":")
@@ -47,9 +47,9 @@
     "generation": is_complete,
 }
 is_generation_row = record_of(needed=_ROW_CHECKS)
-"""A worker of a list that tells generations."""
+"""Check of a worker in a list that has generations."""
 is_incarnation_row = record_of(needed={**_ROW_CHECKS, "capacity": is_count, "cold_s": is_amount})
-"""A worker of a list in which each start has an id of its own."""
+"""Check of a worker in a list in which each start of a worker (incarnation) has its own id."""
 _is_fleet = record_of(
     needed={"proxies": list_of(is_proxy_row), "cellars": list_of(row_of(is_text, is_text, is_text))},
     optional={"down": list_of(is_text)},
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class FleetRows:
-    """The fleet as it was told: proxies, controllers as [post, zone, region], workers that several can't reach."""
+    """The fleet as received: proxies, controllers as [post, zone, region], workers that several proxies can't reach."""
 
     proxies: list
     controllers: list
@@ -66,13 +66,13 @@
 
 
 def read_workers(*, text: str, check: Check) -> list[dict] | None:
-    """The rows of a list of workers; None if the text is none, or a row does not fit."""
+    """The rows of a list of workers; None if the text is not a list or a row fails the check."""
     rows = _load(text=text)
     return rows if isinstance(rows, list) and all(map(check, rows)) else None
 
 
 def read_fleet(*, text: str) -> FleetRows | None:
-    """The fleet in a text; None if it is none."""
+    """Decode the fleet; None if the text is not valid."""
     decoded = _load(text=text)
     if not _is_fleet(decoded):
         return None
--- a/sailward/discovery/endpoint_table.py
+++ b/sailward/discovery/endpoint_table.py
@@ -1,4 +1,7 @@
-"""The workers as a receiver of lists knows them: leaving and gone stay so for a generation."""
+"""The workers as a receiver of lists knows them.
+
+A worker that was seen as leaving or gone remains so for its generation, even if a list that lags says otherwise.
+"""
 
 from __future__ import annotations
 
@@ -11,8 +14,9 @@
 class Worker:
     """One worker of one generation.
 
-    `is_incarnation`: its name is of one start alone, and no generation is told. `capacity`: exchanges it works on at
-    once, 0 if unknown. `slow_start`: s that it stays cold, counted from the telling.
+    `is_incarnation`: its name is unique to one start of the worker, and lists give no generation. `capacity`: the
+    exchanges it can process concurrently, 0 if unknown. `slow_start`: s for which it remains cold, from the time at
+    which the list was received.
     """
 
     name: str
@@ -27,13 +31,17 @@
 
     @property
     def key(self) -> str:
-        """Its identity: what connections and results belong to."""
+        """Its identity, to which connections and results are attributed."""
         return self.name if self.is_incarnation else f"{self.name}/{self.generation}"
 
 
 @dataclass(kw_only=True)
 class EndpointTable:
-    """Fold of all lists heard; `step` takes one and tells which keys came and went."""
+    """Merges all received lists. `step` and `replace` apply one and return the keys that were added and removed.
+
+    `generation_states` gives the final states (leaving, gone) of each name's newest generations, for `step`; the three
+    dicts of times serve `replace`.
+    """
 
     workers: dict = field(default_factory=dict)
     newest_generation: dict = field(default_factory=dict)
@@ -44,10 +52,11 @@
     last_leaving_at: dict = field(default_factory=dict)
 
     def replace(self, *, now: float, workers: list) -> tuple[set, set]:
-        """Take a list of lives whose number can't be compared with that of the one before: (came, went).
+        """Apply a list of incarnations whose number can't be compared with the previous one's: (added, removed).
 
-        Another teller's list may be a little older or newer. So leaving stays; what is gone stays so for
-        ENDPOINT_REMOVAL_TTL, unless it had come as lately; after that a list that has it is believed.
+        A list from another sender may be slightly older or newer. Therefore a leaving worker remains leaving, and a
+        removed worker remains removed for ENDPOINT_REMOVAL_TTL, unless it had been added just as recently; after that,
+        a list that contains it is believed.
         """
         before = set(self.workers)
         self.removed_at = {
@@ -84,7 +93,7 @@
         return set(table) - before, before - set(table)
 
     def step(self, *, epoch: int, revision: int, workers: list) -> tuple[set, set]:
-        """Fold a list: (came, went). A list older than one heard is not believed."""
+        """Apply a list: (added, removed). A list older than one already received is ignored."""
         if (epoch, revision) < self.revision:
             return set(), set()
         self.revision = (epoch, revision)
@@ -113,7 +122,7 @@
         return set(table) - before, before - set(table)
 
     def _record_state(self, *, worker: Worker, state: str) -> None:
-        # only the newest few generations of a name can come up again
+        # only the newest few generations of a name can appear in a list again
         states = self.generation_states.setdefault(worker.name, {})
         states[worker.generation] = state
         while len(states) > 4:
--- a/sailward/discovery/peer_table.py
+++ b/sailward/discovery/peer_table.py
@@ -1,4 +1,4 @@
-"""The peer table of daemons: heartbeats told to the few that each watches, until all know all."""
+"""The peer table: daemons gossip heartbeats to a few peers each, until every daemon knows all others."""
 
 from __future__ import annotations
 
@@ -25,19 +25,19 @@
 }
 
 KINDS_ON_WIRE = {"controller": "cellar", "proxy": "sommelier", "directory": "concierge"}
-"""A daemon's kind as entries give it: daemons of 0.2.0 and before know no other words. Read by either word."""
+"""A daemon's kind as written in entries: versions up to 0.2.0 know only these words. Both forms are read."""
 KINDS = {wire_kind: kind for kind, wire_kind in KINDS_ON_WIRE.items()}
 
 
 def kind_of(*, entry: PeerEntry) -> str:
-    """The kind of the daemon that an entry is of, whatever version wrote it; "" if it gives none."""
+    """The kind of the daemon that an entry describes, whichever version wrote it; "" if the entry gives none."""
     wire_kind = str(entry.get("kind", ""))
     return KINDS.get(wire_kind, wire_kind)
 
 
 @dataclass(frozen=True, kw_only=True)
 class Location:
-    """Where a daemon stands and how it is reached."""
+    """A daemon's name, kind, zone, region and addresses."""
 
     name: str
     kind: str
@@ -51,10 +51,10 @@
 
 @dataclass(kw_only=True)
 class PeerState:
-    """One daemon as it is known here.
+    """What is known of one other daemon.
 
-    `echoed_heartbeat` is the echo number of the last heartbeat that came from it directly, 0 for none; `contact`
-    whether that one said that it has contact with a majority of the voters.
+    `echoed_heartbeat` is the echo number of the last heartbeat received directly from it, 0 for none. `has_contact`:
+    that heartbeat said that the daemon has contact with a majority of the voters.
     """
 
     entry: PeerEntry
@@ -66,7 +66,12 @@
 
 @dataclass(kw_only=True)
 class PeerTable:
-    """Owner of the daemons known; `step` takes a gossip message or None for time going on."""
+    """Owner of the known daemons. `step` processes a gossip message, or None for a timer tick.
+
+    `is_fit`: the daemon is able to serve in its role (a controller: it is a voter). `active_proxies`: a controller's
+    comma-separated list of proxies that have recently asked it for a lease. `voted_numbers`: value numbers of its
+    newest votes. `interval`: s between heartbeats. `timeout`: s without a heartbeat after which a peer counts as lost.
+    """
 
     location: Location
     start: int
@@ -85,7 +90,7 @@
     timeout: float = field(default_factory=lambda: constants.HEARTBEAT_TIMEOUT)
 
     def step(self, *, now: float, event: tuple | None) -> list[Command]:
-        """Fold a (sender, body) or tell the watched."""
+        """Process (sender, body), or send the next heartbeat when it is due."""
         if event is not None and event[1].get("kind") == "beat":
             return self._fold_heartbeat(now=now, sender=event[0], body=event[1])
         if event is not None:
@@ -105,9 +110,9 @@
         return commands
 
     def _send_to_mesh(self, *, now: float) -> list[Command]:
-        """A heartbeat to every daemon known to live.
+        """Send a heartbeat to every peer that is alive, and to one lost peer in turn.
 
-        The whole peer table to the seeds now and then, and to all lost ones in turn.
+        From time to time the whole peer table is sent to the seeds.
         """
         alive = [peer for peer in self.peers.values() if not peer.lost]
         body = {
@@ -124,7 +129,7 @@
         ]
         lost = sorted(peer.entry["post"] for peer in self.peers.values() if peer.lost)
         if lost:
-            # each lost one in turn: after a cut both sides find each other with the next heartbeats
+            # one lost peer per heartbeat, in turn: both sides of a healed partition find each other soon
             commands.append(SendMessage(to=lost[self.heartbeat % len(lost)], body=body))
         if (
             not alive
@@ -141,13 +146,13 @@
         return commands
 
     def echo_number(self) -> int:
-        """By what an answer to this heartbeat is known."""
+        """The number by which answers to this daemon's latest heartbeat are recognized."""
         return echo_number(start=self.start, heartbeat=self.heartbeat)
 
     def _with_echo(self, *, body: Message, peer: PeerState) -> dict:
-        """A voter's heartbeat answers the last one that came from its receiver itself.
+        """A voter's heartbeat echoes the last one received directly from its recipient.
 
-        And tells the numbers voted for.
+        It also gives the value numbers that the voter has voted for.
         """
         return (
             {**body, "echo": [peer.echoed_heartbeat, *self.voted_numbers]}
@@ -158,7 +163,7 @@
     def _fold_heartbeat(self, *, now: float, sender: str, body: Message) -> list[Command]:
         peer = self.peers.get(body["id"])
         if peer is None or peer.entry["start"] != body["start"] or peer.entry["post"] != sender:
-            # another start, or one not heard of: its whole entry is wanted
+            # a restarted or unknown peer: sending our entry makes it reply with its whole entry
             return [SendMessage(to=sender, body={"kind": "gossip", "entries": [self.own_entry()], "reply": False})]
         if body["beat"] <= peer.entry["beat"]:
             return []
@@ -175,7 +180,7 @@
         return commands
 
     def own_entry(self) -> dict:
-        """What this daemon says of itself."""
+        """This daemon's own entry."""
         location = self.location
         return {
             "id": location.name,
@@ -195,7 +200,7 @@
         }
 
     def alive(self, *, kind: str) -> list[dict]:
-        """The entries of the daemons of this kind that are not lost."""
+        """The entries of the peers of this kind that are not lost."""
         return [peer.entry for peer in self.peers.values() if kind_of(entry=peer.entry) == kind and not peer.lost]
 
     def _watched(self) -> list[str]:
@@ -239,20 +244,20 @@
 
 
 def echo_number(*, start: int, heartbeat: int) -> int:
-    """The number by which a heartbeat is answered, never 0.
+    """The number by which an answer refers to a heartbeat, never 0.
 
-    Two starts share one by a chance of one in HEARTBEAT_ECHO_MODULUS.
+    The probability that two starts share a number is one in HEARTBEAT_ECHO_MODULUS.
     """
     return (start + heartbeat) % constants.HEARTBEAT_ECHO_MODULUS + 1
 
 
 def _is_newer(*, entry: PeerEntry, peer: PeerState) -> bool:
     if peer.lost and entry["start"] != peer.entry["start"]:
-        # a start is a wall time: after the clock was turned back, the new one is the lower
+        # a start is a wall-clock time: after the clock was set back, the new start is the lower number
         return True
     return (entry["start"], entry["beat"]) > (peer.entry["start"], peer.entry["beat"])
 
 
 def is_entry(*, given: object) -> bool:
-    """Is it a daemon's entry, with all its fields?"""
+    """Is this a daemon's entry with all its fields?"""
     return isinstance(given, dict) and all(isinstance(given.get(name), kind) for name, kind in ENTRY_FIELDS.items())
