--- a/sailward/client/forecast.py
+++ b/sailward/client/forecast.py
@@ -80,7 +80,7 @@
             yield Finding(
                 kind="fault",
                 path=f"tenants.{tenant}.homes",
-                text=f"no worker of {service!r} stands at home for pool {name!r} now",
+                text=f"no worker of {service!r} is currently in a home region for pool {name!r}",
             )
 
 
@@ -97,7 +97,7 @@
             yield Finding(
                 kind="fault",
                 path=f"services.{service}.rate",
-                text=f"bounds of {capacity:g}/s for a load of {load:.0f}/s",
+                text=f"capacity of {capacity:g}/s for a load of {load:.0f}/s",
             )
         for kind, name, zones in losses:
             remaining = sum(
@@ -109,11 +109,13 @@
                 yield Finding(
                     kind="warning",
                     path=f"services.{service}",
-                    text=f"without {kind} {name}: bounds of {remaining:g}/s for a load of {load:.0f}/s",
+                    text=f"without {kind} {name}: capacity of {remaining:g}/s for a load of {load:.0f}/s",
                 )
     for name, pool in full["pools"].items():
         regions = {full["halls"][zone]["region"] for zone in (*pool["preferred"], *pool["fallback"])}
         if len(regions) == 1:
             yield Finding(
-                kind="warning", path=f"pools.{name}", text=f"stands in region {regions.pop()} only: lost with it"
+                kind="warning",
+                path=f"pools.{name}",
+                text=f"is in region {regions.pop()} only, so it is lost with that region",
             )
--- a/sailward/config/check.py
+++ b/sailward/config/check.py
@@ -175,7 +175,7 @@
     name = full["pools"][known[0]]["service"] if known else ""
     service = full["services"].get(name)
     if service and service["slots"] and divided.setdefault(name, match["pools"]) != match["pools"]:
-        yield Fault(path=path, reason=f"{name!r} is divided: all its matches need the same pools")
+        yield Fault(path=path, reason=f"{name!r} is sharded: all its matches must have the same pools")
     if len(set(known)) < len(known):
         yield Fault(path=path, reason="a pool is listed twice")
 
@@ -185,7 +185,7 @@
     for name, tenant in full["tenants"].items():
         for home in tenant["homes"]:
             if home not in regions:
-                yield Fault(path=f"tenants.{name}.homes", reason=f"no hall stands in region {home!r}")
+                yield Fault(path=f"tenants.{name}.homes", reason=f"no hall is in region {home!r}")
     for index, match in enumerate(full["matches"]):
         for tenant in match["tenants"] or list(full["tenants"]):
             homes = full["tenants"].get(tenant, {}).get("homes")
@@ -199,14 +199,14 @@
                 if not any(full["halls"].get(zone, {}).get("region") in homes for zone in zones):
                     yield Fault(
                         path=f"matches.{index}.pools",
-                        reason=f"pool {share['pool']!r} has no hall at home for tenant {tenant!r}",
+                        reason=f"pool {share['pool']!r} has no hall in a home region of tenant {tenant!r}",
                     )
 
 
 def _check_ranged(*, full: dict) -> Iterator[Fault]:
     for name, service in full["services"].items():
         if service["keys"] == "ranged" and service["slots"]:
-            yield Fault(path=f"services.{name}.slots", reason="keys in ranges know no slots: leave them at 0")
+            yield Fault(path=f"services.{name}.slots", reason="ranged keys do not use slots: leave them at 0")
 
 
 def _check_shared_keys(*, full: dict) -> Iterator[Fault]:
@@ -229,7 +229,7 @@
     for index, match in enumerate(full["matches"]):
         for home in match.get("homes", ()):
             if home not in regions:
-                yield Fault(path=f"matches.{index}.homes", reason=f"no hall stands in region {home!r}")
+                yield Fault(path=f"matches.{index}.homes", reason=f"no hall is in region {home!r}")
 
 
 def _warn_of_caps(*, full: dict) -> Iterator[Fault]:
@@ -241,8 +241,11 @@
         if len(pool["preferred"]) > allowed:
             yield Fault(
                 path=f"pools.{name}",
-                reason=f"the drain cap covers {allowed} of {len(pool['preferred'])} "
-                "preferred halls: losing all would leave one marked",
+                reason=f"the drain cap allows {allowed} of {len(pool['preferred'])} "
+                "preferred halls to be drained at once: if all are lost, the others stay undrained",
             )
         if not pool["fallback"]:
-            yield Fault(path=f"pools.{name}.fallback", reason="no fallback: a lost tier is refused")
+            yield Fault(
+                path=f"pools.{name}.fallback",
+                reason="no fallback: requests are refused if all preferred halls are lost",
+            )
--- a/sailward/config/template_expansion.py
+++ b/sailward/config/template_expansion.py
@@ -76,7 +76,7 @@
     if missing:
         # a parameter that was itself refused has its own fault
         if not any(fault[0].endswith(f".{name}") for fault in faults for name in missing):
-            faults.append((path, f"the template names {missing[0]!r}, which is no parameter"))
+            faults.append((path, f"the template uses {missing[0]!r}, which is not a parameter"))
         return shape
     if len(names) == 1 and shape == "${" + names[0] + "}":
         return copy.deepcopy(given[names[0]])
@@ -87,12 +87,12 @@
     faults = []
     for part, inner in shape.items():
         if part not in EXPANDABLE_PARTS or not isinstance(inner, list if part == "matches" else dict):
-            faults.append((f"{path}.{part}", f"a template holds {', '.join(EXPANDABLE_PARTS)} only"))
+            faults.append((f"{path}.{part}", f"a template may contain {', '.join(EXPANDABLE_PARTS)} only"))
         elif part == "matches":
             full.setdefault(part, []).extend(inner)
         else:
             for name, child in inner.items():
                 if name in full.setdefault(part, {}):
-                    faults.append((f"{path}.{part}.{name}", "already there"))
+                    faults.append((f"{path}.{part}.{name}", "already defined"))
                 full[part][name] = child
     return faults
--- a/sailward/discovery/endpoint_rows.py
+++ b/sailward/discovery/endpoint_rows.py
@@ -19,7 +19,7 @@
     row_of,
 )
 
-UNREADABLE_LIST = "rows of a told list can't be read"
+UNREADABLE_LIST = "rows of a received list can't be read"
 """Reason that is given when a list of workers or of the fleet from another daemon is dropped."""
 
 
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -139,7 +139,7 @@
     )
     assert verdict.full["origin"] == config["origin"]
     assert faults({**config, "services": {**services, "keyed": {"keys": "ranged", "slots": 4}}}) == [
-        "services.keyed.slots: keys in ranges know no slots: leave them at 0"
+        "services.keyed.slots: ranged keys do not use slots: leave them at 0"
     ]
     assert sorted(faults({**config, "label": -1, "limits": {"speed": 1}})) == [
         "label: min value is 0",
