--- a/sailward/client/__init__.py
+++ b/sailward/client/__init__.py
@@ -1,1 +1,1 @@
-"""Operators' side: the client of the controllers, and what it shows."""
+"""The operators' side: a client of the controllers, and the forecast that it shows."""
--- a/sailward/client/client.py
+++ b/sailward/client/client.py
@@ -1,4 +1,4 @@
-"""One exchange with the core: the first controller that answers."""
+"""HTTP client of the controllers: uses the first controller that answers."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Reply:
-    """What a controller answered."""
+    """The answer of a controller."""
 
     code: int
     body: dict
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Unreachable:
-    """No controller answered. `sent` says whether the exchange may have arrived at one."""
+    """No controller answered. `sent`: the request may have reached one."""
 
     reasons: tuple
     sent: bool
@@ -30,13 +30,13 @@
 
 @dataclass(kw_only=True)
 class Client:
-    """Asks the controllers in turn."""
+    """Tries the controllers in turn."""
 
     controllers: list
     headers: dict = field(default_factory=dict)
 
     def step(self, *, method: str, path: str, body: bytes = b"", headers: dict | None = None) -> Reply | Unreachable:
-        """One exchange. A change that may have arrived is not sent to another controller."""
+        """Send one request. A change that may have reached a controller is not sent to another."""
         reasons: list[str] = []
         for controller in self.controllers:
             reply = send_request(address=controller, method=method, path=path, body=body, headers=headers or {})
@@ -51,7 +51,7 @@
 def send_request(
     *, address: str, method: str, path: str, body: bytes = b"", headers: dict | None = None
 ) -> Reply | Unreachable:
-    """One exchange with one daemon."""
+    """Send one request to one daemon."""
     handle, output = pycurl.Curl(), io.BytesIO()
     handle.setopt(pycurl.URL, f"http://{address}{path}")
     handle.setopt(pycurl.PROXY, "")
--- a/sailward/client/forecast.py
+++ b/sailward/client/forecast.py
@@ -1,4 +1,4 @@
-"""What a configuration would mean for the fleet as it is."""
+"""Forecast of the effects that a configuration would have on the current fleet."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Finding:
-    """One thing found: a fault, a warning or a note."""
+    """One finding: a fault, a warning or a note."""
 
     kind: str
     path: str
@@ -19,7 +19,7 @@
 
 
 def forecast(*, full: dict, current_full: dict, workers: list, rates: dict, states: dict) -> list[Finding]:
-    """Findings for the full form of a new configuration against the one in force, workers, loads and statuses."""
+    """Findings for a new configuration's full form, given the current one, the workers, their loads and statuses."""
     ready_workers = [
         worker
         for worker in workers
@@ -34,7 +34,7 @@
 
 
 def zone_shares(*, full: dict) -> dict:
-    """{(path, zone): expected part of the match while all is well}."""
+    """{(path, zone): expected fraction of the match's requests while all zones are healthy}."""
     shares: dict = defaultdict(float)
     for match in full.get("matches", []):
         total = sum(share["weight"] for share in match["pools"])
--- a/sailward/config/__init__.py
+++ b/sailward/config/__init__.py
@@ -1,1 +1,1 @@
-"""Operators' configurations: reading, checking, stamping out templates."""
+"""Operators' configurations: parsing, checking, and expanding templates."""
--- a/sailward/config/check.py
+++ b/sailward/config/check.py
@@ -1,4 +1,4 @@
-"""Checking a configuration: the shape first, then the rules across its fields."""
+"""Checks a configuration: first its shape, then the rules that span several fields."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Fault:
-    """One thing wrong, and where."""
+    """One fault of a configuration, and the path of the field that has it."""
 
     path: str
     reason: str
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ValidConfig:
-    """A configuration that may be accepted, as written and with its templates stamped out."""
+    """A configuration that may be accepted: as written, and in full with its templates expanded."""
 
     written: dict
     full: dict
@@ -35,13 +35,13 @@
 
 @dataclass(frozen=True, kw_only=True)
 class InvalidConfig:
-    """A configuration that may not."""
+    """A configuration that must be refused."""
 
     faults: tuple
 
 
 def read_config(*, text: bytes | str) -> dict | InvalidConfig:
-    """The JSON object in this text; names given twice are a fault."""
+    """Parse a JSON object; duplicate names are a fault."""
     if len(text) > constants.MAX_CONFIG_BYTES:
         return InvalidConfig(faults=(Fault(path="", reason=f"longer than {constants.MAX_CONFIG_BYTES} bytes"),))
     twice: list[str] = []
@@ -57,7 +57,7 @@
 
 
 def check_config(*, config: dict) -> ValidConfig | InvalidConfig:
-    """Every fault of a configuration, or its full form with warnings."""
+    """Check a configuration: all its faults, or its full form with warnings."""
     faults, full = _check_shape(config=config)
     if faults:
         return InvalidConfig(faults=tuple(faults))
@@ -82,16 +82,17 @@
 
 
 def _check_shape(*, config: dict) -> tuple[list[Fault], dict]:
-    """The faults of a shape, or the document with its defaults filled in: both come of one pass, which is slow.
+    """The faults of the shape, or the document with its defaults filled in.
 
-    So matches that are plainly sound don't take part in it: there may be hundreds.
+    Both come from a single cerberus pass, which is slow. There may be hundreds of matches, so those that the quick
+    check finds valid are left out of it.
     """
     validator = Validator(CONFIG)
     plain, other_indexes = split_matches(matches=config.get("matches"))
     given = {**config, "matches": [config["matches"][index] for index in other_indexes]} if plain else config
     try:
         is_valid = validator.validate(_without_near(config=given))
-    except Exception as fault:  # noqa: BLE001 - cerberus trips over some foreign shapes
+    except Exception as fault:  # noqa: BLE001 - cerberus raises various errors on unexpected shapes
         return [Fault(path="", reason=f"unreadable shape: {fault}")], {}
     if not is_valid:
         errors = validator.errors
@@ -112,7 +113,7 @@
 
 
 def _locate(*, errors: list, other_indexes: list) -> list:
-    """The errors of the matches that took part, under the places that they were written at."""
+    """Map errors of the matches that were checked back to the indexes that these have in the configuration."""
     return [
         {other_indexes[index] if isinstance(index, int) else index: inner for index, inner in error.items()}
         if isinstance(error, dict)
@@ -122,7 +123,7 @@
 
 
 def _without_near(*, config: dict) -> dict:
-    """Pools whose tiers follow the proxy need no list of zones."""
+    """Give pools with "tiers": "near" a placeholder zone list, as they need none but the schema requires one."""
     pools = config.get("pools")
     if not isinstance(pools, dict):
         return config
@@ -163,7 +164,7 @@
 
 
 def _check_pools_of_match(*, full: dict, match: dict, path: str, divided: dict) -> Iterator[Fault]:
-    """`divided` holds the pools that the matches of each divided service have had so far."""
+    """`divided` maps each sharded service to the pools of its matches that were checked so far."""
     if sum(share["weight"] for share in match["pools"]) <= 0:
         yield Fault(path=path, reason="the weights add up to 0")
     known = [share["pool"] for share in match["pools"] if share["pool"] in full["pools"]]
--- a/sailward/config/dialect.py
+++ b/sailward/config/dialect.py
@@ -1,4 +1,4 @@
-"""What operators ask and are answered, in the product's terms; and the product's own words for it."""
+"""Operators' calls and their outcomes, independent of the API's format; and the native JSON API."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Order:
-    """One operators' call.
+    """One call of an operator.
 
-    `kind`: get, put, patch, empty, refill, join or part. `expected`: the number, or in a labelled dialect the label,
-    that must be current; None for any. `digest`: what tells a labelled change from every other, and is the same when it
-    is sent again.
+    `kind`: get, put, patch, empty, refill, join or part. `argument`: the configuration or patch, the zone, or the
+    controller. `expected`: the number (in a labelled dialect: the label) that must be current; None for any. `digest`:
+    identifies a labelled change; it is the same when the change is sent again.
     """
 
     kind: str
@@ -36,10 +36,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Outcome:
-    """How a call ended.
+    """The outcome of a call.
 
-    `kind`: accepted, sound (a dry run), shown, refused (for ever), unavailable (nothing was changed) or unknown. `code`
-    and `reason` are the product's; `value` the register's, of what is shown.
+    `kind`: accepted, sound (a dry run), shown, refused (permanently), unavailable (nothing was changed) or unknown.
+    `code` and `reason` are those of the native API. `value`: the register's value to show. `extra`: further fields of
+    the answer's body.
     """
 
     kind: str
@@ -53,37 +54,37 @@
 
 
 class Dialect(Protocol):
-    """An operators' language. In a labelled one each configuration bears the operators' own growing version.
+    """An operators' API. In a labelled dialect, each configuration has a growing version that operators choose.
 
-    A labelled dialect's register holds what was written, its label, and which changes made it; the full form is made of
-    it.
+    A labelled dialect's register holds the configuration as written, its label, and the history of the changes that led
+    to it; the full form is derived from these.
     """
 
     is_labelled: bool
 
     def read(self, *, event: RequestReceived) -> Order | Outcome | None:
-        """What is asked; an Outcome if it is refused at once; None if these are not this dialect's words."""
+        """Decode a call; an Outcome if it is refused at once; None if it does not belong to this dialect."""
 
     def answer(self, *, token: str, order: Order | None, outcome: Outcome) -> Respond:
-        """The answer in the operators' words."""
+        """Encode the answer in the dialect's format."""
 
     def merge(self, *, written: dict, patch: dict) -> dict | InvalidConfig:
-        """A configuration with a patch laid over it."""
+        """A configuration with a patch applied."""
 
     def expand(self, *, written: dict) -> dict | InvalidConfig:
-        """The configuration in the product's form, for the product's check."""
+        """The configuration in the native form, as input of the native check."""
 
     def label(self, *, written: dict) -> int:
-        """The version that a configuration bears."""
+        """The version in a configuration."""
 
 
 class NativeDialect:
-    """The product's own JSON."""
+    """The native JSON API."""
 
     is_labelled = False
 
     def read(self, *, event: RequestReceived) -> Order | Outcome | None:
-        """What is asked; what is not known is refused."""
+        """Decode a call; unknown calls are refused."""
         if event.body is None:
             return _refused(code=413, reason="too-large", detail=f"at most {constants.MAX_CONFIG_BYTES} bytes")
         parts = event.path.strip("/").split("/")
@@ -100,7 +101,7 @@
         return _refused(code=404, reason="unknown", detail=f"{event.method} {event.path}"[:200])
 
     def answer(self, *, token: str, order: Order | None, outcome: Outcome) -> Respond:
-        """The answer as JSON."""
+        """Encode the answer as JSON."""
         if outcome.kind == "shown":
             return _show(token=token, register=order.register, value=outcome.value)
         if outcome.kind == "sound":
@@ -123,15 +124,15 @@
         return answer_json(token=token, code=outcome.code, headers=headers, body={**body, **outcome.extra})
 
     def merge(self, *, written: dict, patch: dict) -> dict | InvalidConfig:
-        """A JSON merge patch."""
+        """Apply a JSON merge patch."""
         return merge_patch(target=written, patch=patch)
 
     def expand(self, *, written: dict) -> dict | InvalidConfig:
-        """It is in the product's form."""
+        """The configuration itself: it is in the native form already."""
         return written
 
     def label(self, *, written: dict) -> int:
-        """The operators' own version, 0 if it bears none."""
+        """The operators' own version in a configuration, 0 if there is none."""
         label = written.get("label", 0)
         return label if isinstance(label, int) else 0
 
@@ -156,7 +157,7 @@
 
 
 def refuse_invalid(*, invalid: InvalidConfig) -> Outcome:
-    """The refusal of a configuration with faults."""
+    """Refuse a configuration that has faults."""
     return Outcome(
         kind="refused", code=422, reason="invalid", detail=f"{len(invalid.faults)} faults", faults=invalid.faults
     )
--- a/sailward/config/history.py
+++ b/sailward/config/history.py
@@ -1,12 +1,12 @@
-"""The register's text of a labelled configuration: what was written, its label, digests of the changes that made it.
+"""The register text of a labelled configuration: the configuration as written, its label, and its change history.
 
-A change is a compare-and-set: it builds on one label and, when it is taken, gives the next. Labels only grow, so at
-most one change is ever taken on top of a label. The history holds the digest of each change taken from a known label
-on; so whether a change that is sent again was taken, or lost for good, is decided by what it builds on and by its
-digest, never by its number.
+A change is a compare-and-set: it builds on one label and, when it is accepted, sets the next. Labels only grow, so at
+most one change is ever accepted on top of a label. The history holds the digest of every change that was accepted since
+a known label. So whether a change that is sent again was accepted, or has been superseded for good, is decided by the
+label that it builds on and by its digest, never by its number.
 
-A digest has `DIGEST_LENGTH` letters. The history is kept in segments, each with the label that its first change built
-on; the oldest segment is dropped as a whole, so no label is stored for each change.
+A digest has `DIGEST_LENGTH` letters. The history is stored in segments, each with the label that its first change built
+on. The oldest segment is dropped as a whole, so labels need not be stored for each change.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 from sailward import constants
 
 DIGEST_LENGTH = 12
-"""letters of base64, 9 bytes: by chance one order in 10^18 is taken for one of a full history."""
+"""letters of base64, 9 bytes: an order is mistaken for one in a full history with a probability of 10^-18."""
 
 
 class Verdict(enum.Enum):
-    """How a change stands to the configuration that is current."""
+    """The relation of a change to the current configuration."""
 
     NEXT = "it builds on the current label"
     TAKEN = "this very change is current or was"
@@ -35,35 +35,35 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Segment:
-    """Digests of changes taken in a row, joined; the first of them built on the label `since`."""
+    """Concatenated digests of consecutive accepted changes; the first of them built on `base_label`."""
 
     base_label: int
     digests: str = ""
 
     def contains(self, *, digest: str) -> bool:
-        """Is this change among them?"""
+        """Is this change in the segment?"""
         offsets = range(0, len(self.digests), DIGEST_LENGTH)
         return any(self.digests.startswith(digest, offset) for offset in offsets)
 
     def is_full(self) -> bool:
-        """Does the next change begin another segment?"""
+        """Must the next change start another segment?"""
         return len(self.digests) >= constants.HISTORY_SEGMENT_CHANGES * DIGEST_LENGTH
 
     def with_change(self, *, digest: str) -> Segment:
-        """The segment with one change more."""
+        """The segment with one more change."""
         return Segment(base_label=self.base_label, digests=self.digests + digest)
 
 
 @dataclass(frozen=True, kw_only=True)
 class LabelledConfig:
-    """What a register holds; `history` has the newest segment last. A register that is empty has the label 0."""
+    """The content of a register; `history` has the newest segment last. An empty register has the label 0."""
 
     written: dict | None = None
     label: int = 0
     history: tuple[Segment, ...] = (Segment(base_label=0),)
 
     def classify(self, *, expected: int, digest: str) -> Verdict:
-        """How the change with this digest, which builds on the label `expected`, stands to what is held."""
+        """The relation of the change with this digest, which builds on the label `expected`, to this content."""
         if self.contains(digest=digest):
             return Verdict.TAKEN
         if expected == self.label:
@@ -73,18 +73,18 @@
         return Verdict.LOST if expected >= self.history[0].base_label else Verdict.FORGOTTEN
 
     def contains(self, *, digest: str) -> bool:
-        """Does the history hold this very change?"""
+        """Is this change in the history?"""
         return any(segment.contains(digest=digest) for segment in self.history)
 
 
 def digest_change(*, method: str, expected: int | None, given: object) -> str:
-    """What is the same for a change that is sent again unchanged, however its JSON is laid out."""
+    """Digest of a change; the same if the change is sent again, whatever the formatting of its JSON."""
     text = json.dumps([method, expected, given], sort_keys=True, separators=(",", ":"))
     return _shorten(digest=hashlib.blake2b(text.encode(), digest_size=12).digest())
 
 
 def read_labelled(*, text: str) -> LabelledConfig:
-    """What the text of a register holds."""
+    """Parse the text of a register."""
     if not text:
         return LabelledConfig()
     inner = json.loads(text)
@@ -96,7 +96,7 @@
 
 
 def write_labelled(*, before: LabelledConfig, written: dict, label: int, digest: str) -> str:
-    """The text with one change more."""
+    """The text of a register after one more change."""
     *older, newest = before.history
     if newest.is_full():
         older, newest = [*older, newest], Segment(base_label=before.label)
@@ -105,7 +105,7 @@
         {
             "written": written,
             "label": label,
-            # what the last version calls its history: it finds none, and does not stumble
+            # the previous version reads its history from this field: an empty list keeps it working
             "history": [],
             "changes": [[segment.base_label, segment.digests] for segment in segments],
         },
@@ -114,9 +114,9 @@
 
 
 def _read_pairs(*, pairs: list, label: int) -> Segment:
-    """The history as the last version wrote it: [[label, digest in hex], ...].
+    """The history as written by the previous version: [[label, digest in hex], ...].
 
-    What the first of them built on is not known.
+    The label that the first of these changes built on is not known.
     """
     if not pairs:
         return Segment(base_label=label)
--- a/sailward/config/matches.py
+++ b/sailward/config/matches.py
@@ -1,4 +1,4 @@
-"""Matches that are plainly sound, told from the rest without the slow pass over the shape."""
+"""A quick check that finds matches that are certainly valid, so that the slow shape check can skip them."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def split_matches(*, matches: object) -> tuple[dict[int, dict], list[int]]:
-    """({place: match with its defaults} of those that are plainly sound, the places of all others)."""
+    """({index: match with its defaults} of those that are certainly valid, the indexes of all others)."""
     if not isinstance(matches, list):
         return {}, []
     plain = {
@@ -53,7 +53,7 @@
 
 
 def _is_text(*, given: object, pattern: Callable[[str], re.Match[str] | None]) -> bool:
-    # a newline at the end is told apart by the slow pass
+    # `$` also matches before a newline at the end: texts that end in one are left to the slow check
     return type(given) is str and not given.endswith("\n") and pattern(given) is not None
 
 
--- a/sailward/config/patch.py
+++ b/sailward/config/patch.py
@@ -1,10 +1,10 @@
-"""Small changes: a JSON merge patch (RFC 7396)."""
+"""JSON merge patch (RFC 7396)."""
 
 from __future__ import annotations
 
 
 def merge_patch(*, target: object, patch: object) -> object:
-    """The target with the patch laid over it; a null takes a name away."""
+    """The target with the patch applied; null removes a name."""
     if not isinstance(patch, dict):
         return patch
     merged = dict(target) if isinstance(target, dict) else {}
--- a/sailward/config/residency.py
+++ b/sailward/config/residency.py
@@ -1,4 +1,4 @@
-"""Where bound tenants may be served."""
+"""The zones in which tenants with home regions may be served."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 def list_zones(*, full: dict, pool: dict) -> list[str]:
-    """The zones that a pool may be served in: all of them if its tiers follow the proxy."""
+    """The zones that may serve a pool: all of them if its tiers depend on the proxy's own zone."""
     if pool.get("tiers") == "near":
         return list(full["halls"])
     return [*pool["preferred"], *pool["fallback"]]
 
 
 def find_home_zones(*, full: dict) -> Iterator[tuple[str, str, list[str]]]:
-    """(tenant, pool, the pool's zones at home) for each pool that a bound tenant may be drawn into."""
+    """(tenant, pool, the pool's zones in home regions) for each pool that may serve a tenant with home regions."""
     zones = full.get("halls", {})
     for name, tenant in full.get("tenants", {}).items():
         for match in full.get("matches", []):
--- a/sailward/config/schema.py
+++ b/sailward/config/schema.py
@@ -1,4 +1,4 @@
-"""The shape of a configuration, for cerberus."""
+"""The cerberus schema of a configuration."""
 
 from __future__ import annotations
 
--- a/sailward/config/template_expansion.py
+++ b/sailward/config/template_expansion.py
@@ -1,4 +1,4 @@
-"""Templates with parameters and overlays, stamped out into a full configuration."""
+"""Expands templates with parameters and overlays into a full configuration."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class ParameterTemplate(string.Template):
-    """Parameters are written ${name}."""
+    """Template text in which parameters are written ${name}."""
 
     idpattern = r"(?a:[a-z][a-z0-9_]*)"
     flags = 0
 
 
 def expand_stamps(*, config: dict) -> tuple[dict, list[tuple[str, str]]]:
-    """The configuration with each stamp's template filled in, and the faults as (path, reason)."""
+    """The configuration with each stamp's template expanded, and the faults as (path, reason)."""
     full = {name: copy.deepcopy(part) for name, part in config.items() if name not in ("templates", "stamps")}
     faults: list[tuple[str, str]] = []
     for name in sorted(config.get("stamps") or {}):
@@ -74,7 +74,7 @@
     names = pattern.get_identifiers()
     missing = [name for name in names if name not in given]
     if missing:
-        # a parameter that was itself refused has its own fault
+        # a parameter whose value was refused has a fault of its own already
         if not any(fault[0].endswith(f".{name}") for fault in faults for name in missing):
             faults.append((path, f"the template uses {missing[0]!r}, which is not a parameter"))
         return shape
