--- a/tests/test_dialect.py
+++ b/tests/test_dialect.py
@@ -49,20 +49,20 @@
 
 
 @pytest.mark.parametrize("at", [0, 1, 3])
-def test_a_large_one_is_answered_within_the_operators_patience(net: CoreNet, at: int) -> None:
+def test_a_large_configuration_is_answered_within_a_second(net: CoreNet, at: int) -> None:
     code, _, seconds = net.ask(
         net.machines[at], method="PUT", path="/config", body=make_written(label=1, routes=400), if_match="0"
     )
     assert code == 200 and seconds < 1.0
 
 
-def test_with_one_of_three_lost_it_is_answered_as_soon(net: CoreNet) -> None:
+def test_a_change_is_answered_as_soon_with_one_controller_lost(net: CoreNet) -> None:
     net.kill(net.machines[2])
     code, _, seconds = net.ask(net.machines[0], method="PUT", path="/config", body=make_written(label=1), if_match="0")
     assert code == 200 and seconds < 1.5
 
 
-def test_what_is_sent_again_unchanged_is_answered_again_also_after_later_ones(net: CoreNet) -> None:
+def test_a_resent_change_gets_the_same_answer_even_after_later_changes(net: CoreNet) -> None:
     assert put(net, make_written(label=1), "0") == 200
     assert put(net, make_written(label=1), "0", at=2) == 200
     change = {"generation": "r2", "remove": {"routes": ["r-1"]}}
@@ -74,7 +74,7 @@
     assert net.machines[0].controller.learner.number(name="config") == 3
 
 
-def test_what_is_sent_to_two_controllers_at_once_is_taken_once(net: CoreNet) -> None:
+def test_a_change_sent_to_several_controllers_at_once_is_applied_once(net: CoreNet) -> None:
     tokens = [
         net.send(net.machines[at], method="PUT", path="/config", body=make_written(label=1), if_match="0")
         for at in (0, 1, 2)
@@ -85,7 +85,7 @@
     assert net.machines[1].controller.learner.number(name="config") == 1
 
 
-def test_of_two_on_top_of_one_version_one_wins(net: CoreNet) -> None:
+def test_of_two_changes_on_one_version_only_one_is_accepted(net: CoreNet) -> None:
     assert put(net, make_written(label=1), "0") == 200
     for label, labels in enumerate([(2, 2), (4, 5), (8, 7)]):
         current = read_config(net)["generation"]
@@ -116,13 +116,13 @@
         ('"r1"', 3, 200),
     ],
 )
-def test_wrong_versions(net: CoreNet, if_match: str | None, label: int, code: int) -> None:
+def test_changes_with_wrong_versions_are_refused(net: CoreNet, if_match: str | None, label: int, code: int) -> None:
     assert put(net, make_written(label=1), "0") == 200
     assert put(net, make_written(label=label, weight=3), if_match) == code
     assert read_config(net)["generation"] == ("r3" if code == 200 else "r1")
 
 
-def test_a_large_body_and_a_cut_one(net: CoreNet) -> None:
+def test_oversized_truncated_and_invalid_bodies_are_refused(net: CoreNet) -> None:
     assert put(net, None, "0") == 413
     assert put(net, json.dumps(make_written(label=1)).encode()[:-7], "0") == 400
     bad = make_written(label=1)
@@ -132,7 +132,7 @@
     assert read_config(net) == {"error": "no-config"}
 
 
-def test_without_a_majority_nothing_definite_is_said(net: CoreNet) -> None:
+def test_calls_are_answered_503_without_a_majority(net: CoreNet) -> None:
     for at in (1, 2, 3):
         net.kill(net.machines[at])
     for method, path in (("PUT", "/config"), ("GET", "/config"), ("POST", "/evacuation/ens-a")):
@@ -141,7 +141,7 @@
     assert all(answer.headers.get("Retry-After") for answer in net.answers.values())
 
 
-def test_a_change_whose_acknowledgement_was_lost_is_known_again(net: CoreNet) -> None:
+def test_a_resent_change_is_recognized_after_its_acknowledgement_was_lost(net: CoreNet) -> None:
     net.send(net.machines[0], method="PUT", path="/config", body=make_written(label=1), if_match="0")
     net.run(0.45)
     net.kill(net.machines[0])
@@ -149,7 +149,7 @@
     assert read_config(net) == make_written(label=1)
 
 
-def test_zones_are_evacuated_and_taken_back_any_number_of_times(net: CoreNet) -> None:
+def test_evacuating_and_restoring_zones_is_idempotent(net: CoreNet) -> None:
     def emptied() -> list:
         net.run(0.5)
         return json.loads(net.machines[2].controller.learner.values["orders"].value["text"])["emptied"]
@@ -166,12 +166,12 @@
     assert net.ask(net.machines[0], method="DELETE", path="/evacuation/nowhere")[0] == 404
 
 
-def test_all_zones_may_be_evacuated_whatever_is_at_home_there(net: CoreNet) -> None:
+def test_all_zones_may_be_evacuated_whichever_tenants_are_bound_to_them(net: CoreNet) -> None:
     assert put(net, make_written(label=1), "0") == 200
     assert [net.ask(net.machines[0], method="POST", path=f"/evacuation/{zone}")[0] for zone in ZONES] == [200] * 4
 
 
-def test_two_orders_at_once_are_both_in_force(net: CoreNet) -> None:
+def test_two_concurrent_orders_both_take_effect(net: CoreNet) -> None:
     tokens = [
         net.send(net.machines[at], method="POST", path=f"/evacuation/{zone}")
         for at, zone in enumerate(["ens-a", "gdl-b"])
@@ -200,7 +200,7 @@
     assert orders_of(net)["emptied"] == []
 
 
-def test_an_order_whose_caller_left_before_its_change_began_changes_nothing(net: CoreNet) -> None:
+def test_an_order_whose_caller_disconnected_before_its_change_began_changes_nothing(net: CoreNet) -> None:
     token = net.send(net.machines[0], method="POST", path="/evacuation/ens-a")
     net.after(0.001, lambda: net.give(net.machines[0], event=ClientDisconnected(token=token)))
     net.run(3.0)
@@ -208,7 +208,7 @@
     assert "orders" not in net.machines[0].controller.learner.values
 
 
-def test_a_change_whose_caller_left_goes_on(net: CoreNet) -> None:
+def test_a_change_continues_after_its_caller_has_disconnected(net: CoreNet) -> None:
     token = net.send(net.machines[0], method="PUT", path="/config", body=make_written(label=1), if_match="0")
     net.after(0.01, lambda: net.give(net.machines[0], event=ClientDisconnected(token=token)))
     net.run(3.0)
@@ -246,7 +246,7 @@
     return make
 
 
-def test_both_fail_without_their_safeguards(net: CoreNet, monkeypatch) -> None:
+def test_the_order_tests_fail_without_their_safeguards(net: CoreNet, monkeypatch) -> None:
     with monkeypatch.context() as planted, pytest.raises(AssertionError):
         planted.setattr(ZoneOrders, "count", lambda self, *, kind, zone: 0)
         test_a_copy_of_an_order_that_waited_does_not_undo_the_opposite_that_followed(net)
@@ -264,7 +264,7 @@
     return slot is not None and slot.value is not None
 
 
-def test_the_products_own_words_are_still_known_except_for_configurations(net: CoreNet) -> None:
+def test_the_native_api_remains_available_except_for_configurations(net: CoreNet) -> None:
     assert net.ask(net.machines[0], method="GET", path="/status")[0] == 200
     assert net.ask(net.machines[0], method="GET", path="/voters")[1]["voters"]["size"] == 3
     assert net.ask(net.machines[0], method="POST", path="/halls/ens-a/empty")[0] == 200
@@ -272,7 +272,7 @@
     assert NativeDialect().label(written={"label": 3}) == 3
 
 
-def test_what_builds_on_a_version_to_come_is_not_refused_as_it_may_still_be_taken(net: CoreNet) -> None:
+def test_a_change_on_a_future_version_is_not_refused_as_it_may_still_be_accepted(net: CoreNet) -> None:
     assert put(net, make_written(label=1), "0") == 200
     assert put(net, make_written(label=12, weight=3), "r9") == 503
     # one that does not go beyond what it builds on never will be
@@ -284,7 +284,7 @@
     assert read_config(net) == make_written(label=12, weight=3)
 
 
-def test_the_history_is_bounded_and_what_is_older_gets_no_clear_answer(net: CoreNet, monkeypatch) -> None:
+def test_the_history_is_bounded_and_older_changes_get_an_indefinite_answer(net: CoreNet, monkeypatch) -> None:
     monkeypatch.setattr(constants, "HISTORY_SEGMENT_CHANGES", 16)
     for label in range(1, 40):
         assert put(net, make_written(label=label), f"r{label - 1}" if label > 1 else "0") == 200
@@ -308,7 +308,7 @@
     assert put(net, make_written(label=5), "r5") == 400
 
 
-def test_a_history_of_the_last_version_is_read_and_goes_on(net: CoreNet) -> None:
+def test_a_history_written_by_the_previous_version_is_read_and_extended(net: CoreNet) -> None:
     first, second = make_written(label=1), make_written(label=2, weight=7)
     pairs = []
     for label, written, expected in ((1, first, 0), (2, second, 1)):
@@ -328,7 +328,7 @@
     assert later.classify(expected=6, digest="e" * 12) is Verdict.AHEAD
 
 
-def test_a_digest_is_found_only_where_one_begins() -> None:
+def test_a_digest_is_found_only_at_the_offset_of_a_digest() -> None:
     segment = Segment(base_label=0).with_change(digest="abcdefghijkl").with_change(digest="mnopqrstuvwx")
     assert segment.contains(digest="abcdefghijkl") and segment.contains(digest="mnopqrstuvwx")
     assert not segment.contains(digest="ghijklmnopqr")
@@ -363,20 +363,20 @@
         if code in (200, 400, 412):
             self.code = code
             return
-        machine = self.net.rng.choice([one for one in self.net.machines if one.controller] or self.net.machines)
+        machine = self.net.rng.choice([peer for peer in self.net.machines if peer.controller] or self.net.machines)
         self.token = self.net.send(machine, method="PUT", path="/config", body=self.written, if_match=self.if_match)
         self.net.after(self.net.rng.uniform(0.3, 1.2), self.turn)
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_operators_that_send_again_through_losses_get_one_winner_each_time(seed: int) -> None:
+def test_of_two_operators_that_retry_through_failures_one_wins_each_time(seed: int) -> None:
     net = CoreNet(zones=["gdl-a", "ens-a", "gdl-b", "ens-b"], seed=seed)
     for machine in net.machines:
         net.start(machine, bootstrap=True)
     net.run(1.0)
     label, current = 0, "0"
     for turn in range(5):
-        both = [
+        operators = [
             Operator(net, written=make_written(label=label + 1 + at % 2, weight=at + 2 * turn), if_match=current)
             for at in range(2)
         ]
@@ -391,9 +391,9 @@
         net.cut = set()
         if lost.controller is None:
             net.start(lost)
-        assert net.run(15.0, until=lambda both=both: all(one.code for one in both))
-        assert sorted(one.code for one in both) == [200, 412]
-        winner = next(one for one in both if one.code == 200)
+        assert net.run(15.0, until=lambda operators=operators: all(operator.code for operator in operators))
+        assert sorted(operator.code for operator in operators) == [200, 412]
+        winner = next(operator for operator in operators if operator.code == 200)
         label, current = int(winner.written["generation"][1:]), winner.written["generation"]
         net.run(4.0)
         assert [read_config(net, at=at) for at in range(4)] == [winner.written] * 4
--- a/tests/test_endpoint_pages.py
+++ b/tests/test_endpoint_pages.py
@@ -117,7 +117,7 @@
         page(entry("i"), token=3),
     ],
 )
-def test_pages_that_cannot_be_read_break_the_pass(body: bytes) -> None:
+def test_unreadable_pages_fail_the_pass(body: bytes) -> None:
     assert isinstance(WORKERS.WorkersReader().read(body=body), FailedPass)
     assert Platform().run_pass(body) is None
 
@@ -127,7 +127,7 @@
     assert WORKERS.WorkersReader().read(body=body).rows[0]["hall"] == "ens-a"
 
 
-def test_a_broken_pass_counts_for_nothing_and_the_next_ones_wait_longer() -> None:
+def test_a_failed_pass_is_discarded_and_the_next_ones_back_off() -> None:
     platform = Platform()
     assert platform.run_pass(page(entry("i-1"))) == ["i-1"]
     waits = []
@@ -139,7 +139,7 @@
     assert platform.pager.next_at - platform.now <= constants.ENDPOINT_LIST_INTERVAL
 
 
-def test_a_later_row_wins_and_one_missing_in_one_pass_of_many_pages_is_kept_once() -> None:
+def test_a_later_row_wins_and_a_row_missing_from_one_pass_of_many_pages_is_kept_once() -> None:
     platform = Platform()
     assert platform.run_pass(page(entry("i-1"), entry("i-2"), token="p"), page(entry("i-1", state="draining"))) == [
         "i-1",
@@ -156,17 +156,17 @@
     platform = Platform(rate=rate, pollers=pollers)
     body = [page(entry(f"i-{at}"), token=str(at) if at < pages - 1 else None) for at in range(pages)]
     platform.run_pass(*body)
-    begun = platform.pager.next_at
+    first_pass_at = platform.pager.next_at
     platform.run_pass(*body)
-    pause = platform.pager.next_at - begun
+    pause = platform.pager.next_at - first_pass_at
     assert pause >= constants.ENDPOINT_LIST_INTERVAL and (rate == 0 or pages * pollers / pause < rate / 2)
 
 
-def test_an_endless_list_breaks_off() -> None:
+def test_a_pass_over_an_endless_list_fails() -> None:
     assert Platform().run_pass(*[page(entry("i-1"), token="p")] * constants.ENDPOINT_LIST_MAX_PAGES) is None
 
 
-def test_a_cold_time_that_counts_down_is_no_news_and_a_rise_is() -> None:
+def test_a_decreasing_cold_time_is_no_update_but_an_increase_is() -> None:
     incarnations = Incarnations(post="a:1", number=100)
     assert incarnations.step(now=0.0, rows=[row("i-1", cold_s=3.0)])
     assert not incarnations.step(now=1.0, rows=[row("i-1", cold_s=2.1)])
@@ -183,7 +183,7 @@
     )
 
 
-def test_leaving_stays_and_gone_stays_against_a_list_that_lags() -> None:
+def test_leaving_and_removed_workers_remain_so_despite_a_stale_list() -> None:
     table = EndpointTable()
     assert table.replace(now=0.0, workers=[row("i-1"), row("i-2", capacity=7, cold_s=2.0)]) == ({"i-1", "i-2"}, set())
     assert (table.workers["i-2"].capacity, table.workers["i-2"].slow_start, table.workers["i-2"].key) == (7, 2.0, "i-2")
@@ -195,7 +195,7 @@
     assert set(table.workers) == {"i-2"}
 
 
-def test_one_just_come_that_an_older_list_lacks_comes_back() -> None:
+def test_a_recently_added_worker_that_an_older_list_lacks_is_added_again() -> None:
     table = EndpointTable()
     table.replace(now=0.0, workers=[row("i-1")])
     table.replace(now=10.0, workers=[row("i-1"), row("i-new")])
@@ -208,7 +208,7 @@
     return {"kind": "ask", "have": {} if have is None else {"workers": have}, "report": {}, "daemon": daemon}
 
 
-def test_a_list_is_pushed_only_to_those_that_follow_this_controller() -> None:
+def test_a_list_is_pushed_only_to_proxies_that_follow_this_controller() -> None:
     updates_by_name = {"workers": (101, [0, ""], {"number": 101, "mark": "a:1", "trail": [], "text": "[]"})}
     for have, is_pushed in (
         (None, True),
@@ -225,7 +225,7 @@
         ), have
 
 
-def test_a_push_is_repeated_only_when_an_asking_shows_that_it_was_lost() -> None:
+def test_a_push_is_repeated_only_when_a_request_shows_that_it_was_lost() -> None:
     updates_by_name = {"workers": (101, [0, ""], {"number": 101, "mark": "a:1", "trail": [], "text": "[]"})}
     subscribers = Subscribers(post="a:1")
     assert subscribers.step(now=1.0, event=("p:1", ask([100, "a:1", [0, ""]])), updates=updates_by_name)
@@ -234,7 +234,7 @@
     assert not subscribers.step(now=2.0, event=("p:1", ask([101, "a:1", [0, ""]])), updates=updates_by_name)
 
 
-def test_controllers_page_the_list_and_tell_it() -> None:
+def test_controllers_page_through_the_list_and_publish_it() -> None:
     net = CoreNet(zones=["gdl-a", "ens-a", "gdl-b", "ens-b"])
     net.rows = [{**entry("i-1"), "zone": "gdl-a"}]
     for machine in net.machines:
--- a/tests/test_fuzz_messages.py
+++ b/tests/test_fuzz_messages.py
@@ -134,10 +134,10 @@
         if isinstance(checked, BadMessage):
             assert checked.reason
             continue
-        received = over_the_wire(body=body)
-        if received is not None:
-            assert isinstance(received, BadMessage) or received["kind"] == body["kind"]
-            accepted += [received] if isinstance(received, dict) else []
+        came = over_the_wire(body=body)
+        if came is not None:
+            assert isinstance(came, BadMessage) or came["kind"] == body["kind"]
+            accepted += [came] if isinstance(came, dict) else []
     if accepted:
         deliver(bodies=accepted)
 
@@ -171,7 +171,7 @@
         deliver(bodies=[read])
 
 
-def test_a_register_whose_name_is_kept_for_the_disk_is_refused() -> None:
+def test_a_register_name_reserved_for_the_data_file_is_refused() -> None:
     body = {**_with_bytes(EXAMPLES["accept"][0]), "register": "known/voters"}
     assert check_message(body=body) == BadMessage(reason="field:accept.register")
     # a frame's other form is read by the same check
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -37,7 +37,7 @@
     return [f"{fault.path}: {fault.reason}" for fault in verdict.faults] if isinstance(verdict, InvalidConfig) else []
 
 
-def test_a_match_says_host_kind_times_rank_and_homes() -> None:
+def test_a_match_may_set_host_kind_times_rank_and_homes() -> None:
     full = check_config(
         config=with_match(
             host="one.example",
@@ -93,14 +93,14 @@
     ]
 
 
-def test_pools_of_different_services_need_a_word_for_it() -> None:
+def test_pools_of_different_services_require_the_across_flag() -> None:
     pools = [{"pool": POOL, "weight": 1}, {"pool": OTHER, "weight": 1}]
     config = {**CONFIG, "tenants": {}, "matches": [{"path": "/x", "pools": pools}]}
     assert any("different services" in fault for fault in faults(config))
     assert not faults({**config, "matches": [{"path": "/x", "pools": pools, "across": True}]})
 
 
-def test_a_pool_near_the_proxy_lists_no_halls() -> None:
+def test_a_pool_near_the_proxy_lists_no_zones() -> None:
     near = {**CONFIG, "pools": {**CONFIG["pools"], "near": {"service": SERVICE, "tiers": "near"}}}
     verdict = check_config(config=near)
     assert isinstance(verdict, ValidConfig) and verdict.full["pools"]["near"]["preferred"] == []
@@ -110,7 +110,7 @@
     assert any(fault.startswith("pools.far.preferred") for fault in faults(far))
 
 
-def test_homes_without_a_hall_are_told_not_refused() -> None:
+def test_homes_without_a_zone_are_warned_of_not_refused() -> None:
     verdict = check_config(config=with_match(homes=["atlantis"]))
     assert [warning.path for warning in verdict.warnings if "atlantis" in warning.reason] == [
         f"matches.{len(CONFIG['matches'])}.homes"
@@ -204,7 +204,7 @@
     return config
 
 
-def test_the_quick_pass_says_what_the_slow_one_does(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_quick_check_agrees_with_the_full_one(monkeypatch: pytest.MonkeyPatch) -> None:
     rng = random.Random(7)
     base = {
         **CONFIG,
@@ -226,7 +226,7 @@
     assert len({type(verdict) for verdict in quick}) == 2
 
 
-def test_a_register_that_holds_only_what_was_written_is_expanded() -> None:
+def test_a_register_that_holds_only_the_written_form_is_expanded() -> None:
     full = check_config(config=CONFIG).full
     value = {"number": 3, "text": json.dumps({"written": {"any": "words"}, "label": 1, "history": []})}
     plan = read_plan(value=value, expand=lambda written: full if written == {"any": "words"} else {})
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -47,7 +47,7 @@
     )
 
 
-def test_every_message_of_the_last_version_is_understood() -> None:
+def test_every_message_of_the_previous_version_is_understood() -> None:
     assert set(MESSAGES) == set(FIELDS) - NEW_KINDS
     owners = [
         make_controller(records=read_frames(data=DATA).records),
@@ -72,7 +72,7 @@
 @pytest.mark.parametrize(
     ("kind", "wire_kind"), [("controller", "cellar"), ("proxy", "sommelier"), ("directory", "concierge")]
 )
-def test_a_daemon_is_known_by_its_kind_whichever_version_wrote_its_entry(kind: str, wire_kind: str) -> None:
+def test_the_kind_of_a_daemon_is_read_whichever_version_wrote_its_entry(kind: str, wire_kind: str) -> None:
     sender = PeerTable(location=make_location(kind=kind), start=1)
     written = sender.own_entry()
     assert written["kind"] == wire_kind, "the last version knows this word only"
@@ -83,7 +83,7 @@
         assert [peer["id"] for peer in reader.alive(kind=kind)] == [f"other-{at}"]
 
 
-def test_the_entries_of_the_last_version_are_known_by_their_kinds() -> None:
+def test_the_kinds_in_entries_of_the_previous_version_are_read() -> None:
     gossips = [read_message(payload=base64.b64decode(row)) for row in MESSAGES["gossip"]]
     asks = [read_message(payload=base64.b64decode(row)) for row in MESSAGES["ask"]]
     entries = [*(entry for body in gossips for entry in body["entries"]), *(body["daemon"] for body in asks)]
@@ -91,11 +91,11 @@
     assert {kind_of(entry=entry) for entry in entries} == {"proxy"}
 
 
-def test_new_kinds_are_not_told_to_the_last_version() -> None:
+def test_new_message_kinds_are_not_sent_to_the_previous_version() -> None:
     assert "0.1.0" in constants.VERSIONS_WITHOUT_REPLICAS
 
 
-def test_the_data_file_of_the_last_version_is_read() -> None:
+def test_the_data_file_of_the_previous_version_is_read() -> None:
     found = read_frames(data=DATA)
     assert isinstance(found, Read) and found.length == len(DATA)
     controller = make_controller(records=found.records)
@@ -125,5 +125,5 @@
     assert (folder / "registers").read_bytes() == data
 
 
-def test_the_form_is_the_one_that_is_written() -> None:
+def test_the_fixture_has_the_format_that_is_written() -> None:
     assert DATA.startswith(MAGIC) and pack_frame(records=[]).startswith(MAGIC)
