--- a/sailward/consensus/proposer.py
+++ b/sailward/consensus/proposer.py
@@ -269,11 +269,11 @@
         if request.text is None or operation.change_id in (value["mark"], *value["trail"]):
             operation.value = value
         elif value["number"] == request.expected:
-            trail = [value["mark"], *value["trail"]][: constants.REGISTER_HISTORY_LENGTH]
+            previous_ids = [value["mark"], *value["trail"]][: constants.REGISTER_HISTORY_LENGTH]
             operation.value = {
                 "number": value["number"] + 1,
                 "mark": operation.change_id,
-                "trail": trail,
+                "trail": previous_ids,
                 "text": request.text,
             }
             operation.may_be_accepted = True
--- a/sailward/control/administration/status_report.py
+++ b/sailward/control/administration/status_report.py
@@ -66,7 +66,7 @@
             "kind": kind_of(entry=known.entry),
             "hall": known.entry["hall"],
             "fit": known.entry["fit"],
-            "lost": known.lost,
+            "lost": known.is_lost,
             "version": known.entry["version"],
             "http": known.entry["http"],
         }
--- a/sailward/control/group/graceful_shutdown.py
+++ b/sailward/control/group/graceful_shutdown.py
@@ -27,7 +27,7 @@
     def begin(self, *, now: float) -> list[Command]:
         """Begin to leave; an order that comes again changes nothing."""
         if self._begun is None:
-            self._begun, self._peer_table.leaving = now, True
+            self._begun, self._peer_table.is_leaving = now, True
         return self.step(now=now)
 
     def step(self, *, now: float) -> list[Command]:
--- a/sailward/discovery/peer_table.py
+++ b/sailward/discovery/peer_table.py
@@ -59,7 +59,7 @@
 
     entry: PeerEntry
     last_seen_at: float
-    lost: bool = False
+    is_lost: bool = False
     echoed_heartbeat: int = 0
     has_contact: bool = False
 
@@ -85,7 +85,7 @@
     announced_at: float = -1e9
     is_mesh: bool = False
     has_disk: bool = True
-    leaving: bool = False
+    is_leaving: bool = False
     interval: float = field(default_factory=lambda: constants.GOSSIP_INTERVAL)
     timeout: float = field(default_factory=lambda: constants.HEARTBEAT_TIMEOUT)
 
@@ -114,7 +114,7 @@
 
         From time to time the whole peer table is sent to the seeds.
         """
-        alive = [peer for peer in self.peers.values() if not peer.lost]
+        alive = [peer for peer in self.peers.values() if not peer.is_lost]
         body = {
             "kind": "beat",
             "id": self.location.name,
@@ -127,7 +127,7 @@
         commands: list[Command] = [
             SendMessage(to=peer.entry["post"], body=self._with_echo(body=body, peer=peer)) for peer in alive
         ]
-        lost = sorted(peer.entry["post"] for peer in self.peers.values() if peer.lost)
+        lost = sorted(peer.entry["post"] for peer in self.peers.values() if peer.is_lost)
         if lost:
             # one lost peer per heartbeat, in turn: both sides of a healed partition find each other soon
             commands.append(SendMessage(to=lost[self.heartbeat % len(lost)], body=body))
@@ -169,7 +169,7 @@
             return []
         entry = {**peer.entry, "beat": body["beat"], "fit": body["fit"], "identity": body["identity"]}
         commands: list[Command] = (
-            [LogEvent(event="daemon-found", fields={"daemon": body["id"], "at": sender})] if peer.lost else []
+            [LogEvent(event="daemon-found", fields={"daemon": body["id"], "at": sender})] if peer.is_lost else []
         )
         self.peers[body["id"]] = PeerState(
             entry=entry,
@@ -196,24 +196,24 @@
             "identity": self.identity,
             "asks": self.active_proxies,
             **({} if self.has_disk else {"disk": False}),
-            **({"leaving": True} if self.leaving else {}),
+            **({"leaving": True} if self.is_leaving else {}),
         }
 
     def alive(self, *, kind: str) -> list[dict]:
         """The entries of the peers of this kind that are not lost."""
-        return [peer.entry for peer in self.peers.values() if kind_of(entry=peer.entry) == kind and not peer.lost]
+        return [peer.entry for peer in self.peers.values() if kind_of(entry=peer.entry) == kind and not peer.is_lost]
 
     def _watched(self) -> list[str]:
         others = {peer.entry["id"]: peer.entry["post"] for peer in self.peers.values()}
         names = choose_names(key=self.location.name, names=others, count=constants.GOSSIP_FANOUT)
         addresses = [others[name] for name in names]
-        alive = sum(not peer.lost for peer in self.peers.values())
+        alive = sum(not peer.is_lost for peer in self.peers.values())
         if alive < constants.GOSSIP_FANOUT or self.heartbeat % 10 == 0:
             addresses += [seed for seed in self.location.seeds if seed not in addresses]
         return [address for address in addresses if address != self.location.post]
 
     def _entries(self, *, now: float) -> list[dict]:
-        fresh = [peer.entry for peer in self.peers.values() if not peer.lost]
+        fresh = [peer.entry for peer in self.peers.values() if not peer.is_lost]
         return [self.own_entry(), *fresh]
 
     def _fold(self, *, now: float, entries: list, sender: str) -> list[Command]:
@@ -224,7 +224,7 @@
             peer = self.peers.get(entry["id"])
             if peer and not _is_newer(entry=entry, peer=peer):
                 continue
-            if peer is None or peer.lost:
+            if peer is None or peer.is_lost:
                 commands.append(LogEvent(event="daemon-found", fields={"daemon": entry["id"], "at": entry["post"]}))
             echoed_heartbeat = peer.echoed_heartbeat if peer else 0
             if entry["post"] == sender:
@@ -235,8 +235,8 @@
     def _judge(self, *, now: float) -> list[Command]:
         commands: list[Command] = []
         for name, peer in list(self.peers.items()):
-            if not peer.lost and now - peer.last_seen_at > self.timeout:
-                peer.lost = True
+            if not peer.is_lost and now - peer.last_seen_at > self.timeout:
+                peer.is_lost = True
                 commands.append(LogEvent(event="daemon-lost", fields={"daemon": name}))
             if now - peer.last_seen_at > constants.PEER_TTL:
                 del self.peers[name]
@@ -252,7 +252,7 @@
 
 
 def _is_newer(*, entry: PeerEntry, peer: PeerState) -> bool:
-    if peer.lost and entry["start"] != peer.entry["start"]:
+    if peer.is_lost and entry["start"] != peer.entry["start"]:
         # a start is a wall-clock time: after the clock was set back, the new start is the lower number
         return True
     return (entry["start"], entry["beat"]) > (peer.entry["start"], peer.entry["beat"])
--- a/sailward/proxy/directory_server.py
+++ b/sailward/proxy/directory_server.py
@@ -63,7 +63,7 @@
             return answer_json(token=event.token, code=404, body={"error": "unknown", "detail": "GET /proxies"})
         if event.path == "/status":
             daemons = [
-                {**known.entry, "kind": kind_of(entry=known.entry), "lost": known.lost}
+                {**known.entry, "kind": kind_of(entry=known.entry), "lost": known.is_lost}
                 for known in self.peer_table.peers.values()
             ]
             return answer_json(token=event.token, code=200, body={"id": self.location.name, "daemons": daemons})
