--- a/tests/history_rows.py
+++ b/tests/history_rows.py
@@ -1,4 +1,4 @@
-"""Rows of histories as the simulators write them, for the tests of the judge."""
+"""Rows of histories in the form that the simulators write, for the tests of the checker."""
 
 from __future__ import annotations
 
@@ -151,7 +151,7 @@
 
 
 def lose(rows: list, count: int, begin: float = 0.0) -> list:
-    """The same, with this many first tries of it refused."""
+    """The same rows, with the first `count` answers from `begin` on changed to refusals."""
     left, made = count, []
     for row in rows:
         bad = row["k"] == "got" and row["t"] >= begin and left > 0
--- a/tests/test_dialect.py
+++ b/tests/test_dialect.py
@@ -1,4 +1,4 @@
-"""Operators' calls in a platform's words, end to end over three controllers."""
+"""Operators' calls in a platform's API format, end to end over a group of controllers."""
 
 from __future__ import annotations
 
@@ -188,7 +188,7 @@
 
 def test_a_copy_of_an_order_that_waited_does_not_undo_the_opposite_that_followed(net: CoreNet) -> None:
     slow = net.machines[0]
-    # the copy has looked, and its change is on its way when its machine's messages stop
+    # the copy has read the register, and its change is in flight when its machine's messages are cut off
     token = net.send(slow, method="POST", path="/evacuation/ens-a")
     net.run(0.2, until=lambda: any(op.endswith("/change") for op in slow.controller.admin_api.jobs))
     net.cut = {slow.name}
@@ -216,7 +216,7 @@
 
 
 def test_an_order_that_was_left_half_accepted_is_not_finished_after_the_opposite(net: CoreNet) -> None:
-    # its change has the promises, and its machine alone votes for it: then the caller leaves
+    # its change has a majority of promises, but only its own machine votes for it; then the caller disconnects
     lone, near, far = net.machines[0], net.machines[2], net.machines[1]
     token = net.send(lone, method="POST", path="/evacuation/ens-a")
     promised = near.controller.voter.acceptor.slots["orders"].promised
@@ -229,13 +229,13 @@
     assert net.ask(near, method="DELETE", path="/evacuation/ens-a")[0] == 200
     net.cut = set()
     net.run(4.0)
-    # whoever reads through the machine that voted finds the opposite
+    # a read through the machine that voted finds the opposite order
     assert net.ask(lone, method="GET", path="/orders")[1]["orders"]["emptied"] == []
     assert orders_of(net)["emptied"] == []
 
 
 def without_change(old):
-    """An order that finds its zone as it wants it is acknowledged without a change."""
+    """Fault: an order whose zone is already in the wanted state is acknowledged without a change."""
 
     def make(self, *, job):
         orders = admin_api.read_zone_orders(text=job.text)
@@ -275,7 +275,7 @@
 def test_a_change_on_a_future_version_is_not_refused_as_it_may_still_be_accepted(net: CoreNet) -> None:
     assert put(net, make_written(label=1), "0") == 200
     assert put(net, make_written(label=12, weight=3), "r9") == 503
-    # one that does not go beyond what it builds on never will be
+    # a change whose version does not exceed the one that it builds on can never be accepted
     assert put(net, make_written(label=9, weight=3), "r9") == 412
     assert put(net, make_written(label=4, weight=3), "r9") == 412
     assert read_config(net)["generation"] == "r1"
@@ -303,7 +303,7 @@
     assert put(net, make_written(label=1), "0") == 200
     assert put(net, make_written(label=3), "r1") == 200
     assert put(net, make_written(label=5), "r3") == 200
-    # r3 was taken on top of r1, so nothing else ever is
+    # r3 was accepted on top of r1, so no other change can be
     assert put(net, make_written(label=5), "r1") == 412
     assert put(net, make_written(label=5), "r5") == 400
 
@@ -319,7 +319,7 @@
     assert held.classify(expected=0, digest=taken) is Verdict.TAKEN
     assert held.classify(expected=1, digest=digest_change(method="PUT", expected=1, given=second)) is Verdict.TAKEN
     assert held.classify(expected=1, digest=digest_change(method="PUT", expected=1, given=first)) is Verdict.LOST
-    # the last version did not say what its first change built on: another one on top of that can't be judged
+    # the previous version did not store what its first change built on, so another change on that can't be decided
     assert held.classify(expected=0, digest=digest_change(method="PUT", expected=0, given=second)) is Verdict.FORGOTTEN
     later = read_labelled(text=write_labelled(before=held, written=first, label=5, digest="d" * 12))
     assert later.classify(expected=0, digest=taken) is Verdict.TAKEN and later.label == 5
@@ -351,7 +351,7 @@
 
 
 class Operator:
-    """Sends one change again and again, to any controller, until it gets a definite answer."""
+    """Retries one change at random controllers until it gets a definite answer."""
 
     def __init__(self, net: CoreNet, *, written: dict, if_match: str) -> None:
         self.net, self.written, self.if_match, self.code = net, written, if_match, 0
--- a/tests/test_endpoint_pages.py
+++ b/tests/test_endpoint_pages.py
@@ -1,6 +1,6 @@
-"""Lists of workers without numbers.
+"""Lists of workers without revision numbers.
 
-Whole passes, artefacts of paging, backing off, and what a receiver makes of them.
+Complete passes, artefacts of paging, back-off, and how a receiver merges the lists.
 """
 
 from __future__ import annotations
@@ -50,7 +50,7 @@
 
 
 class Platform:
-    """A pager with answers fed to it by hand."""
+    """A pager whose calls are answered by the test."""
 
     def __init__(self, **overrides: object) -> None:
         self.pager = Pager(platform="10.9.9.9:1", reader=WORKERS.WorkersReader(), **overrides)
@@ -58,7 +58,7 @@
         self.paths: list[str] = []
 
     def run_pass(self, *pages: bytes | int) -> list | None:
-        """One pass over these pages; the names it told, or None."""
+        """Run one pass over these pages (an int is a status code); the ids it returns, or None."""
         self.now = max(self.now, self.pager.next_at)
         commands, complete_list = self.pager.step(now=self.now, event=None)
         for page in pages:
--- a/tests/test_fuzz_messages.py
+++ b/tests/test_fuzz_messages.py
@@ -1,4 +1,4 @@
-"""What check_message accepts, no owner trips over; what it refuses, it refuses with a reason."""
+"""No owner fails on a message that check_message accepts; what it refuses, it refuses with a reason."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
 
 @functools.cache
 def owners() -> dict:
-    """One owner of each kind, as it stands in a fleet, and a controller that has just started on an empty disk."""
+    """One owner of each kind as in a running fleet, and a controller that has just started on an empty disk."""
     net = make_running_net()
     proxy = Proxy(
         location=make_location(kind="proxy"),
@@ -94,7 +94,7 @@
 
 
 def deliver(*, bodies: list) -> None:
-    """Give messages to an owner of each kind, and let time go on behind them."""
+    """Deliver messages to a copy of an owner of each kind, then advance the time."""
     now = make_running_net().now
     for name, owner in owners().items():
         owner_copy = copy.deepcopy(owner)
@@ -107,10 +107,10 @@
 
 
 def over_the_wire(*, body: object) -> dict | BadMessage | None:
-    """The body as the other side reads it; None if it can't be put into a frame."""
+    """The body as decoded by the receiver; None if it can't be encoded."""
     try:
         frame = pack_body(body=body)
-    except Exception:  # noqa: BLE001 - what can't be sent can't come
+    except Exception:  # noqa: BLE001 - what can't be sent is never received
         return None
     _, form = LENGTH.unpack_from(frame)
     return read_body(payload=frame[LENGTH.size :], form=form)
@@ -174,5 +174,5 @@
 def test_a_register_name_reserved_for_the_data_file_is_refused() -> None:
     body = {**_with_bytes(EXAMPLES["accept"][0]), "register": "known/voters"}
     assert check_message(body=body) == BadMessage(reason="field:accept.register")
-    # a frame's other form is read by the same check
+    # frames in the other form are checked in the same way
     assert PLAIN == 0 and flexbuffers.Loads(pack_message(body=body))["register"] == "known/voters"
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -1,6 +1,6 @@
 """The shape of a configuration.
 
-What it may say beyond the first version, and that the quick pass says what the slow one does.
+The fields added since the first version, and the agreement of the quick check of matches with the full one.
 """
 
 from __future__ import annotations
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -1,6 +1,6 @@
-"""Versions side by side.
+"""Compatibility between versions.
 
-What the last landed version said and wrote is understood, what a newer one wrote is refused.
+Messages and data files of the previous version are read; data files of a newer version are refused.
 """
 
 from __future__ import annotations
@@ -64,7 +64,7 @@
                 commands_by_kind.setdefault(kind, []).extend(commands)
     for owner in owners:
         owner.step(now=1.1, event=TimerFired())
-    # askings get grants, gossip gets gossip: the old ones were taken for what they are
+    # old lease requests get grants and old gossip gets gossip in reply, so both were recognized
     assert any(getattr(command, "body", {}).get("kind") == "grant" for command in commands_by_kind["ask"])
     assert any(getattr(command, "body", {}).get("kind") == "gossip" for command in commands_by_kind["gossip"])
 
@@ -75,7 +75,7 @@
 def test_the_kind_of_a_daemon_is_read_whichever_version_wrote_its_entry(kind: str, wire_kind: str) -> None:
     sender = PeerTable(location=make_location(kind=kind), start=1)
     written = sender.own_entry()
-    assert written["kind"] == wire_kind, "the last version knows this word only"
+    assert written["kind"] == wire_kind, "the previous version knows only this word"
     for at, entry in enumerate((written, {**written, "kind": kind})):
         entries = [{**entry, "id": f"other-{at}"}]
         reader = PeerTable(location=make_location(kind="proxy"), start=1)
