--- a/tests/history_rows.py
+++ b/tests/history_rows.py
@@ -112,7 +112,7 @@
     return {"t": t, "k": k, **fields}
 
 
-def changed(path: str, value: object) -> dict:
+def config_with(path: str, value: object) -> dict:
     config = copy.deepcopy(CONFIG)
     *names, last = path.split(".")
     inner = config
@@ -125,7 +125,7 @@
     return config
 
 
-def stamped(zones: list) -> dict:
+def config_with_stamp(zones: list) -> dict:
     shape = {
         "pools": {"${stamp}": {"service": "stock", "preferred": "${halls}"}},
         "tenants": {"${stamp}": {}},
@@ -139,31 +139,37 @@
 
 
 HOMES = row(0, "homes", homes={"tapatia": ["guadalajara"]})
-BOUND = row(0, "cold-bound", service="stock", cold=4, rate=20, ramp=10, begun=0)
-PINNED = changed("pools.stock-guadalajara.fallback", [])
+COLD_BOUND = row(0, "cold-bound", service="stock", cold=4, rate=20, ramp=10, begun=0)
+PINNED = config_with("pools.stock-guadalajara.fallback", [])
 PINNED["matches"][0]["pools"][1]["weight"] = 0
-MOVED = changed("pools.stock-guadalajara.service", "notes")
+MOVED = config_with("pools.stock-guadalajara.service", "notes")
 MOVED["pools"]["stock-ensenada"]["service"] = "notes"
 STARTED = row(20, "worker-started", worker="stock-gdl-a-0/1")
-FIRSTS = [one for at in range(60) for one in (sent(50 + at / 10, nonce=f"m{at}"), got(50.01 + at / 10, nonce=f"m{at}"))]
+FIRST_ATTEMPTS = [
+    attempt
+    for at in range(60)
+    for attempt in (sent(50 + at / 10, nonce=f"m{at}"), got(50.01 + at / 10, nonce=f"m{at}"))
+]
 ALL_DOWN = [row(20, "daemon-down", daemon=name) for _, name, _ in FLEET.daemons]
 ALL_UP = [row(35, "daemon-up", daemon=name) for _, name, _ in FLEET.daemons]
 
 
-def lose(rows: list, count: int, begin: float = 0.0) -> list:
+def refuse_attempts(rows: list, count: int, begin: float = 0.0) -> list:
     """The same rows, with the first `count` answers from `begin` on changed to refusals."""
-    left, made = count, []
+    remaining, result = count, []
     for row in rows:
-        bad = row["k"] == "got" and row["t"] >= begin and left > 0
-        left -= bad
-        made.append(
-            {**row, "code": 503, "verdict": "", "ran": "not-run", "retry_after": "1", "reason": "x"} if bad else row
+        is_refused = row["k"] == "got" and row["t"] >= begin and remaining > 0
+        remaining -= is_refused
+        result.append(
+            {**row, "code": 503, "verdict": "", "ran": "not-run", "retry_after": "1", "reason": "x"}
+            if is_refused
+            else row
         )
-    return made
+    return result
 
 
 def flood(rival_good: int) -> list:
     rows = [got(50 + at / 100, nonce=f"f{at}", tenant="shops") for at in range(300)]
-    rows = lose(rows, 100)
-    mine = lose([got(50 + at / 20, nonce=f"r{at}") for at in range(60)], 60 - rival_good)
+    rows = refuse_attempts(rows, 100)
+    mine = refuse_attempts([got(50 + at / 20, nonce=f"r{at}") for at in range(60)], 60 - rival_good)
     return rows + mine
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -11,25 +11,25 @@
 from tests.history_rows import (
     ALL_DOWN,
     ALL_UP,
-    BOUND,
-    FIRSTS,
+    COLD_BOUND,
+    FIRST_ATTEMPTS,
     FLEET,
     HOMES,
     MOVED,
     PINNED,
     STARTED,
-    changed,
+    config_with,
+    config_with_stamp,
     flood,
     got,
-    lose,
     order,
     put,
     read,
+    refuse_attempts,
     refused,
     row,
     run,
     sent,
-    stamped,
 )
 
 PAIRS = {
@@ -90,16 +90,20 @@
         [put(1, 1), put(10, 2, MOVED), run(20)],
     ),
     "config-not-in-force:tenant": (
-        [put(1, 1), put(10, 2, changed("tenants.hotels", None)), run(20, tenant="shops")],
-        [put(1, 1), put(10, 2, changed("tenants.hotels", None)), run(20)],
+        [put(1, 1), put(10, 2, config_with("tenants.hotels", None)), run(20, tenant="shops")],
+        [put(1, 1), put(10, 2, config_with("tenants.hotels", None)), run(20)],
     ),
     "config-not-in-force:weight": (
         [put(1, 1), put(10, 2, PINNED), run(20, hall="gdl-b")],
         [put(1, 1), put(10, 2, PINNED), run(20, hall="ens-b")],
     ),
     "config-not-in-force:template": (
-        [put(1, 1, stamped(["gdl-a"])), put(10, 2, stamped(["gdl-b"])), run(20, path="/azul", hall="gdl-b")],
-        [put(1, 1, stamped(["gdl-a"])), put(10, 2, stamped(["gdl-b"])), run(20, path="/azul")],
+        [
+            put(1, 1, config_with_stamp(["gdl-a"])),
+            put(10, 2, config_with_stamp(["gdl-b"])),
+            run(20, path="/azul", hall="gdl-b"),
+        ],
+        [put(1, 1, config_with_stamp(["gdl-a"])), put(10, 2, config_with_stamp(["gdl-b"])), run(20, path="/azul")],
     ),
     "config-not-in-force:patch": (
         [put(1, 1), put(10, 2, {"tenants": {"hotels": None}}, patch=True), run(20, tenant="shops")],
@@ -115,12 +119,12 @@
     ),
     "slipped-back:read": ([read(2, 1), read(3, 2)], [read(2, 2), read(3, 1)]),
     "bound-exceeded": (
-        [BOUND, *[run(10 + at / 24) for at in range(100)]],
-        [BOUND, *[run(10 + at / 40) for at in range(100)]],
+        [COLD_BOUND, *[run(10 + at / 24) for at in range(100)]],
+        [COLD_BOUND, *[run(10 + at / 40) for at in range(100)]],
     ),
     "bound-exceeded:lowered": (
-        [BOUND, {**BOUND, "t": 20, "begun": 20, "rate": 2}, *[run(30 + at / 2) for at in range(20)]],
-        [BOUND, {**BOUND, "t": 20, "begun": 20, "rate": 2}, *[run(30 + at / 20) for at in range(60)]],
+        [COLD_BOUND, {**COLD_BOUND, "t": 20, "begun": 20, "rate": 2}, *[run(30 + at / 2) for at in range(20)]],
+        [COLD_BOUND, {**COLD_BOUND, "t": 20, "begun": 20, "rate": 2}, *[run(30 + at / 20) for at in range(60)]],
     ),
     "weights-not-in-force": (
         [put(1, 1), *[run(20 + at / 100, hall="gdl-a" if at % 10 < 7 else "ens-a") for at in range(1000)]],
@@ -133,7 +137,7 @@
             put(
                 10,
                 2,
-                changed(
+                config_with(
                     "matches.0.pools",
                     [{"pool": "stock-guadalajara", "weight": 0}, {"pool": "stock-ensenada", "weight": 1}],
                 ),
@@ -152,7 +156,7 @@
         [
             put(1, 1),
             put(2, 2, {"services": {"stock": {"rate": 7}}}, patch=True),
-            read(3, 2, changed("services.stock.rate", 7)),
+            read(3, 2, config_with("services.stock.rate", 7)),
         ],
         [put(1, 1), put(2, 2, {"services": {"stock": {"rate": 7}}}, patch=True), read(3, 2)],
     ),
@@ -161,13 +165,17 @@
             put(1, 1),
             put(2, 2, {"services": {"stock": {"rate": 7}}}, patch=True),
             put(2, 3, {"tenants": {"shops": None}}, patch=True),
-            read(3, 3, {**changed("services.stock.rate", 7), "tenants": changed("tenants.shops", None)["tenants"]}),
+            read(
+                3,
+                3,
+                {**config_with("services.stock.rate", 7), "tenants": config_with("tenants.shops", None)["tenants"]},
+            ),
         ],
         [
             put(1, 1),
             put(2, 2, {"services": {"stock": {"rate": 7}}}, patch=True),
             put(2, 3, {"tenants": {"shops": None}}, patch=True),
-            read(3, 3, changed("tenants.shops", None)),
+            read(3, 3, config_with("tenants.shops", None)),
         ],
     ),
     "emptied-hall-served": (
@@ -199,16 +207,24 @@
         ],
     ),
     "cold-flooded": (
-        [BOUND, STARTED, *[run(20.5 + at / 9) for at in range(12)]],
-        [BOUND, STARTED, *[run(20.5 + at / 30) for at in range(12)]],
+        [COLD_BOUND, STARTED, *[run(20.5 + at / 9) for at in range(12)]],
+        [COLD_BOUND, STARTED, *[run(20.5 + at / 30) for at in range(12)]],
     ),
     "cold-flooded:sliding": (
-        [BOUND, STARTED, *[run(20.9 + at / 60) for at in range(9)]],
-        [BOUND, STARTED, *[run(20.9 + at / 60) for at in range(12)]],
+        [COLD_BOUND, STARTED, *[run(20.9 + at / 60) for at in range(9)]],
+        [COLD_BOUND, STARTED, *[run(20.9 + at / 60) for at in range(12)]],
     ),
     "cold-flooded:thawed": (
-        [BOUND, row(20, "worker-back", worker="stock-gdl-a-0/1", away=1.0), *[run(20.5 + at / 30) for at in range(12)]],
-        [BOUND, row(20, "worker-back", worker="stock-gdl-a-0/1", away=4.0), *[run(20.5 + at / 30) for at in range(12)]],
+        [
+            COLD_BOUND,
+            row(20, "worker-back", worker="stock-gdl-a-0/1", away=1.0),
+            *[run(20.5 + at / 30) for at in range(12)],
+        ],
+        [
+            COLD_BOUND,
+            row(20, "worker-back", worker="stock-gdl-a-0/1", away=4.0),
+            *[run(20.5 + at / 30) for at in range(12)],
+        ],
     ),
     "two-on-one-key": (
         [run(1, slot_key="a", until=2), run(2.1, slot_key="a", worker="other")],
@@ -238,33 +254,36 @@
         [row(1, "planned-stop", daemon="s"), row(6.9, "stopped", daemon="s")],
         [row(1, "planned-stop", daemon="s"), row(7.1, "stopped", daemon="s")],
     ),
-    "slow-recovery": ([*ALL_DOWN, *ALL_UP, *lose(FIRSTS, 3)], [*ALL_DOWN, *ALL_UP, *lose(FIRSTS, 10)]),
+    "slow-recovery": (
+        [*ALL_DOWN, *ALL_UP, *refuse_attempts(FIRST_ATTEMPTS, 3)],
+        [*ALL_DOWN, *ALL_UP, *refuse_attempts(FIRST_ATTEMPTS, 10)],
+    ),
     "slow-recovery:heal": (
-        [row(35, "trouble", verb="heal", words=[]), *lose(FIRSTS, 3)],
-        [row(35, "trouble", verb="heal", words=[]), *lose(FIRSTS, 10)],
+        [row(35, "trouble", verb="heal", words=[]), *refuse_attempts(FIRST_ATTEMPTS, 3)],
+        [row(35, "trouble", verb="heal", words=[]), *refuse_attempts(FIRST_ATTEMPTS, 10)],
     ),
     "not-borne": (
         [
             row(50, "trouble", verb="kill", words=["controller-0"]),
             row(50, "daemon-down", daemon="controller-0"),
-            *FIRSTS,
+            *FIRST_ATTEMPTS,
         ],
         [
             row(50, "trouble", verb="kill", words=["controller-0"]),
             row(50, "daemon-down", daemon="controller-0"),
-            *lose(FIRSTS, 4),
+            *refuse_attempts(FIRST_ATTEMPTS, 4),
         ],
     ),
     "not-borne:hall": (
         [
             row(50, "trouble", verb="power-off", words=["gdl-b"]),
             *[row(50, "daemon-down", daemon=n) for _, n, h in FLEET.daemons if h == "gdl-b"],
-            *lose(FIRSTS, 4),
+            *refuse_attempts(FIRST_ATTEMPTS, 4),
         ],
         [
             row(50, "trouble", verb="power-off", words=["gdl-b"]),
             *[row(50, "daemon-down", daemon=n) for _, n, h in FLEET.daemons if h == "gdl-b"],
-            *lose(FIRSTS, 9),
+            *refuse_attempts(FIRST_ATTEMPTS, 9),
         ],
     ),
     "unfair": (flood(45), flood(20)),
