--- a/sailward/consensus/acceptor.py
+++ b/sailward/consensus/acceptor.py
@@ -72,7 +72,7 @@
                 return [], _nack(op=op, name=name, ballot=ballot, reason="promised", highest_round=slot.promised[0])
             record = {"k": "vote", "r": name, "b": ballot, "v": body["value"]}
             reply = {"kind": "voted", "op": op, "register": name, "ballot": ballot}
-        fold_record(slots=self.slots, record=record, now=now)
+        apply_record(slots=self.slots, record=record, now=now)
         return [record], reply
 
     def _vote_first(self, *, now: float, body: Message, slot: Slot) -> tuple[list[dict], dict]:
@@ -88,11 +88,11 @@
         if slot.value is not None or slot.promised != NO_BALLOT:
             return [], _nack(op=op, name=name, ballot=FIRST_BALLOT, reason="taken", highest_round=slot.promised[0])
         record = {"k": "vote", "r": name, "b": FIRST_BALLOT, "v": body["value"]}
-        fold_record(slots=self.slots, record=record, now=now)
+        apply_record(slots=self.slots, record=record, now=now)
         return [record], voted
 
 
-def fold_record(*, slots: dict[str, Slot], record: dict, now: float) -> None:
+def apply_record(*, slots: dict[str, Slot], record: dict, now: float) -> None:
     """Apply one record, new or read from the disk, to the slots."""
     if record["k"] == "drop":
         slots.pop(record["r"], None)
--- a/sailward/control/group/membership.py
+++ b/sailward/control/group/membership.py
@@ -8,7 +8,7 @@
 
 from sailward import constants
 from sailward.config.check import InvalidConfig, read_config
-from sailward.consensus.acceptor import Slot, fold_record
+from sailward.consensus.acceptor import Slot, apply_record
 from sailward.consensus.learner import is_control_register
 from sailward.consensus.proposer import StartOperation, StepResult
 from sailward.consensus.voter_set import read_voters
@@ -107,7 +107,7 @@
             ]
         record = {"k": "vote", "r": "voters", "b": [0, "founder"], "v": value}
         if slot is None:
-            fold_record(slots=voter.acceptor.slots, record=record, now=now)
+            apply_record(slots=voter.acceptor.slots, record=record, now=now)
         voter.write_ahead.copied = True
         voter.learner.step(name="voters", ballot=[0, "founder"], value=value)
         answer = answer_json(token=event.token, code=200, body={"outcome": "accepted", "number": 1})
@@ -144,7 +144,7 @@
             )
         number = made["number"]
         record = {"k": "vote", "r": "voters", "b": [number, "founder"], "v": made}
-        fold_record(slots=voter.acceptor.slots, record=record, now=now)
+        apply_record(slots=voter.acceptor.slots, record=record, now=now)
         founding = read_founding(value=made)
         body = {
             "outcome": "accepted",
--- a/sailward/control/group/voter.py
+++ b/sailward/control/group/voter.py
@@ -11,7 +11,7 @@
     Acceptor,
     Slot,
     Slots,
-    fold_record,
+    apply_record,
     slot_records,
 )
 from sailward.consensus.learner import LearnedValue, Learner
@@ -57,7 +57,7 @@
         elif record.get("r") == KNOWN_VOTERS_RECORD:
             known = record
         else:
-            fold_record(slots=slots, record=record, now=now)
+            apply_record(slots=slots, record=record, now=now)
     return Remembered(identity=identity, copied=copied, under=under, opened=opened, known=known, slots=slots)
 
 
@@ -199,7 +199,7 @@
         """Found the core without talk: the records, which must last before anything is told."""
         ballot = [0, "founder"]
         record = {"k": "vote", "r": "voters", "b": ballot, "v": value}
-        fold_record(slots=self.acceptor.slots, record=record, now=now)
+        apply_record(slots=self.acceptor.slots, record=record, now=now)
         self.write_ahead.copied = True
         self.write_ahead.known = {"k": "promise", "r": KNOWN_VOTERS_RECORD, "b": ballot, "v": value}
         self.learner.step(name="voters", ballot=ballot, value=value)
--- a/sailward/discovery/peer_table.py
+++ b/sailward/discovery/peer_table.py
@@ -92,21 +92,21 @@
     def step(self, *, now: float, event: tuple | None) -> list[Command]:
         """Process (sender, body), or send the next heartbeat when it is due."""
         if event is not None and event[1].get("kind") == "beat":
-            return self._fold_heartbeat(now=now, sender=event[0], body=event[1])
+            return self._apply_heartbeat(now=now, sender=event[0], body=event[1])
         if event is not None:
             sender, body = event
-            commands = self._fold(now=now, entries=body["entries"], sender=sender)
+            commands = self._merge_entries(now=now, entries=body["entries"], sender=sender)
             if not body["reply"]:
                 reply = {"kind": "gossip", "entries": self._entries(now=now), "reply": True}
                 commands.append(SendMessage(to=sender, body=reply))
             return commands
-        commands = self._judge(now=now)
+        commands = self._expire_peers(now=now)
         if now - self.announced_at >= self.interval:
             self.announced_at, self.heartbeat = now, self.heartbeat + 1
             if self.is_mesh:
                 return commands + self._send_to_mesh(now=now)
             body = {"kind": "gossip", "entries": self._entries(now=now), "reply": False}
-            commands += [SendMessage(to=address, body=body) for address in self._watched()]
+            commands += [SendMessage(to=address, body=body) for address in self._gossip_addresses()]
         return commands
 
     def _send_to_mesh(self, *, now: float) -> list[Command]:
@@ -160,7 +160,7 @@
             else body
         )
 
-    def _fold_heartbeat(self, *, now: float, sender: str, body: Message) -> list[Command]:
+    def _apply_heartbeat(self, *, now: float, sender: str, body: Message) -> list[Command]:
         peer = self.peers.get(body["id"])
         if peer is None or peer.entry["start"] != body["start"] or peer.entry["post"] != sender:
             # a restarted or unknown peer: sending our entry makes it reply with its whole entry
@@ -203,7 +203,7 @@
         """The entries of the peers of this kind that are not lost."""
         return [peer.entry for peer in self.peers.values() if kind_of(entry=peer.entry) == kind and not peer.is_lost]
 
-    def _watched(self) -> list[str]:
+    def _gossip_addresses(self) -> list[str]:
         others = {peer.entry["id"]: peer.entry["post"] for peer in self.peers.values()}
         names = choose_names(key=self.location.name, names=others, count=constants.GOSSIP_FANOUT)
         addresses = [others[name] for name in names]
@@ -216,7 +216,7 @@
         fresh = [peer.entry for peer in self.peers.values() if not peer.is_lost]
         return [self.own_entry(), *fresh]
 
-    def _fold(self, *, now: float, entries: list, sender: str) -> list[Command]:
+    def _merge_entries(self, *, now: float, entries: list, sender: str) -> list[Command]:
         commands: list[Command] = []
         for entry in entries:
             if not is_entry(given=entry) or entry["id"] == self.location.name:
@@ -232,7 +232,7 @@
             self.peers[entry["id"]] = PeerState(entry=entry, last_seen_at=now, echoed_heartbeat=echoed_heartbeat)
         return commands
 
-    def _judge(self, *, now: float) -> list[Command]:
+    def _expire_peers(self, *, now: float) -> list[Command]:
         commands: list[Command] = []
         for name, peer in list(self.peers.items()):
             if not peer.is_lost and now - peer.last_seen_at > self.timeout:
--- a/simulation/sim/sabotage.py
+++ b/simulation/sim/sabotage.py
@@ -236,9 +236,7 @@
     "lower-start": _method(
         peer_table,
         "_is_newer",
-        lambda old: (
-            lambda *, entry, known: (entry["start"], entry["beat"]) > (known.entry["start"], known.entry["beat"])
-        ),
+        lambda old: lambda *, entry, peer: (entry["start"], entry["beat"]) > (peer.entry["start"], peer.entry["beat"]),
     ),
     "self-doubt": _constant("SELF_SUSPICION_RATIO", 2.0),
     "fair-queues": _method(fair_queues.FairQueues, "step", _one_queue),
--- a/tests/test_data_file.py
+++ b/tests/test_data_file.py
@@ -8,7 +8,7 @@
 import pytest
 
 from sailward import constants
-from sailward.consensus.acceptor import Acceptor, Slots, fold_record
+from sailward.consensus.acceptor import Acceptor, Slots, apply_record
 from sailward.control.group.write_ahead import WriteAhead
 from sailward.events import AppendRecords, DiskWriteFailed, RecordsSynced, RewriteRecords
 from sailward.storage.disk import Damaged, Disk, Read
@@ -33,7 +33,7 @@
         slots = Slots()
         for record in found.records:
             if record["k"] in ("vote", "promise"):
-                fold_record(slots=slots, record=record, now=0.0)
+                apply_record(slots=slots, record=record, now=0.0)
         self.acceptor = Acceptor(slots=slots)
         self.write_ahead = WriteAhead(identity="v", slots=slots)
         self.write_ahead.start(records=found.records)
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -7,7 +7,7 @@
 import pytest
 
 from sailward import constants
-from sailward.consensus.acceptor import Slots, fold_record, newest_vote
+from sailward.consensus.acceptor import Slots, apply_record, newest_vote
 from sailward.consensus.learner import Learner
 from sailward.control.shards.freshness import Freshness
 from sailward.events import SendMessage
@@ -23,7 +23,7 @@
 def make_slots(number: int) -> Slots:
     slots = Slots()
     if number:
-        fold_record(
+        apply_record(
             slots=slots, record={"k": "vote", "r": REGISTER, "b": [number, "x"], "v": make_value(number)}, now=0.0
         )
     return slots
