--- a/sailward/events.py
+++ b/sailward/events.py
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ConfigValidated:
-    """A configuration was checked: Sound or Unsound."""
+    """A configuration was checked: ValidConfig or InvalidConfig."""
 
     token: str
     verdict: object
