--- a/sailward/client/client.py
+++ b/sailward/client/client.py
@@ -1,4 +1,4 @@
-"""One exchange with the core: the first controller that answers."""
+"""HTTP client of the controllers: uses the first controller that answers."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Reply:
-    """What a controller answered."""
+    """The answer of a controller."""
 
     code: int
     body: dict
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Unreachable:
-    """No controller answered. `sent` says whether the exchange may have arrived at one."""
+    """No controller answered. `sent`: the request may have reached one."""
 
     reasons: tuple
     sent: bool
@@ -30,16 +30,16 @@
 
 @dataclass(kw_only=True)
 class Client:
-    """Asks the controllers in turn."""
+    """Tries the controllers in turn."""
 
     controllers: list
     headers: dict = field(default_factory=dict)
 
     def step(self, *, method: str, path: str, body: bytes = b"", headers: dict | None = None) -> Reply | Unreachable:
-        """One exchange. A change that may have arrived is not sent to another controller."""
+        """Send one request. A change that may have reached a controller is not sent to another."""
         reasons: list[str] = []
         for controller in self.controllers:
-            reply = request_once(address=controller, method=method, path=path, body=body, headers=headers or {})
+            reply = send_request(address=controller, method=method, path=path, body=body, headers=headers or {})
             if isinstance(reply, Reply):
                 return reply
             reasons += reply.reasons
@@ -48,29 +48,29 @@
         return Unreachable(reasons=tuple(reasons), sent=False)
 
 
-def request_once(
+def send_request(
     *, address: str, method: str, path: str, body: bytes = b"", headers: dict | None = None
 ) -> Reply | Unreachable:
-    """One exchange with one daemon."""
-    handle, out = pycurl.Curl(), io.BytesIO()
+    """Send one request to one daemon."""
+    handle, output = pycurl.Curl(), io.BytesIO()
     handle.setopt(pycurl.URL, f"http://{address}{path}")
     handle.setopt(pycurl.PROXY, "")
     handle.setopt(pycurl.NOSIGNAL, 1)
     handle.setopt(pycurl.CONNECTTIMEOUT_MS, int(constants.CONNECT_TIMEOUT * 2000))
     handle.setopt(pycurl.TIMEOUT_MS, int(constants.SAILCTL_TIMEOUT * 1000))
-    rows = [f"{name}: {value}" for name, value in (headers or {}).items()]
-    handle.setopt(pycurl.HTTPHEADER, ["Expect:", "Content-Type: application/json", *rows])
+    header_lines = [f"{name}: {value}" for name, value in (headers or {}).items()]
+    handle.setopt(pycurl.HTTPHEADER, ["Expect:", "Content-Type: application/json", *header_lines])
     if method != "GET":
         handle.setopt(pycurl.POSTFIELDS, body)
         handle.setopt(pycurl.CUSTOMREQUEST, method)
-    handle.setopt(pycurl.WRITEDATA, out)
+    handle.setopt(pycurl.WRITEDATA, output)
     try:
         handle.perform()
     except pycurl.error as fault:
         return Unreachable(reasons=(f"{address}: {fault.args[1]}",), sent=fault.args[0] != pycurl.E_COULDNT_CONNECT)
     code = handle.getinfo(pycurl.RESPONSE_CODE)
     try:
-        answer = json.loads(out.getvalue())
+        answer = json.loads(output.getvalue())
     except ValueError:
         return Unreachable(reasons=(f"{address}: not a sailward daemon",), sent=True)
     return Reply(code=code, body=answer, controller=address)
--- a/sailward/client/forecast.py
+++ b/sailward/client/forecast.py
@@ -1,4 +1,4 @@
-"""What a configuration would mean for the fleet as it is."""
+"""Forecast of the effects that a configuration would have on the current fleet."""
 
 from __future__ import annotations
 
@@ -11,30 +11,30 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Finding:
-    """One thing found: a fault, a warning or a note."""
+    """One finding: a fault, a warning or a note."""
 
     kind: str
     path: str
     text: str
 
 
-def forecast(*, full: dict, now_full: dict, workers: list, rates: dict, states: dict) -> list[Finding]:
-    """Findings for the full form of a new configuration against the one in force, workers, loads and statuses."""
-    well = [
+def forecast(*, full: dict, current_full: dict, workers: list, rates: dict, states: dict) -> list[Finding]:
+    """Findings for a new configuration's full form, given the current one, the workers, their loads and statuses."""
+    ready_workers = [
         worker
         for worker in workers
         if not worker["leaving"] and states.get(f"{worker['id']}/{worker['generation']}", True)
     ]
     return [
-        *_find_moves(full=full, old=now_full),
-        *_find_strangers(full=full, workers=workers),
-        *_find_empty_residency(full=full, workers=well),
-        *_find_short(full=full, workers=well, rates=rates),
+        *_find_moves(full=full, old=current_full),
+        *_find_unconfigured(full=full, workers=workers),
+        *_find_empty_residency(full=full, workers=ready_workers),
+        *_find_shortfalls(full=full, workers=ready_workers, rates=rates),
     ]
 
 
-def shares_of(*, full: dict) -> dict:
-    """{(path, zone): expected part of the match while all is well}."""
+def zone_shares(*, full: dict) -> dict:
+    """{(path, zone): expected fraction of the match's requests while all zones are healthy}."""
     shares: dict = defaultdict(float)
     for match in full.get("matches", []):
         total = sum(share["weight"] for share in match["pools"])
@@ -46,18 +46,18 @@
 
 
 def _find_moves(*, full: dict, old: dict) -> Iterator[Finding]:
-    before, after = shares_of(full=old), shares_of(full=full)
+    before, after = zone_shares(full=old), zone_shares(full=full)
     for zone_key in sorted({*before, *after}):
-        left, right = before.get(zone_key, 0.0), after.get(zone_key, 0.0)
-        if abs(left - right) > 1e-9:
+        share_before, share_after = before.get(zone_key, 0.0), after.get(zone_key, 0.0)
+        if abs(share_before - share_after) > 1e-9:
             yield Finding(
                 kind="note",
                 path=f"matches {zone_key[0]}",
-                text=f"hall {zone_key[1]} goes from {left:.1%} to {right:.1%}",
+                text=f"hall {zone_key[1]} goes from {share_before:.1%} to {share_after:.1%}",
             )
 
 
-def _find_strangers(*, full: dict, workers: list) -> Iterator[Finding]:
+def _find_unconfigured(*, full: dict, workers: list) -> Iterator[Finding]:
     for service in full["services"]:
         if not any(worker["service"] == service for worker in workers):
             yield Finding(kind="warning", path=f"services.{service}", text="no worker of this service is listed")
@@ -80,11 +80,11 @@
             yield Finding(
                 kind="fault",
                 path=f"tenants.{tenant}.homes",
-                text=f"no worker of {service!r} stands at home for pool {name!r} now",
+                text=f"no worker of {service!r} is currently in a home region for pool {name!r}",
             )
 
 
-def _find_short(*, full: dict, workers: list, rates: dict) -> Iterator[Finding]:
+def _find_shortfalls(*, full: dict, workers: list, rates: dict) -> Iterator[Finding]:
     losses = [("hall", zone, {zone}) for zone in full["halls"]]
     losses += [
         ("region", region, {zone for zone, inner in full["halls"].items() if inner["region"] == region})
@@ -97,23 +97,25 @@
             yield Finding(
                 kind="fault",
                 path=f"services.{service}.rate",
-                text=f"bounds of {capacity:g}/s for a load of {load:.0f}/s",
+                text=f"capacity of {capacity:g}/s for a load of {load:.0f}/s",
             )
         for kind, name, zones in losses:
-            left = sum(
+            remaining = sum(
                 service_config["rate"]
                 for worker in workers
                 if worker["service"] == service and worker["hall"] not in zones
             )
-            if load > left:
+            if load > remaining:
                 yield Finding(
                     kind="warning",
                     path=f"services.{service}",
-                    text=f"without {kind} {name}: bounds of {left:g}/s for a load of {load:.0f}/s",
+                    text=f"without {kind} {name}: capacity of {remaining:g}/s for a load of {load:.0f}/s",
                 )
     for name, pool in full["pools"].items():
         regions = {full["halls"][zone]["region"] for zone in (*pool["preferred"], *pool["fallback"])}
         if len(regions) == 1:
             yield Finding(
-                kind="warning", path=f"pools.{name}", text=f"stands in region {regions.pop()} only: lost with it"
+                kind="warning",
+                path=f"pools.{name}",
+                text=f"is in region {regions.pop()} only, so it is lost with that region",
             )
--- a/sailward/config/check.py
+++ b/sailward/config/check.py
@@ -1,4 +1,4 @@
-"""Checking a configuration: the shape first, then the rules across its fields."""
+"""Checks a configuration: first its shape, then the rules that span several fields."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from sailward import constants
 from sailward.config.errors import list_errors
-from sailward.config.matches import sort_matches
+from sailward.config.matches import split_matches
 from sailward.config.residency import list_zones
 from sailward.config.schema import CONFIG
 from sailward.config.template_expansion import expand_stamps
@@ -18,15 +18,15 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Fault:
-    """One thing wrong, and where."""
+    """One fault of a configuration, and the path of the field that has it."""
 
     path: str
     reason: str
 
 
 @dataclass(frozen=True, kw_only=True)
-class Sound:
-    """A configuration that may be accepted, as written and with its templates stamped out."""
+class ValidConfig:
+    """A configuration that may be accepted: as written, and in full with its templates expanded."""
 
     written: dict
     full: dict
@@ -34,40 +34,40 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Unsound:
-    """A configuration that may not."""
+class InvalidConfig:
+    """A configuration that must be refused."""
 
     faults: tuple
 
 
-def read_config(*, text: bytes | str) -> dict | Unsound:
-    """The JSON object in this text; names given twice are a fault."""
+def read_config(*, text: bytes | str) -> dict | InvalidConfig:
+    """Parse a JSON object; duplicate names are a fault."""
     if len(text) > constants.MAX_CONFIG_BYTES:
-        return Unsound(faults=(Fault(path="", reason=f"longer than {constants.MAX_CONFIG_BYTES} bytes"),))
+        return InvalidConfig(faults=(Fault(path="", reason=f"longer than {constants.MAX_CONFIG_BYTES} bytes"),))
     duplicates: list[str] = []
     try:
         config = load_json(text=text, duplicates=duplicates)
     except BadJson as fault:
-        return Unsound(faults=(Fault(path="", reason=str(fault)),))
+        return InvalidConfig(faults=(Fault(path="", reason=str(fault)),))
     if duplicates:
-        return Unsound(faults=tuple(Fault(path=name, reason="given twice") for name in duplicates))
+        return InvalidConfig(faults=tuple(Fault(path=name, reason="given twice") for name in duplicates))
     if not isinstance(config, dict):
-        return Unsound(faults=(Fault(path="", reason="not a JSON object"),))
+        return InvalidConfig(faults=(Fault(path="", reason="not a JSON object"),))
     return config
 
 
-def check_config(*, config: dict) -> Sound | Unsound:
-    """Every fault of a configuration, or its full form with warnings."""
+def check_config(*, config: dict) -> ValidConfig | InvalidConfig:
+    """Check a configuration: all its faults, or its full form with warnings."""
     faults, full = _check_shape(config=config)
     if faults:
-        return Unsound(faults=tuple(faults))
+        return InvalidConfig(faults=tuple(faults))
     if config.get("stamps"):
         full, wrong = expand_stamps(config=config)
         faults = [Fault(path=path, reason=reason) for path, reason in wrong]
         if not faults:
             faults, full = _check_shape(config=full)
         if faults:
-            return Unsound(faults=tuple(faults))
+            return InvalidConfig(faults=tuple(faults))
     full = {name: part for name, part in full.items() if name not in ("templates", "stamps")}
     faults = [
         *_check_pools(full=full),
@@ -77,43 +77,45 @@
     ]
     faults = faults or list(_check_shared_keys(full=full))
     if faults:
-        return Unsound(faults=tuple(faults))
-    return Sound(written=config, full=full, warnings=(*_warn_of_caps(full=full), *_warn_of_residency(full=full)))
+        return InvalidConfig(faults=tuple(faults))
+    return ValidConfig(written=config, full=full, warnings=(*_warn_of_caps(full=full), *_warn_of_residency(full=full)))
 
 
 def _check_shape(*, config: dict) -> tuple[list[Fault], dict]:
-    """The faults of a shape, or the document with its defaults filled in: both come of one pass, which is slow.
+    """The faults of the shape, or the document with its defaults filled in.
 
-    So matches that are plainly sound don't take part in it: there may be hundreds.
+    Both come from a single cerberus pass, which is slow. There may be hundreds of matches, so those that the quick
+    check finds valid are left out of it.
     """
     validator = Validator(CONFIG)
-    plain, odd = sort_matches(matches=config.get("matches"))
-    given = {**config, "matches": [config["matches"][at] for at in odd]} if plain else config
+    plain, other_indexes = split_matches(matches=config.get("matches"))
+    given = {**config, "matches": [config["matches"][index] for index in other_indexes]} if plain else config
     try:
-        is_sound = validator.validate(_without_near(config=given))
-    except Exception as fault:  # noqa: BLE001 - cerberus trips over some foreign shapes
+        is_valid = validator.validate(_without_near(config=given))
+    except Exception as fault:  # noqa: BLE001 - cerberus raises various errors on unexpected shapes
         return [Fault(path="", reason=f"unreadable shape: {fault}")], {}
-    if not is_sound:
+    if not is_valid:
         errors = validator.errors
         if plain:
             errors = {
-                name: _locate(errors=inner, odd=odd) if name == "matches" else inner for name, inner in errors.items()
+                name: _locate(errors=inner, other_indexes=other_indexes) if name == "matches" else inner
+                for name, inner in errors.items()
             }
         return [Fault(path=path, reason=reason) for path, reason in list_errors(errors=errors)], {}
     full = validator.document
     if plain:
-        rest = dict(zip(odd, full["matches"], strict=True))
-        full["matches"] = [plain[at] if at in plain else rest[at] for at in range(len(config["matches"]))]
+        rest = dict(zip(other_indexes, full["matches"], strict=True))
+        full["matches"] = [plain[index] if index in plain else rest[index] for index in range(len(config["matches"]))]
     for name, pool in full["pools"].items():
         if pool.get("tiers") == "near":
             pool["preferred"] = list(config["pools"][name].get("preferred", []))
     return [], full
 
 
-def _locate(*, errors: list, odd: list) -> list:
-    """The errors of the matches that took part, under the places that they were written at."""
+def _locate(*, errors: list, other_indexes: list) -> list:
+    """Map errors of the matches that were checked back to the indexes that these have in the configuration."""
     return [
-        {odd[at] if isinstance(at, int) else at: inner for at, inner in error.items()}
+        {other_indexes[index] if isinstance(index, int) else index: inner for index, inner in error.items()}
         if isinstance(error, dict)
         else error
         for error in errors
@@ -121,7 +123,7 @@
 
 
 def _without_near(*, config: dict) -> dict:
-    """Pools whose tiers follow the proxy need no list of zones."""
+    """Give pools with "tiers": "near" a placeholder zone list, as they need none but the schema requires one."""
     pools = config.get("pools")
     if not isinstance(pools, dict):
         return config
@@ -162,13 +164,13 @@
 
 
 def _check_pools_of_match(*, full: dict, match: dict, path: str, divided: dict) -> Iterator[Fault]:
-    """`divided` holds the pools that the matches of each divided service have had so far."""
+    """`divided` maps each sharded service to the pools of its matches that were checked so far."""
     if sum(share["weight"] for share in match["pools"]) <= 0:
         yield Fault(path=path, reason="the weights add up to 0")
     known = [share["pool"] for share in match["pools"] if share["pool"] in full["pools"]]
-    for at, share in enumerate(match["pools"]):
+    for index, share in enumerate(match["pools"]):
         if share["pool"] not in full["pools"]:
-            yield Fault(path=f"{path}.{at}.pool", reason=f"no pool {share['pool']!r}")
+            yield Fault(path=f"{path}.{index}.pool", reason=f"no pool {share['pool']!r}")
     if not match.get("across") and len({full["pools"][pool]["service"] for pool in known}) > 1:
         yield Fault(path=path, reason="the pools are of different services")
     name = full["pools"][known[0]]["service"] if known else ""
@@ -244,4 +246,7 @@
                 "preferred halls: losing all would leave one marked",
             )
         if not pool["fallback"]:
-            yield Fault(path=f"pools.{name}.fallback", reason="no fallback: a lost tier is refused")
+            yield Fault(
+                path=f"pools.{name}.fallback",
+                reason="no fallback: a lost tier is refused",
+            )
--- a/sailward/config/dialect.py
+++ b/sailward/config/dialect.py
@@ -1,4 +1,4 @@
-"""What operators ask and are answered, in the product's terms; and the product's own words for it."""
+"""Operators' calls and their outcomes, independent of the API's format; and the native JSON API."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from typing import Any, Protocol
 
 from sailward import constants
-from sailward.config.check import Unsound, read_config
+from sailward.config.check import InvalidConfig, read_config
 from sailward.config.patch import merge_patch
 from sailward.events import RequestReceived, Respond
 from sailward.routing.proxied_request import answer_json
@@ -18,28 +18,29 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Order:
-    """One operators' call.
+    """One call of an operator.
 
-    `kind`: get, put, patch, empty, refill, join or part. `expected`: the number, or in a labelled dialect the label,
-    that must be current; None for any. `digest`: what tells a labelled change from every other, and is the same when it
-    is sent again.
+    `kind`: get, put, patch, empty, refill, join or part. `argument`: the configuration or patch, the zone, or the
+    controller. `expected`: the number (in a labelled dialect: the label) that must be current; None for any. `digest`:
+    identifies a labelled change; it is the same when the change is sent again.
     """
 
     kind: str
     register: str
-    given: Any = None
+    argument: Any = None
     expected: int | None = None
     is_confirmed: bool = False
-    is_dry: bool = False
+    is_dry_run: bool = False
     digest: str = ""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Outcome:
-    """How a call ended.
+    """The outcome of a call.
 
-    `kind`: accepted, sound (a dry run), shown, refused (for ever), unavailable (nothing was changed) or unknown. `code`
-    and `reason` are the product's; `value` the register's, of what is shown.
+    `kind`: accepted, sound (a dry run), shown, refused (permanently), unavailable (nothing was changed) or unknown.
+    `code` and `reason` are those of the native API. `value`: the register's value to show. `extra`: further fields of
+    the answer's body.
     """
 
     kind: str
@@ -49,41 +50,41 @@
     number: int | None = None
     value: RegisterValue = field(default_factory=lambda: RegisterValue(number=0, mark="", trail=[], text=""))
     faults: tuple = ()
-    notes: dict = field(default_factory=dict)
+    extra: dict = field(default_factory=dict)
 
 
 class Dialect(Protocol):
-    """An operators' language. In a labelled one each configuration bears the operators' own growing version.
+    """An operators' API. In a labelled dialect, each configuration has a growing version that operators choose.
 
-    A labelled dialect's register holds what was written, its label, and which changes made it; the full form is made of
-    it.
+    A labelled dialect's register holds the configuration as written, its label, and the history of the changes that led
+    to it; the full form is derived from these.
     """
 
     is_labelled: bool
 
     def read(self, *, event: RequestReceived) -> Order | Outcome | None:
-        """What is asked; an Outcome if it is refused at once; None if these are not this dialect's words."""
+        """Decode a call; an Outcome if it is refused at once; None if it does not belong to this dialect."""
 
     def answer(self, *, token: str, order: Order | None, outcome: Outcome) -> Respond:
-        """The answer in the operators' words."""
+        """Encode the answer in the dialect's format."""
 
-    def merge(self, *, written: dict, patch: dict) -> dict | Unsound:
-        """A configuration with a patch laid over it."""
+    def merge(self, *, written: dict, patch: dict) -> dict | InvalidConfig:
+        """A configuration with a patch applied."""
 
-    def expand(self, *, written: dict) -> dict | Unsound:
-        """The configuration in the product's form, for the product's check."""
+    def expand(self, *, written: dict) -> dict | InvalidConfig:
+        """The configuration in the native form, as input of the native check."""
 
     def label(self, *, written: dict) -> int:
-        """The version that a configuration bears."""
+        """The version in a configuration."""
 
 
-class OwnDialect:
-    """The product's own JSON."""
+class NativeDialect:
+    """The native JSON API."""
 
     is_labelled = False
 
     def read(self, *, event: RequestReceived) -> Order | Outcome | None:
-        """What is asked; what is not known is refused."""
+        """Decode a call; unknown calls are refused."""
         if event.body is None:
             return _refused(code=413, reason="too-large", detail=f"at most {constants.MAX_CONFIG_BYTES} bytes")
         parts = event.path.strip("/").split("/")
@@ -92,23 +93,23 @@
         if parts in (["orders"], ["voters"]) and event.method == "GET":
             return Order(kind="get", register=parts[0])
         if len(parts) == 3 and parts[0] == "voters" and parts[2] in ("join", "part") and event.method == "POST":
-            return Order(kind=parts[2], register="voters", given=parts[1])
+            return Order(kind=parts[2], register="voters", argument=parts[1])
         if len(parts) == 3 and parts[0] == "halls" and parts[2] in ("empty", "refill") and event.method == "POST":
             return Order(
-                kind=parts[2], register="orders", given=parts[1], is_confirmed=event.query.get("confirm") == "yes"
+                kind=parts[2], register="orders", argument=parts[1], is_confirmed=event.query.get("confirm") == "yes"
             )
         return _refused(code=404, reason="unknown", detail=f"{event.method} {event.path}"[:200])
 
     def answer(self, *, token: str, order: Order | None, outcome: Outcome) -> Respond:
-        """The answer as JSON."""
+        """Encode the answer as JSON."""
         if outcome.kind == "shown":
             return _show(token=token, register=order.register, value=outcome.value)
         if outcome.kind == "sound":
             return answer_json(
-                token=token, code=200, body={"outcome": "sound", "number": outcome.number, **outcome.notes}
+                token=token, code=200, body={"outcome": "sound", "number": outcome.number, **outcome.extra}
             )
         if outcome.kind == "accepted":
-            body = {"outcome": "accepted", "number": outcome.number, **outcome.notes}
+            body = {"outcome": "accepted", "number": outcome.number, **outcome.extra}
             return answer_json(token=token, code=200, body=body, headers={"ETag": f'"{outcome.number}"'})
         body = {
             "outcome": "unknown" if outcome.kind == "unknown" else "refused",
@@ -120,18 +121,18 @@
         if outcome.number is not None:
             body["number"] = outcome.number
         headers = {"Retry-After": str(constants.RETRY_AFTER)} if outcome.code >= 500 else {}
-        return answer_json(token=token, code=outcome.code, headers=headers, body={**body, **outcome.notes})
+        return answer_json(token=token, code=outcome.code, headers=headers, body={**body, **outcome.extra})
 
-    def merge(self, *, written: dict, patch: dict) -> dict | Unsound:
-        """A JSON merge patch."""
+    def merge(self, *, written: dict, patch: dict) -> dict | InvalidConfig:
+        """Apply a JSON merge patch."""
         return merge_patch(target=written, patch=patch)
 
-    def expand(self, *, written: dict) -> dict | Unsound:
-        """It is in the product's form."""
+    def expand(self, *, written: dict) -> dict | InvalidConfig:
+        """The configuration itself: it is in the native form already."""
         return written
 
     def label(self, *, written: dict) -> int:
-        """The operators' own version, 0 if it bears none."""
+        """The operators' own version in a configuration, 0 if there is none."""
         label = written.get("label", 0)
         return label if isinstance(label, int) else 0
 
@@ -143,22 +144,22 @@
             expected = expected.strip().strip('"')
             if not (expected.isascii() and expected.isdigit() and len(expected) < 16):
                 return _refused(code=400, reason="if-match", detail="If-Match is a number in quotes")
-        given = read_config(text=event.body)
-        if isinstance(given, Unsound):
-            return refused_unsound(unsound=given)
+        argument = read_config(text=event.body)
+        if isinstance(argument, InvalidConfig):
+            return refuse_invalid(invalid=argument)
         return Order(
             kind=event.method.lower(),
             register="config",
-            given=given,
-            is_dry=event.query.get("dry") == "yes",
+            argument=argument,
+            is_dry_run=event.query.get("dry") == "yes",
             expected=None if expected is None else int(expected),
         )
 
 
-def refused_unsound(*, unsound: Unsound) -> Outcome:
-    """The refusal of a configuration with faults."""
+def refuse_invalid(*, invalid: InvalidConfig) -> Outcome:
+    """Refuse a configuration that has faults."""
     return Outcome(
-        kind="refused", code=422, reason="invalid", detail=f"{len(unsound.faults)} faults", faults=unsound.faults
+        kind="refused", code=422, reason="invalid", detail=f"{len(invalid.faults)} faults", faults=invalid.faults
     )
 
 
--- a/sailward/consensus/learner.py
+++ b/sailward/consensus/learner.py
@@ -4,17 +4,17 @@
 
 from dataclasses import dataclass, field
 
-from sailward.consensus.proposer import EMPTY
+from sailward.consensus.proposer import EMPTY_VALUE
 from sailward.consensus.voter_set import VoterSet, read_voters
 from sailward.events import Command, SendMessage
 from sailward.wire_types import Ballot, RegisterValue
 
-CONTROL = ("config", "orders", "voters")
+CONTROL_REGISTERS = ("config", "orders", "voters")
 
 
-def is_control(*, name: str) -> bool:
+def is_control_register(*, name: str) -> bool:
     """Is this a register that proxies act on?"""
-    return name in CONTROL or name.startswith("slots/")
+    return name in CONTROL_REGISTERS or name.startswith("slots/")
 
 
 @dataclass(kw_only=True)
@@ -22,61 +22,59 @@
     """A register's value that is known to have been chosen."""
 
     ballot: Ballot = field(default_factory=lambda: [0, ""])
-    value: RegisterValue = field(default_factory=EMPTY.copy)
+    value: RegisterValue = field(default_factory=EMPTY_VALUE.copy)
 
 
 @dataclass(kw_only=True)
 class Learner:
-    """Owner of the chosen values; `step` folds one, and an older one never replaces a newer."""
+    """Owner of the chosen values. `step` learns one; an older value never replaces a newer one."""
 
     values: dict = field(default_factory=dict)
     _voters: VoterSet = field(default_factory=VoterSet)
 
     def is_newer(self, *, name: str, value: RegisterValue) -> bool:
-        """Is this value newer than what is held?"""
+        """Is this value newer than the learned one?"""
         return bool(value["number"] > self.number(name=name))
 
     def step(self, *, name: str, ballot: Ballot, value: RegisterValue) -> bool:
-        """Hold this value; is it news?"""
-        values = self.values.get(name) or LearnedValue()
-        if value["number"] < values.value["number"]:
+        """Learn this value; True if it is newer than the one known before."""
+        known = self.values.get(name) or LearnedValue()
+        if value["number"] < known.value["number"]:
             return False
-        is_new = value["number"] > values.value["number"]
-        self.values[name] = LearnedValue(ballot=max(ballot, values.ballot), value=value if is_new else values.value)
+        is_new = value["number"] > known.value["number"]
+        self.values[name] = LearnedValue(ballot=max(ballot, known.ballot), value=value if is_new else known.value)
         if is_new and name == "voters":
             self._voters = read_voters(value=value)
         return is_new
 
     def number(self, *, name: str) -> int:
-        """The number held, 0 if none."""
+        """The number of the learned value, 0 if none."""
         return self.values[name].value["number"] if name in self.values else 0
 
     def send(self, *, to: str, name: str) -> list[Command]:
-        """Give one who lost it what is held of a register."""
-        values = self.values.get(name)
+        """Send the learned value of a register to a daemon that has lost it."""
+        known = self.values.get(name)
         return (
             [
                 SendMessage(
-                    to=to, body={"kind": "chosen", "register": name, "ballot": values.ballot, "value": values.value}
+                    to=to, body={"kind": "chosen", "register": name, "ballot": known.ballot, "value": known.value}
                 )
             ]
-            if values
+            if known
             else []
         )
 
-    def have(self) -> dict:
-        """Number, mark and ballot of each register held."""
-        return {
-            name: [values.value["number"], values.value["mark"], values.ballot] for name, values in self.values.items()
-        }
+    def known_versions(self) -> dict:
+        """Value number, change id and ballot of each learned register."""
+        return {name: [known.value["number"], known.value["mark"], known.ballot] for name, known in self.values.items()}
 
     def covers(self, *, name: str, newest: list) -> bool:
-        """Is this vote (number, mark, ballot) held here, or older than what is?"""
+        """Is this vote (value number, change id, ballot) learned already, or older than what is learned?"""
         number, mark, ballot = newest
         if number == 0:
             return True
-        values = self.values.get(name)
-        return values is not None and (mark == values.value["mark"] or ballot <= values.ballot)
+        known = self.values.get(name)
+        return known is not None and (mark == known.value["mark"] or ballot <= known.ballot)
 
     def voters(self) -> VoterSet:
         """The voters as a proposer needs them."""
--- a/sailward/control/administration/status_report.py
+++ b/sailward/control/administration/status_report.py
@@ -66,11 +66,11 @@
             "kind": kind_of(entry=known.entry),
             "hall": known.entry["hall"],
             "fit": known.entry["fit"],
-            "lost": known.lost,
+            "lost": known.is_lost,
             "version": known.entry["version"],
             "http": known.entry["http"],
         }
-        for known in peer_table.known.values()
+        for known in peer_table.peers.values()
     ]
     return sorted(daemons, key=lambda daemon: daemon["id"])
 
--- a/sailward/control/group/contact_watch.py
+++ b/sailward/control/group/contact_watch.py
@@ -84,8 +84,10 @@
     def send_heartbeats(self, *, now: float) -> list[Command]:
         """Let the peer table send the heartbeats that are due, and record each as a request that peers echo."""
         peer_table, heartbeat_before = self._peer_table, self._peer_table.heartbeat
-        peer_table.contact = self.may_serve(now=now)
-        peer_table.voted = [newest_vote(slots=self._voter.acceptor.slots, name=name)[0] for name in ANNOUNCED_REGISTERS]
+        peer_table.has_contact = self.may_serve(now=now)
+        peer_table.voted_numbers = [
+            newest_vote(slots=self._voter.acceptor.slots, name=name)[0] for name in ANNOUNCED_REGISTERS
+        ]
         commands = peer_table.step(now=now, event=None)
         if peer_table.heartbeat != heartbeat_before:
             self.contact.record_request(now=now, request=peer_table.echo_number())
--- a/sailward/control/group/copying.py
+++ b/sailward/control/group/copying.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass, field
 
 from sailward import constants
-from sailward.consensus.acceptor import FIRST, Slot
+from sailward.consensus.acceptor import FIRST_BALLOT, Slot
 from sailward.consensus.learner import LearnedValue
-from sailward.consensus.proposer import blocking_of, majority_of, newest_of
+from sailward.consensus.proposer import blocking_size, majority_size, possibly_chosen_value
 from sailward.consensus.voter_set import VoterSet, read_voters
 from sailward.events import Command, SendMessage
 from sailward.wire_types import Message
@@ -59,9 +59,9 @@
         if not self.previous_members:
             return False
         count = len(self.completed_sources) + (own is not None)
-        if own is None or count >= majority_of(members=self.previous_members):
-            return count >= majority_of(members=self.previous_members)
-        return count >= blocking_of(members=self.previous_members) and not self._has_conflict(own=own)
+        if own is None or count >= majority_size(members=self.previous_members):
+            return count >= majority_size(members=self.previous_members)
+        return count >= blocking_size(members=self.previous_members) and not self._has_conflict(own=own)
 
     def merge_votes(self, *, now: float, own: dict[str, Slot] | None = None) -> dict[str, Slot]:
         """The values that may have been chosen under the previous set, by the votes that were copied."""
@@ -69,11 +69,11 @@
         slots = {}
         for name in sorted({name for copied in votes_by_source for name in copied}):
             votes = [copied.get(name, []) for copied in votes_by_source]
-            value = newest_of(votes=votes, members=self.previous_members)
+            value = possibly_chosen_value(votes=votes, members=self.previous_members)
             if value["number"]:
                 ballot = max(vote[0] for vote in votes if vote)
                 promised = max(ballot, own[name].promised) if own is not None and name in own else ballot
-                slots[name] = Slot(promised=promised, ballot=ballot, value=value, since=now)
+                slots[name] = Slot(promised=promised, ballot=ballot, value=value, updated_at=now)
         return slots
 
     def _counted_votes(self, *, own: dict[str, Slot] | None) -> list[dict]:
@@ -88,7 +88,7 @@
         marks: dict[str, set] = {}
         for copied in self._counted_votes(own=own):
             for name, (ballot, value) in copied.items():
-                if ballot == FIRST:
+                if ballot == FIRST_BALLOT:
                     marks.setdefault(name, set()).add(value["mark"])
         return any(len(marks_of_register) > 1 for marks_of_register in marks.values())
 
--- a/sailward/control/group/graceful_shutdown.py
+++ b/sailward/control/group/graceful_shutdown.py
@@ -27,14 +27,14 @@
     def begin(self, *, now: float) -> list[Command]:
         """Begin the shutdown; a repeated order has no effect."""
         if self._begun_at is None:
-            self._begun_at, self._peer_table.leaving = now, True
+            self._begun_at, self._peer_table.is_leaving = now, True
         return self.step(now=now)
 
     def step(self, *, now: float) -> list[Command]:
         """Repeat the announcement, and exit when it is time."""
         if self._begun_at is None:
             return []
-        commands = self._announce_departure(now=now) if now - self._announced_at >= self._peer_table.every else []
+        commands = self._announce_departure(now=now) if now - self._announced_at >= self._peer_table.interval else []
         if now - self._begun_at < constants.VOTER_HANDOVER_TIMEOUT and self._must_stay():
             return commands
         log = LogEvent(
--- a/sailward/control/group/membership.py
+++ b/sailward/control/group/membership.py
@@ -7,9 +7,9 @@
 from typing import Any
 
 from sailward import constants
-from sailward.config.check import Unsound, read_config
-from sailward.consensus.acceptor import Slot, fold_record
-from sailward.consensus.learner import is_control
+from sailward.config.check import InvalidConfig, read_config
+from sailward.consensus.acceptor import Slot, apply_record
+from sailward.consensus.learner import is_control_register
 from sailward.consensus.proposer import StartOperation, StepResult
 from sailward.consensus.voter_set import read_voters
 from sailward.control.controller_options import ControllerOptions
@@ -109,7 +109,7 @@
             ]
         record = {"k": "vote", "r": "voters", "b": [0, "founder"], "v": value}
         if slot is None:
-            fold_record(slots=voter.acceptor.slots, record=record, now=now)
+            apply_record(slots=voter.acceptor.slots, record=record, now=now)
         voter.write_ahead.has_copied = True
         voter.learner.step(name="voters", ballot=[0, "founder"], value=value)
         answer = answer_json(token=event.token, code=200, body={"outcome": "accepted", "number": 1})
@@ -148,7 +148,7 @@
             )
         number = recovery_value["number"]
         record = {"k": "vote", "r": "voters", "b": [number, "founder"], "v": recovery_value}
-        fold_record(slots=voter.acceptor.slots, record=record, now=now)
+        apply_record(slots=voter.acceptor.slots, record=record, now=now)
         recovery = read_last_recovery(value=recovery_value)
         body = {
             "outcome": "accepted",
@@ -217,7 +217,7 @@
     def _announce_voting(self) -> list[Command]:
         """Tell the other voters at once that this one votes; gossip would take several rounds."""
         peer_table = self._peer_table
-        peer_table.fit, peer_table.heartbeat = True, peer_table.heartbeat + 1
+        peer_table.is_fit, peer_table.heartbeat = True, peer_table.heartbeat + 1
         body = {"kind": "gossip", "entries": [peer_table.own_entry()], "reply": True}
         return [
             SendMessage(to=post, body=body)
@@ -238,11 +238,11 @@
         for name, learned in voter.learner.values.items():
             # keep a chosen value that proxies and other controllers already have if every survivor's vote is older
             slot = slots.get(name)
-            if is_control(name=name) and (
+            if is_control_register(name=name) and (
                 slot is None or slot.value is None or slot.value["number"] < learned.value["number"]
             ):
                 ballot = max(learned.ballot, slot.promised) if slot else learned.ballot
-                slots[name] = Slot(promised=ballot, ballot=ballot, value=learned.value, since=now)
+                slots[name] = Slot(promised=ballot, ballot=ballot, value=learned.value, updated_at=now)
         voter.write_ahead.completed_recovery = read_last_recovery(value=voter.learned_voters().value).number
         log = LogEvent(
             event="recovery-completed",
@@ -296,7 +296,7 @@
         body = {
             "kind": "ask",
             "seq": 0,
-            "have": voter.learner.have(),
+            "have": voter.learner.known_versions(),
             "report": {},
             "daemon": self._peer_table.own_entry(),
         }
@@ -338,7 +338,7 @@
 def _read_field(*, event: RequestReceived, name: str) -> Any:
     """One field of the JSON object in an operator's request; None if the body is no JSON object or lacks the field."""
     decoded = read_config(text=event.body or b"")
-    return None if isinstance(decoded, Unsound) else decoded.get(name)
+    return None if isinstance(decoded, InvalidConfig) else decoded.get(name)
 
 
 def _refuse(*, event: RequestReceived, code: int, reason: str, detail: str) -> Respond:
--- a/sailward/control/group/redirect.py
+++ b/sailward/control/group/redirect.py
@@ -15,7 +15,7 @@
     """[[address, zone, region], ...] of the controllers known here, including those that are unreachable from here."""
     locations = {
         known.entry["post"]: [known.entry["post"], known.entry["hall"], known.entry["region"]]
-        for known in peer_table.known.values()
+        for known in peer_table.peers.values()
         if kind_of(entry=known.entry) == "controller"
     }
     for post in members.values():
@@ -28,11 +28,11 @@
     """307 to a controller that recently announced contact, or 503 with Retry-After; nothing was read or changed."""
     candidates = [
         known.entry
-        for known in peer_table.known.values()
+        for known in peer_table.peers.values()
         if kind_of(entry=known.entry) == "controller"
         and now - known.last_seen_at <= constants.QUORUM_CONTACT_REPORT_TTL
         and known.entry["fit"]
-        and known.contact
+        and known.has_contact
     ]
     if candidates:
         location = peer_table.location
--- a/sailward/control/group/repair.py
+++ b/sailward/control/group/repair.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, field
 
 from sailward import constants
-from sailward.consensus.proposer import majority_of
+from sailward.consensus.proposer import majority_size
 from sailward.consensus.voter_set import VoterSet
 from sailward.discovery.rendezvous import choose_names
 from sailward.wire_types import PeerEntry
@@ -205,10 +205,10 @@
 def count_voting_members(*, members: Mapping[str, str], controllers: list[PeerEntry]) -> dict:
     """How many voters are alive and voting, how many a majority needs, and which are missing."""
     healthy = {entry["identity"] for entry in controllers if entry["fit"]} & set(members)
-    return {"voting": len(healthy), "needed": majority_of(members=members), "missing": sorted(set(members) - healthy)}
+    return {"voting": len(healthy), "needed": majority_size(members=members), "missing": sorted(set(members) - healthy)}
 
 
 def keeps_majority(*, text: str, healthy: set) -> bool:
     """Are the healthy members a majority of this set?"""
     members = json.loads(text)["members"]
-    return len(healthy & set(members)) >= majority_of(members=members)
+    return len(healthy & set(members)) >= majority_size(members=members)
--- a/sailward/control/group/voter.py
+++ b/sailward/control/group/voter.py
@@ -5,7 +5,15 @@
 from dataclasses import dataclass
 
 from sailward import constants
-from sailward.consensus.acceptor import CLAIM, KNOWN, Acceptor, Slot, Slots, fold_record, slot_records
+from sailward.consensus.acceptor import (
+    CLAIM_PREFIX,
+    KNOWN_VOTERS_RECORD,
+    Acceptor,
+    Slot,
+    Slots,
+    apply_record,
+    slot_records,
+)
 from sailward.consensus.learner import LearnedValue, Learner
 from sailward.consensus.voter_set import VoterSet, read_voters
 from sailward.control.bootstrap import Bootstrap, make_founder_identity
@@ -48,10 +56,10 @@
         elif record["k"] == "left":
             identity, slots = record["id"], Slots()
             has_copied, copied_under, completed_recovery = False, 0, 0
-        elif record.get("r") == KNOWN:
+        elif record.get("r") == KNOWN_VOTERS_RECORD:
             known_voters = record
         else:
-            fold_record(slots=slots, record=record, now=now)
+            apply_record(slots=slots, record=record, now=now)
     return StoredState(
         identity=identity,
         has_copied=has_copied,
@@ -162,7 +170,7 @@
     def newest_votes(self) -> dict[str, list]:
         """Number, mark and ballot of the newest vote in each register that is not a claim."""
         newest = {}
-        for name in self.acceptor.slots.control:
+        for name in self.acceptor.slots.control_names:
             slot = self.acceptor.slots[name]
             value = slot.value or {"number": 0, "mark": ""}
             newest[name] = [value["number"], value["mark"], slot.ballot]
@@ -180,7 +188,7 @@
         """Discard the votes cast as a member of earlier voter sets; they are void."""
         for name in list(self.acceptor.slots):
             del self.acceptor.slots[name]
-        self.acceptor.slots.control.clear()
+        self.acceptor.slots.control_names.clear()
         self.write_ahead.has_copied, self.write_ahead.copied_under, self.write_ahead.completed_recovery = False, 0, 0
         return self.write_ahead.step(records=[{"k": "left", "id": self.identity}], replies=[])
 
@@ -192,7 +200,7 @@
         expired = [
             name
             for name, slot in self.acceptor.slots.items()
-            if name.startswith(CLAIM) and now - slot.since > constants.CLAIM_TTL
+            if name.startswith(CLAIM_PREFIX) and now - slot.updated_at > constants.CLAIM_TTL
         ]
         for name in expired:
             del self.acceptor.slots[name]
@@ -202,9 +210,9 @@
         """Found the core without any message; the records returned must be synced before any reply is sent."""
         ballot = [0, "founder"]
         record = {"k": "vote", "r": "voters", "b": ballot, "v": value}
-        fold_record(slots=self.acceptor.slots, record=record, now=now)
+        apply_record(slots=self.acceptor.slots, record=record, now=now)
         self.write_ahead.has_copied = True
-        self.write_ahead.known_voters = {"k": "promise", "r": KNOWN, "b": ballot, "v": value}
+        self.write_ahead.known_voters = {"k": "promise", "r": KNOWN_VOTERS_RECORD, "b": ballot, "v": value}
         self.learner.step(name="voters", ballot=ballot, value=value)
         return [record, {"k": "copied"}, self.write_ahead.known_voters]
 
--- a/sailward/control/group/write_ahead.py
+++ b/sailward/control/group/write_ahead.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from sailward import constants
-from sailward.consensus.acceptor import KNOWN, slot_records
+from sailward.consensus.acceptor import KNOWN_VOTERS_RECORD, slot_records
 from sailward.events import (
     AppendRecords,
     Command,
@@ -74,7 +74,7 @@
 
     def store_known_voters(self, *, ballot: Ballot, value: RegisterValue) -> list[Command]:
         """Store the chosen voter set; after a restart these voters are asked for any newer set."""
-        self.known_voters = {"k": "promise", "r": KNOWN, "b": ballot, "v": value}
+        self.known_voters = {"k": "promise", "r": KNOWN_VOTERS_RECORD, "b": ballot, "v": value}
         return self.step(records=[self.known_voters], replies=[]) if self.is_usable else []
 
     def copied_record(self) -> dict:
--- a/sailward/control/shards/freshness.py
+++ b/sailward/control/shards/freshness.py
@@ -11,7 +11,7 @@
 from sailward import constants
 from sailward.consensus.acceptor import Slots, newest_vote
 from sailward.consensus.learner import Learner
-from sailward.consensus.proposer import blocking_of
+from sailward.consensus.proposer import blocking_size
 from sailward.events import Command, SendMessage
 from sailward.wire_types import Message
 
@@ -105,7 +105,7 @@
                 and _covers(learner=learner, register=register, newest=confirmation.newest[register])
             ):
                 lease_ends.append(confirmation.requested_at + constants.GRANT_CONFIRMATION_TTL)
-        needed = blocking_of(members=members)
+        needed = blocking_size(members=members)
         return sorted(lease_ends, reverse=True)[needed - 1] if len(lease_ends) >= needed else NEVER
 
 
--- a/sailward/control/shards/quiescence.py
+++ b/sailward/control/shards/quiescence.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from sailward import constants
-from sailward.consensus.proposer import majority_of
+from sailward.consensus.proposer import majority_size
 from sailward.control.proxies.subscribers import Subscriber
 from sailward.routing.shard_owners import SHARD_REGISTER_PREFIX
 from sailward.wire_types import PeerEntry
@@ -47,7 +47,7 @@
         reporting = [entry for entry in self._voters() if self._has_beaten_since(entry=entry, closed_slot=closed_slot)]
         for voter in self._voters():
             closed_slot.active_proxies |= set(filter(None, voter["asks"].split(",")))
-        if closed_slot.is_drained or len(reporting) < majority_of(members=self.members):
+        if closed_slot.is_drained or len(reporting) < majority_size(members=self.members):
             return
         known = {f"{proxy.entry.get('id')}#{proxy.entry.get('start')}": proxy for proxy in self.proxies}
         closed_slot.is_drained = all(
--- a/sailward/discovery/peer_table.py
+++ b/sailward/discovery/peer_table.py
@@ -1,4 +1,4 @@
-"""The peer table of daemons: heartbeats told to the few that each watches, until all know all."""
+"""The peer table: daemons gossip heartbeats to a few peers each, until every daemon knows all others."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from sailward.events import Command, LogEvent, SendMessage
 from sailward.wire_types import Message, PeerEntry
 
-ENTRY = {
+ENTRY_FIELDS = {
     "id": str,
     "kind": str,
     "hall": str,
@@ -25,19 +25,19 @@
 }
 
 KINDS_ON_WIRE = {"controller": "cellar", "proxy": "sommelier", "directory": "concierge"}
-"""A daemon's kind as entries give it: daemons of 0.2.0 and before know no other words. Read by either word."""
+"""A daemon's kind as written in entries: versions up to 0.2.0 know only these words. Both forms are read."""
 KINDS = {wire_kind: kind for kind, wire_kind in KINDS_ON_WIRE.items()}
 
 
 def kind_of(*, entry: PeerEntry) -> str:
-    """The kind of the daemon that an entry is of, whatever version wrote it; "" if it gives none."""
+    """The kind of the daemon that an entry describes, whichever version wrote it; "" if the entry gives none."""
     wire_kind = str(entry.get("kind", ""))
     return KINDS.get(wire_kind, wire_kind)
 
 
 @dataclass(frozen=True, kw_only=True)
 class Location:
-    """Where a daemon stands and how it is reached."""
+    """A daemon's name, kind, zone, region and addresses."""
 
     name: str
     kind: str
@@ -51,127 +51,136 @@
 
 @dataclass(kw_only=True)
 class PeerState:
-    """One daemon as it is known here.
+    """What is known of one other daemon.
 
-    `echoed_heartbeat` is the echo number of the last heartbeat that came from it directly, 0 for none; `contact`
-    whether that one said that it has contact with a majority of the voters.
+    `echoed_heartbeat` is the echo number of the last heartbeat received directly from it, 0 for none. `has_contact`:
+    that heartbeat said that the daemon has contact with a majority of the voters.
     """
 
     entry: PeerEntry
     last_seen_at: float
-    lost: bool = False
+    is_lost: bool = False
     echoed_heartbeat: int = 0
-    contact: bool = False
+    has_contact: bool = False
 
 
 @dataclass(kw_only=True)
 class PeerTable:
-    """Owner of the daemons known; `step` takes a gossip message or None for time going on."""
+    """Owner of the known daemons. `step` processes a gossip message, or None for a timer tick.
+
+    `is_fit`: the daemon is able to serve in its role (a controller: it is a voter). `active_proxies`: a controller's
+    comma-separated list of proxies that have recently asked it for a lease. `voted_numbers`: value numbers of its
+    newest votes. `interval`: s between heartbeats. `timeout`: s without a heartbeat after which a peer counts as lost.
+    """
 
     location: Location
     start: int
-    fit: bool = False
+    is_fit: bool = False
     identity: str = ""
-    asks: str = ""
+    active_proxies: str = ""
     heartbeat: int = 0
-    contact: bool = True
-    voted: list = field(default_factory=list)
-    known: dict = field(default_factory=dict)
+    has_contact: bool = True
+    voted_numbers: list = field(default_factory=list)
+    peers: dict = field(default_factory=dict)
     announced_at: float = -1e9
     is_mesh: bool = False
     has_disk: bool = True
-    leaving: bool = False
-    every: float = field(default_factory=lambda: constants.GOSSIP_INTERVAL)
-    suspect: float = field(default_factory=lambda: constants.HEARTBEAT_TIMEOUT)
+    is_leaving: bool = False
+    interval: float = field(default_factory=lambda: constants.GOSSIP_INTERVAL)
+    timeout: float = field(default_factory=lambda: constants.HEARTBEAT_TIMEOUT)
 
     def step(self, *, now: float, event: tuple | None) -> list[Command]:
-        """Fold a (sender, body) or tell the watched."""
+        """Process (sender, body), or send the next heartbeat when it is due."""
         if event is not None and event[1].get("kind") == "beat":
-            return self._fold_heartbeat(now=now, sender=event[0], body=event[1])
+            return self._apply_heartbeat(now=now, sender=event[0], body=event[1])
         if event is not None:
             sender, body = event
-            commands = self._fold(now=now, entries=body["entries"], sender=sender)
+            commands = self._merge_entries(now=now, entries=body["entries"], sender=sender)
             if not body["reply"]:
                 reply = {"kind": "gossip", "entries": self._entries(now=now), "reply": True}
                 commands.append(SendMessage(to=sender, body=reply))
             return commands
-        commands = self._judge(now=now)
-        if now - self.announced_at >= self.every:
+        commands = self._expire_peers(now=now)
+        if now - self.announced_at >= self.interval:
             self.announced_at, self.heartbeat = now, self.heartbeat + 1
             if self.is_mesh:
                 return commands + self._send_to_mesh(now=now)
             body = {"kind": "gossip", "entries": self._entries(now=now), "reply": False}
-            commands += [SendMessage(to=address, body=body) for address in self._watched()]
+            commands += [SendMessage(to=address, body=body) for address in self._gossip_addresses()]
         return commands
 
     def _send_to_mesh(self, *, now: float) -> list[Command]:
-        """A heartbeat to every daemon known to live.
+        """Send a heartbeat to every peer that is alive, and to one lost peer in turn.
 
-        The whole peer table to the seeds now and then, and to all lost ones in turn.
+        From time to time the whole peer table is sent to the seeds.
         """
-        alive = [known for known in self.known.values() if not known.lost]
+        alive = [peer for peer in self.peers.values() if not peer.is_lost]
         body = {
             "kind": "beat",
             "id": self.location.name,
             "start": self.start,
             "beat": self.heartbeat,
-            "fit": self.fit,
+            "fit": self.is_fit,
             "identity": self.identity,
-            **({} if self.contact else {"contact": False}),
+            **({} if self.has_contact else {"contact": False}),
         }
         commands: list[Command] = [
-            SendMessage(to=known.entry["post"], body=self._with_echo(body=body, known=known)) for known in alive
+            SendMessage(to=peer.entry["post"], body=self._with_echo(body=body, peer=peer)) for peer in alive
         ]
-        lost = sorted(known.entry["post"] for known in self.known.values() if known.lost)
+        lost = sorted(peer.entry["post"] for peer in self.peers.values() if peer.is_lost)
         if lost:
-            # each lost one in turn: after a cut both sides find each other with the next heartbeats
+            # one lost peer per heartbeat, in turn: both sides of a healed partition find each other soon
             commands.append(SendMessage(to=lost[self.heartbeat % len(lost)], body=body))
         if (
             not alive
             or self.heartbeat <= constants.GOSSIP_STARTUP_HEARTBEATS
             or self.heartbeat % constants.GOSSIP_SEED_HEARTBEATS == 0
         ):
-            known = {peer.entry["post"] for peer in alive}
+            addresses = {peer.entry["post"] for peer in alive}
             announcement = {"kind": "gossip", "entries": self._entries(now=now), "reply": False}
             commands += [
                 SendMessage(to=seed, body=announcement)
                 for seed in self.location.seeds
-                if seed != self.location.post and seed not in known
+                if seed != self.location.post and seed not in addresses
             ]
         return commands
 
     def echo_number(self) -> int:
-        """By what an answer to this heartbeat is known."""
+        """The number by which answers to this daemon's latest heartbeat are recognized."""
         return echo_number(start=self.start, heartbeat=self.heartbeat)
 
-    def _with_echo(self, *, body: Message, known: PeerState) -> dict:
-        """A voter's heartbeat answers the last one that came from its receiver itself.
+    def _with_echo(self, *, body: Message, peer: PeerState) -> dict:
+        """A voter's heartbeat echoes the last one received directly from its recipient.
 
-        And tells the numbers voted for.
+        It also gives the value numbers that the voter has voted for.
         """
-        return {**body, "echo": [known.echoed_heartbeat, *self.voted]} if self.fit and known.echoed_heartbeat else body
+        return (
+            {**body, "echo": [peer.echoed_heartbeat, *self.voted_numbers]}
+            if self.is_fit and peer.echoed_heartbeat
+            else body
+        )
 
-    def _fold_heartbeat(self, *, now: float, sender: str, body: Message) -> list[Command]:
-        known = self.known.get(body["id"])
-        if known is None or known.entry["start"] != body["start"] or known.entry["post"] != sender:
-            # another start, or one not heard of: its whole entry is wanted
+    def _apply_heartbeat(self, *, now: float, sender: str, body: Message) -> list[Command]:
+        peer = self.peers.get(body["id"])
+        if peer is None or peer.entry["start"] != body["start"] or peer.entry["post"] != sender:
+            # a restarted or unknown peer: sending our entry makes it reply with its whole entry
             return [SendMessage(to=sender, body={"kind": "gossip", "entries": [self.own_entry()], "reply": False})]
-        if body["beat"] <= known.entry["beat"]:
+        if body["beat"] <= peer.entry["beat"]:
             return []
-        entry = {**known.entry, "beat": body["beat"], "fit": body["fit"], "identity": body["identity"]}
+        entry = {**peer.entry, "beat": body["beat"], "fit": body["fit"], "identity": body["identity"]}
         commands: list[Command] = (
-            [LogEvent(event="daemon-found", fields={"daemon": body["id"], "at": sender})] if known.lost else []
+            [LogEvent(event="daemon-found", fields={"daemon": body["id"], "at": sender})] if peer.is_lost else []
         )
-        self.known[body["id"]] = PeerState(
+        self.peers[body["id"]] = PeerState(
             entry=entry,
             last_seen_at=now,
             echoed_heartbeat=echo_number(start=body["start"], heartbeat=body["beat"]),
-            contact=body.get("contact") is not False,
+            has_contact=body.get("contact") is not False,
         )
         return commands
 
     def own_entry(self) -> dict:
-        """What this daemon says of itself."""
+        """This daemon's own entry."""
         location = self.location
         return {
             "id": location.name,
@@ -182,73 +191,73 @@
             "http": location.http,
             "start": self.start,
             "beat": self.heartbeat,
-            "fit": self.fit,
+            "fit": self.is_fit,
             "version": location.version,
             "identity": self.identity,
-            "asks": self.asks,
+            "asks": self.active_proxies,
             **({} if self.has_disk else {"disk": False}),
-            **({"leaving": True} if self.leaving else {}),
+            **({"leaving": True} if self.is_leaving else {}),
         }
 
     def alive(self, *, kind: str) -> list[dict]:
-        """The entries of the daemons of this kind that are not lost."""
-        return [known.entry for known in self.known.values() if kind_of(entry=known.entry) == kind and not known.lost]
+        """The entries of the peers of this kind that are not lost."""
+        return [peer.entry for peer in self.peers.values() if kind_of(entry=peer.entry) == kind and not peer.is_lost]
 
-    def _watched(self) -> list[str]:
-        others = {known.entry["id"]: known.entry["post"] for known in self.known.values()}
+    def _gossip_addresses(self) -> list[str]:
+        others = {peer.entry["id"]: peer.entry["post"] for peer in self.peers.values()}
         names = choose_names(key=self.location.name, names=others, count=constants.GOSSIP_FANOUT)
         addresses = [others[name] for name in names]
-        alive = sum(not known.lost for known in self.known.values())
+        alive = sum(not peer.is_lost for peer in self.peers.values())
         if alive < constants.GOSSIP_FANOUT or self.heartbeat % 10 == 0:
             addresses += [seed for seed in self.location.seeds if seed not in addresses]
         return [address for address in addresses if address != self.location.post]
 
     def _entries(self, *, now: float) -> list[dict]:
-        fresh = [known.entry for known in self.known.values() if not known.lost]
+        fresh = [peer.entry for peer in self.peers.values() if not peer.is_lost]
         return [self.own_entry(), *fresh]
 
-    def _fold(self, *, now: float, entries: list, sender: str) -> list[Command]:
+    def _merge_entries(self, *, now: float, entries: list, sender: str) -> list[Command]:
         commands: list[Command] = []
         for entry in entries:
             if not is_entry(given=entry) or entry["id"] == self.location.name:
                 continue
-            known = self.known.get(entry["id"])
-            if known and not _is_newer(entry=entry, known=known):
+            peer = self.peers.get(entry["id"])
+            if peer and not _is_newer(entry=entry, peer=peer):
                 continue
-            if known is None or known.lost:
+            if peer is None or peer.is_lost:
                 commands.append(LogEvent(event="daemon-found", fields={"daemon": entry["id"], "at": entry["post"]}))
-            echoed_heartbeat = known.echoed_heartbeat if known else 0
+            echoed_heartbeat = peer.echoed_heartbeat if peer else 0
             if entry["post"] == sender:
                 echoed_heartbeat = echo_number(start=entry["start"], heartbeat=entry["beat"])
-            self.known[entry["id"]] = PeerState(entry=entry, last_seen_at=now, echoed_heartbeat=echoed_heartbeat)
+            self.peers[entry["id"]] = PeerState(entry=entry, last_seen_at=now, echoed_heartbeat=echoed_heartbeat)
         return commands
 
-    def _judge(self, *, now: float) -> list[Command]:
+    def _expire_peers(self, *, now: float) -> list[Command]:
         commands: list[Command] = []
-        for name, known in list(self.known.items()):
-            if not known.lost and now - known.last_seen_at > self.suspect:
-                known.lost = True
+        for name, peer in list(self.peers.items()):
+            if not peer.is_lost and now - peer.last_seen_at > self.timeout:
+                peer.is_lost = True
                 commands.append(LogEvent(event="daemon-lost", fields={"daemon": name}))
-            if now - known.last_seen_at > constants.PEER_TTL:
-                del self.known[name]
+            if now - peer.last_seen_at > constants.PEER_TTL:
+                del self.peers[name]
         return commands
 
 
 def echo_number(*, start: int, heartbeat: int) -> int:
-    """The number by which a heartbeat is answered, never 0.
+    """The number by which an answer refers to a heartbeat, never 0.
 
-    Two starts share one by a chance of one in HEARTBEAT_ECHO_MODULUS.
+    The probability that two starts share a number is one in HEARTBEAT_ECHO_MODULUS.
     """
     return (start + heartbeat) % constants.HEARTBEAT_ECHO_MODULUS + 1
 
 
-def _is_newer(*, entry: PeerEntry, known: PeerState) -> bool:
-    if known.lost and entry["start"] != known.entry["start"]:
-        # a start is a wall time: after the clock was turned back, the new one is the lower
+def _is_newer(*, entry: PeerEntry, peer: PeerState) -> bool:
+    if peer.is_lost and entry["start"] != peer.entry["start"]:
+        # a start is a wall-clock time: after the clock was set back, the new start is the lower number
         return True
-    return (entry["start"], entry["beat"]) > (known.entry["start"], known.entry["beat"])
+    return (entry["start"], entry["beat"]) > (peer.entry["start"], peer.entry["beat"])
 
 
 def is_entry(*, given: object) -> bool:
-    """Is it a daemon's entry, with all its fields?"""
-    return isinstance(given, dict) and all(isinstance(given.get(name), kind) for name, kind in ENTRY.items())
+    """Is this a daemon's entry with all its fields?"""
+    return isinstance(given, dict) and all(isinstance(given.get(name), kind) for name, kind in ENTRY_FIELDS.items())
--- a/sailward/routing/lease.py
+++ b/sailward/routing/lease.py
@@ -6,7 +6,7 @@
 
 from sailward import constants
 from sailward.consensus.learner import Learner
-from sailward.consensus.proposer import blocking_of
+from sailward.consensus.proposer import blocking_size
 from sailward.consensus.voter_set import VoterSet
 from sailward.events import Command, LogEvent, SendMessage
 from sailward.state_machines import Chart
@@ -63,8 +63,8 @@
         """When the lease expires; until then, every majority includes a voter whose grant still holds."""
         members = voters.members
         expiries = sorted((grant.until for name, grant in self._grants.items() if name in members), reverse=True)
-        blocking_size = blocking_of(members=members)
-        return expiries[blocking_size - 1] if members and len(expiries) >= blocking_size else -1e9
+        size = blocking_size(members=members)
+        return expiries[size - 1] if members and len(expiries) >= size else -1e9
 
     def is_valid(self, *, now: float, voters: VoterSet) -> bool:
         """May the proxy act now?"""
--- a/sailward/wire_types.py
+++ b/sailward/wire_types.py
@@ -21,4 +21,4 @@
 Record: TypeAlias = dict[str, Any]
 """The fields of a record on the disk by name; `k` is the kind of record."""
 PeerEntry: TypeAlias = dict[str, Any]
-"""What a daemon reports of itself in gossip, under the names of `ENTRY` in `discovery/peer_table.py`."""
+"""What a daemon reports of itself in gossip, under the names of `ENTRY_FIELDS` in `discovery/peer_table.py`."""
--- a/tests/test_endpoint_pages.py
+++ b/tests/test_endpoint_pages.py
@@ -1,6 +1,6 @@
-"""Lists of workers without numbers.
+"""Lists of workers without revision numbers.
 
-Whole passes, artefacts of paging, backing off, and what a receiver makes of them.
+Complete passes, artefacts of paging, back-off, and how a receiver merges the lists.
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 from sailward import constants
 from sailward.control.endpoints.incarnations import Incarnations
 from sailward.control.proxies.subscribers import Subscribers
-from sailward.discovery.endpoint_pages import BrokenPass, Pager
+from sailward.discovery.endpoint_pages import FailedPass, Pager
 from sailward.discovery.endpoint_table import EndpointTable
 from sailward.events import CallFinished, SendMessage
 from tests.core_net import WORKERS, CoreNet
 
 
-def entry(name: str, **more: object) -> dict:
+def entry(name: str, **overrides: object) -> dict:
     return {
         "id": name,
         "service": "red",
@@ -27,11 +27,11 @@
         "capacity": 4,
         "state": "admitted",
         "cold_left_s": 0,
-        **more,
+        **overrides,
     }
 
 
-def row(name: str, **more: object) -> dict:
+def row(name: str, **overrides: object) -> dict:
     return {
         "id": name,
         "generation": 0,
@@ -41,7 +41,7 @@
         "leaving": False,
         "capacity": 4,
         "cold_s": 0.0,
-        **more,
+        **overrides,
     }
 
 
@@ -50,22 +50,22 @@
 
 
 class Platform:
-    """A pager with answers fed to it by hand."""
+    """A pager whose calls are answered by the test."""
 
-    def __init__(self, **more: object) -> None:
-        self.pager = Pager(platform="10.9.9.9:1", reader=WORKERS.WorkersReader(), **more)
+    def __init__(self, **overrides: object) -> None:
+        self.pager = Pager(platform="10.9.9.9:1", reader=WORKERS.WorkersReader(), **overrides)
         self.now = 0.0
         self.paths: list[str] = []
 
     def run_pass(self, *pages: bytes | int) -> list | None:
-        """One pass over these pages; the names it told, or None."""
+        """Run one pass over these pages (an int is a status code); the ids it returns, or None."""
         self.now = max(self.now, self.pager.next_at)
-        commands, whole = self.pager.step(now=self.now, event=None)
+        commands, complete_list = self.pager.step(now=self.now, event=None)
         for page in pages:
             call = commands[0]
             self.paths.append(call.path)
             code = page if isinstance(page, int) else 200
-            commands, whole = self.pager.step(
+            commands, complete_list = self.pager.step(
                 now=self.now,
                 event=CallFinished(
                     token=call.token,
@@ -76,7 +76,7 @@
                     sent=True,
                 ),
             )
-        return None if whole is None else [worker["id"] for worker in whole.workers]
+        return None if complete_list is None else [worker["id"] for worker in complete_list.workers]
 
 
 def test_pages_are_asked_for_by_token_and_read_into_rows() -> None:
@@ -117,8 +117,8 @@
         page(entry("i"), token=3),
     ],
 )
-def test_pages_that_cannot_be_read_break_the_pass(body: bytes) -> None:
-    assert isinstance(WORKERS.WorkersReader().read(body=body), BrokenPass)
+def test_unreadable_pages_fail_the_pass(body: bytes) -> None:
+    assert isinstance(WORKERS.WorkersReader().read(body=body), FailedPass)
     assert Platform().run_pass(body) is None
 
 
@@ -127,7 +127,7 @@
     assert WORKERS.WorkersReader().read(body=body).rows[0]["hall"] == "ens-a"
 
 
-def test_a_broken_pass_counts_for_nothing_and_the_next_ones_wait_longer() -> None:
+def test_a_failed_pass_is_discarded_and_the_next_ones_back_off() -> None:
     platform = Platform()
     assert platform.run_pass(page(entry("i-1"))) == ["i-1"]
     waits = []
@@ -139,7 +139,7 @@
     assert platform.pager.next_at - platform.now <= constants.ENDPOINT_LIST_INTERVAL
 
 
-def test_a_later_row_wins_and_one_missing_in_one_pass_of_many_pages_is_kept_once() -> None:
+def test_a_later_row_wins_and_a_row_missing_from_one_pass_of_many_pages_is_kept_once() -> None:
     platform = Platform()
     assert platform.run_pass(page(entry("i-1"), entry("i-2"), token="p"), page(entry("i-1", state="draining"))) == [
         "i-1",
@@ -156,17 +156,17 @@
     platform = Platform(rate=rate, pollers=pollers)
     body = [page(entry(f"i-{at}"), token=str(at) if at < pages - 1 else None) for at in range(pages)]
     platform.run_pass(*body)
-    begun = platform.pager.next_at
+    first_pass_at = platform.pager.next_at
     platform.run_pass(*body)
-    pause = platform.pager.next_at - begun
+    pause = platform.pager.next_at - first_pass_at
     assert pause >= constants.ENDPOINT_LIST_INTERVAL and (rate == 0 or pages * pollers / pause < rate / 2)
 
 
-def test_an_endless_list_breaks_off() -> None:
+def test_a_pass_over_an_endless_list_fails() -> None:
     assert Platform().run_pass(*[page(entry("i-1"), token="p")] * constants.ENDPOINT_LIST_MAX_PAGES) is None
 
 
-def test_a_cold_time_that_counts_down_is_no_news_and_a_rise_is() -> None:
+def test_a_decreasing_cold_time_is_no_update_but_an_increase_is() -> None:
     incarnations = Incarnations(post="a:1", number=100)
     assert incarnations.step(now=0.0, rows=[row("i-1", cold_s=3.0)])
     assert not incarnations.step(now=1.0, rows=[row("i-1", cold_s=2.1)])
@@ -183,24 +183,24 @@
     )
 
 
-def test_leaving_stays_and_gone_stays_against_a_list_that_lags() -> None:
-    book = EndpointTable()
-    assert book.replace(now=0.0, workers=[row("i-1"), row("i-2", capacity=7, cold_s=2.0)]) == ({"i-1", "i-2"}, set())
-    assert (book.workers["i-2"].capacity, book.workers["i-2"].slow_start, book.workers["i-2"].key) == (7, 2.0, "i-2")
-    book.replace(now=10.0, workers=[row("i-1", leaving=True), row("i-2")])
-    book.replace(now=10.5, workers=[row("i-1"), row("i-2")])
-    assert book.workers["i-1"].leaving
-    assert book.replace(now=11.0, workers=[row("i-2")]) == (set(), {"i-1"})
-    assert book.replace(now=11.1, workers=[row("i-1"), row("i-2")]) == (set(), set())
-    assert set(book.workers) == {"i-2"}
+def test_leaving_and_removed_workers_remain_so_despite_a_stale_list() -> None:
+    table = EndpointTable()
+    assert table.replace(now=0.0, workers=[row("i-1"), row("i-2", capacity=7, cold_s=2.0)]) == ({"i-1", "i-2"}, set())
+    assert (table.workers["i-2"].capacity, table.workers["i-2"].slow_start, table.workers["i-2"].key) == (7, 2.0, "i-2")
+    table.replace(now=10.0, workers=[row("i-1", leaving=True), row("i-2")])
+    table.replace(now=10.5, workers=[row("i-1"), row("i-2")])
+    assert table.workers["i-1"].leaving
+    assert table.replace(now=11.0, workers=[row("i-2")]) == (set(), {"i-1"})
+    assert table.replace(now=11.1, workers=[row("i-1"), row("i-2")]) == (set(), set())
+    assert set(table.workers) == {"i-2"}
 
 
-def test_one_just_come_that_an_older_list_lacks_comes_back() -> None:
-    book = EndpointTable()
-    book.replace(now=0.0, workers=[row("i-1")])
-    book.replace(now=10.0, workers=[row("i-1"), row("i-new")])
-    book.replace(now=10.2, workers=[row("i-1")])
-    assert book.replace(now=10.7, workers=[row("i-1"), row("i-new")]) == ({"i-new"}, set())
+def test_a_recently_added_worker_that_an_older_list_lacks_is_added_again() -> None:
+    table = EndpointTable()
+    table.replace(now=0.0, workers=[row("i-1")])
+    table.replace(now=10.0, workers=[row("i-1"), row("i-new")])
+    table.replace(now=10.2, workers=[row("i-1")])
+    assert table.replace(now=10.7, workers=[row("i-1"), row("i-new")]) == ({"i-new"}, set())
 
 
 def ask(have: list | None) -> dict:
@@ -208,8 +208,8 @@
     return {"kind": "ask", "have": {} if have is None else {"workers": have}, "report": {}, "daemon": daemon}
 
 
-def test_a_list_is_pushed_only_to_those_that_follow_this_controller() -> None:
-    news = {"workers": (101, [0, ""], {"number": 101, "mark": "a:1", "trail": [], "text": "[]"})}
+def test_a_list_is_pushed_only_to_proxies_that_follow_this_controller() -> None:
+    updates_by_name = {"workers": (101, [0, ""], {"number": 101, "mark": "a:1", "trail": [], "text": "[]"})}
     for have, is_pushed in (
         (None, True),
         ([-1, "", [0, ""]], True),
@@ -219,22 +219,22 @@
         ([7, "b:1", [0, ""]], False),
         ([500, "a:1", [0, ""]], True),
     ):
-        commands = Subscribers(post="a:1").step(now=1.0, event=("p:1", ask(have)), updates=news)
+        commands = Subscribers(post="a:1").step(now=1.0, event=("p:1", ask(have)), updates=updates_by_name)
         assert [command.body["number"] for command in commands if isinstance(command, SendMessage)] == (
             [101] if is_pushed else []
         ), have
 
 
-def test_a_push_is_repeated_only_when_an_asking_shows_that_it_was_lost() -> None:
-    news = {"workers": (101, [0, ""], {"number": 101, "mark": "a:1", "trail": [], "text": "[]"})}
+def test_a_push_is_repeated_only_when_a_request_shows_that_it_was_lost() -> None:
+    updates_by_name = {"workers": (101, [0, ""], {"number": 101, "mark": "a:1", "trail": [], "text": "[]"})}
     subscribers = Subscribers(post="a:1")
-    assert subscribers.step(now=1.0, event=("p:1", ask([100, "a:1", [0, ""]])), updates=news)
-    assert not subscribers.step(now=1.4, event=None, updates=news)
-    assert subscribers.step(now=1.5, event=("p:1", ask([100, "a:1", [0, ""]])), updates=news)
-    assert not subscribers.step(now=2.0, event=("p:1", ask([101, "a:1", [0, ""]])), updates=news)
+    assert subscribers.step(now=1.0, event=("p:1", ask([100, "a:1", [0, ""]])), updates=updates_by_name)
+    assert not subscribers.step(now=1.4, event=None, updates=updates_by_name)
+    assert subscribers.step(now=1.5, event=("p:1", ask([100, "a:1", [0, ""]])), updates=updates_by_name)
+    assert not subscribers.step(now=2.0, event=("p:1", ask([101, "a:1", [0, ""]])), updates=updates_by_name)
 
 
-def test_controllers_page_the_list_and_tell_it() -> None:
+def test_controllers_page_through_the_list_and_publish_it() -> None:
     net = CoreNet(zones=["gdl-a", "ens-a", "gdl-b", "ens-b"])
     net.rows = [{**entry("i-1"), "zone": "gdl-a"}]
     for machine in net.machines:
--- a/tests/test_fuzz_messages.py
+++ b/tests/test_fuzz_messages.py
@@ -1,4 +1,4 @@
-"""What check_message accepts, no owner trips over; what it refuses, it refuses with a reason."""
+"""No owner fails on a message that check_message accepts; what it refuses, it refuses with a reason."""
 
 from __future__ import annotations
 
@@ -28,8 +28,10 @@
 
 def _with_bytes(value: object) -> object:
     if isinstance(value, dict):
-        return bytes(value["$bytes"]) if "$bytes" in value else {name: _with_bytes(one) for name, one in value.items()}
-    return [_with_bytes(one) for one in value] if isinstance(value, list) else value
+        return (
+            bytes(value["$bytes"]) if "$bytes" in value else {name: _with_bytes(inner) for name, inner in value.items()}
+        )
+    return [_with_bytes(inner) for inner in value] if isinstance(value, list) else value
 
 
 VALID = [_with_bytes(body) for rows in EXAMPLES.values() for body in rows]
@@ -48,7 +50,7 @@
 
 
 @functools.cache
-def whole_net() -> CoreNet:
+def make_running_net() -> CoreNet:
     net = CoreNet(zones=list(ZONES)[:3])
     for machine in net.machines:
         net.start(machine, bootstrap=True)
@@ -61,16 +63,16 @@
 
 @functools.cache
 def owners() -> dict:
-    """One owner of each kind, as it stands in a fleet, and a controller that has just started on an empty disk."""
-    net = whole_net()
+    """One owner of each kind as in a running fleet, and a controller that has just started on an empty disk."""
+    net = make_running_net()
     proxy = Proxy(
         location=make_location(kind="proxy"),
         start=1,
         rng=random.Random(1),
         options=ProxyOptions(expand=lambda given: CONFIG.expand(given, ZONES), regions=tuple(ZONES.items())),
     )
-    for name, held in net.machines[0].controller.learner.values.items():
-        body = {"kind": "push", "seq": 1, "name": name, "number": 1, "ballot": held.ballot, "value": held.value}
+    for name, learned in net.machines[0].controller.learner.values.items():
+        body = {"kind": "push", "seq": 1, "name": name, "number": 1, "ballot": learned.ballot, "value": learned.value}
         proxy.step(now=net.now, event=MessageReceived(sender="10.0.0.1:7620", body=body))
     return {
         "voter": net.machines[0].controller,
@@ -92,23 +94,23 @@
 
 
 def deliver(*, bodies: list) -> None:
-    """Give messages to an owner of each kind, and let time go on behind them."""
-    now = whole_net().now
+    """Deliver messages to a copy of an owner of each kind, then advance the time."""
+    now = make_running_net().now
     for name, owner in owners().items():
-        made = copy.deepcopy(owner)
+        owner_copy = copy.deepcopy(owner)
         for at, body in enumerate(bodies):
             sender = "10.0.0.1:7620" if at % 2 else "10.0.0.2:7620"
-            commands = made.step(now=now, event=MessageReceived(sender=sender, body=copy.deepcopy(body)))
+            commands = owner_copy.step(now=now, event=MessageReceived(sender=sender, body=copy.deepcopy(body)))
             assert not [command for command in commands if isinstance(command, Respond)], name
         for heartbeat in range(1, 60, 6):
-            made.step(now=now + 0.05 * heartbeat, event=TimerFired(wall=7.0 + heartbeat))
+            owner_copy.step(now=now + 0.05 * heartbeat, event=TimerFired(wall=7.0 + heartbeat))
 
 
 def over_the_wire(*, body: object) -> dict | BadMessage | None:
-    """The body as the other side reads it; None if it can't be put into a frame."""
+    """The body as decoded by the receiver; None if it can't be encoded."""
     try:
         frame = pack_body(body=body)
-    except Exception:  # noqa: BLE001 - what can't be sent can't come
+    except Exception:  # noqa: BLE001 - what can't be sent is never received
         return None
     _, form = LENGTH.unpack_from(frame)
     return read_body(payload=frame[LENGTH.size :], form=form)
@@ -169,8 +171,8 @@
         deliver(bodies=[read])
 
 
-def test_a_register_whose_name_is_kept_for_the_disk_is_refused() -> None:
+def test_a_register_name_reserved_for_the_data_file_is_refused() -> None:
     body = {**_with_bytes(EXAMPLES["accept"][0]), "register": "known/voters"}
     assert check_message(body=body) == BadMessage(reason="field:accept.register")
-    # a frame's other form is read by the same check
+    # frames in the other form are checked in the same way
     assert PLAIN == 0 and flexbuffers.Loads(pack_message(body=body))["register"] == "known/voters"
--- a/tests/test_second_loss.py
+++ b/tests/test_second_loss.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from sailward.consensus.proposer import majority_of
+from sailward.consensus.proposer import majority_size
 from sailward.events import ShutdownRequested
 from tests.core_net import CoreNet, Machine, make_written
 from tests.test_bootstrap import found, put
@@ -21,7 +21,7 @@
     running = [machine.controller for machine in net.machines if machine.controller is not None]
     newest = max((controller.voters for controller in running), key=lambda voters: voters.number)
     voting = [machine for machine in running if machine.is_voting and machine.voters.number == newest.number]
-    return len(voting) - losses >= majority_of(members=newest.members)
+    return len(voting) - losses >= majority_size(members=newest.members)
 
 
 def make_core(*, machines: int, budget: int, seed: int = 1, spare: int = 0) -> CoreNet:
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -1,6 +1,6 @@
 """The shape of a configuration.
 
-What it may say beyond the first version, and that the quick pass says what the slow one does.
+The fields added since the first version, and the agreement of the quick check of matches with the full one.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 import pytest
 
 from sailward.config import check as check_module
-from sailward.config.check import Sound, Unsound, check_config
+from sailward.config.check import InvalidConfig, ValidConfig, check_config
 from sailward.consensus.proposer import Accepted, OperationFinished
 from sailward.control.administration.admin_api import AdminApi
 from sailward.events import ConfigValidated, RequestReceived, ValidateConfig
@@ -22,7 +22,7 @@
 CONFIG = make_arriaga().config
 POOL = next(iter(CONFIG["pools"]))
 SERVICE = CONFIG["pools"][POOL]["service"]
-OTHER = next(name for name, one in CONFIG["pools"].items() if one["service"] != SERVICE)
+OTHER = next(name for name, pool in CONFIG["pools"].items() if pool["service"] != SERVICE)
 
 
 def with_match(**more: object) -> dict:
@@ -34,10 +34,10 @@
 
 def faults(config: dict) -> list[str]:
     verdict = check_config(config=config)
-    return [f"{fault.path}: {fault.reason}" for fault in verdict.faults] if isinstance(verdict, Unsound) else []
+    return [f"{fault.path}: {fault.reason}" for fault in verdict.faults] if isinstance(verdict, InvalidConfig) else []
 
 
-def test_a_match_says_host_kind_times_rank_and_homes() -> None:
+def test_a_match_may_set_host_kind_times_rank_and_homes() -> None:
     full = check_config(
         config=with_match(
             host="one.example",
@@ -93,24 +93,24 @@
     ]
 
 
-def test_pools_of_different_services_need_a_word_for_it() -> None:
+def test_pools_of_different_services_require_the_across_flag() -> None:
     pools = [{"pool": POOL, "weight": 1}, {"pool": OTHER, "weight": 1}]
     config = {**CONFIG, "tenants": {}, "matches": [{"path": "/x", "pools": pools}]}
     assert any("different services" in fault for fault in faults(config))
     assert not faults({**config, "matches": [{"path": "/x", "pools": pools, "across": True}]})
 
 
-def test_a_pool_near_the_proxy_lists_no_halls() -> None:
+def test_a_pool_near_the_proxy_lists_no_zones() -> None:
     near = {**CONFIG, "pools": {**CONFIG["pools"], "near": {"service": SERVICE, "tiers": "near"}}}
     verdict = check_config(config=near)
-    assert isinstance(verdict, Sound) and verdict.full["pools"]["near"]["preferred"] == []
+    assert isinstance(verdict, ValidConfig) and verdict.full["pools"]["near"]["preferred"] == []
     assert not any("near" in warning.path for warning in verdict.warnings)
     assert plan_of(full=verdict.full, number=1).pools["near"].is_near
     far = {**CONFIG, "pools": {**CONFIG["pools"], "far": {"service": SERVICE}}}
     assert any(fault.startswith("pools.far.preferred") for fault in faults(far))
 
 
-def test_homes_without_a_hall_are_told_not_refused() -> None:
+def test_homes_without_a_zone_are_warned_of_not_refused() -> None:
     verdict = check_config(config=with_match(homes=["atlantis"]))
     assert [warning.path for warning in verdict.warnings if "atlantis" in warning.reason] == [
         f"matches.{len(CONFIG['matches'])}.homes"
@@ -147,7 +147,7 @@
     ]
 
 
-def spoil(config: dict, rng: random.Random) -> dict:
+def corrupt(config: dict, rng: random.Random) -> dict:
     config = copy.deepcopy(config)
     for _ in range(rng.randint(0, 3)):
         match = rng.choice(config["matches"])
@@ -204,7 +204,7 @@
     return config
 
 
-def test_the_quick_pass_says_what_the_slow_one_does(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_quick_check_agrees_with_the_full_one(monkeypatch: pytest.MonkeyPatch) -> None:
     rng = random.Random(7)
     base = {
         **CONFIG,
@@ -213,20 +213,20 @@
             {"path": "/y", "pools": [{"pool": OTHER, "weight": 3}]},
         ],
     }
-    spoiled = [spoil(base, rng) for _ in range(120)]
-    quick = [check_config(config=copy.deepcopy(one)) for one in spoiled]
-    monkeypatch.setattr(check_module, "sort_matches", lambda *, matches: ({}, []))
-    for one, verdict in zip(spoiled, quick, strict=True):
-        slow = check_config(config=copy.deepcopy(one))
-        assert type(slow) is type(verdict), (one["matches"], slow, verdict)
-        if isinstance(slow, Sound):
+    corrupted = [corrupt(base, rng) for _ in range(120)]
+    quick = [check_config(config=copy.deepcopy(config)) for config in corrupted]
+    monkeypatch.setattr(check_module, "split_matches", lambda *, matches: ({}, []))
+    for config, verdict in zip(corrupted, quick, strict=True):
+        slow = check_config(config=copy.deepcopy(config))
+        assert type(slow) is type(verdict), (config["matches"], slow, verdict)
+        if isinstance(slow, ValidConfig):
             assert slow.full == verdict.full and slow.warnings == verdict.warnings
         else:
-            assert sorted(map(str, slow.faults)) == sorted(map(str, verdict.faults)), one["matches"]
-    assert len({type(one) for one in quick}) == 2
+            assert sorted(map(str, slow.faults)) == sorted(map(str, verdict.faults)), config["matches"]
+    assert len({type(verdict) for verdict in quick}) == 2
 
 
-def test_a_register_that_holds_only_what_was_written_is_expanded() -> None:
+def test_a_register_that_holds_only_the_written_form_is_expanded() -> None:
     full = check_config(config=CONFIG).full
     value = {"number": 3, "text": json.dumps({"written": {"any": "words"}, "label": 1, "history": []})}
     plan = read_plan(value=value, expand=lambda written: full if written == {"any": "words"} else {})
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -1,6 +1,6 @@
-"""Versions side by side.
+"""Compatibility between versions.
 
-What the last landed version said and wrote is understood, what a newer one wrote is refused.
+Messages and data files of the previous version are read; data files of a newer version are refused.
 """
 
 from __future__ import annotations
@@ -47,35 +47,35 @@
     )
 
 
-def test_every_message_of_the_last_version_is_understood() -> None:
+def test_every_message_of_the_previous_version_is_understood() -> None:
     assert set(MESSAGES) == set(FIELDS) - NEW_KINDS
     owners = [
         make_controller(records=read_frames(data=DATA).records),
         DirectoryServer(location=make_location(kind="directory"), start=1, rng=random.Random(1)),
         TenantProxy(location=make_location(kind="proxy"), nonce="1", start=1, rng=random.Random(1), now=0.0),
     ]
-    heard = {}
+    commands_by_kind = {}
     for kind, rows in MESSAGES.items():
         for row in rows:
             body = read_message(payload=base64.b64decode(row))
             assert isinstance(body, dict) and body["kind"] == kind
             for owner in owners:
                 commands = owner.step(now=1.0, event=MessageReceived(sender="10.0.0.1:7000", body=body))
-                heard.setdefault(kind, []).extend(commands)
+                commands_by_kind.setdefault(kind, []).extend(commands)
     for owner in owners:
         owner.step(now=1.1, event=TimerFired())
-    # askings get grants, gossip gets gossip: the old ones were taken for what they are
-    assert any(getattr(one, "body", {}).get("kind") == "grant" for one in heard["ask"])
-    assert any(getattr(one, "body", {}).get("kind") == "gossip" for one in heard["gossip"])
+    # old lease requests get grants and old gossip gets gossip in reply, so both were recognized
+    assert any(getattr(command, "body", {}).get("kind") == "grant" for command in commands_by_kind["ask"])
+    assert any(getattr(command, "body", {}).get("kind") == "gossip" for command in commands_by_kind["gossip"])
 
 
 @pytest.mark.parametrize(
-    ("kind", "word"), [("controller", "cellar"), ("proxy", "sommelier"), ("directory", "concierge")]
+    ("kind", "wire_kind"), [("controller", "cellar"), ("proxy", "sommelier"), ("directory", "concierge")]
 )
-def test_a_daemon_is_known_by_its_kind_whichever_version_wrote_its_entry(kind: str, word: str) -> None:
-    teller = PeerTable(location=make_location(kind=kind), start=1)
-    written = teller.own_entry()
-    assert written["kind"] == word, "the last version knows this word only"
+def test_the_kind_of_a_daemon_is_read_whichever_version_wrote_its_entry(kind: str, wire_kind: str) -> None:
+    sender = PeerTable(location=make_location(kind=kind), start=1)
+    written = sender.own_entry()
+    assert written["kind"] == wire_kind, "the previous version knows only this word"
     for at, entry in enumerate((written, {**written, "kind": kind})):
         entries = [{**entry, "id": f"other-{at}"}]
         reader = PeerTable(location=make_location(kind="proxy"), start=1)
@@ -83,7 +83,7 @@
         assert [peer["id"] for peer in reader.alive(kind=kind)] == [f"other-{at}"]
 
 
-def test_the_entries_of_the_last_version_are_known_by_their_kinds() -> None:
+def test_the_kinds_in_entries_of_the_previous_version_are_read() -> None:
     gossips = [read_message(payload=base64.b64decode(row)) for row in MESSAGES["gossip"]]
     asks = [read_message(payload=base64.b64decode(row)) for row in MESSAGES["ask"]]
     entries = [*(entry for body in gossips for entry in body["entries"]), *(body["daemon"] for body in asks)]
@@ -91,11 +91,11 @@
     assert {kind_of(entry=entry) for entry in entries} == {"proxy"}
 
 
-def test_new_kinds_are_not_told_to_the_last_version() -> None:
+def test_new_message_kinds_are_not_sent_to_the_previous_version() -> None:
     assert "0.1.0" in constants.VERSIONS_WITHOUT_REPLICAS
 
 
-def test_the_data_file_of_the_last_version_is_read() -> None:
+def test_the_data_file_of_the_previous_version_is_read() -> None:
     found = read_frames(data=DATA)
     assert isinstance(found, Read) and found.length == len(DATA)
     controller = make_controller(records=found.records)
@@ -125,5 +125,5 @@
     assert (folder / "registers").read_bytes() == data
 
 
-def test_the_form_is_the_one_that_is_written() -> None:
+def test_the_fixture_has_the_format_that_is_written() -> None:
     assert DATA.startswith(MAGIC) and pack_frame(records=[]).startswith(MAGIC)
