--- a/sailward/control/administration/__init__.py
+++ b/sailward/control/administration/__init__.py
@@ -1,4 +1,4 @@
-"""What operators see and order: the admin API, orders on zones, status and metrics.
+"""The operators' side of a controller: the admin API, orders on zones, status and metrics.
 
-Owns the operators' requests in flight. Called by the controller alone.
+Owns the operators' requests in flight. Only the controller calls it.
 """
--- a/sailward/control/administration/admin_api.py
+++ b/sailward/control/administration/admin_api.py
@@ -1,8 +1,9 @@
 """The operators' interface of a controller: configurations, and orders on zones and voters.
 
-Each order is read, judged by the register's value and tried as a compare-and-set. It is refused only if it can never be
-taken: it is invalid, or another change was taken on top of what it builds on. Whatever can't be told apart ends
-without a clear answer, as "unavailable" (this exchange changed nothing) or "unknown" (it may have, or may still).
+Each order is parsed, checked against the register's current value and attempted as a compare-and-set. It is refused
+only if it can never be accepted: it is invalid, or another change was accepted on top of the version that it builds on.
+Whenever neither can be shown, the answer is inconclusive: "unavailable" (this request changed nothing) or "unknown" (it
+may have changed the register, or may still do so).
 """
 
 from __future__ import annotations
@@ -24,9 +25,11 @@
 
 @dataclass(kw_only=True)
 class Job:
-    """One operators' exchange under way; `number` and `text` are the register's as read for it.
+    """One operator's request in flight; `number` and `text` are the register's, as last read for it.
 
-    `taken`: how many orders of its kind the register counted for its zone at first. `is_left`: its caller is gone.
+    `taken`: how many orders of the same kind the register counted for the zone when it was first read; None until then.
+    `turns`: compare-and-sets that another change preceded. `is_left`: the caller has disconnected. `waits_since`: when
+    the wait for the current round began, None until the next tick. `size`: characters in the change that is proposed.
     """
 
     token: str
@@ -46,9 +49,10 @@
 
 @dataclass(kw_only=True)
 class AdminApi:
-    """Owner of the operators' exchanges. `step` gives (commands, proposer's begins).
+    """Owner of the operators' requests. `step` returns commands and the operations for the proposer to start.
 
-    What the `dialect` does not know is read as the product's own words. `zones` are known without a configuration.
+    A request that `dialect` does not know is read in sailward's own dialect. `zones` are those known without a
+    configuration. `timeout`: s for one operation. `jobs`: requests in flight, by the id of their operation or check.
     """
 
     identity: str
@@ -62,7 +66,7 @@
     outcomes: Counter = field(default_factory=Counter)
 
     def step(self, *, event: RequestReceived | OperationFinished | ConfigValidated) -> StepResult:
-        """Take an operator's exchange, the end of an operation begun for one, or of a check."""
+        """Handle an operator's request, or the result of an operation or a validation started for one."""
         match event:
             case RequestReceived():
                 return self._on_request(event=event)
@@ -81,9 +85,10 @@
         return self._after_change(job=job, outcome=event.outcome)
 
     def drop(self, *, token: str) -> None:
-        """The caller of this exchange has left: an order on a zone whose change has not begun never begins.
+        """Record that the caller has disconnected: its order on a zone is not proposed any more.
 
-        A configuration goes on: it is safe late, and a large one may take longer to check than its caller waits.
+        A change of the configuration goes on: it is safe however late it is accepted, and a large one may take longer
+        to check than its caller waits.
         """
         for job in self.jobs.values():
             job.is_left = job.is_left or job.token == token
@@ -116,10 +121,12 @@
         return self._begin(job=job, kind="read", timeout=timeout)
 
     def give_up(self, *, now: float, is_lost: bool) -> list[Command]:
-        """Answer 503: those for which no majority answered in OPERATOR_QUORUM_TIMEOUT; all if contact is lost.
+        """Answer "unknown" where no majority answered within the time-out, or to all if contact with it is lost.
 
-        An order on a zone whose change has not begun never begins. A configuration goes on, also after its answer: it
-        is safe late, and is known if it is sent again. A check asks no other controller: it has no bound here.
+        The time-out is OPERATOR_QUORUM_TIMEOUT plus an allowance for the size of the change. An order on a zone that
+        has not been proposed yet is dropped. A change of the configuration goes on after its answer: it is safe however
+        late it is accepted, and is recognised if it is sent again. A validation involves no other controller, so it has
+        no time-out here.
         """
         commands = []
         for op, job in list(self.jobs.items()):
@@ -171,7 +178,7 @@
 
     def _drop(self, *, job: Job) -> StepResult:
         log = LogEvent(event="order-dropped", fields={"register": job.order.register, "by": job.order.kind})
-        # who closed only its side of the connection still reads
+        # a client that closed only its sending side still reads the answer
         outcome = Outcome(
             kind="unavailable", code=503, reason="caller-left", detail="the caller left: nothing was changed"
         )
@@ -179,15 +186,15 @@
         return StepResult([log, *commands], begins)
 
     def _weigh_labelled(self, *, job: Job) -> StepResult:
-        """Judge a change of a labelled configuration by the one that is current."""
+        """Decide on a change of a labelled configuration by the current one."""
         order, current = job.order, read_labelled(text=job.text)
         verdict = current.judge(expected=order.expected or 0, digest=order.digest)
         if verdict is Verdict.NEXT:
             return self._begin_check(job=job, written=current.written or {}, current=current)
         if verdict is Verdict.TAKEN:
-            # maybe by another controller: what is sent again is answered again
+            # accepted before, perhaps through another controller: a request sent again gets the same answer
             return self._end(job=job, outcome=Outcome(kind="accepted", number=job.number))
-        # one that does not go beyond what it builds on is invalid whenever that comes
+        # a label that is not above the version it builds on stays invalid even after that version is accepted
         label = job.dialect.label(written=order.given) if isinstance(order.given, dict) else 0
         is_void = verdict is Verdict.AHEAD and label <= (order.expected or 0)
         if verdict is Verdict.LOST or is_void:
@@ -249,7 +256,7 @@
         return StepResult([], [self._begin_change(job=job, text=text)])
 
     def _make_orders(self, *, job: Job) -> str | Outcome:
-        """The register's text with this order taken, or why it is not."""
+        """The register's text with this order applied, or the outcome if it is not applied."""
         zone, kind = str(job.order.given), job.order.kind
         orders = read_zone_orders(text=job.text)
         is_known = zone in self.full.get("halls", {}) or zone in self.zones
@@ -259,7 +266,7 @@
             )
         taken = orders.count(kind=kind, zone=zone)
         if job.taken is not None and taken > job.taken:
-            # one alike was taken since this one came, maybe a copy of it: it stands for both
+            # an identical order was accepted since this one was first read, perhaps a copy of it: it counts for both
             return Outcome(kind="accepted", number=job.number)
         job.taken = taken
         changed = orders.with_order(kind=kind, zone=zone)
@@ -275,7 +282,7 @@
         return write_zone_orders(orders=changed)
 
     def _make_voters(self, *, job: Job) -> str | Outcome:
-        """One member more or less, by its identity or its name; never one that would cost the majority."""
+        """The text with one voter added or removed, by identity or name; refused if it would lose the majority."""
         kind, given = job.order.kind, job.order.given
         members = json.loads(job.text)["members"] if job.text else {}
         names = {member.split("#")[0]: member for member in (members if kind == "part" else self.controllers)}
@@ -330,7 +337,7 @@
         if (job.order.register == "orders" or job.dialect.is_labelled) and job.turns < constants.MAX_ORDER_ATTEMPTS:
             return StepResult([], [self._begin_read(job=job)])
         if job.dialect.is_labelled:
-            # who won may have been this very change, taken by another controller: nothing definite can be said
+            # the change that won may be this same one, sent through another controller: the result is inconclusive
             return self._end(
                 job=job,
                 outcome=Outcome(
@@ -341,7 +348,7 @@
 
 
 def _patience(*, job: Job) -> float:
-    """The s that an operator waits for a round at a majority: callers wait longer for large orders."""
+    """Seconds that a round at a majority may take: longer for large changes, as their callers wait longer too."""
     return constants.OPERATOR_QUORUM_TIMEOUT + job.size * constants.ROUND_TIMEOUT_PER_BYTE
 
 
@@ -350,7 +357,7 @@
 
 
 def _unjudged(*, verdict: Verdict, order: Order, current: Labelled) -> Outcome:
-    """The answer to a change that is neither taken by now nor lost for good, as far as the history tells."""
+    """The answer to a change that, by the history, is neither accepted yet nor superseded for good."""
     if verdict is Verdict.AHEAD:
         detail = f"it builds on {order.expected}, the current version is {current.label}: nothing was changed by now"
         return Outcome(kind="unavailable", code=503, reason="not-current-yet", number=current.label, detail=detail)
--- a/sailward/control/administration/metrics.py
+++ b/sailward/control/administration/metrics.py
@@ -1,8 +1,8 @@
 """A controller's metrics, as typed samples and in the OpenMetrics text format.
 
-The text is written here and not by a client library: importing that costs each start of a process 45 ms of processor
-time and 1.2 MB, and all values are read at the moment of the question from the parts that own them. The tests read the
-text with the library's parser.
+The text is written here and not by the client library: importing it costs each process 45 ms of CPU time at start and
+1.2 MB of memory, and all values are read at scrape time from the parts that own them. The tests parse the text with the
+library's parser.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Sample:
-    """One value and its labels."""
+    """One value with its label pairs."""
 
     value: float
     labels: tuple[tuple[str, str], ...] = ()
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Family:
-    """All samples of one metric. A counter only grows while the process lives."""
+    """All samples of one metric. A counter never decreases within one process."""
 
     name: str
     kind: Literal["gauge", "counter"]
@@ -36,12 +36,12 @@
     samples: tuple[Sample, ...]
 
     def sample_name(self) -> str:
-        """The name under which the samples stand in the text."""
+        """The name of the samples in the text."""
         return PREFIX + self.name + ("_total" if self.kind == "counter" else "")
 
 
 def collect_metrics(*, sources: StatusSources, now: float) -> list[Family]:
-    """The metrics of one controller at this moment. Ages and times are in s, sizes in bytes."""
+    """The current metrics of one controller. Ages and times are in s, sizes in bytes."""
     return [
         *_collect_voters(sources=sources),
         *_collect_registers(sources=sources, now=now),
@@ -51,7 +51,7 @@
 
 
 def write_metrics(*, families: list[Family]) -> str:
-    """The OpenMetrics text."""
+    """The metrics in the OpenMetrics text format."""
     lines = []
     for family in families:
         lines.append(f"# TYPE {PREFIX}{family.name} {family.kind}")
@@ -67,7 +67,7 @@
 
 
 def show_metrics(*, sources: StatusSources, now: float) -> dict[str, float]:
-    """The same values for the status, by name and labels."""
+    """The same values for the status, keyed by name and labels."""
     return {
         f"{family.name}{_labels(sample=sample)}".replace('"', ""): sample.value
         for family in collect_metrics(sources=sources, now=now)
--- a/sailward/control/administration/residency.py
+++ b/sailward/control/administration/residency.py
@@ -1,4 +1,4 @@
-"""Which tenants would have no zone at home."""
+"""Finding the tenants that would be left without a zone in their home regions."""
 
 from __future__ import annotations
 
@@ -8,5 +8,5 @@
 
 
 def find_homeless(*, full: dict, emptied: Set[str]) -> list[str]:
-    """The bound tenants of whom some match has a pool with every zone at home emptied."""
+    """The tenants bound to home regions that have a match with a pool whose home zones are all emptied."""
     return sorted({tenant for tenant, _, zones in find_home_zones(full=full) if zones and set(zones) <= emptied})
--- a/sailward/control/administration/status_report.py
+++ b/sailward/control/administration/status_report.py
@@ -1,4 +1,4 @@
-"""What a controller shows its operators."""
+"""The status document that a controller gives its operators."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 def _show_registers(*, sources: StatusSources) -> dict[str, dict]:
-    """The number of each register learned here, and the proxies that are known to have it."""
+    """The number of each register learned here, and the proxies known to have that value or a later one."""
     return {
         name: {
             "number": learned.value["number"],
@@ -83,10 +83,10 @@
 
 
 def _show_contact(*, sources: StatusSources, now: float) -> dict:
-    """Whether this controller serves, how long ago a majority was in reach, and what it must read before it serves.
+    """Whether this controller serves, how long ago it reached a majority, and what it must read before it serves.
 
-    While it serves, `served_age_s` bounds the age of the configuration that it hands out: one that is newer was
-    accepted since.
+    While it serves, `served_age_s` bounds the staleness of the configuration that it hands out: any newer one was
+    accepted within that time.
     """
     watch = sources.contact_watch
     shown_at = watch.shown_at(now=now)
--- a/sailward/control/administration/zone_orders.py
+++ b/sailward/control/administration/zone_orders.py
@@ -1,10 +1,10 @@
-"""The register of the orders on zones: which are emptied, and how many orders of each kind were taken for each.
+"""The register of orders on zones: which zones are emptied, and how many orders of each kind were accepted for each.
 
-An order on a zone bears no number and no body, so two orders alike can't be told apart by what they say. The counts
-tell an order that competes with others whether one of its own kind was taken since it first looked: then that one
-stands for it, and it is not put in force once more, perhaps on top of the opposite that followed. Every order is a
-change of the register, also one that finds its zone as it wants it: else an opposite order that was left half accepted
-could still be finished after it.
+An order on a zone carries no number and no body, so two identical orders can't be told apart. The counts show an order
+that competes with others whether one of its kind was accepted since it first read the register: then that one counts
+for both, and it is not applied again, perhaps on top of the opposite order that followed. Every order changes the
+register, even if the zone is already in the requested state: otherwise an opposite order that was accepted by only some
+voters could still be completed after it.
 """
 
 from __future__ import annotations
@@ -17,18 +17,18 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ZoneOrders:
-    """What the register holds. `taken`: {zone: [orders to empty it, orders to take it back]}."""
+    """The register's content. `taken`: {zone: [accepted orders to empty it, accepted orders to refill it]}."""
 
     emptied: frozenset[str] = frozenset()
     taken: dict[str, list[int]] = field(default_factory=dict)
 
     def count(self, *, kind: str, zone: str) -> int:
-        """How many orders of this kind were taken for a zone."""
+        """How many orders of this kind were accepted for a zone."""
         counts: list[int] = self.taken.get(zone, [0, 0])
         return counts[KINDS.index(kind)]
 
     def with_order(self, *, kind: str, zone: str) -> ZoneOrders:
-        """What it holds after one order more."""
+        """The content after one more order."""
         counts = list(self.taken.get(zone, [0, 0]))
         counts[KINDS.index(kind)] += 1
         emptied = self.emptied | {zone} if kind == "empty" else self.emptied - {zone}
@@ -36,7 +36,7 @@
 
 
 def read_zone_orders(*, text: str) -> ZoneOrders:
-    """What the text of the register holds; the last version wrote no counts."""
+    """Parse the register's text; the previous version wrote no counts."""
     if not text:
         return ZoneOrders()
     inner = json.loads(text)
@@ -44,5 +44,5 @@
 
 
 def write_zone_orders(*, orders: ZoneOrders) -> str:
-    """The text of the register."""
+    """Serialize the register's content."""
     return json.dumps({"emptied": sorted(orders.emptied), "taken": orders.taken}, sort_keys=True)
--- a/sailward/programs/__init__.py
+++ b/sailward/programs/__init__.py
@@ -1,1 +1,1 @@
-"""The four programs: each puts its planes and edges together, and no more."""
+"""The four programs: each only wires an owner of state to its edges (sockets, disk, threads)."""
--- a/sailward/programs/common.py
+++ b/sailward/programs/common.py
@@ -1,4 +1,4 @@
-"""What the daemons' programs have in common."""
+"""Start-up code shared by the daemons' programs."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def read_flags(*, doc: str, argv: list[str] | None) -> dict:
-    """The flags; wrong ones end the process with the usage and code 2."""
+    """Parse the flags; invalid ones end the process with the usage text and exit code 2."""
     try:
         return dict(docopt(doc, argv=argv, version=f"sailward {sailward.__version__}"))
     except DocoptExit as fault:
@@ -31,7 +31,7 @@
 
 
 def read_settings(*, flags: dict, schema: dict) -> dict:
-    """The settings; wrong ones end the process with every fault and code 2."""
+    """Read the settings; invalid ones end the process with a list of all faults and exit code 2."""
     settings = read_startup(flags=flags, schema=schema)
     if isinstance(settings, BadStartup):
         for fault in settings.faults:
@@ -42,7 +42,7 @@
 
 
 def make_location(*, settings: dict, kind: str) -> Location:
-    """The place that the settings tell."""
+    """The daemon's name, zone, region and addresses from the settings."""
     return Location(
         name=settings["name"],
         kind=kind,
@@ -56,17 +56,17 @@
 
 
 def make_nonce() -> str:
-    """What sets this start apart."""
+    """A random string that is unique to this start of the process."""
     return os.urandom(constants.NONCE_BYTES).hex()
 
 
 def make_start() -> int:
-    """A number that grows from start to start. Wall time: it orders a daemon's own starts, no more."""
+    """A number that grows with each start: wall time in us, used only to order one daemon's own starts."""
     return time.time_ns() // 1000
 
 
 def start_edges(*, settings: dict, loop: Loop, limit: int, calling: bool, disk: Disk | None = None) -> Edges:
-    """Open the sockets and begin to serve; an address in use ends the process."""
+    """Open the sockets and begin to serve; an address in use ends the process with EXIT_IN_USE."""
     threads = ThreadPoolExecutor(max_workers=2 * constants.HTTP_SERVER_THREADS)
     try:
         post = Post(address=settings["post"], deliver=loop.deliver, threads=threads)
--- a/sailward/programs/controller.py
+++ b/sailward/programs/controller.py
@@ -1,4 +1,4 @@
-"""sailward-controller: a machine that holds the state of the control side, on a disk.
+"""sailward-controller: stores the control plane's state on disk and replicates it.
 
 Usage:
   sailward-controller --settings FILE [options]
@@ -39,7 +39,7 @@
 
 
 def main(argv: list[str] | None = None) -> None:
-    """Run a controller until it is told to stop."""
+    """Run a controller until it is asked to stop."""
     settings = read_settings(flags=read_flags(doc=__doc__, argv=argv), schema=CONTROLLER)
     loop = Loop()
     disk = Disk(folder=Path(settings["data"]), deliver=loop.deliver)
--- a/sailward/programs/data_folder.py
+++ b/sailward/programs/data_folder.py
@@ -1,4 +1,4 @@
-"""Opening the data folder of a program: what can't be used ends the process, with what is to be done in the log."""
+"""Opening a program's data folder: an unusable one ends the process, and the log says what the operator can do."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from sailward.runtime.logs import write_log
 from sailward.storage.disk import Damaged, Disk, Newer, Taken
 
-BRING_IN = "move the folder away and bring this controller in as an empty one"
+BRING_IN = "move the folder away and rejoin this controller with an empty one"
 
 
 def open_folder(*, disk: Disk, folder: str) -> list[dict]:
-    """The records in the data file.
+    """Open the folder and return the records in its data file.
 
-    The process ends with 5 if they can't be read, with 7 if another process has the folder.
+    The process ends with exit code 5 if they can't be read, and with 7 if another process uses the folder.
     """
     try:
         found = disk.open()
--- a/sailward/programs/directory.py
+++ b/sailward/programs/directory.py
@@ -1,4 +1,4 @@
-"""sailward-directory: hands callers the addresses of proxies.
+"""sailward-directory: gives clients the addresses of proxies.
 
 Usage:
   sailward-directory --settings FILE [options]
@@ -32,7 +32,7 @@
 
 
 def main(argv: list[str] | None = None) -> None:
-    """Run a directory until it is told to stop."""
+    """Run a directory until it is asked to stop."""
     settings = read_settings(flags=read_flags(doc=__doc__, argv=argv), schema=COMMON)
     loop, nonce = Loop(), make_nonce()
     owner = DirectoryServer(
--- a/sailward/programs/hosted.py
+++ b/sailward/programs/hosted.py
@@ -1,4 +1,4 @@
-"""What daemons on a reactor have in common, set up by an adapter's settings instead of a file of the product's own."""
+"""Start-up code of the daemons that run on a reactor and get their settings from a platform adapter."""
 
 from __future__ import annotations
 
@@ -33,9 +33,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Words:
-    """How the product's HTTP words are said here.
+    """Translation between the platform's HTTP interfaces and sailward's own.
 
-    `ask` turns what came into the product's, `answer` its answer back.
+    `ask` turns a request on the wire into sailward's form, `answer` turns sailward's response into the platform's.
     """
 
     ask: Callable[[RequestReceived], RequestReceived] = lambda event: event
@@ -44,10 +44,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Hosted:
-    """What an adapter says of this daemon.
+    """What a platform adapter specifies for a daemon.
 
-    `listen` is {edge: address}; `data` the folder of the disk, if it has one; `options`
-    are of the daemon's kind.
+    `listen` is {edge: address}; `data` the data folder, "" on a machine without a disk; `platform` the address of the
+    platform's list of workers; `options` are those of the daemon's kind. `changed` reads the seeds again.
     """
 
     location: Location
@@ -62,14 +62,14 @@
 
 
 def begin_host(*, hosted: Hosted) -> tuple[Reactor, Host]:
-    """The reactor of a process and its host, with the log begun."""
+    """Start logging, and make the reactor of the process and its host."""
     start_logs(level=hosted.log_level, name=hosted.location.name)
     reactor = Reactor()
     return reactor, Host(reactor=reactor)
 
 
 def start_number() -> int:
-    """A number that grows from start to start: wall time in us, which orders a daemon's own starts and no more."""
+    """A number that grows with each start: wall time in us, used only to order one daemon's own starts."""
     return time.time_ns() // 1000
 
 
@@ -95,7 +95,7 @@
 
 
 def answer_handlers(*, hosted: Hosted, fronts: dict) -> dict:
-    """What carries out the owner's answers, by the listener that their token names."""
+    """The handler of the owner's responses: it sends each on the listener that the token names."""
 
     def answer(command: Respond) -> None:
         edge = command.token.split(" ", 1)[0]
@@ -105,7 +105,7 @@
 
 
 def serve_owner(*, hosted: Hosted, reactor: Reactor, host: Host, step: Callable, handlers: dict) -> None:
-    """Serve the owner until it stops, and end the process with its code."""
+    """Run the owner until it stops, and end the process with its exit code."""
     http_client = HttpClient(reactor=reactor, deliver=host.deliver, names=hosted.names)
     try:
         message_transport = MessageTransport(reactor=reactor, address=hosted.location.post, deliver=host.deliver)
@@ -129,7 +129,7 @@
             **hosted.listen,
         },
     )
-    # what start-up made lives as long as the process: it need not be looked at again
+    # objects made during start-up live as long as the process: the collector need not scan them again
     gc.collect()
     gc.freeze()
     code = host.run(step=step)
--- a/sailward/programs/hosted_controller.py
+++ b/sailward/programs/hosted_controller.py
@@ -1,4 +1,4 @@
-"""The controller as a hosted daemon."""
+"""Running a controller as a hosted daemon."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def run_controller(*, hosted: Hosted) -> None:
-    """Run a controller until it is told to stop."""
+    """Run a controller until it is asked to stop."""
     reactor, host = begin_host(hosted=hosted)
     checks = ThreadPoolExecutor(max_workers=2)
     disk: Disk | NoDisk = NoDisk(host=host)
@@ -57,15 +57,16 @@
 
 @dataclass(frozen=True, kw_only=True)
 class NoDisk:
-    """The place of the disk on a machine that has none.
+    """Stands in for the disk on a machine that has none.
 
-    What is stored is lost with the process, and the core is told so.
+    The records are lost when the process ends; the option `has_disk` tells the controller so, and its gossip entry the
+    other controllers.
     """
 
     host: Host
 
     def give(self, *, command: AppendRecords | RewriteRecords) -> None:
-        """Take records as stored."""
+        """Report the records as synced at once."""
         self.host.deliver(RecordsSynced(seq=command.seq))
 
 
--- a/sailward/programs/hosted_proxy.py
+++ b/sailward/programs/hosted_proxy.py
@@ -1,4 +1,4 @@
-"""The proxy with its directory as a hosted daemon."""
+"""Running a proxy and its directory as one hosted daemon."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def run_proxy(*, hosted: Hosted) -> None:
-    """Run a proxy with its directory until it is told to stop."""
+    """Run a proxy and its directory until it is asked to stop."""
     reactor, host = begin_host(hosted=hosted)
     owner = Proxy(location=hosted.location, start=start_number(), rng=random.Random(), options=hosted.options)
     fronts = {
--- a/sailward/programs/proxy.py
+++ b/sailward/programs/proxy.py
@@ -33,7 +33,7 @@
 
 
 def main(argv: list[str] | None = None) -> None:
-    """Run a proxy until it is told to stop."""
+    """Run a proxy until it is asked to stop."""
     settings = read_settings(flags=read_flags(doc=__doc__, argv=argv), schema=COMMON)
     loop, nonce = Loop(), make_nonce()
     owner = TenantProxy(
--- a/sailward/programs/sailctl.py
+++ b/sailward/programs/sailctl.py
@@ -53,7 +53,7 @@
 
 
 def main(argv: list[str] | None = None) -> None:
-    """Carry out one command of an operator."""
+    """Carry out one operator command."""
     flags = read_flags(doc=__doc__, argv=argv)
     controllers = [address.strip() for address in flags["--controllers"].split(",") if address.strip()]
     if not controllers:
@@ -90,22 +90,22 @@
     for controller in controllers:
         reply = request_once(address=controller, method="GET", path="/status")
         if isinstance(reply, Unreachable) or "identity" not in reply.body:
-            _end(code=constants.EXIT_UNREACHABLE, message=f"every controller named must answer; {controller} does not")
+            _end(code=constants.EXIT_UNREACHABLE, message=f"every listed controller must answer; {controller} does not")
         members[reply.body["identity"]] = reply.body["post"]
     if len(members) < len(controllers):
-        _end(code=constants.EXIT_USAGE, message="a controller is named twice")
+        _end(code=constants.EXIT_USAGE, message="a controller is listed twice")
     for controller in controllers:
         body = json.dumps({"members": members}).encode()
         reply = request_once(address=controller, method="POST", path="/found", body=body)
         if isinstance(reply, Unreachable):
-            _end(code=constants.EXIT_UNKNOWN, message=f"{controller} did not answer: give the same command again")
+            _end(code=constants.EXIT_UNKNOWN, message=f"{controller} did not answer: run the same command again")
         if reply.code != 200:
             _show(reply=reply)
     print(json.dumps({"outcome": "founded", "members": members}, indent=2))
 
 
 def _order_recovery(*, controllers: list[str], names: list[str], is_confirmed: bool) -> None:
-    """Each survivor must answer before any is told; one takes the order and tells the others."""
+    """Check that every survivor answers, then send the order to the first, which passes it on to the others."""
     answering: dict[str, str] = {}
     for controller in controllers:
         reply = request_once(address=controller, method="GET", path="/status")
@@ -130,7 +130,7 @@
     headers = {}
     if flags["--if-match"] is not None:
         if not flags["--if-match"].isdigit():
-            _end(code=constants.EXIT_USAGE, message="--if-match is a number")
+            _end(code=constants.EXIT_USAGE, message="--if-match must be a number")
         headers["If-Match"] = f'"{flags["--if-match"]}"'
     method = "PUT" if flags["put"] else "PATCH"
     _show(reply=client.step(method=method, path="/config", body=text, headers=headers))
@@ -170,7 +170,7 @@
 
 
 def _read_or_end(*, client: Client, path: str) -> dict:
-    """What a controller shows; if none does, the process ends."""
+    """The body of a controller's response; the process ends if no controller answers or the request is refused."""
     reply = client.step(method="GET", path=path)
     if isinstance(reply, Unreachable):
         _end_unreachable(unreachable=reply)
