--- a/sailward/control/administration/admin_api.py
+++ b/sailward/control/administration/admin_api.py
@@ -17,7 +17,7 @@
 from sailward.config.dialect import Dialect, Order, Outcome, OwnDialect, refused_unsound
 from sailward.config.history import Labelled, Verdict, read_labelled, write_labelled
 from sailward.consensus.proposer import Accepted, OperationFinished, Refused, StartOperation, StepResult, Unknown
-from sailward.control.administration.residency import find_homeless
+from sailward.control.administration.residency import find_tenants_without_home
 from sailward.control.administration.zone_orders import read_zone_orders, write_zone_orders
 from sailward.control.group.repair import change_members, keeps_majority
 from sailward.events import Command, ConfigValidated, LogEvent, RequestReceived, ValidateConfig
@@ -27,24 +27,25 @@
 class Job:
     """One operator's request in flight; `number` and `text` are the register's, as last read for it.
 
-    `taken`: how many orders of the same kind the register counted for the zone when it was first read; None until then.
-    `turns`: compare-and-sets that another change preceded. `is_left`: the caller has disconnected. `waits_since`: when
-    the wait for the current round began, None until the next tick. `size`: characters in the change that is proposed.
+    `initial_accepted`: how many orders of the same kind the register counted for the zone when it was first read; None
+    until then. `attempts`: compare-and-sets that another change preceded. `is_caller_gone`: the caller has
+    disconnected. `waiting_since`: when the wait for the current round began, None until the next tick.
+    `change_length`: characters in the change that is proposed.
     """
 
     token: str
     order: Order
     dialect: Dialect
-    turns: int = 0
-    taken: int | None = None
-    is_left: bool = False
+    attempts: int = 0
+    initial_accepted: int | None = None
+    is_caller_gone: bool = False
     number: int = 0
     text: str = ""
     written: dict = field(default_factory=dict)
     notes: dict = field(default_factory=dict)
-    waits_since: float | None = None
+    waiting_since: float | None = None
     is_answered: bool = False
-    size: int = 0
+    change_length: int = 0
 
 
 @dataclass(kw_only=True)
@@ -60,8 +61,8 @@
     zones: frozenset = frozenset()
     timeout: float = field(default_factory=lambda: constants.OPERATION_TIMEOUT)
     jobs: dict = field(default_factory=dict)
-    count: int = 0
-    full: dict = field(default_factory=dict)
+    operation_count: int = 0
+    full_config: dict = field(default_factory=dict)
     controllers: dict = field(default_factory=dict)
     outcomes: Counter = field(default_factory=Counter)
 
@@ -84,14 +85,14 @@
             return self._after_read(job=job, outcome=event.outcome)
         return self._after_change(job=job, outcome=event.outcome)
 
-    def drop(self, *, token: str) -> None:
+    def on_client_disconnected(self, *, token: str) -> None:
         """Record that the caller has disconnected: its order on a zone is not proposed any more.
 
         A change of the configuration goes on: it is safe however late it is accepted, and a large one may take longer
         to check than its caller waits.
         """
         for job in self.jobs.values():
-            job.is_left = job.is_left or job.token == token
+            job.is_caller_gone = job.is_caller_gone or job.token == token
 
     def _on_request(self, *, event: RequestReceived) -> StepResult:
         dialect, order = self.dialect, self.dialect.read(event=event)
@@ -110,9 +111,9 @@
     def _begin(
         self, *, job: Job, kind: str, timeout: float, expected: int = 0, text: str | None = None
     ) -> StartOperation:
-        self.count += 1
-        op = f"{self.identity}/desk{self.count}/{kind}"
-        self.jobs[op], job.waits_since, job.size = job, None, len(text or "")
+        self.operation_count += 1
+        op = f"{self.identity}/desk{self.operation_count}/{kind}"
+        self.jobs[op], job.waiting_since, job.change_length = job, None, len(text or "")
         return StartOperation(op=op, register=job.order.register, expected=expected, text=text, timeout=timeout)
 
     def _begin_read(self, *, job: Job) -> StartOperation:
@@ -130,18 +131,18 @@
         """
         commands = []
         for op, job in list(self.jobs.items()):
-            job.waits_since = now if job.waits_since is None else job.waits_since
-            is_late = not op.endswith("/check") and now - job.waits_since > _patience(job=job)
+            job.waiting_since = now if job.waiting_since is None else job.waiting_since
+            is_late = not op.endswith("/check") and now - job.waiting_since > _quorum_timeout(job=job)
             if job.is_answered or not (is_lost or is_late):
                 continue
             outcome = Outcome(kind="unknown", code=504, reason="no-answer", detail="no majority answered in time")
-            commands += self._end(job=job, outcome=outcome)[0]
+            commands += self._answer(job=job, outcome=outcome)[0]
             job.is_answered = True
             if job.order.register != "config" and not op.endswith("/change"):
                 del self.jobs[op]
         return commands
 
-    def _end(self, *, job: Job, outcome: Outcome) -> StepResult:
+    def _answer(self, *, job: Job, outcome: Outcome) -> StepResult:
         if job.is_answered:
             return StepResult([], [])
         self.outcomes[outcome.kind] += 1
@@ -149,7 +150,7 @@
 
     def _after_read(self, *, job: Job, outcome: Accepted | Refused | Unknown) -> StepResult:
         if not isinstance(outcome, Accepted):
-            return self._end(
+            return self._answer(
                 job=job,
                 outcome=Outcome(
                     kind="unavailable",
@@ -160,32 +161,32 @@
             )
         job.number, job.text = outcome.value["number"], outcome.value["text"]
         if job.order.kind == "get":
-            return self._end(job=job, outcome=Outcome(kind="shown", value=outcome.value))
+            return self._answer(job=job, outcome=Outcome(kind="shown", value=outcome.value))
         if job.order.register == "config" and job.dialect.is_labelled:
-            return self._weigh_labelled(job=job)
-        if job.is_left and job.order.register == "orders":
-            return self._drop(job=job)
+            return self._judge_labelled_change(job=job)
+        if job.is_caller_gone and job.order.register == "orders":
+            return self._drop_order(job=job)
         if job.order.expected is not None and job.order.expected != job.number:
             detail = f"the current number is {job.number}, not {job.order.expected}"
-            return self._end(job=job, outcome=_stale(number=job.number, detail=detail))
+            return self._answer(job=job, outcome=_refuse_stale(number=job.number, detail=detail))
         if job.order.register in ("orders", "voters"):
-            made = (self._make_orders if job.order.register == "orders" else self._make_voters)(job=job)
-            if isinstance(made, Outcome):
-                return self._end(job=job, outcome=made)
-            return StepResult([], [self._begin_change(job=job, text=made)])
+            new_text = (self._apply_zone_order if job.order.register == "orders" else self._apply_voter_change)(job=job)
+            if isinstance(new_text, Outcome):
+                return self._answer(job=job, outcome=new_text)
+            return StepResult([], [self._begin_change(job=job, text=new_text)])
         written = json.loads(job.text)["written"] if job.text else {}
         return self._begin_check(job=job, written=written)
 
-    def _drop(self, *, job: Job) -> StepResult:
+    def _drop_order(self, *, job: Job) -> StepResult:
         log = LogEvent(event="order-dropped", fields={"register": job.order.register, "by": job.order.kind})
         # a client that closed only its sending side still reads the answer
         outcome = Outcome(
             kind="unavailable", code=503, reason="caller-left", detail="the caller left: nothing was changed"
         )
-        commands, begins = self._end(job=job, outcome=outcome)
+        commands, begins = self._answer(job=job, outcome=outcome)
         return StepResult([log, *commands], begins)
 
-    def _weigh_labelled(self, *, job: Job) -> StepResult:
+    def _judge_labelled_change(self, *, job: Job) -> StepResult:
         """Decide on a change of a labelled configuration by the current one."""
         order, current = job.order, read_labelled(text=job.text)
         verdict = current.judge(expected=order.expected or 0, digest=order.digest)
@@ -193,14 +194,14 @@
             return self._begin_check(job=job, written=current.written or {}, current=current)
         if verdict is Verdict.TAKEN:
             # accepted before, perhaps through another controller: a request sent again gets the same answer
-            return self._end(job=job, outcome=Outcome(kind="accepted", number=job.number))
+            return self._answer(job=job, outcome=Outcome(kind="accepted", number=job.number))
         # a label that is not above the version it builds on stays invalid even after that version is accepted
         label = job.dialect.label(written=order.given) if isinstance(order.given, dict) else 0
-        is_void = verdict is Verdict.AHEAD and label <= (order.expected or 0)
-        if verdict is Verdict.LOST or is_void:
+        is_never_valid = verdict is Verdict.AHEAD and label <= (order.expected or 0)
+        if verdict is Verdict.LOST or is_never_valid:
             detail = f"the current version is {current.label}"
-            return self._end(job=job, outcome=_stale(number=current.label, detail=detail))
-        return self._end(job=job, outcome=_unjudged(verdict=verdict, order=order, current=current))
+            return self._answer(job=job, outcome=_refuse_stale(number=current.label, detail=detail))
+        return self._answer(job=job, outcome=_answer_undecided(verdict=verdict, order=order, current=current))
 
     def _begin_check(self, *, job: Job, written: dict, current: Labelled | None = None) -> StepResult:
         given = job.order.given
@@ -208,12 +209,12 @@
             given = job.dialect.merge(written=written, patch=given)
         config = given if isinstance(given, Unsound) else job.dialect.expand(written=given)
         if isinstance(config, Unsound):
-            return self._end(job=job, outcome=refused_unsound(unsound=config))
+            return self._answer(job=job, outcome=refused_unsound(unsound=config))
         if current is not None and job.dialect.label(written=given) <= current.label:
-            return self._end(job=job, outcome=refused_unsound(unsound=_not_newer(label=current.label)))
+            return self._answer(job=job, outcome=refused_unsound(unsound=_label_not_newer(label=current.label)))
         job.written = given
-        self.count += 1
-        token = f"{self.identity}/desk{self.count}/check"
+        self.operation_count += 1
+        token = f"{self.identity}/desk{self.operation_count}/check"
         self.jobs[token] = job
         return StepResult([ValidateConfig(token=token, config=config)], [])
 
@@ -228,7 +229,7 @@
 
     def _after_check(self, *, job: Job, verdict: Sound | Unsound) -> StepResult:
         if isinstance(verdict, Unsound):
-            return self._end(job=job, outcome=refused_unsound(unsound=verdict))
+            return self._answer(job=job, outcome=refused_unsound(unsound=verdict))
         job.notes = {"warnings": [{"path": warning.path, "reason": warning.reason} for warning in verdict.warnings]}
         if job.dialect.is_labelled:
             text = write_labelled(
@@ -240,14 +241,14 @@
         else:
             before = json.loads(job.text)["full"].get("label") if job.text else None
             if before is not None and "label" in verdict.full and verdict.full["label"] <= before:
-                return self._end(job=job, outcome=refused_unsound(unsound=_not_newer(label=before)))
+                return self._answer(job=job, outcome=refused_unsound(unsound=_label_not_newer(label=before)))
             text = json.dumps({"written": verdict.written, "full": verdict.full}, separators=(",", ":"))
         if job.order.is_dry:
-            return self._end(
+            return self._answer(
                 job=job, outcome=Outcome(kind="sound", number=job.number, notes={"dry": True, **job.notes})
             )
         if len(text) > 2 * constants.MAX_CONFIG_BYTES:
-            return self._end(
+            return self._answer(
                 job=job,
                 outcome=Outcome(
                     kind="refused", code=413, reason="too-large", detail="too large with its templates stamped out"
@@ -255,33 +256,35 @@
             )
         return StepResult([], [self._begin_change(job=job, text=text)])
 
-    def _make_orders(self, *, job: Job) -> str | Outcome:
+    def _apply_zone_order(self, *, job: Job) -> str | Outcome:
         """The register's text with this order applied, or the outcome if it is not applied."""
         zone, kind = str(job.order.given), job.order.kind
         orders = read_zone_orders(text=job.text)
-        is_known = zone in self.full.get("halls", {}) or zone in self.zones
+        is_known = zone in self.full_config.get("halls", {}) or zone in self.zones
         if not is_known and not (kind == "refill" and zone in orders.emptied):
             return Outcome(
                 kind="refused", code=404, reason="hall-unknown", detail=f"no hall {zone!r} in the configuration"
             )
-        taken = orders.count(kind=kind, zone=zone)
-        if job.taken is not None and taken > job.taken:
+        accepted = orders.count(kind=kind, zone=zone)
+        if job.initial_accepted is not None and accepted > job.initial_accepted:
             # an identical order was accepted since this one was first read, perhaps a copy of it: it counts for both
             return Outcome(kind="accepted", number=job.number)
-        job.taken = taken
+        job.initial_accepted = accepted
         changed = orders.with_order(kind=kind, zone=zone)
-        homeless = find_homeless(full=self.full, emptied=set(changed.emptied)) if kind == "empty" else []
-        if homeless and not job.order.is_confirmed:
+        tenants_without_home = (
+            find_tenants_without_home(full=self.full_config, emptied=set(changed.emptied)) if kind == "empty" else []
+        )
+        if tenants_without_home and not job.order.is_confirmed:
             return Outcome(
                 kind="refused",
                 code=409,
                 reason="homes-left-empty",
-                notes={"tenants": homeless},
+                notes={"tenants": tenants_without_home},
                 detail="these tenants would have no hall at home: confirm=yes empties it all the same",
             )
         return write_zone_orders(orders=changed)
 
-    def _make_voters(self, *, job: Job) -> str | Outcome:
+    def _apply_voter_change(self, *, job: Job) -> str | Outcome:
         """The text with one voter added or removed, by identity or name; refused if it would lose the majority."""
         kind, given = job.order.kind, job.order.given
         members = json.loads(job.text)["members"] if job.text else {}
@@ -297,16 +300,16 @@
             if identity not in members:
                 return Outcome(kind="refused", code=404, reason="voter-unknown", detail=f"no voter {given!r}")
             text = change_members(text=job.text, number=job.number, drop=identity)
-        well = {name for name, entry in self.controllers.items() if entry["fit"]}
-        if len(members) + (1 if kind == "join" else -1) < 1 or not keeps_majority(text=text, well=well):
+        voting = {name for name, entry in self.controllers.items() if entry["fit"]}
+        if len(members) + (1 if kind == "join" else -1) < 1 or not keeps_majority(text=text, well=voting):
             return Outcome(
                 kind="refused",
                 code=409,
                 reason="majority-lost",
-                detail=f"only {sorted(well)} vote now: that set would have no majority",
+                detail=f"only {sorted(voting)} vote now: that set would have no majority",
             )
-        size = len(json.loads(text)["members"])
-        return json.dumps({**json.loads(text), "size": size}, sort_keys=True)
+        voter_count = len(json.loads(text)["members"])
+        return json.dumps({**json.loads(text), "size": voter_count}, sort_keys=True)
 
     def _after_change(self, *, job: Job, outcome: Accepted | Refused | Unknown) -> StepResult:
         if isinstance(outcome, Accepted):
@@ -314,12 +317,12 @@
             if job.order.digest:
                 fields |= {"builds_on": job.order.expected, "digest": job.order.digest}
             log = LogEvent(event="accepted", fields=fields)
-            commands, begins = self._end(
+            commands, begins = self._answer(
                 job=job, outcome=Outcome(kind="accepted", number=outcome.number, notes=job.notes)
             )
             return StepResult([log, *commands], begins)
         if isinstance(outcome, Unknown):
-            return self._end(
+            return self._answer(
                 job=job,
                 outcome=Outcome(
                     kind="unknown",
@@ -329,34 +332,36 @@
                 ),
             )
         if outcome.reason != "number":
-            return self._end(
+            return self._answer(
                 job=job,
                 outcome=Outcome(kind="unavailable", code=503, reason=outcome.reason, detail="nothing was changed"),
             )
-        job.turns += 1
-        if (job.order.register == "orders" or job.dialect.is_labelled) and job.turns < constants.MAX_ORDER_ATTEMPTS:
+        job.attempts += 1
+        if (job.order.register == "orders" or job.dialect.is_labelled) and job.attempts < constants.MAX_ORDER_ATTEMPTS:
             return StepResult([], [self._begin_read(job=job)])
         if job.dialect.is_labelled:
             # the change that won may be this same one, sent through another controller: the result is inconclusive
-            return self._end(
+            return self._answer(
                 job=job,
                 outcome=Outcome(
                     kind="unavailable", code=503, reason="contended", detail="read it back, or send it again"
                 ),
             )
-        return self._end(job=job, outcome=_stale(number=outcome.value["number"], detail="another change was first"))
+        return self._answer(
+            job=job, outcome=_refuse_stale(number=outcome.value["number"], detail="another change was first")
+        )
 
 
-def _patience(*, job: Job) -> float:
+def _quorum_timeout(*, job: Job) -> float:
     """Seconds that a round at a majority may take: longer for large changes, as their callers wait longer too."""
-    return constants.OPERATOR_QUORUM_TIMEOUT + job.size * constants.ROUND_TIMEOUT_PER_BYTE
+    return constants.OPERATOR_QUORUM_TIMEOUT + job.change_length * constants.ROUND_TIMEOUT_PER_BYTE
 
 
-def _stale(*, number: int, detail: str) -> Outcome:
+def _refuse_stale(*, number: int, detail: str) -> Outcome:
     return Outcome(kind="refused", code=412, reason="number", number=number, detail=detail)
 
 
-def _unjudged(*, verdict: Verdict, order: Order, current: Labelled) -> Outcome:
+def _answer_undecided(*, verdict: Verdict, order: Order, current: Labelled) -> Outcome:
     """The answer to a change that, by the history, is neither accepted yet nor superseded for good."""
     if verdict is Verdict.AHEAD:
         detail = f"it builds on {order.expected}, the current version is {current.label}: nothing was changed by now"
@@ -368,5 +373,5 @@
     return Outcome(kind="unknown", code=504, reason="history-too-short", number=current.label, detail=detail)
 
 
-def _not_newer(*, label: int) -> Unsound:
+def _label_not_newer(*, label: int) -> Unsound:
     return Unsound(faults=(Fault(path="label", reason=f"must be over the current one, {label}"),))
--- a/sailward/control/administration/zone_orders.py
+++ b/sailward/control/administration/zone_orders.py
@@ -12,37 +12,37 @@
 import json
 from dataclasses import dataclass, field
 
-KINDS = ("empty", "refill")
+ORDER_KINDS = ("empty", "refill")
 
 
 @dataclass(frozen=True, kw_only=True)
 class ZoneOrders:
-    """The register's content. `taken`: {zone: [accepted orders to empty it, accepted orders to refill it]}."""
+    """The register's content. `accepted_counts`: {zone: [accepted orders to empty it, accepted to refill it]}."""
 
     emptied: frozenset[str] = frozenset()
-    taken: dict[str, list[int]] = field(default_factory=dict)
+    accepted_counts: dict[str, list[int]] = field(default_factory=dict)
 
     def count(self, *, kind: str, zone: str) -> int:
         """How many orders of this kind were accepted for a zone."""
-        counts: list[int] = self.taken.get(zone, [0, 0])
-        return counts[KINDS.index(kind)]
+        counts: list[int] = self.accepted_counts.get(zone, [0, 0])
+        return counts[ORDER_KINDS.index(kind)]
 
     def with_order(self, *, kind: str, zone: str) -> ZoneOrders:
         """The content after one more order."""
-        counts = list(self.taken.get(zone, [0, 0]))
-        counts[KINDS.index(kind)] += 1
+        counts = list(self.accepted_counts.get(zone, [0, 0]))
+        counts[ORDER_KINDS.index(kind)] += 1
         emptied = self.emptied | {zone} if kind == "empty" else self.emptied - {zone}
-        return ZoneOrders(emptied=emptied, taken={**self.taken, zone: counts})
+        return ZoneOrders(emptied=emptied, accepted_counts={**self.accepted_counts, zone: counts})
 
 
 def read_zone_orders(*, text: str) -> ZoneOrders:
     """Parse the register's text; the previous version wrote no counts."""
     if not text:
         return ZoneOrders()
-    inner = json.loads(text)
-    return ZoneOrders(emptied=frozenset(inner["emptied"]), taken=inner.get("taken", {}))
+    content = json.loads(text)
+    return ZoneOrders(emptied=frozenset(content["emptied"]), accepted_counts=content.get("taken", {}))
 
 
 def write_zone_orders(*, orders: ZoneOrders) -> str:
     """Serialize the register's content."""
-    return json.dumps({"emptied": sorted(orders.emptied), "taken": orders.taken}, sort_keys=True)
+    return json.dumps({"emptied": sorted(orders.emptied), "taken": orders.accepted_counts}, sort_keys=True)
--- a/sailward/control/controller.py
+++ b/sailward/control/controller.py
@@ -276,7 +276,7 @@
 
     def _drop_order(self, *, now: float, event: ClientDisconnected) -> list[Command]:
         """The caller has gone, most likely to another controller: its order on a zone, if not begun, never begins."""
-        self.admin_api.drop(token=event.token)
+        self.admin_api.on_client_disconnected(token=event.token)
         return []
 
     # calls to the platform's list and to workers
--- a/sailward/control/registers.py
+++ b/sailward/control/registers.py
@@ -93,7 +93,7 @@
         if name == "voters" and was_member and self._membership.is_out(value=value):
             logs.append(LogEvent(event="removed-from-voters", fields={"was": self._voter.identity}))
         if config is not None:
-            self._admin_api.full, self._shard_moves.plan = config
+            self._admin_api.full_config, self._shard_moves.plan = config
         commands = self._voter.write_ahead.know(ballot=ballot, value=value) if name == "voters" else []
         commands += self._serving.push(now=now)
         if announce:
--- a/sailward/programs/common.py
+++ b/sailward/programs/common.py
@@ -60,19 +60,21 @@
     return os.urandom(constants.NONCE_BYTES).hex()
 
 
-def make_start() -> int:
+def make_start_number() -> int:
     """A number that grows with each start: wall time in us, used only to order one daemon's own starts."""
     return time.time_ns() // 1000
 
 
-def start_edges(*, settings: dict, loop: Loop, limit: int, calling: bool, disk: Disk | None = None) -> Edges:
+def start_edges(
+    *, settings: dict, loop: Loop, max_body_bytes: int, has_http_client: bool, disk: Disk | None = None
+) -> Edges:
     """Open the sockets and begin to serve; an address in use ends the process with EXIT_IN_USE."""
     threads = ThreadPoolExecutor(max_workers=2 * constants.HTTP_SERVER_THREADS)
     try:
         post = Post(address=settings["post"], deliver=loop.deliver, threads=threads)
         web = WsgiServer(
             address=settings["http"],
-            limit=limit,
+            limit=max_body_bytes,
             deliver=loop.deliver,
             threads=ThreadPoolExecutor(max_workers=constants.HTTP_SERVER_THREADS),
         )
@@ -83,7 +85,7 @@
             level="error",
         )
         os._exit(constants.EXIT_IN_USE)
-    calls = CurlClient(deliver=loop.deliver) if calling else None
+    calls = CurlClient(deliver=loop.deliver) if has_http_client else None
     edges = Edges(loop=loop, post=post, web=web, calls=calls, disk=disk, checks=ThreadPoolExecutor(max_workers=1))
     edges.connect()
     post.start()
--- a/sailward/programs/controller.py
+++ b/sailward/programs/controller.py
@@ -31,7 +31,14 @@
 
 from sailward import constants
 from sailward.control.controller import Controller
-from sailward.programs.common import make_location, make_nonce, make_start, read_flags, read_settings, start_edges
+from sailward.programs.common import (
+    make_location,
+    make_nonce,
+    make_start_number,
+    read_flags,
+    read_settings,
+    start_edges,
+)
 from sailward.programs.data_folder import open_folder
 from sailward.runtime.loop import Loop, end_process
 from sailward.runtime.startup import CONTROLLER
@@ -49,12 +56,14 @@
         location=make_location(settings=settings, kind="controller"),
         platform=settings["platform"],
         nonce=nonce,
-        start=make_start(),
+        start=make_start_number(),
         rng=random.Random(nonce),
         records=records,
         now=time.monotonic(),
     )
-    edges = start_edges(settings=settings, loop=loop, limit=constants.MAX_CONFIG_BYTES, calling=True, disk=disk)
+    edges = start_edges(
+        settings=settings, loop=loop, max_body_bytes=constants.MAX_CONFIG_BYTES, has_http_client=True, disk=disk
+    )
     end_process(code=loop.run(step=owner.step), web=edges.web)
 
 
--- a/sailward/programs/data_folder.py
+++ b/sailward/programs/data_folder.py
@@ -9,7 +9,7 @@
 from sailward.runtime.logs import write_log
 from sailward.storage.disk import Damaged, Disk, Newer, Taken
 
-BRING_IN = "move the folder away and rejoin this controller with an empty one"
+REJOIN_ADVICE = "move the folder away and rejoin this controller with an empty one"
 
 
 def open_folder(*, disk: Disk, folder: str) -> list[dict]:
@@ -18,20 +18,20 @@
     The process ends with exit code 5 if they can't be read, and with 7 if another process uses the folder.
     """
     try:
-        found = disk.open()
+        opened = disk.open()
     except OSError as fault:
-        _end(event="disk-failed", fields={"reason": fault}, code=constants.EXIT_DISK)
-    if isinstance(found, Damaged):
-        fields = {"folder": folder, "offset": found.offset, "todo": BRING_IN}
-        _end(event="disk-damaged", fields=fields, code=constants.EXIT_DISK)
-    if isinstance(found, Newer):
-        fields = {"folder": folder, "what": found.what, "todo": f"start the newer version again, or {BRING_IN}"}
-        _end(event="disk-newer", fields=fields, code=constants.EXIT_DISK)
-    if isinstance(found, Taken):
-        _end(event="folder-taken", fields={"folder": found.folder}, code=constants.EXIT_IN_USE)
-    return found.records
-
-
-def _end(*, event: str, fields: dict, code: int) -> NoReturn:
+        _exit(event="disk-failed", fields={"reason": fault}, code=constants.EXIT_DISK)
+    if isinstance(opened, Damaged):
+        fields = {"folder": folder, "offset": opened.offset, "todo": REJOIN_ADVICE}
+        _exit(event="disk-damaged", fields=fields, code=constants.EXIT_DISK)
+    if isinstance(opened, Newer):
+        fields = {"folder": folder, "what": opened.what, "todo": f"start the newer version again, or {REJOIN_ADVICE}"}
+        _exit(event="disk-newer", fields=fields, code=constants.EXIT_DISK)
+    if isinstance(opened, Taken):
+        _exit(event="folder-taken", fields={"folder": opened.folder}, code=constants.EXIT_IN_USE)
+    return opened.records
+
+
+def _exit(*, event: str, fields: dict, code: int) -> NoReturn:
     write_log(event=event, fields=fields, level="error")
     sys.exit(code)
--- a/sailward/programs/directory.py
+++ b/sailward/programs/directory.py
@@ -25,7 +25,14 @@
 import random
 
 from sailward import constants
-from sailward.programs.common import make_location, make_nonce, make_start, read_flags, read_settings, start_edges
+from sailward.programs.common import (
+    make_location,
+    make_nonce,
+    make_start_number,
+    read_flags,
+    read_settings,
+    start_edges,
+)
 from sailward.proxy.directory_server import DirectoryServer
 from sailward.runtime.loop import Loop, end_process
 from sailward.runtime.startup import COMMON
@@ -36,9 +43,9 @@
     settings = read_settings(flags=read_flags(doc=__doc__, argv=argv), schema=COMMON)
     loop, nonce = Loop(), make_nonce()
     owner = DirectoryServer(
-        location=make_location(settings=settings, kind="directory"), start=make_start(), rng=random.Random(nonce)
+        location=make_location(settings=settings, kind="directory"), start=make_start_number(), rng=random.Random(nonce)
     )
-    edges = start_edges(settings=settings, loop=loop, limit=constants.MAX_BODY_BYTES, calling=False)
+    edges = start_edges(settings=settings, loop=loop, max_body_bytes=constants.MAX_BODY_BYTES, has_http_client=False)
     end_process(code=loop.run(step=owner.step), web=edges.web)
 
 
--- a/sailward/programs/hosted.py
+++ b/sailward/programs/hosted.py
@@ -32,52 +32,56 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Words:
+class HttpTranslation:
     """Translation between the platform's HTTP interfaces and sailward's own.
 
-    `ask` turns a request on the wire into sailward's form, `answer` turns sailward's response into the platform's.
+    `request` turns a request on the wire into sailward's form, `response` sailward's response into the platform's.
     """
 
-    ask: Callable[[RequestReceived], RequestReceived] = lambda event: event
-    answer: Callable[[Respond], Respond] = lambda command: command
+    request: Callable[[RequestReceived], RequestReceived] = lambda event: event
+    response: Callable[[Respond], Respond] = lambda command: command
 
 
 @dataclass(frozen=True, kw_only=True)
-class Hosted:
+class HostedDaemon:
     """What a platform adapter specifies for a daemon.
 
-    `listen` is {edge: address}; `data` the data folder, "" on a machine without a disk; `platform` the address of the
-    platform's list of workers; `options` are those of the daemon's kind. `changed` reads the seeds again.
+    `listen` is {edge: address}; `data_folder` is "" on a machine without a disk; `platform` is the address of the
+    platform's list of workers; `options` are those of the daemon's kind. `reread_seeds` reads the seeds again.
     """
 
     location: Location
     names: WireNames
     listen: dict
-    words: Words = Words()
+    translation: HttpTranslation = HttpTranslation()
     log_level: str = "info"
-    data: str = ""
+    data_folder: str = ""
     platform: str = ""
     options: object = None
-    changed: Callable[[], tuple] | None = None
+    reread_seeds: Callable[[], tuple] | None = None
 
 
-def begin_host(*, hosted: Hosted) -> tuple[Reactor, Host]:
+def start_host(*, hosted: HostedDaemon) -> tuple[Reactor, Host]:
     """Start logging, and make the reactor of the process and its host."""
     start_logs(level=hosted.log_level, name=hosted.location.name)
     reactor = Reactor()
     return reactor, Host(reactor=reactor)
 
 
-def start_number() -> int:
+def make_start_number() -> int:
     """A number that grows with each start: wall time in us, used only to order one daemon's own starts."""
     return time.time_ns() // 1000
 
 
-def open_front(*, hosted: Hosted, edge: str, reactor: Reactor, host: Host, limits: Callable[[], Limits]) -> HttpServer:
+def open_listener(
+    *, hosted: HostedDaemon, edge: str, reactor: Reactor, host: Host, limits: Callable[[], Limits]
+) -> HttpServer:
     """Open one of the daemon's listeners; an address in use ends the process with EXIT_IN_USE."""
 
     def deliver(event: object) -> None:
-        host.deliver(hosted.words.ask(event) if isinstance(event, RequestReceived) and edge != "front" else event)
+        host.deliver(
+            hosted.translation.request(event) if isinstance(event, RequestReceived) and edge != "front" else event
+        )
 
     try:
         return HttpServer(
@@ -94,17 +98,17 @@
         sys.exit(constants.EXIT_IN_USE)
 
 
-def answer_handlers(*, hosted: Hosted, fronts: dict) -> dict:
+def response_handlers(*, hosted: HostedDaemon, listeners: dict) -> dict:
     """The handler of the owner's responses: it sends each on the listener that the token names."""
 
     def answer(command: Respond) -> None:
         edge = command.token.split(" ", 1)[0]
-        fronts[edge].answer(command=command if edge == "front" else hosted.words.answer(command))
+        listeners[edge].answer(command=command if edge == "front" else hosted.translation.response(command))
 
     return {Respond: answer}
 
 
-def serve_owner(*, hosted: Hosted, reactor: Reactor, host: Host, step: Callable, handlers: dict) -> None:
+def run_owner(*, hosted: HostedDaemon, reactor: Reactor, host: Host, step: Callable, handlers: dict) -> None:
     """Run the owner until it stops, and end the process with its exit code."""
     http_client = HttpClient(reactor=reactor, deliver=host.deliver, names=hosted.names)
     try:
--- a/sailward/programs/hosted_controller.py
+++ b/sailward/programs/hosted_controller.py
@@ -13,46 +13,53 @@
 from sailward.control.controller import Controller
 from sailward.events import AppendRecords, ConfigValidated, RecordsSynced, RewriteRecords, ValidateConfig
 from sailward.programs.data_folder import open_folder
-from sailward.programs.hosted import Hosted, answer_handlers, begin_host, open_front, serve_owner, start_number
+from sailward.programs.hosted import (
+    HostedDaemon,
+    make_start_number,
+    open_listener,
+    response_handlers,
+    run_owner,
+    start_host,
+)
 from sailward.routing.plan import Limits
 from sailward.runtime.host import Host
 from sailward.storage.disk import Disk
 
 
-def run_controller(*, hosted: Hosted) -> None:
+def run_controller(*, hosted: HostedDaemon) -> None:
     """Run a controller until it is asked to stop."""
-    reactor, host = begin_host(hosted=hosted)
-    checks = ThreadPoolExecutor(max_workers=2)
+    reactor, host = start_host(hosted=hosted)
+    check_threads = ThreadPoolExecutor(max_workers=2)
     disk: Disk | NoDisk = NoDisk(host=host)
     records = []
-    if hosted.data:
-        disk = Disk(folder=Path(hosted.data), deliver=host.deliver_from_thread)
-        records = open_folder(disk=disk, folder=hosted.data)
+    if hosted.data_folder:
+        disk = Disk(folder=Path(hosted.data_folder), deliver=host.deliver_from_thread)
+        records = open_folder(disk=disk, folder=hosted.data_folder)
     nonce = os.urandom(constants.NONCE_BYTES).hex()
     owner = Controller(
         location=hosted.location,
         platform=hosted.platform,
         nonce=nonce,
-        start=start_number(),
+        start=make_start_number(),
         rng=random.Random(nonce),
         records=records,
         now=reactor.clock(),
         options=hosted.options,
     )
     limits = replace(Limits(), body_bytes=constants.MAX_CONFIG_BYTES, head_wait=constants.OPERATOR_HEAD_TIMEOUT)
-    fronts = {
-        edge: open_front(hosted=hosted, edge=edge, reactor=reactor, host=host, limits=lambda: limits)
+    listeners = {
+        edge: open_listener(hosted=hosted, edge=edge, reactor=reactor, host=host, limits=lambda: limits)
         for edge in hosted.listen
     }
     if isinstance(disk, Disk):
-        checks.submit(disk.run)
+        check_threads.submit(disk.run)
     handlers = {
         AppendRecords: lambda command: disk.give(command=command),
         RewriteRecords: lambda command: disk.give(command=command),
-        ValidateConfig: lambda command: checks.submit(_check, host, command),
-        **answer_handlers(hosted=hosted, fronts=fronts),
+        ValidateConfig: lambda command: check_threads.submit(_check, host, command),
+        **response_handlers(hosted=hosted, listeners=listeners),
     }
-    serve_owner(hosted=hosted, reactor=reactor, host=host, step=owner.step, handlers=handlers)
+    run_owner(hosted=hosted, reactor=reactor, host=host, step=owner.step, handlers=handlers)
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/sailward/programs/hosted_proxy.py
+++ b/sailward/programs/hosted_proxy.py
@@ -5,31 +5,40 @@
 import random
 
 from sailward.events import DrainConnections
-from sailward.programs.hosted import Hosted, answer_handlers, begin_host, open_front, serve_owner, start_number
+from sailward.programs.hosted import (
+    HostedDaemon,
+    make_start_number,
+    open_listener,
+    response_handlers,
+    run_owner,
+    start_host,
+)
 from sailward.proxy.proxy import Proxy
 
 
-def run_proxy(*, hosted: Hosted) -> None:
+def run_proxy(*, hosted: HostedDaemon) -> None:
     """Run a proxy and its directory until it is asked to stop."""
-    reactor, host = begin_host(hosted=hosted)
-    owner = Proxy(location=hosted.location, start=start_number(), rng=random.Random(), options=hosted.options)
-    fronts = {
-        edge: open_front(hosted=hosted, edge=edge, reactor=reactor, host=host, limits=lambda: owner.context.plan.limits)
+    reactor, host = start_host(hosted=hosted)
+    owner = Proxy(location=hosted.location, start=make_start_number(), rng=random.Random(), options=hosted.options)
+    listeners = {
+        edge: open_listener(
+            hosted=hosted, edge=edge, reactor=reactor, host=host, limits=lambda: owner.context.plan.limits
+        )
         for edge in hosted.listen
     }
 
-    def leave(command: DrainConnections) -> None:
-        for front in fronts.values():
-            front.leave()
+    def drain(command: DrainConnections) -> None:
+        for listener in listeners.values():
+            listener.leave()
             if command.shut:
-                front.close_listener()
+                listener.close_listener()
 
-    if hosted.changed:
-        host.changed = lambda: setattr(owner.control_client, "seeds", hosted.changed())
-    serve_owner(
+    if hosted.reread_seeds:
+        host.changed = lambda: setattr(owner.control_client, "seeds", hosted.reread_seeds())
+    run_owner(
         hosted=hosted,
         reactor=reactor,
         host=host,
         step=owner.step,
-        handlers={DrainConnections: leave, **answer_handlers(hosted=hosted, fronts=fronts)},
+        handlers={DrainConnections: drain, **response_handlers(hosted=hosted, listeners=listeners)},
     )
--- a/sailward/programs/proxy.py
+++ b/sailward/programs/proxy.py
@@ -26,7 +26,14 @@
 import time
 
 from sailward import constants
-from sailward.programs.common import make_location, make_nonce, make_start, read_flags, read_settings, start_edges
+from sailward.programs.common import (
+    make_location,
+    make_nonce,
+    make_start_number,
+    read_flags,
+    read_settings,
+    start_edges,
+)
 from sailward.proxy.tenant_proxy import TenantProxy
 from sailward.runtime.loop import Loop, end_process
 from sailward.runtime.startup import COMMON
@@ -39,11 +46,11 @@
     owner = TenantProxy(
         location=make_location(settings=settings, kind="proxy"),
         nonce=nonce,
-        start=make_start(),
+        start=make_start_number(),
         rng=random.Random(nonce),
         now=time.monotonic(),
     )
-    edges = start_edges(settings=settings, loop=loop, limit=constants.MAX_BODY_BYTES, calling=True)
+    edges = start_edges(settings=settings, loop=loop, max_body_bytes=constants.MAX_BODY_BYTES, has_http_client=True)
     end_process(code=loop.run(step=owner.step), web=edges.web)
 
 
--- a/sailward/programs/sailctl.py
+++ b/sailward/programs/sailctl.py
@@ -57,21 +57,21 @@
     flags = read_flags(doc=__doc__, argv=argv)
     controllers = [address.strip() for address in flags["--controllers"].split(",") if address.strip()]
     if not controllers:
-        _end(code=constants.EXIT_USAGE, message="--controllers names no controller")
+        _exit(code=constants.EXIT_USAGE, message="--controllers names no controller")
     client = Client(controllers=controllers)
     if flags["found"]:
-        _found(controllers=controllers)
+        _found_core(controllers=controllers)
     elif flags["found-anew"]:
         _order_recovery(controllers=controllers, names=flags["CONTROLLER"], is_confirmed=flags["--confirm"])
     elif flags["put"] or flags["patch"]:
         _change(client=client, flags=flags)
     elif flags["check"]:
-        _check(text=_read(path=flags["FILE"]), client=None if flags["--offline"] else client)
+        _check(text=_read_file(path=flags["FILE"]), client=None if flags["--offline"] else client)
     elif flags["explain"]:
         query = urlencode({"tenant": flags["TENANT"], "method": flags["METHOD"], "path": flags["PATH"]})
-        _show(reply=request_once(address=flags["--proxy"], method="GET", path=f"/sailward/explain?{query}"))
+        _print_reply(reply=request_once(address=flags["--proxy"], method="GET", path=f"/sailward/explain?{query}"))
     elif flags["join"] or flags["part"]:
-        _show(
+        _print_reply(
             reply=client.step(
                 method="POST",
                 path=f"/voters/{quote(flags['CONTROLLER'][0], safe='')}/" + ("join" if flags["join"] else "part"),
@@ -79,28 +79,30 @@
         )
     elif flags["empty"] or flags["refill"]:
         path = f"/halls/{quote(flags['HALL'], safe='')}/" + ("empty" if flags["empty"] else "refill")
-        _show(reply=client.step(method="POST", path=path + ("?confirm=yes" if flags["--confirm"] else "")))
+        _print_reply(reply=client.step(method="POST", path=path + ("?confirm=yes" if flags["--confirm"] else "")))
     else:
         path = next(name for name in ("get", "orders", "voters", "status", "workers") if flags[name])
-        _show(reply=client.step(method="GET", path="/config" if path == "get" else f"/{path}"))
+        _print_reply(reply=client.step(method="GET", path="/config" if path == "get" else f"/{path}"))
 
 
-def _found(*, controllers: list[str]) -> None:
+def _found_core(*, controllers: list[str]) -> None:
     members = {}
     for controller in controllers:
         reply = request_once(address=controller, method="GET", path="/status")
         if isinstance(reply, Unreachable) or "identity" not in reply.body:
-            _end(code=constants.EXIT_UNREACHABLE, message=f"every listed controller must answer; {controller} does not")
+            _exit(
+                code=constants.EXIT_UNREACHABLE, message=f"every listed controller must answer; {controller} does not"
+            )
         members[reply.body["identity"]] = reply.body["post"]
     if len(members) < len(controllers):
-        _end(code=constants.EXIT_USAGE, message="a controller is listed twice")
+        _exit(code=constants.EXIT_USAGE, message="a controller is listed twice")
     for controller in controllers:
         body = json.dumps({"members": members}).encode()
         reply = request_once(address=controller, method="POST", path="/found", body=body)
         if isinstance(reply, Unreachable):
-            _end(code=constants.EXIT_UNKNOWN, message=f"{controller} did not answer: run the same command again")
+            _exit(code=constants.EXIT_UNKNOWN, message=f"{controller} did not answer: run the same command again")
         if reply.code != 200:
-            _show(reply=reply)
+            _print_reply(reply=reply)
     print(json.dumps({"outcome": "founded", "members": members}, indent=2))
 
 
@@ -113,9 +115,11 @@
             answering |= {reply.body["id"]: controller, reply.body["identity"]: controller}
     missing = [name for name in names if name not in answering]
     if missing:
-        _end(code=constants.EXIT_UNREACHABLE, message=f"no answer from {missing} at --controllers; nothing was changed")
+        _exit(
+            code=constants.EXIT_UNREACHABLE, message=f"no answer from {missing} at --controllers; nothing was changed"
+        )
     body = json.dumps({"survivors": names}).encode()
-    _show(
+    _print_reply(
         reply=request_once(
             address=answering[names[0]],
             method="POST",
@@ -126,26 +130,26 @@
 
 
 def _change(*, client: Client, flags: dict) -> None:
-    text = _read(path=flags["FILE"])
+    text = _read_file(path=flags["FILE"])
     headers = {}
     if flags["--if-match"] is not None:
         if not flags["--if-match"].isdigit():
-            _end(code=constants.EXIT_USAGE, message="--if-match must be a number")
+            _exit(code=constants.EXIT_USAGE, message="--if-match must be a number")
         headers["If-Match"] = f'"{flags["--if-match"]}"'
     method = "PUT" if flags["put"] else "PATCH"
-    _show(reply=client.step(method=method, path="/config", body=text, headers=headers))
+    _print_reply(reply=client.step(method=method, path="/config", body=text, headers=headers))
 
 
 def _check(*, text: bytes, client: Client | None) -> None:
     config = read_config(text=text)
-    sound = config if isinstance(config, Unsound) else check_config(config=config)
-    if isinstance(sound, Unsound):
-        for fault in sound.faults:
+    verdict = config if isinstance(config, Unsound) else check_config(config=config)
+    if isinstance(verdict, Unsound):
+        for fault in verdict.faults:
             print(f"fault: {fault.path or '(whole)'}: {fault.reason}")
         sys.exit(1)
-    findings = [Finding(kind="warning", path=fault.path, text=fault.reason) for fault in sound.warnings]
+    findings = [Finding(kind="warning", path=fault.path, text=fault.reason) for fault in verdict.warnings]
     if client is not None:
-        findings += _request_fleet(client=client, full=sound.full)
+        findings += _forecast_on_fleet(client=client, full=verdict.full)
     for kind in ("fault", "warning", "note"):
         for finding in findings:
             if finding.kind == kind:
@@ -155,41 +159,41 @@
     sys.exit(1 if faults else 0)
 
 
-def _request_fleet(*, client: Client, full: dict) -> list[Finding]:
-    config, workers, status = (_read_or_end(client=client, path=path) for path in ("/config", "/workers", "/status"))
-    old = check_config(config=config["config"]) if config.get("config") else None
+def _forecast_on_fleet(*, client: Client, full: dict) -> list[Finding]:
+    config, workers, status = (_read_or_exit(client=client, path=path) for path in ("/config", "/workers", "/status"))
+    current = check_config(config=config["config"]) if config.get("config") else None
     keys = [f"{worker['id']}/{worker['generation']}" for worker in workers["workers"]]
     states = {key: key in status["well"] for key in keys} if status["well"] else {}
     return forecast(
         full=full,
-        now_full=old.full if isinstance(old, Sound) else {},
+        now_full=current.full if isinstance(current, Sound) else {},
         workers=workers["workers"],
         rates=status["rates"],
         states=states,
     )
 
 
-def _read_or_end(*, client: Client, path: str) -> dict:
+def _read_or_exit(*, client: Client, path: str) -> dict:
     """The body of a controller's response; the process ends if no controller answers or the request is refused."""
     reply = client.step(method="GET", path=path)
     if isinstance(reply, Unreachable):
-        _end_unreachable(unreachable=reply)
+        _exit_unreachable(unreachable=reply)
     if reply.code not in (200, 404):
         message = f"{reply.controller}: {reply.body.get('error')}: {reply.body.get('detail')}"
-        _end(code=constants.EXIT_REFUSED, message=message)
+        _exit(code=constants.EXIT_REFUSED, message=message)
     return reply.body
 
 
-def _read(*, path: str) -> bytes:
+def _read_file(*, path: str) -> bytes:
     try:
         return sys.stdin.buffer.read() if path == "-" else Path(path).read_bytes()
     except OSError as fault:
-        _end(code=constants.EXIT_USAGE, message=f"{path}: {fault.strerror}")
+        _exit(code=constants.EXIT_USAGE, message=f"{path}: {fault.strerror}")
 
 
-def _show(*, reply: Reply | Unreachable) -> None:
+def _print_reply(*, reply: Reply | Unreachable) -> None:
     if isinstance(reply, Unreachable):
-        _end_unreachable(unreachable=reply)
+        _exit_unreachable(unreachable=reply)
     if reply.code < 300:
         print(json.dumps(reply.body, indent=2))
         return
@@ -199,19 +203,19 @@
     for tenant in reply.body.get("tenants", []):
         print(f"tenant: {tenant}", file=sys.stderr)
     if reply.body.get("outcome") == "unknown":
-        _end(code=constants.EXIT_UNKNOWN, message=message)
-    _end(code=1 if reply.body.get("faults") else constants.EXIT_REFUSED, message=message)
+        _exit(code=constants.EXIT_UNKNOWN, message=message)
+    _exit(code=1 if reply.body.get("faults") else constants.EXIT_REFUSED, message=message)
 
 
-def _end_unreachable(*, unreachable: Unreachable) -> NoReturn:
+def _exit_unreachable(*, unreachable: Unreachable) -> NoReturn:
     for reason in unreachable.reasons:
         print(reason, file=sys.stderr)
     if unreachable.sent:
-        _end(code=constants.EXIT_UNKNOWN, message="unknown: the change may be in force, now or later; read it back")
-    _end(code=constants.EXIT_UNREACHABLE, message="no controller answered; nothing was changed")
+        _exit(code=constants.EXIT_UNKNOWN, message="unknown: the change may be in force, now or later; read it back")
+    _exit(code=constants.EXIT_UNREACHABLE, message="no controller answered; nothing was changed")
 
 
-def _end(*, code: int, message: str) -> NoReturn:
+def _exit(*, code: int, message: str) -> NoReturn:
     print(message, file=sys.stderr)
     sys.exit(code)
 
--- a/simulation/hollow_fleet/deployment.py
+++ b/simulation/hollow_fleet/deployment.py
@@ -69,7 +69,7 @@
 @lru_cache(maxsize=1)
 def _bounds() -> dict:
     """The bounds of the settings, with the adapter's own defaults for those not named here."""
-    shape = {"bounds": load_part(folder=FOLDER, name="settings").SHAPE["bounds"]}
+    shape = {"bounds": load_part(folder=FOLDER, name="settings").SCHEMA["bounds"]}
     return Validator(shape).normalized({"bounds": {"retry_ratio": 0.2, "retry_slack": 3, "grace_s": 6}})["bounds"]
 
 
@@ -102,7 +102,7 @@
 
 def hosted_of(*, size: Size, role: str, index: int, zones: dict[str, str]) -> object:
     """What the adapter makes of these settings."""
-    return HOSTING.host_of(settings=settings_of(size=size, role=role, index=index, zones=zones), role=role)
+    return HOSTING.hosted_daemon_of(settings=settings_of(size=size, role=role, index=index, zones=zones), role=role)
 
 
 def service_name(*, size: Size, index: int) -> str:
--- a/simulation/hollow_fleet/real.py
+++ b/simulation/hollow_fleet/real.py
@@ -189,7 +189,7 @@
     role, CountedTransport.file = sys.argv[1:]
     hosted_module.MessageTransport = CountedTransport
     settings = yaml.safe_load(Path(os.environ["SAILWARD_NODE_FILE"]).read_text("utf-8"))
-    hosted = HOSTING.host_of(settings=settings, role=role)
+    hosted = HOSTING.hosted_daemon_of(settings=settings, role=role)
     getattr(importlib.import_module(f"sailward.programs.hosted_{role}"), f"run_{role}")(hosted=hosted)
 
 
--- a/simulation/hosted/process.py
+++ b/simulation/hosted/process.py
@@ -246,7 +246,7 @@
             self.world.happens(moment="taken")
             if self.owner is None:
                 return
-        self.give(event=event if edge == "front" else self.hosted.words.ask(event))
+        self.give(event=event if edge == "front" else self.hosted.translation.request(event))
 
     def _noted(self, *, event: RequestReceived, answer: Callable) -> Callable:
         """An operator's exchange, written down with its answer as it leaves the controller."""
@@ -325,7 +325,7 @@
         answer = self.waiting.pop(command.token, None)
         if answer is not None:
             self._note_order(command=command)
-            answer(command if command.token.startswith("front ") else self.hosted.words.answer(command))
+            answer(command if command.token.startswith("front ") else self.hosted.translation.response(command))
 
     def _check(self, *, command: ValidateConfig) -> None:
         life = self.life
--- a/simulation/hosted/sabotage.py
+++ b/simulation/hosted/sabotage.py
@@ -180,7 +180,7 @@
         _patch(passive_health.PassiveHealth, "begin_slow_start", lambda old: lambda self, **fields: None)
     ),
     "evacuation": _all(_patch(proxy, "read_orders", _no_zone_emptied)),
-    "late-orders": _all(_patch(admin_api.AdminApi, "drop", lambda old: lambda self, *, token: None)),
+    "late-orders": _all(_patch(admin_api.AdminApi, "on_client_disconnected", lambda old: lambda self, *, token: None)),
     "zone-counts": _all(_patch(zone_orders.ZoneOrders, "count", lambda old: lambda self, *, kind, zone: 0)),
     "history": _all(
         _constant("HISTORY_SEGMENT_CHANGES", 16),
--- a/simulation/hosted/world.py
+++ b/simulation/hosted/world.py
@@ -143,7 +143,7 @@
                 "max_lag_s": self.deployment.list_lag,
             },
         }
-        return HOSTING.host_of(settings=_checked(given=given), role=role)
+        return HOSTING.hosted_daemon_of(settings=_checked(given=given), role=role)
 
     def add_worker(self, *, service: str, zone: str, address: str = "", is_cold: bool = False) -> Worker:
         """Start a worker and list it."""
@@ -315,4 +315,4 @@
 
 @functools.cache
 def _validator() -> Validator:
-    return Validator(SETTINGS.SHAPE, allow_unknown=True)
+    return Validator(SETTINGS.SCHEMA, allow_unknown=True)
--- a/tests/orders_net.py
+++ b/tests/orders_net.py
@@ -129,12 +129,12 @@
     def leave(self, *, call: Call) -> None:
         """The operator closes all connections of a call."""
         for token in call.tokens:
-            self.at[token].admin.drop(token=token)
+            self.at[token].admin.on_client_disconnected(token=token)
 
     def send_late(self, *, call: Call, at: int) -> None:
         """A copy that was under way for long arrives, and its connection's end right behind it."""
         self._send(call=call, at=at)
-        self.at[call.tokens[-1]].admin.drop(token=call.tokens[-1])
+        self.at[call.tokens[-1]].admin.on_client_disconnected(token=call.tokens[-1])
 
     # what the network and the machines do
 
--- a/tests/proxy_path.py
+++ b/tests/proxy_path.py
@@ -14,7 +14,7 @@
 from sailward import constants
 from sailward.discovery.peer_table import Location
 from sailward.events import CancelCall, StartCall, TimerFired, WithdrawCall
-from sailward.programs.hosted import Hosted, answer_handlers, open_front
+from sailward.programs.hosted import HostedDaemon, open_listener, response_handlers
 from sailward.routing.plan import Limits
 from sailward.runtime.host import Host
 from sailward.runtime.reactor import Reactor
@@ -69,14 +69,14 @@
         self.host = Host(reactor=self.reactor)
         self.calls: queue.Queue[WorkerCall] = queue.Queue()
         location = Location(name="p0", kind="proxy", zone="north-a", region="north", post="", http="")
-        hosted = Hosted(location=location, names=NAMES, listen={"front": "127.0.0.1:0"})
-        self.front = open_front(hosted=hosted, edge="front", reactor=self.reactor, host=self.host, limits=Limits)
+        hosted = HostedDaemon(location=location, names=NAMES, listen={"front": "127.0.0.1:0"})
+        self.front = open_listener(hosted=hosted, edge="front", reactor=self.reactor, host=self.host, limits=Limits)
         self.client = HttpClient(reactor=self.reactor, deliver=self.host.deliver, names=NAMES)
         self.host.handlers = {
             StartCall: lambda command: self.client.give(call=command),
             CancelCall: lambda command: self.client.cancel(token=command.token),
             WithdrawCall: lambda command: self.client.withdraw(token=command.token),
-            **answer_handlers(hosted=hosted, fronts={"front": self.front}),
+            **response_handlers(hosted=hosted, listeners={"front": self.front}),
         }
         self.host.step = self._step
         self._tick()
--- a/tests/test_admin_api.py
+++ b/tests/test_admin_api.py
@@ -151,7 +151,7 @@
     "a late order on a zone is put in force": (
         LONG,
         "zones",
-        lambda: _method(AdminApi, "drop", lambda old: lambda self, *, token: None),
+        lambda: _method(AdminApi, "on_client_disconnected", lambda old: lambda self, *, token: None),
     ),
 }
 MOST_SEEDS = 80
--- a/tests/test_dialect.py
+++ b/tests/test_dialect.py
@@ -255,7 +255,7 @@
         fresh.start(machine, bootstrap=True)
     fresh.run(1.0)
     with monkeypatch.context() as planted, pytest.raises(AssertionError):
-        planted.setattr(AdminApi, "_make_orders", without_change(AdminApi._make_orders))
+        planted.setattr(AdminApi, "_apply_zone_order", without_change(AdminApi._apply_zone_order))
         test_an_order_that_was_left_half_accepted_is_not_finished_after_the_opposite(fresh)
 
 
--- a/tests/test_fuzz_edges.py
+++ b/tests/test_fuzz_edges.py
@@ -163,7 +163,7 @@
     if isinstance(read, SETTINGS.BadSettings):
         assert read.faults and all(str(path) in fault for fault in read.faults)
     else:
-        HOSTING.host_of(settings=read, role=role)
+        HOSTING.hosted_daemon_of(settings=read, role=role)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_platform_config.py
+++ b/tests/test_platform_config.py
@@ -268,7 +268,7 @@
 )
 def test_versions(word: object, number: int | None) -> None:
     assert CONFIG.read_version(word) == number
-    assert number is None or CONFIG.show_version(number) == word
+    assert number is None or CONFIG.format_version(number) == word
 
 
 @pytest.mark.parametrize(
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -133,7 +133,7 @@
             body=b"",
             target=path,
         )
-        return self.give(event if edge == "front" else WIRE.request_directory(event))
+        return self.give(event if edge == "front" else WIRE.translate_directory_request(event))
 
     def request(self, *, host: str = "two.example", path: str = "/p1/x") -> list:
         return self.ask("front", path, headers={"host": host, "attempt-id": f"a{self.count}", "time-budget": "2000"})
@@ -197,10 +197,10 @@
 
 def test_the_directory_names_the_fit_ones_of_the_callers_region(bench: Bench) -> None:
     [answer] = bench.ask("directory", "/resolve", query={"name": "two.example", "region": "gdl", "zone": "gdl-b"})
-    told = json.loads(WIRE.answer_directory(answer, ttl=2.0).body)
+    told = json.loads(WIRE.translate_directory_response(answer, ttl=2.0).body)
     assert told == {"addresses": ["10.0.0.8:8641", "10.0.0.9:8641"], "ttl_s": 2.0}
     [answer] = bench.ask("directory", "/resolve", query={"region": "atlantis"})
-    assert len(json.loads(WIRE.answer_directory(answer, ttl=2.0).body)["addresses"]) == 3
+    assert len(json.loads(WIRE.translate_directory_response(answer, ttl=2.0).body)["addresses"]) == 3
     assert bench.code("directory", "/other") == 404 and bench.code("directory", "/resolve", method="POST") == 404
 
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -77,7 +77,7 @@
 @pytest.mark.parametrize("role", ["proxy", "controller"])
 def test_a_whole_file_makes_a_host(tmp_path: Path, role: str) -> None:
     settings = read(tmp_path, GIVEN, role)
-    hosted = HOSTING.host_of(settings=settings, role=role)
+    hosted = HOSTING.hosted_daemon_of(settings=settings, role=role)
     assert (hosted.location.name, hosted.location.zone, hosted.location.region) == ("edge-1", "gdl-a", "gdl")
     assert hosted.location.post == f"10.1.0.13:{7620 if role == 'controller' else 7621}"
     assert hosted.location.seeds == ("10.1.0.13:7620", "10.2.0.18:7620", "10.3.0.34:7620")
@@ -166,9 +166,9 @@
     for path in (tmp_path / "none.yaml", tmp_path):
         found = SETTINGS.read_settings(role="controller", path=str(path))
         assert isinstance(found, SETTINGS.BadSettings) and str(path) in found.faults[0]
-    monkeypatch.delenv(SETTINGS.VARIABLE, raising=False)
-    assert SETTINGS.VARIABLE in SETTINGS.read_settings(role="controller").faults[0]
-    monkeypatch.setenv(SETTINGS.VARIABLE, write(tmp_path, GIVEN))
+    monkeypatch.delenv(SETTINGS.ENVIRONMENT_VARIABLE, raising=False)
+    assert SETTINGS.ENVIRONMENT_VARIABLE in SETTINGS.read_settings(role="controller").faults[0]
+    monkeypatch.setenv(SETTINGS.ENVIRONMENT_VARIABLE, write(tmp_path, GIVEN))
     assert isinstance(SETTINGS.read_settings(role="controller"), dict)
 
 
