--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,7 @@
-"""`--known-red FILE`: tests that are known to fail are run, and their verdicts printed, but they fail no run.
+"""The option `--known-red FILE`: tests listed there run and their verdicts are printed, but they don't fail the run.
 
-The file has a line for each, `test, cause, issue`; at most MOST. Any other failure fails as ever. A list that is too
-long or ill-formed covers nothing, and tests/test_known_red.py fails on it.
+The file has a line for each test, `test, cause, issue`, and at most MOST lines. Any other failure fails the run. A list
+that is too long or ill-formed is ignored, and tests/test_known_red.py fails on it.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 from sailward.invariants import violations
 
 MOST = 3
-"""Lines that the list may have: these tests are mended first, before others join them."""
+"""lines that the list may have: known failures must be fixed before more are added."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class KnownRed:
-    """A test that is known to fail: its node id as pytest names it, why, and the issue that will mend it."""
+    """A test that is known to fail: its pytest node id, the cause, and the issue for the fix."""
 
     test: str
     cause: str
@@ -28,7 +28,7 @@
 
 
 def read_known_red(*, text: str) -> list[KnownRed]:
-    """The tests listed; ValueError for a line without its three parts, a test that stands twice, or too many lines."""
+    """Parse the list; ValueError for a line without its three parts, a duplicate test, or too many lines."""
     found = []
     for line in text.splitlines():
         if not line.strip():
@@ -53,7 +53,7 @@
 
 @pytest.fixture(autouse=True)
 def no_invariant_is_violated(request: pytest.FixtureRequest) -> Iterator[None]:
-    """Fail a test in whose process an invariant was violated, unless it plants faults."""
+    """Fail a test during which an invariant was violated, unless it plants faults."""
     violations.clear()
     yield
     if request.node.get_closest_marker("plants_faults") is None:
@@ -67,12 +67,12 @@
 
 
 def pytest_addoption(parser: pytest.Parser) -> None:
-    """Add the option; a file that doesn't exist lists nothing."""
+    """Add the option; a file that doesn't exist counts as an empty list."""
     parser.addoption("--known-red", metavar="FILE", default="", help="pass over the failures of the tests listed there")
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Expect the listed tests to fail; one that passes is no failure either."""
+    """Mark the listed tests as expected to fail; one that passes doesn't fail the run either."""
     try:
         listed = {one.test: one for one in _read_file(config=config)}
     except ValueError:
--- a/tests/test_admin_api.py
+++ b/tests/test_admin_api.py
@@ -1,4 +1,4 @@
-"""Operators' orders at three control machines: random histories, a hypothesis state machine, and planted faults."""
+"""Operators' orders at three controllers: random histories, a Hypothesis state machine, and planted faults."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from tests.orders_net import NODES, TESTED_ZONES, OrdersNet, RandomOperators
 
 SHORT, LONG = 2, 256
-"""changes in a segment of the history: few, so that what is older comes up often, or as many as in use."""
+"""changes in a segment of the history: few, so that older changes are frequent; or as in production."""
 STEPS = 400
 
 
@@ -39,7 +39,10 @@
 
 @pytest.mark.parametrize("between", [60, 200, 300])
 def test_eight_changes_sent_again_after_many_others(between: int) -> None:
-    """Eight are under way at once, answers lost; after 60 to 300 others each is acknowledged or refused for good."""
+    """Eight changes are in flight at once and their answers are lost.
+
+    Sent again after 60 to 300 other changes, each is acknowledged or refused for good.
+    """
     net, base = OrdersNet(), 0
     first = []
     for label in range(1, 9):
@@ -71,7 +74,7 @@
     net = OrdersNet()
     first = net.change(at=0, base=0, label=1, is_patch=False, variant=1)
     net.calm(rounds=1)
-    first.code = 0  # its acknowledgement was lost
+    first.code = 0  # as if its acknowledgement was lost
     for label in range(2, 30):
         assert net.change(at=label % NODES, base=label - 1, label=label, is_patch=False, variant=label)
         net.calm(rounds=2)
@@ -85,7 +88,7 @@
 
 
 def test_a_copy_that_looks_first_after_the_opposite_is_in_force_again() -> None:
-    """What can't hold: on a connection that is still up nothing tells a late copy from another order."""
+    """A known limit: while the connection is open, a late copy can't be told apart from a new order."""
     net = OrdersNet()
     order = net.order(at=0, zone="gdl-a", is_emptied=True)
     net.calm(rounds=2)
@@ -120,7 +123,7 @@
     return judge
 
 
-# name: (changes in a segment of the history, focus of the random history, the fault)
+# name: (changes in a segment of the history, focus of the random history, a function that plants the fault)
 PLANTED = {
     "a resend judged by its number alone": (
         LONG,
@@ -172,7 +175,7 @@
 
 
 class Orders(RuleBasedStateMachine):
-    """Whatever is sent, delivered, lost, doubled and resent: the history has an order that explains it."""
+    """Whatever is sent, delivered, lost, duplicated and sent again, the history is linearizable."""
 
     at = st.integers(0, NODES - 1)
 
@@ -182,7 +185,7 @@
 
     @rule(at=at, base=st.integers(0, 3), step=st.integers(1, 2), is_patch=st.booleans())
     def change(self, at: int, base: int, step: int, is_patch: bool) -> None:
-        # no two alike: such are one change
+        # each variant is unique: two identical changes would count as one
         variant = len(self.net.calls)
         self.net.change(at=at, base=base, label=base + step, is_patch=is_patch and base > 0, variant=variant)
 
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -1,4 +1,4 @@
-"""The deploy file lists every system package that a clean build and a run need, and none that nothing needs."""
+"""The deploy file lists exactly the system packages that a clean build and a run need."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 DEPLOY = tomllib.loads(ROOT.joinpath("deploy/system.toml").read_text("utf-8"))
 SHELL = "dash"
 PROGRAMS = {"mkdir": "coreutils", "[": "coreutils", "touch": "coreutils", "python3": "python3"}
-"""The package of each program that the build or a role calls; `[`, where it is no built-in of the shell."""
+"""The package of each program that the build or a role calls; `[` for shells in which it is not built in."""
 MODULES = {"pip": "python3-pip", "compileall": "python3"}
-"""The package of each module that is run with `python3 -m`."""
+"""The package of each module that runs with `python3 -m`."""
 BY_PIP = {"ca-certificates"}
-"""What pip needs to reach a registry over TLS."""
+"""Packages that pip needs to reach a registry over TLS."""
 LIBRARIES = {
     "libc.so.6": "libc6",
     "libpthread.so.0": "libc6",
     "ld-linux-x86-64.so.2": "libc6",
     "libgcc_s.so.1": "libgcc-s1",
 }
-"""The package of each shared library that the wheels load; the kernel's own (linux-vdso) is in none."""
+"""The package of each shared library that the wheels load; linux-vdso comes from the kernel, not from a package."""
 KEYWORDS = {"if", "then", "fi", "||", "&&", ";"}
 
 
--- a/tests/test_fuzz_operators.py
+++ b/tests/test_fuzz_operators.py
@@ -1,4 +1,4 @@
-"""Operators' calls of any shape: one answer each, with a reason where it is refused; then nothing is changed."""
+"""Arbitrary operator calls: each gets one answer; a refusal has a reason and changes nothing."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 
 
 def pump(owner: Controller, *, now: float, event: object) -> list[Respond]:
-    """Carry out an owner's commands at once, until it is at rest: the answers that it gave."""
+    """Carry out an owner's commands until it gives no more; return its answers."""
     waiting, answers = collections.deque([event]), []
     while waiting:
         for command in owner.step(now=now, event=waiting.popleft()):
@@ -70,7 +70,7 @@
 
 
 def make_controller(*, is_platform: bool) -> Controller:
-    """A core of one, with a configuration in force."""
+    """A group of a single controller, with a configuration in force."""
     options = ControllerOptions(bootstrap=Bootstrap(is_first=True, posts=(POST,)), zones=tuple(ZONES.items()))
     if is_platform:
         options = ControllerOptions(
@@ -110,7 +110,7 @@
 
 
 def judge(*, dialect: str, **asked: object) -> Respond:
-    """One answer, with a reason if it is refused; and then nothing has changed."""
+    """Check that a call gets one answer, and that a refusal has a reason and changes nothing."""
     owner = copy.deepcopy(controllers()[dialect])
     before = numbers(owner)
     answers = ask(owner, **asked)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""Known failures: only those listed are passed over, at most three, and each is printed with its verdict."""
+"""Known failures: only listed tests, at most three, may fail without failing the run, and each verdict is printed."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def play(*, folder: Path, listed: list[str] | None, workers: int = 0) -> subprocess.CompletedProcess[str]:
-    """Run TESTS as CI does, with a list of these lines, or none."""
+    """Run TESTS as CI does, with a list of known failures that has these lines, or without a list."""
     shutil.copy(Path(__file__).with_name("conftest.py"), folder / "conftest.py")
     folder.joinpath("test_some.py").write_text(TESTS, "utf-8")
     if listed is not None:
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""A controller's metrics: sound OpenMetrics text by the library's own parser, and values that tell bad days apart."""
+"""A controller's metrics: valid OpenMetrics text by the client library's parser, and values that show what is wrong."""
 
 from __future__ import annotations
 
--- a/tests/test_platform_config.py
+++ b/tests/test_platform_config.py
@@ -1,4 +1,4 @@
-"""The platform's configuration documents: what is taken, what is refused, and what becomes of them."""
+"""The platform's configuration documents: which are accepted, which are refused, and their expanded form."""
 
 from __future__ import annotations
 
--- a/tests/test_platform_real.py
+++ b/tests/test_platform_real.py
@@ -1,4 +1,4 @@
-"""The daemons as real processes through the adapter's own entry, on loopback: facts, not speed."""
+"""The daemons as real processes on loopback, started by platform/daemon.py: behaviour, not performance."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class Worker(http.server.BaseHTTPRequestHandler):
-    """A worker of the platform's kind; `ran` is what it ran, `held` the ranges that it was granted."""
+    """A worker as the platform has them; `ran` lists the requests that it ran, `held` the key ranges granted to it."""
 
     protocol_version = "HTTP/1.1"
 
@@ -122,7 +122,7 @@
         )
     )
 
-    # a divided service: its workers got their keys, each request reaches the one that holds its key
+    # a sharded service: its workers have been granted key ranges, and each request reaches the owner of its key
     def get(key: int, name: str = "proxy-0") -> tuple:
         return ask(
             fleet.at(name, "front"),
@@ -143,7 +143,7 @@
         and body.endswith(b"/stock/2?a=b%20c")
     )
 
-    # once-only requests run once each; unknown routes and old versions are refused
+    # requests that are not idempotent run once each; unknown routes and old versions are refused
     for at in range(8):
         assert (
             ask(
@@ -161,12 +161,12 @@
     assert sorted(one[2] for one in ran) == [f"o{at}" for at in range(8)]
     assert ask(fleet.at("proxy-0", "front"), "GET", "/none/", Host="shop", Attempt_Id="n", Time_Budget="1000")[0] == 404
     assert ask(admin_api, "PUT", "/config", json.dumps(make_config(label=2)).encode(), If_Match="r7")[0] == 412
-    # a version that is not current yet may come and be built upon: nothing definite can be said of this change
+    # the version that this change builds on is not current yet but may become so: the answer is inconclusive
     assert ask(admin_api, "PUT", "/config", json.dumps(make_config(label=9)).encode(), If_Match="r7")[0] == 503
     assert ask(admin_api, "PUT", "/config", b'{"generation":"r3"', If_Match="r1")[0] == 400
 
-    # an evacuation: nothing more for the zone's workers; a change through another controller; the same sent again is
-    # 200
+    # an evacuation: the zone's workers get no more requests; a change through another controller, which is acknowledged
+    # again when it is sent again
     assert ask(fleet.at("controller-1", "control_plane"), "POST", "/evacuation/north-a")[0] == 200
     until(lambda: get(3)[0] == 200 and get(3)[2].startswith(b"i-1"))
     change = json.dumps({"generation": "r2", "upsert": {}, "remove": {"routes": ["order"]}}).encode()
@@ -175,7 +175,7 @@
             until(lambda: ask(fleet.at("controller-2", "control_plane"), "PATCH", "/config", change, If_Match="r1")[0])
             == 200
         )
-    # another change on top of the version that was replaced has lost for good
+    # another change on top of a version that was replaced can never be accepted
     assert ask(admin_api, "PUT", "/config", json.dumps(make_config(label=9)).encode(), If_Match="r1")[0] == 412
     until(
         lambda: (
@@ -192,7 +192,7 @@
         )
     )
 
-    # a controller is killed: requests go on, the change is read back at the others and after its return
+    # a controller is killed: requests go on, and every controller, the restarted one too, returns the change
     fleet.running["controller-0"].kill()
     fleet.running["controller-0"].wait()
     until(lambda: get(4)[0] == 200 and get(4, "proxy-1")[0] == 200)
@@ -206,7 +206,7 @@
         told = until(read_config)
         assert json.loads(told)["generation"] == "r2"
 
-    # a proxy is stopped: what it took is answered, and it ends by itself with 0
+    # a proxy is stopped: it answers the request in flight and exits with code 0
     for worker in fleet.workers:
         worker.work = 1.0
     answers: list = []
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,6 +1,6 @@
 """The platform's settings file.
 
-What is missing, unreadable or of a wrong kind is said with its place; what is unknown is ignored.
+Missing, malformed and ill-typed fields are reported with their place; unknown fields are ignored.
 """
 
 from __future__ import annotations
--- a/tests/test_words.py
+++ b/tests/test_words.py
@@ -1,4 +1,4 @@
-"""What people read: help, faults and refusals, kept as snapshots."""
+"""Texts for people: usage, faults and refusals, compared with snapshots."""
 
 from __future__ import annotations
 
