--- a/sailward/programs/hosted.py
+++ b/sailward/programs/hosted.py
@@ -101,11 +101,11 @@
 def response_handlers(*, hosted: HostedDaemon, listeners: dict) -> dict:
     """The handler of the owner's responses: it sends each on the listener that the token names."""
 
-    def answer(command: Respond) -> None:
+    def respond(command: Respond) -> None:
         edge = command.token.split(" ", 1)[0]
         listeners[edge].answer(command=command if edge == "front" else hosted.translation.response(command))
 
-    return {Respond: answer}
+    return {Respond: respond}
 
 
 def run_owner(*, hosted: HostedDaemon, reactor: Reactor, host: Host, step: Callable, handlers: dict) -> None:
--- a/sailward/programs/hosted_controller.py
+++ b/sailward/programs/hosted_controller.py
@@ -56,7 +56,7 @@
     handlers = {
         AppendRecords: lambda command: disk.give(command=command),
         RewriteRecords: lambda command: disk.give(command=command),
-        ValidateConfig: lambda command: check_threads.submit(_check, host, command),
+        ValidateConfig: lambda command: check_threads.submit(_validate_config, host, command),
         **response_handlers(hosted=hosted, listeners=listeners),
     }
     run_owner(hosted=hosted, reactor=reactor, host=host, step=owner.step, handlers=handlers)
@@ -77,6 +77,6 @@
         self.host.deliver(RecordsSynced(seq=command.seq))
 
 
-def _check(host: Host, command: ValidateConfig) -> None:
+def _validate_config(host: Host, command: ValidateConfig) -> None:
     verdict = check_config(config=command.config)
     host.deliver_from_thread(ConfigValidated(token=command.token, verdict=verdict))
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,7 @@
 """The option `--known-red FILE`: tests listed there run and their verdicts are printed, but they don't fail the run.
 
-The file has a line for each test, `test, cause, issue`, and at most MOST lines. Any other failure fails the run. A list
-that is too long or ill-formed is ignored, and tests/test_known_red.py fails on it.
+The file has a line for each test, `test, cause, issue`, and at most MAX_LISTED lines. Any other failure fails the run.
+A list that is too long or ill-formed is ignored, and tests/test_known_red.py fails on it.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 from sailward.invariants import violations
 
-MOST = 3
+MAX_LISTED = 3
 """lines that the list may have: known failures must be fixed before more are added."""
 
 
@@ -29,7 +29,7 @@
 
 def read_known_red(*, text: str) -> list[KnownRed]:
     """Parse the list; ValueError for a line without its three parts, a duplicate test, or too many lines."""
-    found = []
+    listed = []
     for line in text.splitlines():
         if not line.strip():
             continue
@@ -37,12 +37,12 @@
         cause, _, issue = rest.rpartition(", ")
         if not (test.strip() and cause.strip() and issue.strip()):
             raise ValueError(f"not 'test, cause, issue': {line}")
-        found.append(KnownRed(test=test.strip(), cause=cause.strip(), issue=issue.strip()))
-    if len({one.test for one in found}) < len(found):
+        listed.append(KnownRed(test=test.strip(), cause=cause.strip(), issue=issue.strip()))
+    if len({known.test for known in listed}) < len(listed):
         raise ValueError("a test is listed twice")
-    if len(found) > MOST:
-        raise ValueError(f"{len(found)} tests are listed, {MOST} at most")
-    return found
+    if len(listed) > MAX_LISTED:
+        raise ValueError(f"{len(listed)} tests are listed, {MAX_LISTED} at most")
+    return listed
 
 
 def _read_file(*, config: pytest.Config) -> list[KnownRed]:
@@ -74,7 +74,7 @@
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
     """Mark the listed tests as expected to fail; one that passes doesn't fail the run either."""
     try:
-        listed = {one.test: one for one in _read_file(config=config)}
+        listed = {known.test: known for known in _read_file(config=config)}
     except ValueError:
         return
     for item in items:
@@ -99,8 +99,8 @@
 
 
 def _verdict_of(*, reporter: pytest.TerminalReporter, test: str) -> str:
-    words = {"xfailed": "failed, as known", "xpassed": "PASSED: take it off the list", "error": "error"}
-    for outcome, word in words.items():
+    labels = {"xfailed": "failed, as known", "xpassed": "PASSED: take it off the list", "error": "error"}
+    for outcome, label in labels.items():
         if any(getattr(report, "nodeid", "") == test for report in reporter.stats.get(outcome, [])):
-            return word
+            return label
     return "not run"
--- a/tests/test_admin_api.py
+++ b/tests/test_admin_api.py
@@ -64,7 +64,7 @@
     for at, call in enumerate([*first, *losers]):
         net.resend(call=call, at=at % NODES)
     net.calm(rounds=3)
-    assert [one.code for one in first] == [200] * 8
+    assert [change.code for change in first] == [200] * 8
     assert [loser.code for loser in losers] == [412] * 7
     assert net.finish() is None
 
@@ -82,7 +82,7 @@
     net.resend(call=first, at=2)
     for _ in range(200):
         net.deliver(index=0) if net.messages else net.wait(seconds=0.05)
-    assert [one.code for one in net.answers] == [503, 503]
+    assert [answer.code for answer in net.answers] == [503, 503]
     assert all(b"history-too-short" in answer.body for answer in net.answers)
     assert net.finish() is None
 
@@ -92,14 +92,14 @@
     net = OrdersNet()
     order = net.order(at=0, zone="gdl-a", is_emptied=True)
     net.calm(rounds=2)
-    back = net.order(at=1, zone="gdl-a", is_emptied=False)
+    refill = net.order(at=1, zone="gdl-a", is_emptied=False)
     net.calm(rounds=2)
-    assert (order.code, back.code) == (200, 200)
+    assert (order.code, refill.code) == (200, 200)
     copy = net.order(at=2, zone="gdl-a", is_emptied=True)
     net.calm(rounds=2)
-    look = net.look(at=0, path="/orders")
+    read = net.look(at=0, path="/orders")
     net.calm(rounds=2)
-    assert copy.code == 200 and look.answer["orders"]["emptied"] == ["gdl-a"]
+    assert copy.code == 200 and read.answer["orders"]["emptied"] == ["gdl-a"]
 
 
 def _method(owner: object, name: str, make) -> object:
@@ -157,7 +157,7 @@
         lambda: _method(AdminApi, "on_client_disconnected", lambda old: lambda self, *, token: None),
     ),
 }
-MOST_SEEDS = 80
+MAX_SEEDS = 80
 FAULT_STEPS = 150
 
 
@@ -170,7 +170,7 @@
             RandomOperators(seed=seed, focus=focus, answers_lost=0.9 if focus == "chains" else 0.4).run(
                 steps=FAULT_STEPS
             )
-            for seed in range(MOST_SEEDS)
+            for seed in range(MAX_SEEDS)
         )
 
 
@@ -197,13 +197,13 @@
     def look(self, at: int, path: str) -> None:
         self.net.look(at=at, path=path)
 
-    @precondition(lambda self: any(one.is_open and one.method != "GET" for one in self.net.calls))
+    @precondition(lambda self: any(call.is_open and call.method != "GET" for call in self.net.calls))
     @rule(at=at, index=st.integers(0, 7))
     def resend(self, at: int, index: int) -> None:
         waiting = [call for call in self.net.calls if call.is_open and call.method != "GET"]
         self.net.resend(call=waiting[index % len(waiting)], at=at)
 
-    @precondition(lambda self: any(one.method != "GET" for one in self.net.calls))
+    @precondition(lambda self: any(call.method != "GET" for call in self.net.calls))
     @rule(at=at, index=st.integers(0, 7))
     def send_late(self, at: int, index: int) -> None:
         sent = [call for call in self.net.calls if call.method != "GET"]
@@ -239,8 +239,8 @@
         self.net.wait(seconds=seconds)
 
     def teardown(self) -> None:
-        found = self.net.finish()
-        assert found is None, found
+        violation = self.net.finish()
+        assert violation is None, violation
 
 
 Orders.TestCase.settings = settings(
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -16,7 +16,7 @@
 """The package of each program that the build or a role calls; `[` for shells in which it is not built in."""
 MODULES = {"pip": "python3-pip", "compileall": "python3"}
 """The package of each module that runs with `python3 -m`."""
-BY_PIP = {"ca-certificates"}
+PIP_PACKAGES = {"ca-certificates"}
 """Packages that pip needs to reach a registry over TLS."""
 LIBRARIES = {
     "libc.so.6": "libc6",
@@ -43,11 +43,11 @@
     commands = split_commands(script=DEPLOY["build"])
     commands += [role["run"].split() for role in DEPLOY["roles"].values()]
     needed = {SHELL}
-    for program, *words in ((word for word in command if word != "!") for command in commands):
+    for program, *arguments in ((word for word in command if word != "!") for command in commands):
         needed.add(PROGRAMS[program])
-        if words[:1] == ["-m"]:
-            needed.add(MODULES[words[1]])
-    return needed | (BY_PIP if "python3-pip" in needed else set())
+        if arguments[:1] == ["-m"]:
+            needed.add(MODULES[arguments[1]])
+    return needed | (PIP_PACKAGES if "python3-pip" in needed else set())
 
 
 def native_modules(*, requirement: str) -> list[Path]:
@@ -62,8 +62,8 @@
     assert modules
     needed = set()
     for module in modules:
-        shown = subprocess.run(["ldd", module], capture_output=True, text=True, check=True).stdout
-        libraries = {Path(line.split()[0]).name for line in shown.splitlines()} - {"linux-vdso.so.1"}
+        output = subprocess.run(["ldd", module], capture_output=True, text=True, check=True).stdout
+        libraries = {Path(line.split()[0]).name for line in output.splitlines()} - {"linux-vdso.so.1"}
         needed |= {LIBRARIES[library] for library in libraries}
     return needed
 
--- a/tests/test_fuzz_operators.py
+++ b/tests/test_fuzz_operators.py
@@ -105,15 +105,15 @@
     return answers
 
 
-def numbers(owner: Controller) -> dict:
-    return {name: (held.value["number"], held.value["text"]) for name, held in owner.learner.values.items()}
+def register_values(owner: Controller) -> dict:
+    return {name: (learned.value["number"], learned.value["text"]) for name, learned in owner.learner.values.items()}
 
 
-def judge(*, dialect: str, **asked: object) -> Respond:
+def judge(*, dialect: str, **request: object) -> Respond:
     """Check that a call gets one answer, and that a refusal has a reason and changes nothing."""
     owner = copy.deepcopy(controllers()[dialect])
-    before = numbers(owner)
-    answers = ask(owner, **asked)
+    before = register_values(owner)
+    answers = ask(owner, **request)
     assert len(answers) == 1, answers
     (answer,) = answers
     assert answer.token == "desk 1"
@@ -121,24 +121,24 @@
     body = json.loads(answer.body)
     if answer.code != 200:
         assert body["error"], answer
-        assert numbers(owner) == before
+        assert register_values(owner) == before
     return answer
 
 
 def to_json(value: object) -> bytes:
-    return json.dumps(value, default=lambda one: one.hex()).encode()
+    return json.dumps(value, default=lambda item: item.hex()).encode()
 
 
 PATHS = ["/config", "/orders", "/voters", "/status", "/workers", "/found", "/found-anew", "/", "", "//", "/config/"]
 PATHS += ["/halls/gdl-a/empty", "/halls/gdl-a/refill", "/evacuation/gdl-a", "/voters/c1/join", "/voters/c1/part"]
 SEGMENTS = st.sampled_from(["config", "halls", "voters", "evacuation", "gdl-a", "empty", "join", "\ud800", "", "é"])
 ANY_PATH = st.sampled_from(PATHS) | st.lists(SEGMENTS | st.text(max_size=5), max_size=4).map(
-    lambda one: "/" + "/".join(one)
+    lambda segments: "/" + "/".join(segments)
 )
 METHODS = st.sampled_from(["GET", "PUT", "PATCH", "POST", "DELETE", "HEAD", "OPTIONS", "BREW", ""])
 IF_MATCH = st.sampled_from(["0", "r7", '"r7"', "W/r7", "r8", "7", '"1"', "*", "", "-1", "r" + "9" * 40, "é", "²"])
 HEADERS = st.dictionaries(st.text(max_size=5), st.text(max_size=5), max_size=2) | IF_MATCH.map(
-    lambda one: {"if-match": one}
+    lambda version: {"if-match": version}
 )
 QUERY = st.dictionaries(st.sampled_from(["confirm", "dry", "x"]), st.sampled_from(["yes", "", "no"]), max_size=2)
 CONFIGS = [GOOD, make_written(label=8), {**GOOD, "label": 3}]
@@ -171,7 +171,9 @@
 
 @pytest.mark.parametrize("dialect", ["own", "platform"])
 @settings(BOUNDED, max_examples=250)
-@given(method=st.sampled_from(["PUT", "PATCH"]), headers=IF_MATCH.map(lambda one: {"if-match": one}), body=BODIES)
+@given(
+    method=st.sampled_from(["PUT", "PATCH"]), headers=IF_MATCH.map(lambda version: {"if-match": version}), body=BODIES
+)
 def test_any_configuration_gets_one_clear_answer(dialect: str, method: str, headers: dict, body: bytes | None) -> None:
     judge(dialect=dialect, method=method, path="/config", headers=headers, body=body)
 
@@ -181,18 +183,18 @@
 @pytest.mark.parametrize("depth", DEPTHS)
 @pytest.mark.parametrize("form", ["lists", "maps", "field", "patch"])
 def test_deep_nesting_is_refused_at_any_depth(dialect: str, path: str, depth: int, form: str) -> None:
-    made = b"[" * depth + b"]" * depth
+    nested = b"[" * depth + b"]" * depth
     if form == "maps":
-        made = b'{"a":' * depth + b"1" + b"}" * depth
+        nested = b'{"a":' * depth + b"1" + b"}" * depth
     elif form in ("field", "patch"):
-        whole = json.dumps(CONFIGS[1] if dialect == "platform" else GOOD).encode()
-        made = whole[:-1] + b',"origin":{"a":' + made + b"}}"
+        valid = json.dumps(CONFIGS[1] if dialect == "platform" else GOOD).encode()
+        nested = valid[:-1] + b',"origin":{"a":' + nested + b"}}"
     method = "POST" if path != "/config" else "PATCH" if form == "patch" else "PUT"
     answer = judge(
         dialect=dialect,
         method=method,
         path=path,
         headers={"if-match": "r7"} if dialect == "platform" else {},
-        body=made,
+        body=nested,
     )
     assert 400 <= answer.code < 500 or (depth < 64 and form in ("field", "patch"))
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.conftest import MOST, read_known_red
+from tests.conftest import MAX_LISTED, read_known_red
 
 ROOT = Path(__file__).resolve().parent.parent
 TESTS = """
@@ -28,7 +28,7 @@
 GOOD, BAD_A, BAD_B, WORSE = (f"test_some.py::test_{name}" for name in ("good", "bad[a]", "bad[b]", "worse"))
 
 
-def play(*, folder: Path, listed: list[str] | None, workers: int = 0) -> subprocess.CompletedProcess[str]:
+def run_pytest(*, folder: Path, listed: list[str] | None, workers: int = 0) -> subprocess.CompletedProcess[str]:
     """Run TESTS as CI does, with a list of known failures that has these lines, or without a list."""
     shutil.copy(Path(__file__).with_name("conftest.py"), folder / "conftest.py")
     folder.joinpath("test_some.py").write_text(TESTS, "utf-8")
@@ -53,37 +53,37 @@
     )
 
 
-def last_line(done: subprocess.CompletedProcess[str]) -> str:
-    return done.stdout.strip().splitlines()[-1]
+def last_line(completed: subprocess.CompletedProcess[str]) -> str:
+    return completed.stdout.strip().splitlines()[-1]
 
 
 @pytest.mark.parametrize("workers", [0, 2])
 def test_listed_failures_are_passed_over_and_printed(tmp_path: Path, workers: int) -> None:
     listed = [f"{test}, some cause, with a comma, #7" for test in (BAD_A, BAD_B, WORSE)]
-    done = play(folder=tmp_path, listed=listed, workers=workers)
-    assert done.returncode == 0, done.stdout
-    assert last_line(done).startswith("1 passed, 3 xfailed in ")
+    completed = run_pytest(folder=tmp_path, listed=listed, workers=workers)
+    assert completed.returncode == 0, completed.stdout
+    assert last_line(completed).startswith("1 passed, 3 xfailed in ")
     for test in (BAD_A, BAD_B, WORSE):
-        assert f"failed, as known: {test}: some cause, with a comma (#7)" in done.stdout
+        assert f"failed, as known: {test}: some cause, with a comma (#7)" in completed.stdout
 
 
 def test_any_other_failure_fails(tmp_path: Path) -> None:
-    done = play(folder=tmp_path, listed=[f"{BAD_A}, cause, #7", f"{WORSE}, cause, #7"])
-    assert done.returncode == 1
-    assert last_line(done).startswith("1 failed, 1 passed, 2 xfailed in ")
-    assert f"FAILED {BAD_B}" in done.stdout
+    completed = run_pytest(folder=tmp_path, listed=[f"{BAD_A}, cause, #7", f"{WORSE}, cause, #7"])
+    assert completed.returncode == 1
+    assert last_line(completed).startswith("1 failed, 1 passed, 2 xfailed in ")
+    assert f"FAILED {BAD_B}" in completed.stdout
 
 
 def test_a_listed_test_that_passes_is_printed_as_such(tmp_path: Path) -> None:
     listed = [f"{test}, cause, #7" for test in (GOOD, BAD_A, BAD_B)]
-    done = play(folder=tmp_path, listed=listed)
-    assert f"PASSED: take it off the list: {GOOD}: cause (#7)" in done.stdout
-    assert done.returncode == 1 and f"FAILED {WORSE}" in done.stdout
+    completed = run_pytest(folder=tmp_path, listed=listed)
+    assert f"PASSED: take it off the list: {GOOD}: cause (#7)" in completed.stdout
+    assert completed.returncode == 1 and f"FAILED {WORSE}" in completed.stdout
 
 
 def test_a_listed_test_that_is_not_there_is_printed_as_not_run(tmp_path: Path) -> None:
-    done = play(folder=tmp_path, listed=["test_some.py::test_gone, cause, #7"])
-    assert done.returncode == 1 and "not run: test_some.py::test_gone" in done.stdout
+    completed = run_pytest(folder=tmp_path, listed=["test_some.py::test_gone, cause, #7"])
+    assert completed.returncode == 1 and "not run: test_some.py::test_gone" in completed.stdout
 
 
 LONG = [f"{test}, cause, #7" for test in (GOOD, BAD_A, BAD_B, WORSE)]
@@ -96,20 +96,20 @@
 
 
 def test_a_list_that_is_refused_covers_nothing(tmp_path: Path) -> None:
-    done = play(folder=tmp_path, listed=LONG)
-    assert done.returncode == 1 and last_line(done).startswith("3 failed, 1 passed in ")
-    assert "it covers nothing" in done.stdout
+    completed = run_pytest(folder=tmp_path, listed=LONG)
+    assert completed.returncode == 1 and last_line(completed).startswith("3 failed, 1 passed in ")
+    assert "it covers nothing" in completed.stdout
 
 
 def test_without_a_list_all_is_as_ever(tmp_path: Path) -> None:
-    done = play(folder=tmp_path, listed=None)
-    assert done.returncode == 1 and last_line(done).startswith("3 failed, 1 passed in ")
+    completed = run_pytest(folder=tmp_path, listed=None)
+    assert completed.returncode == 1 and last_line(completed).startswith("3 failed, 1 passed in ")
 
 
 def test_the_list_of_this_project_is_sound() -> None:
     path = ROOT / "KNOWN-RED.txt"
     listed = read_known_red(text=path.read_text("utf-8")) if path.exists() else []
-    assert len(listed) <= MOST
+    assert len(listed) <= MAX_LISTED
     for known in listed:
         file, _, function = known.test.partition("::")
         assert file != "tests/test_known_red.py", "this check covers itself"
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -11,13 +11,13 @@
 from tests.core_net import CoreNet, make_written
 
 
-def ask(*, controller: Controller, now: float) -> Respond:
+def scrape(*, controller: Controller, now: float) -> Respond:
     event = RequestReceived(token="desk m", method="GET", path="/metrics", query={}, headers={}, body=b"")
-    return next(one for one in controller.step(now=now, event=event) if isinstance(one, Respond))
+    return next(command for command in controller.step(now=now, event=event) if isinstance(command, Respond))
 
 
 def read_metrics(*, controller: Controller, now: float) -> dict:
-    answer = ask(controller=controller, now=now)
+    answer = scrape(controller=controller, now=now)
     assert answer.code == 200 and answer.headers["Content-Type"] == CONTENT_TYPE
     families = text_string_to_metric_families(answer.body.decode())
     return {
@@ -86,7 +86,7 @@
     net.run(1.0)
     first = net.machines[0]
     assert net.ask(first, method="PUT", path="/config", body=make_written(label=3), if_match="0")[0] == 200
-    net.cut = {one.name for one in net.machines[1:]}
+    net.cut = {machine.name for machine in net.machines[1:]}
     net.ask(first, method="PUT", path="/config", body=make_written(label=4), if_match="r3")
     values = read_metrics(controller=first.controller, now=net.now)
     assert values[("operations_total", "accepted")] == 1
@@ -97,7 +97,9 @@
     group = found_group()
     event = RequestReceived(token="desk s", method="GET", path="/status", query={}, headers={}, body=b"")
     answer = next(
-        one for one in group.members[0].controller.step(now=group.now, event=event) if isinstance(one, Respond)
+        command
+        for command in group.members[0].controller.step(now=group.now, event=event)
+        if isinstance(command, Respond)
     )
     assert b'"register_number{register=config}": 1.0' in answer.body
 
--- a/tests/test_platform_config.py
+++ b/tests/test_platform_config.py
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize(
-    ("path", "value", "where"),
+    ("path", "value", "fault_path"),
     [
         ("generation", "12", "generation"),
         ("generation", None, "generation"),
@@ -79,10 +79,10 @@
         (f"{RULE}.target_s", "fast", ""),
     ],
 )
-def test_what_cannot_be_read_in_full_is_refused_with_its_place(path: str, value: object, where: str) -> None:
+def test_what_cannot_be_read_in_full_is_refused_with_its_place(path: str, value: object, fault_path: str) -> None:
     found = read(changed(path, value))
     assert isinstance(found, Unsound)
-    assert any(fault.path.startswith(where) for fault in found.faults), found.faults
+    assert any(fault.path.startswith(fault_path) for fault in found.faults), found.faults
 
 
 @pytest.mark.parametrize("cut", [0, 1, 10, 400, -1])
@@ -263,12 +263,12 @@
 
 
 @pytest.mark.parametrize(
-    ("word", "number"),
+    ("version", "number"),
     [("r12", 12), ("r0", 0), ("12", None), ("r", None), ("rx", None), ("", None), (12, None), ("r-1", None)],
 )
-def test_versions(word: object, number: int | None) -> None:
-    assert CONFIG.read_version(word) == number
-    assert number is None or CONFIG.format_version(number) == word
+def test_versions(version: object, number: int | None) -> None:
+    assert CONFIG.read_version(version) == number
+    assert number is None or CONFIG.format_version(number) == version
 
 
 @pytest.mark.parametrize(
--- a/tests/test_platform_real.py
+++ b/tests/test_platform_real.py
@@ -30,7 +30,7 @@
 
 
 class Worker(http.server.BaseHTTPRequestHandler):
-    """A worker as the platform has them; `ran` lists the requests that it ran, `held` the key ranges granted to it."""
+    """A worker as the platform has them; `ran` lists the requests that it ran, `granted` the granted key ranges."""
 
     protocol_version = "HTTP/1.1"
 
@@ -42,22 +42,24 @@
         self.wfile.write(body)
 
     def do_GET(self) -> None:
-        given = self.rfile.read(int(self.headers.get("Content-Length", 0)))
+        body = self.rfile.read(int(self.headers.get("Content-Length", 0)))
         server = self.server
         if self.headers.get("Expect-Instance", server.name) != server.name:
             return self.answer(421, Not_Executed="1", Instance_Id=server.name)
         if self.path == "/health":
             return self.answer(200, Instance_Id=server.name)
         if self.path in ("/grant", "/release"):
-            asked = json.loads(given)
-            span = asked["from_rev"], asked["target_version"]
-            server.held = [one for one in server.held if one != span] + ([span] if self.path == "/grant" else [])
+            grant = json.loads(body)
+            key_range = grant["from_rev"], grant["target_version"]
+            server.granted = [known for known in server.granted if known != key_range] + (
+                [key_range] if self.path == "/grant" else []
+            )
             return self.answer(200, Handover="0a")
         key = self.headers.get("Shard-Key")
-        if key is not None and not any(low <= int(key) <= high for low, high in server.held):
+        if key is not None and not any(low <= int(key) <= high for low, high in server.granted):
             return self.answer(421, Not_Executed="1", Instance_Id=server.name)
         server.ran.append((self.command, self.path, self.headers["Attempt-Id"]))
-        time.sleep(server.work)
+        time.sleep(server.work_s)
         return self.answer(
             200, f"{server.name} {self.path}".encode(), Attempt_Id=self.headers["Attempt-Id"], Server_Seal="s"
         )
@@ -80,7 +82,7 @@
     """Three controllers and two proxies, each at an address of its own, and four workers of two services."""
 
     def __init__(self, *, folder: Path) -> None:
-        self.workers = [serve(Worker, name=f"i-{at}", ran=[], held=[], work=0.0) for at in range(4)]
+        self.workers = [serve(Worker, name=f"i-{at}", ran=[], granted=[], work_s=0.0) for at in range(4)]
         rows: dict = {zone: [] for zone in ZONES}
         for at, worker in enumerate(self.workers):
             row = list_row(name=worker.name, service=SERVICES[at < 2], address=f"127.0.0.1:{worker.server_port}")
@@ -96,11 +98,11 @@
 
 @pytest.fixture
 def fleet(tmp_path: Path):
-    made = Fleet(folder=tmp_path)
+    fleet = Fleet(folder=tmp_path)
     try:
-        yield made
+        yield fleet
     finally:
-        made.end()
+        fleet.end()
 
 
 def test_the_whole_path_as_real_processes(fleet: Fleet) -> None:
@@ -110,7 +112,7 @@
     until(lambda: ask(admin_api, "PUT", "/config", json.dumps(make_config(label=1)).encode(), If_Match="0")[0] == 200)
     for name in ("proxy-0", "proxy-1"):
         until(lambda name=name: ask(fleet.at(name, "readiness"), "GET", "/readiness")[0] == 200)
-    both = sorted(fleet.at(name, "front") for name in ("proxy-0", "proxy-1"))
+    front_addresses = sorted(fleet.at(name, "front") for name in ("proxy-0", "proxy-1"))
     until(
         lambda: (
             sorted(
@@ -118,7 +120,7 @@
                     ask(fleet.at("proxy-1", "directory"), "GET", "/resolve?name=shop&region=west&zone=x")[2]
                 ).get("addresses", [])
             )
-            == both
+            == front_addresses
         )
     )
 
@@ -157,8 +159,8 @@
             )[0]
             == 200
         )
-    ran = [one for worker in fleet.workers for one in worker.ran if one[0] == "POST"]
-    assert sorted(one[2] for one in ran) == [f"o{at}" for at in range(8)]
+    ran = [request for worker in fleet.workers for request in worker.ran if request[0] == "POST"]
+    assert sorted(request[2] for request in ran) == [f"o{at}" for at in range(8)]
     assert ask(fleet.at("proxy-0", "front"), "GET", "/none/", Host="shop", Attempt_Id="n", Time_Budget="1000")[0] == 404
     assert ask(admin_api, "PUT", "/config", json.dumps(make_config(label=2)).encode(), If_Match="r7")[0] == 412
     # the version that this change builds on is not current yet but may become so: the answer is inconclusive
@@ -203,12 +205,12 @@
             code, _, body = ask(fleet.at(name, "control_plane"), "GET", "/config")
             return code == 200 and body
 
-        told = until(read_config)
-        assert json.loads(told)["generation"] == "r2"
+        config = until(read_config)
+        assert json.loads(config)["generation"] == "r2"
 
     # a proxy is stopped: it answers the request in flight and exits with code 0
     for worker in fleet.workers:
-        worker.work = 1.0
+        worker.work_s = 1.0
     answers: list = []
     thread = threading.Thread(target=lambda: answers.append(get(5)))
     count = sum(len(worker.ran) for worker in fleet.workers)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize("role", ["proxy", "controller"])
-def test_a_whole_file_makes_a_host(tmp_path: Path, role: str) -> None:
+def test_a_complete_file_makes_a_hosted_daemon(tmp_path: Path, role: str) -> None:
     settings = read(tmp_path, GIVEN, role)
     hosted = HOSTING.hosted_daemon_of(settings=settings, role=role)
     assert (hosted.location.name, hosted.location.zone, hosted.location.region) == ("edge-1", "gdl-a", "gdl")
--- a/tests/test_words.py
+++ b/tests/test_words.py
@@ -28,9 +28,9 @@
 """
 
 
-def run(program: str, *words: str) -> tuple[int, str, str]:
+def run(program: str, *arguments: str) -> tuple[int, str, str]:
     done = subprocess.run(
-        [sys.executable, "-m", f"sailward.programs.{program}", *words],
+        [sys.executable, "-m", f"sailward.programs.{program}", *arguments],
         capture_output=True,
         text=True,
         timeout=60,
@@ -183,8 +183,8 @@
     controllers = ",".join(free_addresses(count=2))
     path = tmp_path / "config.json"
     path.write_text(json.dumps(CONFIG))
-    for words in (("status",), ("put", str(path)), ("found",), ("empty", "gdl-a")):
-        code, _, err = run("sailctl", "--controllers", controllers, *words)
+    for command in (("status",), ("put", str(path)), ("found",), ("empty", "gdl-a")):
+        code, _, err = run("sailctl", "--controllers", controllers, *command)
         assert code == 3 and "answer" in err
     assert run("sailctl", "--controllers", controllers, "put", str(tmp_path / "none.json"))[0] == 2
     assert run("sailctl", "--controllers", controllers, "put", str(path), "--if-match", "x")[0] == 2
