--- a/sailward/control/administration/zone_orders.py
+++ b/sailward/control/administration/zone_orders.py
@@ -1,10 +1,10 @@
-"""The register of the orders on zones: which are emptied, and how many orders of each kind were taken for each.
+"""The register of orders on zones: which zones are emptied, and how many orders of each kind were accepted for each.
 
-An order on a zone bears no number and no body, so two orders alike can't be told apart by what they say. The counts
-tell an order that competes with others whether one of its own kind was taken since it first looked: then that one
-stands for it, and it is not put in force once more, perhaps on top of the opposite that followed. Every order is a
-change of the register, also one that finds its zone as it wants it: else an opposite order that was left half accepted
-could still be finished after it.
+An order on a zone carries no number and no body, so two identical orders can't be told apart. The counts show an order
+that competes with others whether one of its kind was accepted since it first read the register: then that one counts
+for both, and it is not applied again, perhaps on top of the opposite order that followed. Every order changes the
+register, even if the zone is already in the requested state: otherwise an opposite order that was accepted by only some
+voters could still be completed after it.
 """
 
 from __future__ import annotations
@@ -12,37 +12,37 @@
 import json
 from dataclasses import dataclass, field
 
-KINDS = ("empty", "refill")
+ORDER_KINDS = ("empty", "refill")
 
 
 @dataclass(frozen=True, kw_only=True)
 class ZoneOrders:
-    """What the register holds. `taken`: {zone: [orders to empty it, orders to take it back]}."""
+    """The register's content. `accepted_counts`: {zone: [accepted orders to empty it, accepted to refill it]}."""
 
     emptied: frozenset[str] = frozenset()
-    taken: dict[str, list[int]] = field(default_factory=dict)
+    accepted_counts: dict[str, list[int]] = field(default_factory=dict)
 
     def count(self, *, kind: str, zone: str) -> int:
-        """How many orders of this kind were taken for a zone."""
-        counts: list[int] = self.taken.get(zone, [0, 0])
-        return counts[KINDS.index(kind)]
+        """How many orders of this kind were accepted for a zone."""
+        counts: list[int] = self.accepted_counts.get(zone, [0, 0])
+        return counts[ORDER_KINDS.index(kind)]
 
     def with_order(self, *, kind: str, zone: str) -> ZoneOrders:
-        """What it holds after one order more."""
-        counts = list(self.taken.get(zone, [0, 0]))
-        counts[KINDS.index(kind)] += 1
+        """The content after one more order."""
+        counts = list(self.accepted_counts.get(zone, [0, 0]))
+        counts[ORDER_KINDS.index(kind)] += 1
         emptied = self.emptied | {zone} if kind == "empty" else self.emptied - {zone}
-        return ZoneOrders(emptied=emptied, taken={**self.taken, zone: counts})
+        return ZoneOrders(emptied=emptied, accepted_counts={**self.accepted_counts, zone: counts})
 
 
 def read_zone_orders(*, text: str) -> ZoneOrders:
-    """What the text of the register holds; the last version wrote no counts."""
+    """Parse the register's text; the previous version wrote no counts."""
     if not text:
         return ZoneOrders()
-    inner = json.loads(text)
-    return ZoneOrders(emptied=frozenset(inner["emptied"]), taken=inner.get("taken", {}))
+    content = json.loads(text)
+    return ZoneOrders(emptied=frozenset(content["emptied"]), accepted_counts=content.get("taken", {}))
 
 
 def write_zone_orders(*, orders: ZoneOrders) -> str:
-    """The text of the register."""
-    return json.dumps({"emptied": sorted(orders.emptied), "taken": orders.taken}, sort_keys=True)
+    """Serialize the register's content."""
+    return json.dumps({"emptied": sorted(orders.emptied), "taken": orders.accepted_counts}, sort_keys=True)
--- a/sailward/control/controller.py
+++ b/sailward/control/controller.py
@@ -276,7 +276,7 @@
 
     def _drop_order(self, *, now: float, event: ClientDisconnected) -> list[Command]:
         """Drop a zone order that has not begun: its caller has gone and has probably retried at another controller."""
-        self.admin_api.drop(token=event.token)
+        self.admin_api.on_client_disconnected(token=event.token)
         return []
 
     # calls to the platform's list of workers and to workers
--- a/sailward/programs/hosted.py
+++ b/sailward/programs/hosted.py
@@ -1,4 +1,4 @@
-"""What daemons on a reactor have in common, set up by an adapter's settings instead of a file of the product's own."""
+"""Start-up code of the daemons that run on a reactor and get their settings from a platform adapter."""
 
 from __future__ import annotations
 
@@ -32,52 +32,56 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Words:
-    """How the product's HTTP words are said here.
+class HttpTranslation:
+    """Translation between the platform's HTTP interfaces and sailward's own.
 
-    `ask` turns what came into the product's, `answer` its answer back.
+    `request` turns a request on the wire into sailward's form, `response` sailward's response into the platform's.
     """
 
-    ask: Callable[[RequestReceived], RequestReceived] = lambda event: event
-    answer: Callable[[Respond], Respond] = lambda command: command
+    request: Callable[[RequestReceived], RequestReceived] = lambda event: event
+    response: Callable[[Respond], Respond] = lambda command: command
 
 
 @dataclass(frozen=True, kw_only=True)
-class Hosted:
-    """What an adapter says of this daemon.
+class HostedDaemon:
+    """What a platform adapter specifies for a daemon.
 
-    `listen` is {edge: address}; `data` the folder of the disk, if it has one; `options`
-    are of the daemon's kind.
+    `listen` is {edge: address}; `data_folder` is "" on a machine without a disk; `platform` is the address of the
+    platform's list of workers; `options` are those of the daemon's kind. `reread_seeds` reads the seeds again.
     """
 
     location: Location
     names: WireNames
     listen: dict
-    words: Words = Words()
+    translation: HttpTranslation = HttpTranslation()
     log_level: str = "info"
-    data: str = ""
+    data_folder: str = ""
     platform: str = ""
     options: object = None
-    changed: Callable[[], tuple] | None = None
+    reread_seeds: Callable[[], tuple] | None = None
 
 
-def begin_host(*, hosted: Hosted) -> tuple[Reactor, Host]:
-    """The reactor of a process and its host, with the log begun."""
+def start_host(*, hosted: HostedDaemon) -> tuple[Reactor, Host]:
+    """Start logging, and make the reactor of the process and its host."""
     start_logs(level=hosted.log_level, name=hosted.location.name)
     reactor = Reactor()
     return reactor, Host(reactor=reactor)
 
 
-def start_number() -> int:
-    """A number that grows from start to start: wall time in us, which orders a daemon's own starts and no more."""
+def make_start_number() -> int:
+    """A number that grows with each start: wall time in us, used only to order one daemon's own starts."""
     return time.time_ns() // 1000
 
 
-def open_front(*, hosted: Hosted, edge: str, reactor: Reactor, host: Host, limits: Callable[[], Limits]) -> HttpServer:
+def open_listener(
+    *, hosted: HostedDaemon, edge: str, reactor: Reactor, host: Host, limits: Callable[[], Limits]
+) -> HttpServer:
     """Open one of the daemon's listeners; an address in use ends the process with EXIT_IN_USE."""
 
     def deliver(event: object) -> None:
-        host.deliver(hosted.words.ask(event) if isinstance(event, RequestReceived) and edge != "front" else event)
+        host.deliver(
+            hosted.translation.request(event) if isinstance(event, RequestReceived) and edge != "front" else event
+        )
 
     try:
         return HttpServer(
@@ -94,18 +98,18 @@
         sys.exit(constants.EXIT_IN_USE)
 
 
-def answer_handlers(*, hosted: Hosted, fronts: dict) -> dict:
-    """What carries out the owner's answers, by the listener that their token names."""
+def response_handlers(*, hosted: HostedDaemon, listeners: dict) -> dict:
+    """The handler of the owner's responses: it sends each on the listener that the token names."""
 
-    def answer(command: Respond) -> None:
+    def respond(command: Respond) -> None:
         edge = command.token.split(" ", 1)[0]
-        fronts[edge].answer(command=command if edge == "front" else hosted.words.answer(command))
+        listeners[edge].answer(command=command if edge == "front" else hosted.translation.response(command))
 
-    return {Respond: answer}
+    return {Respond: respond}
 
 
-def serve_owner(*, hosted: Hosted, reactor: Reactor, host: Host, step: Callable, handlers: dict) -> None:
-    """Serve the owner until it stops, and end the process with its code."""
+def run_owner(*, hosted: HostedDaemon, reactor: Reactor, host: Host, step: Callable, handlers: dict) -> None:
+    """Run the owner until it stops, and end the process with its exit code."""
     http_client = HttpClient(reactor=reactor, deliver=host.deliver, names=hosted.names)
     try:
         message_transport = MessageTransport(reactor=reactor, address=hosted.location.post, deliver=host.deliver)
@@ -129,7 +133,7 @@
             **hosted.listen,
         },
     )
-    # what start-up made lives as long as the process: it need not be looked at again
+    # objects made during start-up live as long as the process: the collector need not scan them again
     gc.collect()
     gc.freeze()
     code = host.run(step=step)
--- a/sailward/programs/proxy.py
+++ b/sailward/programs/proxy.py
@@ -26,24 +26,31 @@
 import time
 
 from sailward import constants
-from sailward.programs.common import make_location, make_nonce, make_start, read_flags, read_settings, start_edges
+from sailward.programs.common import (
+    make_location,
+    make_nonce,
+    make_start_number,
+    read_flags,
+    read_settings,
+    start_edges,
+)
 from sailward.proxy.tenant_proxy import TenantProxy
 from sailward.runtime.loop import Loop, end_process
 from sailward.runtime.startup import COMMON
 
 
 def main(argv: list[str] | None = None) -> None:
-    """Run a proxy until it is told to stop."""
+    """Run a proxy until it is asked to stop."""
     settings = read_settings(flags=read_flags(doc=__doc__, argv=argv), schema=COMMON)
     loop, nonce = Loop(), make_nonce()
     owner = TenantProxy(
         location=make_location(settings=settings, kind="proxy"),
         nonce=nonce,
-        start=make_start(),
+        start=make_start_number(),
         rng=random.Random(nonce),
         now=time.monotonic(),
     )
-    edges = start_edges(settings=settings, loop=loop, limit=constants.MAX_BODY_BYTES, calling=True)
+    edges = start_edges(settings=settings, loop=loop, max_body_bytes=constants.MAX_BODY_BYTES, has_http_client=True)
     end_process(code=loop.run(step=owner.step), web=edges.web)
 
 
--- a/tests/test_admin_api.py
+++ b/tests/test_admin_api.py
@@ -1,4 +1,4 @@
-"""Operators' orders at three control machines: random histories, a hypothesis state machine, and planted faults."""
+"""Operators' orders at three controllers: random histories, a Hypothesis state machine, and planted faults."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 from tests.core_net import OPERATORS
 from tests.orders_net import NODES, TESTED_ZONES, OrdersNet, RandomOperators
 
-SHORT, LONG = 2, 256
-"""changes in a segment of the history: few, so that what is older comes up often, or as many as in use."""
+SHORT_SEGMENT, LONG_SEGMENT = 2, 256
+"""changes in a segment of the history: few, so that older changes are frequent; or as in production."""
 STEPS = 400
 
 
-@pytest.mark.parametrize("segment", [SHORT, LONG])
+@pytest.mark.parametrize("segment", [SHORT_SEGMENT, LONG_SEGMENT])
 @pytest.mark.parametrize("seed", range(12))
 def test_a_random_history_is_linearizable(seed: int, segment: int, monkeypatch) -> None:
     monkeypatch.setattr(constants, "HISTORY_SEGMENT_CHANGES", segment)
@@ -39,7 +39,10 @@
 
 @pytest.mark.parametrize("between", [60, 200, 300])
 def test_eight_changes_sent_again_after_many_others(between: int) -> None:
-    """Eight are under way at once, answers lost; after 60 to 300 others each is acknowledged or refused for good."""
+    """Eight changes are in flight at once and their answers are lost.
+
+    Sent again after 60 to 300 other changes, each is acknowledged or refused for good.
+    """
     net, base = OrdersNet(), 0
     first = []
     for label in range(1, 9):
@@ -61,17 +64,17 @@
     for at, call in enumerate([*first, *losers]):
         net.resend(call=call, at=at % NODES)
     net.settle(rounds=3)
-    assert [one.code for one in first] == [200] * 8
+    assert [change.code for change in first] == [200] * 8
     assert [loser.code for loser in losers] == [412] * 7
     assert net.finish() is None
 
 
-def test_past_the_history_both_get_no_clear_answer(monkeypatch) -> None:
+def test_changes_older_than_the_history_get_an_inconclusive_answer(monkeypatch) -> None:
     monkeypatch.setattr(constants, "HISTORY_SEGMENT_CHANGES", 8)
     net = OrdersNet()
     first = net.change(at=0, base=0, label=1, is_patch=False, variant=1)
     net.settle(rounds=1)
-    first.code = 0  # its acknowledgement was lost
+    first.code = 0  # as if its acknowledgement was lost
     for label in range(2, 30):
         assert net.change(at=label % NODES, base=label - 1, label=label, is_patch=False, variant=label)
         net.settle(rounds=2)
@@ -79,19 +82,19 @@
     net.resend(call=first, at=2)
     for _ in range(200):
         net.deliver(index=0) if net.messages else net.wait(seconds=0.05)
-    assert [one.code for one in net.answers] == [503, 503]
+    assert [answer.code for answer in net.answers] == [503, 503]
     assert all(b"history-too-short" in answer.body for answer in net.answers)
     assert net.finish() is None
 
 
-def test_a_copy_that_looks_first_after_the_opposite_is_in_force_again() -> None:
-    """What can't hold: on a connection that is still up nothing tells a late copy from another order."""
+def test_a_copy_first_read_after_the_opposite_order_is_applied_again() -> None:
+    """A known limit: while the connection is open, a late copy can't be told apart from a new order."""
     net = OrdersNet()
     order = net.order(at=0, zone="gdl-a", is_emptied=True)
     net.settle(rounds=2)
-    back = net.order(at=1, zone="gdl-a", is_emptied=False)
+    refill = net.order(at=1, zone="gdl-a", is_emptied=False)
     net.settle(rounds=2)
-    assert (order.code, back.code) == (200, 200)
+    assert (order.code, refill.code) == (200, 200)
     copy = net.order(at=2, zone="gdl-a", is_emptied=True)
     net.settle(rounds=2)
     read = net.read(at=0, path="/orders")
@@ -120,10 +123,10 @@
     return judge
 
 
-# name: (changes in a segment of the history, focus of the random history, the fault)
+# name: (changes in a segment of the history, focus of the random history, a function that plants the fault)
 PLANTED = {
     "a resend judged by its number alone": (
-        LONG,
+        LONG_SEGMENT,
         "",
         lambda: _method(
             OPERATORS,
@@ -132,29 +135,33 @@
         ),
     ),
     "a history cut short": (
-        SHORT,
+        SHORT_SEGMENT,
         "",
         lambda: _judge(lambda verdict: Verdict.LOST if verdict is Verdict.FORGOTTEN else verdict),
     ),
-    "no history": (LONG, "", lambda: _method(Segment, "contains", lambda old: lambda self, *, digest: False)),
+    "no history": (LONG_SEGMENT, "", lambda: _method(Segment, "contains", lambda old: lambda self, *, digest: False)),
     "two confirmed on one version": (
-        LONG,
+        LONG_SEGMENT,
         "",
         lambda: _judge(lambda verdict: Verdict.TAKEN if verdict is Verdict.LOST else verdict),
     ),
-    "a change that lost is confirmed": (LONG, "", lambda: _method(Proposer, "_evaluate_votes", _unknown_is_accepted)),
+    "a change that lost is confirmed": (
+        LONG_SEGMENT,
+        "",
+        lambda: _method(Proposer, "_evaluate_votes", _unknown_is_accepted),
+    ),
     "a change on a version to come is refused": (
-        LONG,
+        LONG_SEGMENT,
         "chains",
         lambda: _judge(lambda verdict: Verdict.LOST if verdict is Verdict.AHEAD else verdict),
     ),
     "a late order on a zone is put in force": (
-        LONG,
+        LONG_SEGMENT,
         "zones",
-        lambda: _method(AdminApi, "drop", lambda old: lambda self, *, token: None),
+        lambda: _method(AdminApi, "on_client_disconnected", lambda old: lambda self, *, token: None),
     ),
 }
-MOST_SEEDS = 80
+MAX_SEEDS = 80
 FAULT_STEPS = 150
 
 
@@ -167,12 +174,12 @@
             RandomOperators(seed=seed, focus=focus, answers_lost=0.9 if focus == "chains" else 0.4).run(
                 steps=FAULT_STEPS
             )
-            for seed in range(MOST_SEEDS)
+            for seed in range(MAX_SEEDS)
         )
 
 
 class Orders(RuleBasedStateMachine):
-    """Whatever is sent, delivered, lost, doubled and resent: the history has an order that explains it."""
+    """Whatever is sent, delivered, lost, duplicated and sent again, the history is linearizable."""
 
     at = st.integers(0, NODES - 1)
 
@@ -182,7 +189,7 @@
 
     @rule(at=at, base=st.integers(0, 3), step=st.integers(1, 2), is_patch=st.booleans())
     def change(self, at: int, base: int, step: int, is_patch: bool) -> None:
-        # no two alike: such are one change
+        # each variant is unique: two identical changes would count as one
         variant = len(self.net.calls)
         self.net.change(at=at, base=base, label=base + step, is_patch=is_patch and base > 0, variant=variant)
 
@@ -194,13 +201,13 @@
     def look(self, at: int, path: str) -> None:
         self.net.read(at=at, path=path)
 
-    @precondition(lambda self: any(one.is_open and one.method != "GET" for one in self.net.calls))
+    @precondition(lambda self: any(call.is_open and call.method != "GET" for call in self.net.calls))
     @rule(at=at, index=st.integers(0, 7))
     def resend(self, at: int, index: int) -> None:
         waiting = [call for call in self.net.calls if call.is_open and call.method != "GET"]
         self.net.resend(call=waiting[index % len(waiting)], at=at)
 
-    @precondition(lambda self: any(one.method != "GET" for one in self.net.calls))
+    @precondition(lambda self: any(call.method != "GET" for call in self.net.calls))
     @rule(at=at, index=st.integers(0, 7))
     def send_late(self, at: int, index: int) -> None:
         sent = [call for call in self.net.calls if call.method != "GET"]
@@ -236,8 +243,8 @@
         self.net.wait(seconds=seconds)
 
     def teardown(self) -> None:
-        found = self.net.finish()
-        assert found is None, found
+        violation = self.net.finish()
+        assert violation is None, violation
 
 
 Orders.TestCase.settings = settings(
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -1,4 +1,4 @@
-"""The deploy file lists every system package that a clean build and a run need, and none that nothing needs."""
+"""The deploy file lists exactly the system packages that a clean build and a run need."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 DEPLOY = tomllib.loads(ROOT.joinpath("deploy/system.toml").read_text("utf-8"))
 SHELL = "dash"
 PROGRAMS = {"mkdir": "coreutils", "[": "coreutils", "touch": "coreutils", "python3": "python3"}
-"""The package of each program that the build or a role calls; `[`, where it is no built-in of the shell."""
+"""The package of each program that the build or a role calls; `[` for shells in which it is not built in."""
 MODULES = {"pip": "python3-pip", "compileall": "python3"}
-"""The package of each module that is run with `python3 -m`."""
-BY_PIP = {"ca-certificates"}
-"""What pip needs to reach a registry over TLS."""
+"""The package of each module that runs with `python3 -m`."""
+PIP_PACKAGES = {"ca-certificates"}
+"""Packages that pip needs to reach a registry over TLS."""
 LIBRARIES = {
     "libc.so.6": "libc6",
     "libpthread.so.0": "libc6",
     "ld-linux-x86-64.so.2": "libc6",
     "libgcc_s.so.1": "libgcc-s1",
 }
-"""The package of each shared library that the wheels load; the kernel's own (linux-vdso) is in none."""
+"""The package of each shared library that the wheels load; linux-vdso comes from the kernel, not from a package."""
 KEYWORDS = {"if", "then", "fi", "||", "&&", ";"}
 
 
@@ -43,11 +43,11 @@
     commands = split_commands(script=DEPLOY["build"])
     commands += [role["run"].split() for role in DEPLOY["roles"].values()]
     needed = {SHELL}
-    for program, *words in ((word for word in command if word != "!") for command in commands):
+    for program, *arguments in ((word for word in command if word != "!") for command in commands):
         needed.add(PROGRAMS[program])
-        if words[:1] == ["-m"]:
-            needed.add(MODULES[words[1]])
-    return needed | (BY_PIP if "python3-pip" in needed else set())
+        if arguments[:1] == ["-m"]:
+            needed.add(MODULES[arguments[1]])
+    return needed | (PIP_PACKAGES if "python3-pip" in needed else set())
 
 
 def native_modules(*, requirement: str) -> list[Path]:
@@ -62,8 +62,8 @@
     assert modules
     needed = set()
     for module in modules:
-        shown = subprocess.run(["ldd", module], capture_output=True, text=True, check=True).stdout
-        libraries = {Path(line.split()[0]).name for line in shown.splitlines()} - {"linux-vdso.so.1"}
+        output = subprocess.run(["ldd", module], capture_output=True, text=True, check=True).stdout
+        libraries = {Path(line.split()[0]).name for line in output.splitlines()} - {"linux-vdso.so.1"}
         needed |= {LIBRARIES[library] for library in libraries}
     return needed
 
