--- a/sailward/programs/common.py
+++ b/sailward/programs/common.py
@@ -16,7 +16,7 @@
 from sailward.runtime.loop import Edges, Loop, run_guarded
 from sailward.runtime.startup import BadStartup, read_startup
 from sailward.storage.disk import Disk
-from sailward.transport.address import Post
+from sailward.transport.address import ThreadedMessageTransport
 from sailward.transport.curl_client import CurlClient
 from sailward.transport.wsgi_server import WsgiServer
 
@@ -69,7 +69,7 @@
     """Open the sockets and begin to serve; an address in use ends the process."""
     threads = ThreadPoolExecutor(max_workers=2 * constants.HTTP_SERVER_THREADS)
     try:
-        post = Post(address=settings["post"], deliver=loop.deliver, threads=threads)
+        post = ThreadedMessageTransport(address=settings["post"], deliver=loop.deliver, threads=threads)
         web = WsgiServer(
             address=settings["http"],
             limit=limit,
@@ -84,7 +84,14 @@
         )
         os._exit(constants.EXIT_IN_USE)
     calls = CurlClient(deliver=loop.deliver) if calling else None
-    edges = Edges(loop=loop, post=post, web=web, calls=calls, disk=disk, checks=ThreadPoolExecutor(max_workers=1))
+    edges = Edges(
+        loop=loop,
+        message_transport=post,
+        http_server=web,
+        calls=calls,
+        disk=disk,
+        checks=ThreadPoolExecutor(max_workers=1),
+    )
     edges.connect()
     post.start()
     run_guarded(threads=threads, loop=loop, name="web", run=web.run)
--- a/sailward/programs/data_folder.py
+++ b/sailward/programs/data_folder.py
@@ -7,7 +7,7 @@
 
 from sailward import constants
 from sailward.runtime.logs import write_log
-from sailward.storage.disk import Damaged, Disk, Newer, Taken
+from sailward.storage.disk import DamagedFile, Disk, FolderInUse, NewerFormat
 
 BRING_IN = "move the folder away and bring this controller in as an empty one"
 
@@ -21,13 +21,13 @@
         found = disk.open()
     except OSError as fault:
         _end(event="disk-failed", fields={"reason": fault}, code=constants.EXIT_DISK)
-    if isinstance(found, Damaged):
+    if isinstance(found, DamagedFile):
         fields = {"folder": folder, "offset": found.offset, "todo": BRING_IN}
         _end(event="disk-damaged", fields=fields, code=constants.EXIT_DISK)
-    if isinstance(found, Newer):
-        fields = {"folder": folder, "what": found.what, "todo": f"start the newer version again, or {BRING_IN}"}
+    if isinstance(found, NewerFormat):
+        fields = {"folder": folder, "what": found.unsupported, "todo": f"start the newer version again, or {BRING_IN}"}
         _end(event="disk-newer", fields=fields, code=constants.EXIT_DISK)
-    if isinstance(found, Taken):
+    if isinstance(found, FolderInUse):
         _end(event="folder-taken", fields={"folder": found.folder}, code=constants.EXIT_IN_USE)
     return found.records
 
--- a/sailward/programs/directory.py
+++ b/sailward/programs/directory.py
@@ -39,7 +39,7 @@
         location=make_location(settings=settings, kind="directory"), start=make_start(), rng=random.Random(nonce)
     )
     edges = start_edges(settings=settings, loop=loop, limit=constants.MAX_BODY_BYTES, calling=False)
-    end_process(code=loop.run(step=owner.step), web=edges.web)
+    end_process(code=loop.run(step=owner.step), http_server=edges.http_server)
 
 
 if __name__ == "__main__":
--- a/sailward/programs/hosted.py
+++ b/sailward/programs/hosted.py
@@ -114,7 +114,7 @@
         sys.exit(constants.EXIT_IN_USE)
     host.handlers = {
         SendMessage: lambda command: message_transport.send(to=command.to, body=command.body),
-        StartCall: lambda command: http_client.give(call=command),
+        StartCall: lambda command: http_client.start(call=command),
         CancelCall: lambda command: http_client.cancel(token=command.token),
         WithdrawCall: lambda command: http_client.withdraw(token=command.token),
         CloseConnections: lambda command: http_client.close_connections(owner=command.owner),
--- a/sailward/programs/hosted_proxy.py
+++ b/sailward/programs/hosted_proxy.py
@@ -20,7 +20,7 @@
 
     def leave(command: DrainConnections) -> None:
         for front in fronts.values():
-            front.leave()
+            front.drain()
             if command.shut:
                 front.close_listener()
 
--- a/sailward/programs/proxy.py
+++ b/sailward/programs/proxy.py
@@ -44,7 +44,7 @@
         now=time.monotonic(),
     )
     edges = start_edges(settings=settings, loop=loop, limit=constants.MAX_BODY_BYTES, calling=True)
-    end_process(code=loop.run(step=owner.step), web=edges.web)
+    end_process(code=loop.run(step=owner.step), http_server=edges.http_server)
 
 
 if __name__ == "__main__":
--- a/sailward/runtime/host.py
+++ b/sailward/runtime/host.py
@@ -24,43 +24,44 @@
     step: Callable | None = None
     code: int = 0
     changed: Callable | None = None
-    _line: deque = field(default_factory=deque)
+    _queue: deque = field(default_factory=deque)
     _is_busy: bool = False
-    _journal: Journal = field(default_factory=lambda: Journal(shown=constants.EVENT_JOURNAL_DUMP_LENGTH))
+    _journal: Journal = field(default_factory=lambda: Journal(dump_length=constants.EVENT_JOURNAL_DUMP_LENGTH))
 
     def deliver(self, event: object) -> None:
         """Give the owner an event, after those already in line. Only from the reactor's thread."""
-        self._line.append(event)
+        self._queue.append(event)
         if self._is_busy or self.step is None:
             return
         self._is_busy = True
         try:
-            while self._line:
-                self._take(event=self._line.popleft())
+            while self._queue:
+                self._run_step(event=self._queue.popleft())
         finally:
             self._is_busy = False
 
     def deliver_from_thread(self, event: object) -> None:
         """The same from any other thread."""
-        self.reactor.give(call=lambda: self.deliver(event))
+        self.reactor.call_from_thread(call=lambda: self.deliver(event))
 
     def run(self, *, step: Callable) -> int:
         """Run the owner until it stops; gives the exit code."""
         self.step = step
-        for number in (signal.SIGTERM, signal.SIGINT):
-            signal.signal(number, lambda *_: self.deliver_from_thread(ShutdownRequested()))
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            signal.signal(signal_number, lambda *_: self.deliver_from_thread(ShutdownRequested()))
         signal.signal(
-            signal.SIGHUP, lambda *_: self.reactor.give(call=lambda: self.changed() if self.changed else None)
+            signal.SIGHUP,
+            lambda *_: self.reactor.call_from_thread(call=lambda: self.changed() if self.changed else None),
         )
         self._tick()
         self.reactor.run()
         return self.code
 
     def _tick(self) -> None:
-        self.reactor.later(delay=constants.TICK_INTERVAL, call=self._tick)
+        self.reactor.call_later(delay=constants.TICK_INTERVAL, call=self._tick)
         self.deliver(TimerFired(wall=time.time()))
 
-    def _take(self, *, event: object) -> None:
+    def _run_step(self, *, event: object) -> None:
         now = self.reactor.clock()
         self._journal.add(now=now, event=event)
         try:
@@ -69,8 +70,8 @@
                     write_log(event="stopped", fields={"code": command.code})
                     self.code = command.code
                     self.step = None
-                    self._line.clear()
-                    self.reactor.later(delay=constants.FLUSH_TIMEOUT, call=self.reactor.stop)
+                    self._queue.clear()
+                    self.reactor.call_later(delay=constants.FLUSH_TIMEOUT, call=self.reactor.stop)
                     return
                 carry_out(command=command, handlers=self.handlers)
         except Exception:  # noqa: BLE001 - any fault of the owner is logged, and ends the process
--- a/sailward/runtime/journal.py
+++ b/sailward/runtime/journal.py
@@ -10,15 +10,15 @@
 from sailward.events import LogEvent, MessageReceived, TimerFired
 from sailward.runtime.logs import write_log
 
-SHOWN = ("token", "method", "seq", "code", "fault")
+LOGGED_FIELDS = ("token", "method", "seq", "code", "fault")
 """Fields of events that the journal shows: kinds and names, nothing of a tenant's or caller's."""
 
 
 class Journal:
     """The last events of an owner; `shown` of them are written to the log if it ends by a fault."""
 
-    def __init__(self, *, shown: int = constants.EVENT_JOURNAL_LENGTH) -> None:
-        self._shown = shown
+    def __init__(self, *, dump_length: int = constants.EVENT_JOURNAL_LENGTH) -> None:
+        self._dump_length = dump_length
         self._rows: deque[tuple[float, object]] = deque(maxlen=constants.EVENT_JOURNAL_LENGTH)
 
     def add(self, *, now: float, event: object) -> None:
@@ -29,16 +29,16 @@
         """Log the exception that is being handled, which this event led to, and the last events, oldest first."""
         fields = {"on": type(event).__name__, "trace": traceback.format_exc()}
         write_log(event="fault", fields=fields, level="error")
-        for at, row in list(self._rows)[-self._shown :]:
+        for at, row in list(self._rows)[-self._dump_length :]:
             if not isinstance(row, TimerFired):
-                fields = {"at": f"{at:.3f}", "event": type(row).__name__, **_shown(event=row)}
+                fields = {"at": f"{at:.3f}", "event": type(row).__name__, **_describe(event=row)}
                 write_log(event="journal", fields=fields, level="error")
 
 
-def _shown(*, event: object) -> dict:
+def _describe(*, event: object) -> dict:
     if isinstance(event, MessageReceived):
         return {"from": event.sender, "kind": event.body["kind"]}
-    return {name: getattr(event, name) for name in SHOWN if hasattr(event, name)}
+    return {name: getattr(event, name) for name in LOGGED_FIELDS if hasattr(event, name)}
 
 
 def carry_out(*, command: object, handlers: Mapping[type, Callable]) -> None:
--- a/sailward/runtime/loop.py
+++ b/sailward/runtime/loop.py
@@ -37,12 +37,12 @@
     """Task that runs the owner: the only thread that touches its state."""
 
     handlers: dict[type, Callable] = field(default_factory=dict)
-    line: queue.SimpleQueue = field(default_factory=queue.SimpleQueue)
+    events: queue.SimpleQueue = field(default_factory=queue.SimpleQueue)
     journal: Journal = field(default_factory=Journal)
 
     def deliver(self, event: object) -> None:
         """Put an event in the owner's line."""
-        self.line.put(event)
+        self.events.put(event)
 
     def run(self, *, step: Callable) -> int:
         """Run the owner until it stops; gives the exit code."""
@@ -56,7 +56,7 @@
                 tick_at = now + constants.TICK_INTERVAL
             else:
                 try:
-                    event = self.line.get(timeout=tick_at - now)
+                    event = self.events.get(timeout=tick_at - now)
                 except queue.Empty:
                     continue
             self.journal.add(now=now, event=event)
@@ -75,7 +75,7 @@
 class CallMaker(Protocol):
     """An edge that makes calls."""
 
-    def give(self, *, call: StartCall) -> None:
+    def start(self, *, call: StartCall) -> None:
         """Make a call."""
 
     def cancel(self, *, token: str) -> None:
@@ -87,8 +87,8 @@
     """The edges of one process, put together."""
 
     loop: Loop
-    post: object
-    web: object
+    message_transport: object
+    http_server: object
     calls: CallMaker | None = None
     disk: object | None = None
     checks: ThreadPoolExecutor | None = None
@@ -96,8 +96,8 @@
     def connect(self) -> None:
         """Tell the loop which edge carries out which command."""
         self.loop.handlers = {
-            SendMessage: lambda command: self.post.send(to=command.to, body=command.body),
-            Respond: lambda command: self.web.answer(command=command),
+            SendMessage: lambda command: self.message_transport.send(to=command.to, body=command.body),
+            Respond: lambda command: self.http_server.answer(command=command),
             ValidateConfig: lambda command: self.checks.submit(self._check, command),
             CloseConnections: lambda _: None,
             AppendRecords: lambda command: self.disk.give(command=command),
@@ -105,7 +105,7 @@
         }
         calls = self.calls
         if calls is not None:
-            self.loop.handlers[StartCall] = lambda command: calls.give(call=command)
+            self.loop.handlers[StartCall] = lambda command: calls.start(call=command)
             self.loop.handlers[CancelCall] = lambda command: calls.cancel(token=command.token)
 
     def _check(self, command: ValidateConfig) -> None:
@@ -130,11 +130,11 @@
     threads.submit(guard)
 
 
-def end_process(*, code: int, web: object) -> None:
+def end_process(*, code: int, http_server: object) -> None:
     """Let the last answers be written, then end."""
     end = time.monotonic() + constants.FLUSH_TIMEOUT
-    web.close_after()
-    while web.open_count() and time.monotonic() < end:
+    http_server.close_after_answers()
+    while http_server.open_count() and time.monotonic() < end:
         time.sleep(0.01)
     time.sleep(0.05)
     os._exit(code)
--- a/sailward/runtime/reactor.py
+++ b/sailward/runtime/reactor.py
@@ -40,8 +40,8 @@
     _selector: selectors.BaseSelector = field(default_factory=selectors.DefaultSelector)
     _alarms: list = field(default_factory=list)
     _count: itertools.count = field(default_factory=itertools.count)
-    _given: collections.deque = field(default_factory=collections.deque)
-    _soon: collections.deque = field(default_factory=collections.deque)
+    _calls_from_threads: collections.deque = field(default_factory=collections.deque)
+    _pending_calls: collections.deque = field(default_factory=collections.deque)
     _stopped: bool = False
 
     def __post_init__(self) -> None:
@@ -64,19 +64,19 @@
         else:
             self._selector.register(sock, events, watch)
 
-    def later(self, *, delay: float, call: Callable) -> Alarm:
+    def call_later(self, *, delay: float, call: Callable) -> Alarm:
         """Call it once, `delay` seconds from now."""
         alarm = Alarm(call=call)
         heapq.heappush(self._alarms, (self.clock() + delay, next(self._count), alarm))
         return alarm
 
-    def soon(self, *, call: Callable) -> None:
+    def call_soon(self, *, call: Callable) -> None:
         """Call it before the next wait; only from the reactor's own thread."""
-        self._soon.append(call)
+        self._pending_calls.append(call)
 
-    def give(self, *, call: Callable) -> None:
+    def call_from_thread(self, *, call: Callable) -> None:
         """Call it on the reactor's thread; may be used from any thread."""
-        self._given.append(call)
+        self._calls_from_threads.append(call)
         with contextlib.suppress(BlockingIOError):
             self._wake_out.send(b"x")
 
@@ -87,9 +87,9 @@
     def run(self) -> None:
         """Call back for ever, until `stop`."""
         while not self._stopped:
-            self._ring()
-            while self._soon:
-                self._soon.popleft()()
+            self._run_due_alarms()
+            while self._pending_calls:
+                self._pending_calls.popleft()()
             if self._stopped:
                 return
             wait = max(0.0, self._alarms[0][0] - self.clock()) if self._alarms else 1.0
@@ -105,7 +105,7 @@
         current = self._selector.get_map().get(key.fd)
         return current is not None and current.data is key.data
 
-    def _ring(self) -> None:
+    def _run_due_alarms(self) -> None:
         now = self.clock()
         while self._alarms and self._alarms[0][0] <= now:
             _, _, alarm = heapq.heappop(self._alarms)
@@ -119,5 +119,5 @@
                 pass
         except BlockingIOError:
             pass
-        while self._given:
-            self._given.popleft()()
+        while self._calls_from_threads:
+            self._calls_from_threads.popleft()()
--- a/sailward/storage/disk.py
+++ b/sailward/storage/disk.py
@@ -15,43 +15,43 @@
 from sailward import constants
 from sailward.events import AppendRecords, DiskWriteFailed, RecordsSynced, RewriteRecords
 from sailward.storage.files import Files
-from sailward.storage.records import RECORDS, is_record
+from sailward.storage.records import RECORD_CHECKS, is_record
 
-DATA = "registers"
+DATA_FILE = "registers"
 """The data file."""
-FRESH = "registers.new"
+NEW_DATA_FILE = "registers.new"
 """What a rewrite writes, before it takes the data file's place."""
-RESERVE = "reserve"
+RESERVE_FILE = "reserve"
 """Room kept aside for a rewrite on a full disk."""
-LOCK = "lock"
+LOCK_FILE = "lock"
 """Locked by the process that uses the folder."""
-HEAD = struct.Struct(">4sII")
+FRAME_HEADER = struct.Struct(">4sII")
 MAGIC = b"swf1"
 
 
 @dataclass(frozen=True, kw_only=True)
-class Damaged:
+class DamagedFile:
     """The file is damaged before its end, or holds records that are none."""
 
     offset: int
 
 
 @dataclass(frozen=True, kw_only=True)
-class Newer:
+class NewerFormat:
     """The file was written by a newer version, in a form or with records that this one can't read."""
 
-    what: str
+    unsupported: str
 
 
 @dataclass(frozen=True, kw_only=True)
-class Taken:
+class FolderInUse:
     """Another process uses the folder."""
 
     folder: str
 
 
 @dataclass(frozen=True, kw_only=True)
-class Read:
+class FileContents:
     """The records, and how long the sound part of the file is."""
 
     records: list
@@ -61,32 +61,32 @@
 def pack_frame(*, records: tuple | list) -> bytes:
     """The frame of these records: one frame is one sync."""
     body = json.dumps(list(records), separators=(",", ":")).encode()
-    return HEAD.pack(MAGIC, len(body), zlib.crc32(body)) + body
+    return FRAME_HEADER.pack(MAGIC, len(body), zlib.crc32(body)) + body
 
 
-def read_frames(*, data: bytes) -> Read | Damaged | Newer:
+def read_frames(*, data: bytes) -> FileContents | DamagedFile | NewerFormat:
     """All records. A torn last frame is left out; a bad one with a sound one behind it is damage."""
     records, at = [], 0
     while at < len(data):
-        body = _body_at(data=data, at=at)
+        body = _read_frame_body(data=data, at=at)
         if body is None:
             if _is_newer(data=data, at=at):
-                return Newer(what=f"form {data[at : at + len(MAGIC)].decode('ascii')}")
+                return NewerFormat(unsupported=f"form {data[at : at + len(MAGIC)].decode('ascii')}")
             follows = data.find(MAGIC, at + 1)
             while follows >= 0:
-                if _body_at(data=data, at=follows) is not None:
-                    return Damaged(offset=at)
+                if _read_frame_body(data=data, at=follows) is not None:
+                    return DamagedFile(offset=at)
                 follows = data.find(MAGIC, follows + 1)
             break
         found = _records_in(body=body)
         if found is None:
-            return Damaged(offset=at)
+            return DamagedFile(offset=at)
         records += found
-        at += HEAD.size + len(body)
-    unknown = sorted({record["k"] for record in records} - set(RECORDS))
+        at += FRAME_HEADER.size + len(body)
+    unknown = sorted({record["k"] for record in records} - set(RECORD_CHECKS))
     if unknown:
-        return Newer(what=f"records {','.join(unknown)}")
-    return Read(records=records, length=at)
+        return NewerFormat(unsupported=f"records {','.join(unknown)}")
+    return FileContents(records=records, length=at)
 
 
 def _records_in(*, body: bytes) -> list | None:
@@ -102,14 +102,14 @@
     """Does a frame of another form stand here? In the middle only if it is whole: a torn one may look like anything."""
     magic = data[at : at + len(MAGIC)]
     is_other = len(magic) == len(MAGIC) and magic != MAGIC and magic[:3] == MAGIC[:3] and magic[3:].isdigit()
-    return is_other and (at == 0 or _body_at(data=MAGIC + data[at + len(MAGIC) :], at=0) is not None)
+    return is_other and (at == 0 or _read_frame_body(data=MAGIC + data[at + len(MAGIC) :], at=0) is not None)
 
 
-def _body_at(*, data: bytes, at: int) -> bytes | None:
-    if at + HEAD.size > len(data):
+def _read_frame_body(*, data: bytes, at: int) -> bytes | None:
+    if at + FRAME_HEADER.size > len(data):
         return None
-    magic, length, check = HEAD.unpack_from(data, at)
-    body = data[at + HEAD.size : at + HEAD.size + length]
+    magic, length, check = FRAME_HEADER.unpack_from(data, at)
+    body = data[at + FRAME_HEADER.size : at + FRAME_HEADER.size + length]
     return body if magic == MAGIC and len(body) == length and zlib.crc32(body) == check else None
 
 
@@ -122,29 +122,29 @@
     def __init__(self, *, folder: Path, deliver: Callable[[object], None], files: Files | None = None) -> None:
         self._files, self._deliver = files or Files(folder=folder), deliver
         self._folder = folder
-        self._line: queue.Queue = queue.Queue()
+        self._queue: queue.Queue = queue.Queue()
         self._file = -1
         self._length = 0
 
-    def open(self) -> Read | Damaged | Newer | Taken:
+    def open(self) -> FileContents | DamagedFile | NewerFormat | FolderInUse:
         """Lock the folder and read what it holds."""
         self._files.make_folder()
-        if not self._files.lock(name=LOCK):
-            return Taken(folder=str(self._folder))
-        found = read_frames(data=self._files.read(name=DATA))
-        if isinstance(found, (Damaged, Newer)):
+        if not self._files.lock(name=LOCK_FILE):
+            return FolderInUse(folder=str(self._folder))
+        found = read_frames(data=self._files.read(name=DATA_FILE))
+        if isinstance(found, (DamagedFile, NewerFormat)):
             return found
-        self._file, self._length = self._files.open(name=DATA), found.length
+        self._file, self._length = self._files.open(name=DATA_FILE), found.length
         self._files.truncate(file=self._file, length=found.length)
         self._files.sync(file=self._file)
-        self._files.remove(name=FRESH)
+        self._files.remove(name=NEW_DATA_FILE)
         self._files.sync_names()
         self._make_reserve()
         return found
 
     def give(self, *, command: AppendRecords | RewriteRecords) -> None:
         """Put a command in line."""
-        self._line.put(command)
+        self._queue.put(command)
 
     def close(self) -> None:
         """Close the data file; what is in line is not written."""
@@ -157,60 +157,62 @@
         while True:
             self.run_batch()
 
-    def run_waiting(self) -> None:
+    def run_pending(self) -> None:
         """Carry out what is in line now."""
         while not self.is_idle():
             self.run_batch()
 
     def run_batch(self) -> None:
         """Carry out the next batch; waits for one if there is none."""
-        self._carry_out(batch=self._take_batch())
+        self._carry_out(batch=self._next_batch())
 
     def is_idle(self) -> bool:
         """Is nothing in line?"""
-        return self._line.empty()
+        return self._queue.empty()
 
-    def _take_batch(self) -> list:
-        batch = [self._line.get()]
+    def _next_batch(self) -> list:
+        batch = [self._queue.get()]
         while not isinstance(batch[-1], RewriteRecords):
             try:
-                batch.append(self._line.get_nowait())
+                batch.append(self._queue.get_nowait())
             except queue.Empty:
                 break
         return batch
 
     def _carry_out(self, *, batch: list) -> None:
-        stores = [command for command in batch if isinstance(command, AppendRecords)]
-        if stores:
-            self._append(stores=stores)
+        appends = [command for command in batch if isinstance(command, AppendRecords)]
+        if appends:
+            self._append(appends=appends)
         if isinstance(batch[-1], RewriteRecords):
             self._rewrite(command=batch[-1])
 
-    def _append(self, *, stores: list[AppendRecords]) -> None:
-        frame = pack_frame(records=[record for store in stores for record in store.records])
+    def _append(self, *, appends: list[AppendRecords]) -> None:
+        frame = pack_frame(records=[record for append in appends for record in append.records])
         try:
             # at the end of what is known to be sound: what an earlier write left behind it is written over
             self._files.write_at(file=self._file, data=frame, offset=self._length)
         except OSError as fault:
             with contextlib.suppress(OSError):
                 self._files.truncate(file=self._file, length=self._length)
-            return self._deliver(DiskWriteFailed(seq=stores[-1].seq, full=_is_full(fault=fault), reason=str(fault)))
+            return self._deliver(
+                DiskWriteFailed(seq=appends[-1].seq, full=_is_out_of_space(fault=fault), reason=str(fault))
+            )
         try:
             self._files.sync(file=self._file)
         except OSError as fault:
-            return self._deliver(DiskWriteFailed(seq=stores[-1].seq, full=False, reason=str(fault)))
+            return self._deliver(DiskWriteFailed(seq=appends[-1].seq, full=False, reason=str(fault)))
         self._length += len(frame)
-        return self._deliver(RecordsSynced(seq=stores[-1].seq))
+        return self._deliver(RecordsSynced(seq=appends[-1].seq))
 
     def _rewrite(self, *, command: RewriteRecords) -> None:
         frame = pack_frame(records=command.records)
         try:
-            file = self._write_fresh(frame=frame)
+            file = self._write_new_file(frame=frame)
         except OSError as fault:
             return self._deliver(DiskWriteFailed(seq=command.seq, full=True, reason=str(fault)))
         try:
             self._files.sync(file=file)
-            self._files.rename(old=FRESH, new=DATA)
+            self._files.rename(old=NEW_DATA_FILE, new=DATA_FILE)
             self._files.sync_names()
         except OSError as fault:
             return self._deliver(DiskWriteFailed(seq=command.seq, full=False, reason=str(fault)))
@@ -219,34 +221,34 @@
         self._make_reserve()
         return self._deliver(RecordsSynced(seq=command.seq))
 
-    def _write_fresh(self, *, frame: bytes) -> int:
+    def _write_new_file(self, *, frame: bytes) -> int:
         """The new file, written and open; if there is no room, the reserve is given up for it."""
         try:
-            return self._rewrite_in_place(frame=frame)
+            return self._try_write_new_file(frame=frame)
         except OSError:
-            self._files.remove(name=RESERVE)
-            return self._rewrite_in_place(frame=frame)
+            self._files.remove(name=RESERVE_FILE)
+            return self._try_write_new_file(frame=frame)
 
-    def _rewrite_in_place(self, *, frame: bytes) -> int:
-        file = self._files.open(name=FRESH, is_empty=True)
+    def _try_write_new_file(self, *, frame: bytes) -> int:
+        file = self._files.open(name=NEW_DATA_FILE, is_empty=True)
         try:
             self._files.write_at(file=file, data=frame, offset=0)
         except OSError:
             # neither its descriptor nor its room is kept: the next try comes within a second
             self._files.close(file=file)
             with contextlib.suppress(OSError):
-                self._files.remove(name=FRESH)
+                self._files.remove(name=NEW_DATA_FILE)
             raise
         return file
 
     def _make_reserve(self) -> None:
         try:
-            if self._files.size(name=RESERVE) != constants.DISK_RESERVE_BYTES:
-                self._files.allocate(name=RESERVE, length=constants.DISK_RESERVE_BYTES)
+            if self._files.size(name=RESERVE_FILE) != constants.DISK_RESERVE_BYTES:
+                self._files.allocate(name=RESERVE_FILE, length=constants.DISK_RESERVE_BYTES)
         except OSError:
             with contextlib.suppress(OSError):
-                self._files.remove(name=RESERVE)
+                self._files.remove(name=RESERVE_FILE)
 
 
-def _is_full(*, fault: OSError) -> bool:
+def _is_out_of_space(*, fault: OSError) -> bool:
     return fault.errno in (errno.ENOSPC, errno.EDQUOT)
--- a/sailward/storage/records.py
+++ b/sailward/storage/records.py
@@ -6,7 +6,7 @@
 from sailward.consensus.messages import is_ballot, is_readable, is_value
 from sailward.shapes import Check, is_count, is_text, record_of
 
-RECORDS: dict[str, Check] = {
+RECORD_CHECKS: dict[str, Check] = {
     "identity": record_of(needed={"id": is_text}),
     "copied": record_of(needed={}),
     "opened": record_of(needed={"n": is_count}),
@@ -22,10 +22,10 @@
     """Is it a record, of a kind that this version knows or of another?"""
     if not isinstance(given, dict) or not isinstance(given.get("k"), str):
         return False
-    fits = RECORDS.get(given["k"])
-    if fits is None:
+    check = RECORD_CHECKS.get(given["k"])
+    if check is None:
         return True
-    if not fits(given):
+    if not check(given):
         return False
     register = "voters" if given.get("r") == KNOWN else given.get("r", "")
     return "v" not in given or is_readable(register=register, text=given["v"]["text"])
--- a/sailward/transport/address.py
+++ b/sailward/transport/address.py
@@ -20,12 +20,12 @@
 GREETING = b"sailward/1 "
 
 
-class Post:
+class ThreadedMessageTransport:
     """Task that owns the message sockets. `send` puts a message in its peer's line."""
 
     def __init__(self, *, address: str, deliver: Callable[[object], None], threads: ThreadPoolExecutor) -> None:
         self._address, self._deliver, self._threads = address, deliver, threads
-        self._lines: dict[str, queue.Queue] = {}
+        self._send_queues: dict[str, queue.Queue] = {}
         self.counts: collections.Counter = collections.Counter()
         host, port = split_address(address=address)
         self._listener = socket.create_server((host, port), backlog=64, reuse_port=False)
@@ -39,12 +39,12 @@
         if to == self._address:
             self._deliver(MessageReceived(sender=to, body=body))
             return
-        line = self._lines.get(to)
-        if line is None:
-            line = self._lines[to] = queue.Queue(maxsize=constants.SEND_QUEUE_LENGTH)
-            self._threads.submit(self._send_queued, to, line)
+        send_queue = self._send_queues.get(to)
+        if send_queue is None:
+            send_queue = self._send_queues[to] = queue.Queue(maxsize=constants.SEND_QUEUE_LENGTH)
+            self._threads.submit(self._send_queued, to, send_queue)
         try:
-            line.put_nowait(body)
+            send_queue.put_nowait(body)
         except queue.Full:
             self.counts["dropped"] += 1
 
@@ -61,7 +61,7 @@
         with contextlib.suppress(OSError), connection, connection.makefile("rb") as stream:
             sender = _read_greeting(stream=stream)
             if sender is None:
-                self._complain(sender="unknown", reason="greeting")
+                self._report_bad_message(sender="unknown", reason="greeting")
                 return
             while True:
                 head = stream.read(LENGTH.size)
@@ -69,34 +69,34 @@
                     return
                 (length,) = LENGTH.unpack(head)
                 if length > constants.MAX_FRAME_BYTES:
-                    self._complain(sender=sender, reason="too-long")
+                    self._report_bad_message(sender=sender, reason="too-long")
                     return
                 payload = stream.read(length)
                 if len(payload) < length:
                     return
                 body = read_message(payload=payload)
                 if isinstance(body, BadMessage):
-                    self._complain(sender=sender, reason=body.reason)
+                    self._report_bad_message(sender=sender, reason=body.reason)
                     return
                 self.counts["heard"] += 1
                 self.counts["heard-bytes"] += length
                 self._deliver(MessageReceived(sender=sender, body=body))
 
-    def _complain(self, *, sender: str, reason: str) -> None:
+    def _report_bad_message(self, *, sender: str, reason: str) -> None:
         self.counts["bad"] += 1
         write_log(
             event="bad-message", fields={"from": sender, "reason": reason, "count": self.counts["bad"]}, level="warning"
         )
 
-    def _send_queued(self, to: str, line: queue.Queue) -> None:
+    def _send_queued(self, to: str, send_queue: queue.Queue) -> None:
         connection = None
         while True:
-            body = line.get()
+            body = send_queue.get()
             if connection is not None and _is_closed(connection=connection):
                 connection.close()
                 connection = None
             if connection is None:
-                connection = self._dial(to=to, line=line)
+                connection = self._dial(to=to, send_queue=send_queue)
                 if connection is None:
                     continue
             try:
@@ -108,7 +108,7 @@
                 connection.close()
                 connection = None
 
-    def _dial(self, *, to: str, line: queue.Queue) -> socket.socket | None:
+    def _dial(self, *, to: str, send_queue: queue.Queue) -> socket.socket | None:
         try:
             connection = socket.create_connection(split_address(address=to), timeout=constants.CONNECT_TIMEOUT)
             connection.settimeout(constants.LEASE_DURATION)
@@ -123,7 +123,7 @@
             time.sleep(constants.CONNECT_BACKOFF)
             with contextlib.suppress(queue.Empty):
                 while True:
-                    line.get_nowait()
+                    send_queue.get_nowait()
             return None
 
 
--- a/sailward/transport/curl_client.py
+++ b/sailward/transport/curl_client.py
@@ -21,7 +21,7 @@
 from sailward.wire_names import WireNames, names_another
 
 NAMES = WireNames()
-ABORT = struct.pack("ii", 1, 0)
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 FAULTS = {
     pycurl.E_COULDNT_CONNECT: "no-connection",
     pycurl.E_OPERATION_TIMEDOUT: "timed-out",
@@ -34,7 +34,7 @@
 
 
 @dataclass(kw_only=True)
-class Live:
+class ActiveCall:
     """One call under way, and its answer as far as it has come."""
 
     call: StartCall
@@ -106,41 +106,41 @@
 
     def __init__(self, *, deliver: Callable[[object], None]) -> None:
         self._deliver = deliver
-        self._line: collections.deque = collections.deque()
+        self._queue: collections.deque = collections.deque()
         self._wake_in, self._wake_out = socket.socketpair()
         self._wake_in.setblocking(False)
         self._wake_out.setblocking(False)
         self._multi = pycurl.CurlMulti()
-        self._live: dict = {}
-        self._spare: list[pycurl.Curl] = []
-        self._openers: dict[int, Live] = {}
-        self._clean: dict[int, str] = {}
+        self._active: dict = {}
+        self._free_handles: list[pycurl.Curl] = []
+        self._openers: dict[int, ActiveCall] = {}
+        self._reusable: dict[int, str] = {}
 
-    def give(self, *, call: StartCall) -> None:
+    def start(self, *, call: StartCall) -> None:
         """Put a call in line."""
-        self._put(command=call)
+        self._enqueue(command=call)
 
     def cancel(self, *, token: str) -> None:
         """Abort a call's connection; no CallFinished follows, unless it is on its way already."""
-        self._put(command=CancelCall(token=token))
+        self._enqueue(command=CancelCall(token=token))
 
-    def _put(self, *, command: StartCall | CancelCall) -> None:
-        self._line.append(command)
+    def _enqueue(self, *, command: StartCall | CancelCall) -> None:
+        self._queue.append(command)
         with contextlib.suppress(BlockingIOError):
             self._wake_out.send(b"x")
 
     def run(self) -> None:
         """Make calls for ever."""
         while True:
-            while self._line:
-                self._carry_out(command=self._line.popleft())
+            while self._queue:
+                self._carry_out(command=self._queue.popleft())
             while self._multi.perform()[0] == pycurl.E_CALL_MULTI_PERFORM:
                 pass
             self._collect()
-            if self._line:
+            if self._queue:
                 continue
             reads, writes, others = self._multi.fdset()
-            wait = min(1.0, max(0.0, self._multi.timeout() / 1000)) if self._live else 1.0
+            wait = min(1.0, max(0.0, self._multi.timeout() / 1000)) if self._active else 1.0
             ready, _, _ = select.select(
                 [self._wake_in, *reads], writes, others, wait if self._multi.timeout() >= 0 else 1.0
             )
@@ -151,18 +151,18 @@
         if isinstance(command, StartCall):
             self._begin_or_refuse(call=command)
             return
-        for live in list(self._live.values()):
-            if live.call.token == command.token:
-                self._release(handle=live.handle)
+        for active in list(self._active.values()):
+            if active.call.token == command.token:
+                self._release(handle=active.handle)
 
-    def _release(self, *, handle: pycurl.Curl) -> Live:
+    def _release(self, *, handle: pycurl.Curl) -> ActiveCall:
         """Take a handle out of use; its connection is aborted if its call has not ended."""
-        live: Live = self._live.pop(handle)
+        active: ActiveCall = self._active.pop(handle)
         self._multi.remove_handle(handle)
         handle.reset()
-        if len(self._spare) < constants.HTTP_CLIENT_THREADS:
-            self._spare.append(handle)
-        return live
+        if len(self._free_handles) < constants.HTTP_CLIENT_THREADS:
+            self._free_handles.append(handle)
+        return active
 
     def _begin_or_refuse(self, *, call: StartCall) -> None:
         """Begin a call, or say at once that it can't be made: its address or headers may be of any shape."""
@@ -175,71 +175,71 @@
         if time.monotonic() > call.begin_by:
             self._deliver(CallFinished(token=call.token, code=0, headers={}, body=b"", fault="too-late", sent=False))
             return
-        handle = self._spare.pop() if self._spare else pycurl.Curl()
-        live = Live(call=call, handle=handle)
-        self._clean = {fd: owner for fd, owner in self._clean.items() if owner != call.owner}
-        handle.setopt(pycurl.SOCKOPTFUNCTION, lambda fd, _: self._open_socket(fd=fd, live=live))
+        handle = self._free_handles.pop() if self._free_handles else pycurl.Curl()
+        active = ActiveCall(call=call, handle=handle)
+        self._reusable = {fd: owner for fd, owner in self._reusable.items() if owner != call.owner}
+        handle.setopt(pycurl.SOCKOPTFUNCTION, lambda fd, _: self._open_socket(fd=fd, active=active))
         handle.setopt(pycurl.CLOSESOCKETFUNCTION, lambda fd: self._close_socket(fd=fd))
         _set_connection(handle=handle, call=call)
         _set_request(handle=handle, call=call)
-        handle.setopt(pycurl.HEADERFUNCTION, lambda line: live.take_header(line=line))
-        handle.setopt(pycurl.WRITEFUNCTION, lambda data: live.take_body(data=data))
-        self._live[handle] = live
+        handle.setopt(pycurl.HEADERFUNCTION, lambda line: active.take_header(line=line))
+        handle.setopt(pycurl.WRITEFUNCTION, lambda data: active.take_body(data=data))
+        self._active[handle] = active
         self._multi.add_handle(handle)
 
-    def _open_socket(self, *, fd: int, live: Live) -> int:
-        with _borrow(fd=fd) as connection:
+    def _open_socket(self, *, fd: int, active: ActiveCall) -> int:
+        with _borrow_socket(fd=fd) as connection:
             connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(constants.LEASE_DURATION * 1000))
-        self._openers[fd] = live
-        live.is_dialled = True
+        self._openers[fd] = active
+        active.is_dialled = True
         return pycurl.SOCKOPT_OK
 
     def _close_socket(self, *, fd: int) -> int:
         """A call given up takes its bytes along: what the socket still holds must not arrive after a cut heals."""
         opener = self._openers.pop(fd, None)
-        is_clean = self._clean.pop(fd, None) is not None or (
+        is_reusable = self._reusable.pop(fd, None) is not None or (
             opener is not None and opener.call.fresh and bool(opener.headers)
         )
-        if not is_clean:
-            with _borrow(fd=fd) as connection:
-                connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ABORT)
+        if not is_reusable:
+            with _borrow_socket(fd=fd) as connection:
+                connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         os.close(fd)
         return 0
 
     def _collect(self) -> None:
         while True:
-            left, good, bad = self._multi.info_read()
-            for handle in good:
+            queued_messages, succeeded, failed = self._multi.info_read()
+            for handle in succeeded:
                 self._finish(handle=handle, errno=0)
-            for handle, errno, _ in bad:
+            for handle, errno, _ in failed:
                 self._finish(handle=handle, errno=errno)
-            if not left:
+            if not queued_messages:
                 return
 
     def _finish(self, *, handle: pycurl.Curl, errno: int) -> None:
-        live = self._live[handle]
-        token = live.call.token
-        fault = live.find_fault(errno=errno)
+        active = self._active[handle]
+        token = active.call.token
+        fault = active.find_fault(errno=errno)
         if fault:
-            is_sent = live.may_be_sent(errno=errno)
-            called = CallFinished(token=token, code=0, headers={}, body=b"", sent=is_sent, fault=fault)
+            is_sent = active.may_be_sent(errno=errno)
+            result = CallFinished(token=token, code=0, headers={}, body=b"", sent=is_sent, fault=fault)
         else:
-            if not live.call.fresh:
-                self._clean[handle.getinfo(pycurl.LASTSOCKET)] = live.call.owner
-            called = CallFinished(
+            if not active.call.fresh:
+                self._reusable[handle.getinfo(pycurl.LASTSOCKET)] = active.call.owner
+            result = CallFinished(
                 token=token,
                 code=handle.getinfo(pycurl.RESPONSE_CODE),
-                headers=live.headers,
-                body=live.body.getvalue(),
+                headers=active.headers,
+                body=active.body.getvalue(),
                 fault="",
                 sent=True,
             )
         self._release(handle=handle)
-        self._deliver(called)
+        self._deliver(result)
 
 
 @contextlib.contextmanager
-def _borrow(*, fd: int) -> Iterator[socket.socket]:
+def _borrow_socket(*, fd: int) -> Iterator[socket.socket]:
     """The socket of a descriptor that stays the library's."""
     connection = socket.socket(fileno=fd)
     try:
--- a/sailward/transport/http_client.py
+++ b/sailward/transport/http_client.py
@@ -18,10 +18,10 @@
 from sailward.transport.http_exchange import Broken, CompleteResponse, Exchange
 from sailward.wire_names import WireNames
 
-ABORT = struct.pack("ii", 1, 0)
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 CLEAN, SURPLUS, GONE = "clean", "surplus", "gone"
 
-DIAL_FAULTS = {errno.ECONNREFUSED: "refused", errno.ETIMEDOUT: "connect-timeout"}
+CONNECT_FAULTS = {errno.ECONNREFUSED: "refused", errno.ETIMEDOUT: "connect-timeout"}
 """What a connection that did not come up tells: `refused` is the answer of a machine on which nobody listens there."""
 
 
@@ -32,7 +32,7 @@
     owner: str
     address: str
     sock: socket.socket
-    running: Running | None = None
+    running: ActiveCall | None = None
     is_open: bool = False
     is_kept_alive: bool = False
     is_last: bool = False
@@ -40,12 +40,12 @@
 
 
 @dataclass(kw_only=True, eq=False)
-class Running:
+class ActiveCall:
     """A call under way. `is_sent` says whether the system accepted a byte of it."""
 
     call: StartCall
     deadline: float
-    dial_by: float = float("inf")
+    connect_by: float = float("inf")
     exchange: Exchange | None = None
     connection: Connection | None = None
     unsent: memoryview = field(default_factory=lambda: memoryview(b""))
@@ -66,7 +66,7 @@
         self._reactor = reactor
         self._deliver = deliver
         self._names = names
-        self._running: dict[str, Running] = {}
+        self._running: dict[str, ActiveCall] = {}
         self._idle: dict[str, list[Connection]] = {}
         self._alarm: Alarm | None = None
         self._opened = 0
@@ -74,23 +74,23 @@
         self._stale = 0
         self._surplus = 0
 
-    def give(self, *, call: StartCall) -> None:
+    def start(self, *, call: StartCall) -> None:
         """Make a call. One that is under way under the same token is cancelled first: a token names one call."""
         self.cancel(token=call.token)
-        running = Running(call=call, deadline=self._reactor.clock() + call.timeout)
+        running = ActiveCall(call=call, deadline=self._reactor.clock() + call.timeout)
         self._running[call.token] = running
         if call.timeout < constants.HTTP_CLIENT_SHORT_TIMEOUT:
-            running.alarm = self._reactor.later(
-                delay=call.timeout, call=functools.partial(self._check, running=running)
+            running.alarm = self._reactor.call_later(
+                delay=call.timeout, call=functools.partial(self._check_deadlines, running=running)
             )
-        self._arm()
-        self._reactor.soon(call=functools.partial(self._begin, running=running))
+        self._schedule_sweep()
+        self._reactor.call_soon(call=functools.partial(self._begin, running=running))
 
     def cancel(self, *, token: str) -> None:
         """Abort a call's connection; no CallFinished follows. A call that has ended is none of its business."""
         running = self._running.get(token)
         if running is not None:
-            self._forget(running=running, is_aborted=True)
+            self._end_call(running=running, is_aborted=True)
 
     def withdraw(self, *, token: str) -> None:
         """Fail a call with `withdrawn` if the system has accepted no byte of it; one that has left goes on."""
@@ -121,10 +121,10 @@
             "calls": len(self._running),
         }
 
-    def _is_running(self, *, running: Running) -> bool:
+    def _is_running(self, *, running: ActiveCall) -> bool:
         return self._running.get(running.call.token) is running
 
-    def _begin(self, *, running: Running) -> None:
+    def _begin(self, *, running: ActiveCall) -> None:
         if not self._is_running(running=running):
             return
         call, now = running.call, self._reactor.clock()
@@ -153,45 +153,45 @@
         for connection in reversed(self._idle.get(owner, [])[:]):
             if connection.address != address:
                 continue
-            self._leave_pool(connection=connection)
+            self._remove_from_pool(connection=connection)
             state = _peek(sock=connection.sock)
             if now < connection.idle_until and state == CLEAN:
                 return connection
-            self._count_dead(state=state)
+            self._count_unusable(state=state)
             self._close(connection=connection, is_aborted=False)
         return None
 
-    def _count_dead(self, *, state: str) -> None:
+    def _count_unusable(self, *, state: str) -> None:
         self._stale += state == GONE
         self._surplus += state == SURPLUS
 
-    def _dial(self, *, running: Running) -> None:
+    def _dial(self, *, running: ActiveCall) -> None:
         call = running.call
         sock = None
         try:
-            family, location = _resolve(address=call.address)
+            family, socket_address = _resolve(address=call.address)
             sock = socket.socket(family, socket.SOCK_STREAM)
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(constants.LEASE_DURATION * 1000))
-            code = sock.connect_ex(location)
+            code = sock.connect_ex(socket_address)
         except (OSError, ValueError, OverflowError):
             code = errno.EADDRNOTAVAIL
         if code not in (0, errno.EINPROGRESS):
             if sock is not None:
                 sock.close()
-            self._fail(running=running, fault=DIAL_FAULTS.get(code, "no-connection"))
+            self._fail(running=running, fault=CONNECT_FAULTS.get(code, "no-connection"))
             return
         connection = Connection(owner=call.owner, address=call.address, sock=sock, running=running)
         running.connection = connection
-        running.dial_by = self._reactor.clock() + (call.dial or constants.CONNECT_TIMEOUT)
+        running.connect_by = self._reactor.clock() + (call.dial or constants.CONNECT_TIMEOUT)
         self._reactor.watch(sock=sock, writable=functools.partial(self._on_dialled, connection=connection))
 
     def _on_dialled(self, *, connection: Connection) -> None:
         running = connection.running
         code = connection.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if code:
-            self._fail(running=running, fault=DIAL_FAULTS.get(code, "no-connection"))
+            self._fail(running=running, fault=CONNECT_FAULTS.get(code, "no-connection"))
             return
         connection.is_open = True
         self._opened += 1
@@ -202,12 +202,12 @@
             self._fail(running=running, fault="surplus" if state == SURPLUS else "connection-lost")
         elif now > running.call.begin_by or now >= running.deadline:
             running.connection = connection.running = None
-            self._keep(connection=connection, idle=constants.HTTP_CLIENT_IDLE_TIMEOUT)
+            self._return_to_pool(connection=connection, idle=constants.HTTP_CLIENT_IDLE_TIMEOUT)
             self._fail(running=running, fault="too-late" if now > running.call.begin_by else "timed-out")
         else:
             self._send(running=running)
 
-    def _send(self, *, running: Running) -> None:
+    def _send(self, *, running: ActiveCall) -> None:
         connection = running.connection
         try:
             while running.unsent:
@@ -231,7 +231,7 @@
                 sock=connection.sock, readable=functools.partial(self._on_readable, connection=connection)
             )
 
-    def _on_send_failed(self, *, running: Running) -> None:
+    def _on_send_failed(self, *, running: ActiveCall) -> None:
         connection = running.connection
         if running.is_sent:
             # an answer may have come before the connection ended: read on
@@ -253,8 +253,8 @@
         if running is None:
             state = _peek(sock=connection.sock)
             if state != CLEAN:
-                self._count_dead(state=state)
-                self._leave_pool(connection=connection)
+                self._count_unusable(state=state)
+                self._remove_from_pool(connection=connection)
                 self._close(connection=connection, is_aborted=False)
             return
         try:
@@ -272,14 +272,14 @@
         elif isinstance(result, CompleteResponse):
             self._finish(running=running, response=result)
 
-    def _finish(self, *, running: Running, response: CompleteResponse) -> None:
+    def _finish(self, *, running: ActiveCall, response: CompleteResponse) -> None:
         connection = running.connection
         if running.unsent or running.is_broken:
-            self._forget(running=running, is_aborted=True)
+            self._end_call(running=running, is_aborted=True)
         else:
             running.connection = connection.running = None
-            self._forget(running=running, is_aborted=False)
-            self._keep(connection=connection, idle=response.idle)
+            self._end_call(running=running, is_aborted=False)
+            self._return_to_pool(connection=connection, idle=response.idle)
         self._deliver(
             CallFinished(
                 token=running.call.token,
@@ -291,8 +291,8 @@
             )
         )
 
-    def _fail(self, *, running: Running, fault: str) -> None:
-        self._forget(running=running, is_aborted=True)
+    def _fail(self, *, running: ActiveCall, fault: str) -> None:
+        self._end_call(running=running, is_aborted=True)
         self._deliver(
             CallFinished(
                 token=running.call.token,
@@ -304,7 +304,7 @@
             )
         )
 
-    def _forget(self, *, running: Running, is_aborted: bool) -> None:
+    def _end_call(self, *, running: ActiveCall, is_aborted: bool) -> None:
         del self._running[running.call.token]
         if running.alarm is not None:
             running.alarm.cancel()
@@ -313,7 +313,7 @@
             connection.running = None
             self._close(connection=connection, is_aborted=is_aborted)
 
-    def _keep(self, *, connection: Connection, idle: float) -> None:
+    def _return_to_pool(self, *, connection: Connection, idle: float) -> None:
         if connection.is_last or idle <= 0:
             self._close(connection=connection, is_aborted=False)
             return
@@ -323,9 +323,9 @@
         pool.append(connection)
         if len(pool) > constants.HTTP_CLIENT_MAX_IDLE_CONNECTIONS:
             self._close(connection=pool.pop(0), is_aborted=False)
-        self._arm()
+        self._schedule_sweep()
 
-    def _leave_pool(self, *, connection: Connection) -> None:
+    def _remove_from_pool(self, *, connection: Connection) -> None:
         pool = self._idle[connection.owner]
         pool.remove(connection)
         if not pool:
@@ -335,24 +335,24 @@
         """Close it. An aborted one takes along what the system still holds: it must not arrive after a cut heals."""
         self._reactor.watch(sock=connection.sock)
         if is_aborted:
-            connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ABORT)
+            connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         connection.sock.close()
 
-    def _arm(self) -> None:
+    def _schedule_sweep(self) -> None:
         if self._alarm is None and (self._running or self._idle):
-            self._alarm = self._reactor.later(delay=constants.HTTP_CLIENT_SWEEP_INTERVAL, call=self._sweep)
+            self._alarm = self._reactor.call_later(delay=constants.HTTP_CLIENT_SWEEP_INTERVAL, call=self._sweep)
 
     def _sweep(self) -> None:
         self._alarm = None
         for running in list(self._running.values()):
-            self._check(running=running)
+            self._check_deadlines(running=running)
         now = self._reactor.clock()
-        for connection in [each for pool in self._idle.values() for each in pool if each.idle_until <= now]:
-            self._leave_pool(connection=connection)
+        for connection in [pooled for pool in self._idle.values() for pooled in pool if pooled.idle_until <= now]:
+            self._remove_from_pool(connection=connection)
             self._close(connection=connection, is_aborted=False)
-        self._arm()
+        self._schedule_sweep()
 
-    def _check(self, *, running: Running) -> None:
+    def _check_deadlines(self, *, running: ActiveCall) -> None:
         if not self._is_running(running=running):
             return
         now, connection = self._reactor.clock(), running.connection
@@ -364,7 +364,7 @@
                     self._fail(running=running, fault="timed-out")
         elif now > running.call.begin_by:
             self._fail(running=running, fault="too-late")
-        elif now >= min(running.deadline, running.dial_by):
+        elif now >= min(running.deadline, running.connect_by):
             self._fail(running=running, fault="connect-timeout" if connection is not None else "timed-out")
 
 
@@ -382,5 +382,5 @@
     host, _, port = address.rpartition(":")
     if not 0 < int(port) < 1 << 16:
         raise ValueError(port)
-    family, _, _, _, location = socket.getaddrinfo(host.strip("[]"), int(port), type=socket.SOCK_STREAM)[0]
-    return family, location
+    family, _, _, _, socket_address = socket.getaddrinfo(host.strip("[]"), int(port), type=socket.SOCK_STREAM)[0]
+    return family, socket_address
--- a/sailward/transport/http_exchange.py
+++ b/sailward/transport/http_exchange.py
@@ -50,12 +50,12 @@
         self._headers: dict = {}
         self._parts: list[bytes] = []
         self._size = 0
-        self._is_named = False
+        self._echoes_exchange_id = False
         self.is_received = False
-        given = {name.lower(): value for name, value in call.headers.items()}
-        self._id = given.get(exchange_name, "") if exchange_name else ""
-        headers = [("host", given.get("host") or call.address)]
-        headers += [(name, value) for name, value in given.items() if name not in OWN_HEADERS and value != ""]
+        call_headers = {name.lower(): value for name, value in call.headers.items()}
+        self._exchange_id = call_headers.get(exchange_name, "") if exchange_name else ""
+        headers = [("host", call_headers.get("host") or call.address)]
+        headers += [(name, value) for name, value in call_headers.items() if name not in OWN_HEADERS and value != ""]
         if call.body or call.method in BODY_METHODS:
             headers.append(("content-length", str(len(call.body))))
         try:
@@ -80,9 +80,9 @@
             while True:
                 event = self._parser.next_event()
                 if isinstance(event, h11.Response):
-                    fault = self._take_head(response=event)
+                    fault = self._on_head(response=event)
                 elif isinstance(event, h11.Data):
-                    fault = self._take_body(data=event.data)
+                    fault = self._on_body(data=event.data)
                 elif isinstance(event, h11.EndOfMessage):
                     return self._finish()
                 elif isinstance(event, h11.InformationalResponse):
@@ -100,7 +100,7 @@
         """The connection ended before the answer was whole."""
         return Broken(fault="cut-short" if self.is_received else "connection-lost")
 
-    def _take_head(self, *, response: h11.Response) -> str:
+    def _on_head(self, *, response: h11.Response) -> str:
         self._code = response.status_code
         size = 0
         for raw_name, raw_value in response.headers:
@@ -108,9 +108,9 @@
             size += len(name) + len(value) + 4
             self._headers[name] = f"{self._headers[name]}, {value}" if name in self._headers else value
         echoed = self._headers.get(self._exchange_name, "") if self._exchange_name else ""
-        if names_another(asked=self._id, echoed=echoed):
+        if names_another(asked=self._exchange_id, echoed=echoed):
             return "another-exchange"
-        self._is_named = echoed == self._id
+        self._echoes_exchange_id = echoed == self._exchange_id
         length = self._headers.get("content-length")
         is_chunked = "transfer-encoding" in self._headers
         if size > constants.HTTP_CLIENT_MAX_HEAD_BYTES or (length is not None and is_chunked):
@@ -123,7 +123,7 @@
         # one length: the library refuses several that differ
         return "too-large" if length is not None and int(length.split(",")[0]) > constants.MAX_RESULT_BYTES else ""
 
-    def _take_body(self, *, data: bytes) -> str:
+    def _on_body(self, *, data: bytes) -> str:
         self._size += len(data)
         self._parts.append(data)
         return "too-large" if self._size > constants.MAX_RESULT_BYTES else ""
@@ -133,7 +133,7 @@
             self._parser.their_state is h11.DONE
             and self._parser.our_state is h11.DONE
             and not self._parser.trailing_data[0]
-            and self._is_named
+            and self._echoes_exchange_id
         )
         return CompleteResponse(
             code=self._code,
@@ -144,10 +144,10 @@
 
 
 def _read_idle(*, keep_alive: str) -> float:
-    told = KEEP_ALIVE.search(keep_alive)
-    if told is None:
+    timeout = KEEP_ALIVE.search(keep_alive)
+    if timeout is None:
         return constants.HTTP_CLIENT_IDLE_TIMEOUT
-    seconds = int(told.group(1))
+    seconds = int(timeout.group(1))
     if seconds == 0:
         return 0.0
     return min(
--- a/sailward/transport/http_server.py
+++ b/sailward/transport/http_server.py
@@ -17,10 +17,10 @@
 from sailward.transport.http_server_head import Refused, write_response
 from sailward.transport.http_server_listener import Listener
 from sailward.transport.http_server_state import Connection, Exchange
-from sailward.transport.http_server_timing import Verdict, judge_time
+from sailward.transport.http_server_timing import TimeoutVerdict, check_timeouts
 
 _CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
-TOO_SLOW = {Verdict.HEAD_TOO_SLOW: "head too slow", Verdict.BODY_TOO_SLOW: "body too slow"}
+SLOW_REQUEST_REASONS = {TimeoutVerdict.HEAD_TOO_SLOW: "head too slow", TimeoutVerdict.BODY_TOO_SLOW: "body too slow"}
 """What a caller is told that sends too slowly."""
 
 
@@ -52,12 +52,12 @@
         self._connections: set[Connection] = set()
         self._pending: dict[str, tuple[Connection, Exchange]] = {}
         self._open = 0
-        self._is_leaving = False
+        self._is_draining = False
         self.departures = DepartureCounts()
         self._departures_logged = DepartureCounts()
-        self._listener = Listener(reactor=reactor, address=address, accepted=self._accept)
+        self._listener = Listener(reactor=reactor, address=address, on_accepted=self._accept)
         self.port = self._listener.port
-        self._reactor.later(delay=constants.HTTP_SERVER_SWEEP_INTERVAL, call=self._sweep)
+        self._reactor.call_later(delay=constants.HTTP_SERVER_SWEEP_INTERVAL, call=self._sweep)
 
     def answer(self, *, command: Respond) -> bool:
         """Give a told request its answer; False if its connection is gone or it has one."""
@@ -67,26 +67,26 @@
         exchange.answer = command
         if command.close or exchange.is_last:
             exchange.is_last = connection.is_ending = True
-            self._drop_behind(connection=connection, exchange=exchange)
+            self._discard_later_exchanges(connection=connection, exchange=exchange)
         self._flush(connection=connection)
-        return not connection.is_gone
+        return not connection.is_closed
 
-    def leave(self) -> None:
+    def drain(self) -> None:
         """Let each connection end behind the requests that were told; idle ones end now.
 
         New ones are still accepted.
         """
-        self._is_leaving = True
+        self._is_draining = True
         for connection in list(self._connections):
-            told = [exchange for exchange in connection.exchanges if exchange is not connection.reading]
-            if told:
+            delivered = [exchange for exchange in connection.exchanges if exchange is not connection.reading]
+            if delivered:
                 connection.is_ending = True
-                self._drop_reading(connection=connection)
+                self._discard_unfinished_request(connection=connection)
                 self._update(connection=connection)
             elif connection.reading is not None:
                 connection.reading.is_last = True
             elif connection.is_idle() and connection.has_requested:
-                self._reactor.soon(call=functools.partial(self._close_idle, connection=connection))
+                self._reactor.call_soon(call=functools.partial(self._close_idle, connection=connection))
 
     def close_listener(self) -> None:
         """Accept no more connections."""
@@ -107,7 +107,7 @@
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         now = self._reactor.clock()
-        connection = Connection(sock=sock, since=now, moved=now)
+        connection = Connection(sock=sock, accepted_at=now, active_at=now)
         connection.readable = functools.partial(self._read, connection=connection)
         connection.writable = functools.partial(self._write, connection=connection)
         self._connections.add(connection)
@@ -116,7 +116,7 @@
     def _read(self, *, connection: Connection) -> None:
         """Read what has come, so that a caller's close is seen before its requests have been sent on."""
         for _ in range(constants.HTTP_SERVER_MAX_READS):
-            if connection.is_gone or not connection.may_read():
+            if connection.is_closed or not connection.may_read():
                 return
             try:
                 data = connection.sock.recv(constants.HTTP_SERVER_READ_BYTES)
@@ -126,23 +126,23 @@
                 self._close(connection=connection)
                 return
             if not data:
-                self._meet_eof(connection=connection)
+                self._on_eof(connection=connection)
                 return
             if not connection.is_ending:
-                self._take_bytes(connection=connection, data=data)
+                self._on_bytes(connection=connection, data=data)
 
-    def _take_bytes(self, *, connection: Connection, data: bytes) -> None:
+    def _on_bytes(self, *, connection: Connection, data: bytes) -> None:
         if not connection.reader.has_bytes or connection.reading is not None:
-            connection.moved = self._reactor.clock()
+            connection.active_at = self._reactor.clock()
         connection.reader.feed(data=data)
         self._advance(connection=connection)
 
-    def _meet_eof(self, *, connection: Connection) -> None:
+    def _on_eof(self, *, connection: Connection) -> None:
         connection.is_eof = connection.is_ending = True
-        if connection.linger is not None:
+        if connection.linger_until is not None:
             self._close(connection=connection)
             return
-        self._drop_reading(connection=connection)
+        self._discard_unfinished_request(connection=connection)
         unanswered = [exchange for exchange in connection.exchanges if exchange.token in self._pending]
         self.departures.closed += len(unanswered)
         for exchange in unanswered:
@@ -157,45 +157,45 @@
             deliver(ClientDisconnected(token=exchange.token))
 
     def _deliver_soon(self, event: object) -> None:
-        self._reactor.soon(call=functools.partial(self._deliver, event))
+        self._reactor.call_soon(call=functools.partial(self._deliver, event))
 
     def _advance(self, *, connection: Connection) -> None:
-        if connection.is_busy or connection.is_gone:
+        if connection.is_advancing or connection.is_closed:
             return
-        connection.is_busy = True
+        connection.is_advancing = True
         try:
-            while connection.reader.has_bytes and not (connection.is_gone or connection.is_ending):
-                if not self._read_on(connection=connection):
+            while connection.reader.has_bytes and not (connection.is_closed or connection.is_ending):
+                if not self._read_next_part(connection=connection):
                     break
         except Refused as refused:
             self._refuse(connection=connection, refused=refused)
         finally:
-            connection.is_busy = False
+            connection.is_advancing = False
         self._update(connection=connection)
 
-    def _read_on(self, *, connection: Connection) -> bool:
+    def _read_next_part(self, *, connection: Connection) -> bool:
         """Read a head, or the body behind one; False if it must wait."""
         is_new = connection.reading is None
-        if is_new and (connection.is_full() or not self._take_head(connection=connection)):
+        if is_new and (connection.is_full() or not self._read_head(connection=connection)):
             return False
         body = connection.reader.read_body()
         if body is not None:
             self._deliver_request(connection=connection, body=body)
             return True
         if is_new:
-            self._continue(connection=connection)
+            self._send_continue(connection=connection)
             self._write(connection=connection)
         else:
             connection.may_continue = False
         return False
 
-    def _take_head(self, *, connection: Connection) -> bool:
+    def _read_head(self, *, connection: Connection) -> bool:
         limits = self._limits()
         head = connection.reader.read_head(limits=limits)
         if head is None:
             return False
-        connection.has_requested, connection.moved = True, self._reactor.clock()
-        connection.reading = Exchange(head=head, is_last=head.is_last or self._is_leaving)
+        connection.has_requested, connection.active_at = True, self._reactor.clock()
+        connection.reading = Exchange(head=head, is_last=head.is_last or self._is_draining)
         connection.exchanges.append(connection.reading)
         self._open += 1
         connection.reader.begin_body(head=head, limits=limits)
@@ -207,7 +207,7 @@
         connection.may_continue = False
         head, exchange.head.parser = exchange.head, None
         exchange.token = f"{self._name} {next(self._numbers)}"
-        connection.moved = self._reactor.clock()
+        connection.active_at = self._reactor.clock()
         if exchange.is_last:
             connection.is_ending = True
             connection.reader.clear()
@@ -225,7 +225,7 @@
         )
 
     def _refuse(self, *, connection: Connection, refused: Refused) -> None:
-        if connection.is_gone:
+        if connection.is_closed:
             return
         exchange, connection.reading = connection.reading, None
         if exchange is None:
@@ -256,27 +256,27 @@
                 is_head=head is not None and head.method == "HEAD",
                 idle_wait=idle_wait,
             )
-            connection.idle_promise = idle_wait
+            connection.announced_idle_wait = idle_wait
             self._send(connection=connection, data=data, count=1)
-        self._continue(connection=connection)
+        self._send_continue(connection=connection)
         self._write(connection=connection)
 
-    def _continue(self, *, connection: Connection) -> None:
+    def _send_continue(self, *, connection: Connection) -> None:
         if connection.may_continue and connection.exchanges and connection.exchanges[0] is connection.reading:
             connection.may_continue = False
             self._send(connection=connection, data=_CONTINUE, count=0)
 
     def _send(self, *, connection: Connection, data: bytes, count: int) -> None:
-        if not connection.out:
-            connection.wrote = self._reactor.clock()
-        connection.out.append((memoryview(data), count))
+        if not connection.outgoing:
+            connection.written_at = self._reactor.clock()
+        connection.outgoing.append((memoryview(data), count))
 
     def _write(self, *, connection: Connection) -> None:
-        if connection.is_gone or connection.linger is not None:
+        if connection.is_closed or connection.linger_until is not None:
             return
-        out = connection.out
-        while out:
-            view, count = out[0]
+        outgoing = connection.outgoing
+        while outgoing:
+            view, count = outgoing[0]
             try:
                 size = connection.sock.send(view)
             except (BlockingIOError, InterruptedError):
@@ -284,18 +284,18 @@
             except OSError:
                 self._close(connection=connection)
                 return
-            connection.wrote = self._reactor.clock()
+            connection.written_at = self._reactor.clock()
             if size < len(view):
-                out[0] = (view[size:], count)
+                outgoing[0] = (view[size:], count)
                 continue
-            out.popleft()
+            outgoing.popleft()
             self._open -= count
             if not connection.reader.has_bytes:
-                connection.moved = connection.wrote
-        if connection.is_ending and not out and not connection.exchanges:
+                connection.active_at = connection.written_at
+        if connection.is_ending and not outgoing and not connection.exchanges:
             self._finish(connection=connection)
         elif connection.may_advance():
-            self._reactor.soon(call=functools.partial(self._advance, connection=connection))
+            self._reactor.call_soon(call=functools.partial(self._advance, connection=connection))
         self._update(connection=connection)
 
     def _finish(self, *, connection: Connection) -> None:
@@ -307,27 +307,27 @@
         except OSError:
             self._close(connection=connection)
             return
-        connection.linger = self._reactor.clock() + constants.HTTP_SERVER_LINGER_TIMEOUT
+        connection.linger_until = self._reactor.clock() + constants.HTTP_SERVER_LINGER_TIMEOUT
 
     def _update(self, *, connection: Connection) -> None:
-        if connection.is_gone:
+        if connection.is_closed:
             return
-        is_held = connection.is_full() and connection.reading is None and not connection.is_ending
-        if connection.is_held and not is_held:
+        is_paused = connection.is_full() and connection.reading is None and not connection.is_ending
+        if connection.is_paused and not is_paused:
             # what its caller sent meanwhile was not read by our doing
-            connection.moved = self._reactor.clock()
-        connection.is_held = is_held
-        interest = (connection.may_read(), bool(connection.out))
-        if interest == connection.watched:
+            connection.active_at = self._reactor.clock()
+        connection.is_paused = is_paused
+        interest = (connection.may_read(), bool(connection.outgoing))
+        if interest == connection.watched_events:
             return
-        connection.watched = interest
+        connection.watched_events = interest
         self._reactor.watch(
             sock=connection.sock,
             readable=connection.readable if interest[0] else None,
             writable=connection.writable if interest[1] else None,
         )
 
-    def _drop_reading(self, *, connection: Connection) -> None:
+    def _discard_unfinished_request(self, *, connection: Connection) -> None:
         connection.reader.clear()
         connection.may_continue = False
         if connection.reading is not None:
@@ -335,49 +335,49 @@
             connection.reading = None
             self._open -= 1
 
-    def _drop_behind(self, *, connection: Connection, exchange: Exchange) -> None:
-        self._drop_reading(connection=connection)
+    def _discard_later_exchanges(self, *, connection: Connection, exchange: Exchange) -> None:
+        self._discard_unfinished_request(connection=connection)
         while connection.exchanges[-1] is not exchange:
-            self._forget(exchange=connection.exchanges.pop())
+            self._discard_exchange(exchange=connection.exchanges.pop())
 
-    def _forget(self, *, exchange: Exchange) -> None:
+    def _discard_exchange(self, *, exchange: Exchange) -> None:
         self._open -= 1
         if self._pending.pop(exchange.token, None) is not None:
             self.departures.reset += not exchange.is_reported
             self._report_disconnect(exchange=exchange, deliver=self._deliver_soon)
 
     def _close(self, *, connection: Connection) -> None:
-        if connection.is_gone:
+        if connection.is_closed:
             return
-        connection.is_gone = True
+        connection.is_closed = True
         self._connections.discard(connection)
         self._reactor.watch(sock=connection.sock)
         connection.sock.close()
         for exchange in connection.exchanges:
-            self._forget(exchange=exchange)
-        self._open -= sum(count for _, count in connection.out)
+            self._discard_exchange(exchange=exchange)
+        self._open -= sum(count for _, count in connection.outgoing)
         connection.exchanges.clear()
-        connection.out.clear()
+        connection.outgoing.clear()
 
     def _close_idle(self, *, connection: Connection) -> None:
-        if not connection.is_gone and connection.is_idle():
+        if not connection.is_closed and connection.is_idle():
             self._read(connection=connection)
-        if not connection.is_gone and connection.is_idle():
+        if not connection.is_closed and connection.is_idle():
             self._close(connection=connection)
 
     def _sweep(self) -> None:
-        self._reactor.later(delay=constants.HTTP_SERVER_SWEEP_INTERVAL, call=self._sweep)
+        self._reactor.call_later(delay=constants.HTTP_SERVER_SWEEP_INTERVAL, call=self._sweep)
         self._log_departures()
         now, limits = self._reactor.clock(), self._limits()
         for connection in list(self._connections):
             self._check_invariants(connection=connection)
-            verdict = judge_time(connection=connection, now=now, limits=limits, is_leaving=self._is_leaving)
-            if verdict is Verdict.ENDS:
+            verdict = check_timeouts(connection=connection, now=now, limits=limits, is_draining=self._is_draining)
+            if verdict is TimeoutVerdict.CLOSE:
                 self._close(connection=connection)
-            elif verdict is Verdict.IDLE_ENDS:
+            elif verdict is TimeoutVerdict.CLOSE_IDLE:
                 self._close_idle(connection=connection)
-            elif verdict is not Verdict.STAYS:
-                self._refuse(connection=connection, refused=Refused(code=408, reason=TOO_SLOW[verdict]))
+            elif verdict is not TimeoutVerdict.KEEP:
+                self._refuse(connection=connection, refused=Refused(code=408, reason=SLOW_REQUEST_REASONS[verdict]))
 
     def _log_departures(self) -> None:
         changes = self.departures.take_changes(logged=self._departures_logged)
--- a/sailward/transport/http_server_departures.py
+++ b/sailward/transport/http_server_departures.py
@@ -40,5 +40,5 @@
     if connection.is_eof:
         is_reported = all(exchange.is_reported for exchange in unanswered)
         return check(invariant=Invariant.DEPARTURES_REPORTED, holds=is_reported, unanswered=len(unanswered))
-    is_watched = connection.watched[0] or not connection.may_read()
+    is_watched = connection.watched_events[0] or not connection.may_read()
     return check(invariant=Invariant.CALLERS_WATCHED, holds=is_watched, unanswered=len(unanswered))
--- a/sailward/transport/http_server_head.py
+++ b/sailward/transport/http_server_head.py
@@ -12,7 +12,7 @@
 HEAD_END = b"\r\n\r\n"
 """What ends a request's head."""
 
-_BAD = re.compile(rb"(?<!\r)\n|\r(?!\n|\Z)|\r\n[ \t]|[\x00-\x08\x0b\x0c\x0e-\x1f\x7f]")
+_FORBIDDEN = re.compile(rb"(?<!\r)\n|\r(?!\n|\Z)|\r\n[ \t]|[\x00-\x08\x0b\x0c\x0e-\x1f\x7f]")
 _FRAMING = re.compile(rb"\r\n(content-length|transfer-encoding|host)[ \t]*:[ \t]*([^\r]*)", re.IGNORECASE)
 _LENGTH = re.compile(rb"[0-9]{1,18}")
 _TARGET = re.compile(rb"[\x21-\x7e]+")
@@ -49,7 +49,7 @@
 
 def check_bytes(*, raw: bytearray, start: int, end: int) -> None:
     """Raise Refused for line ends, folds or characters that no head has, between the two places."""
-    if _BAD.search(raw, max(0, start - 2), end):
+    if _FORBIDDEN.search(raw, max(0, start - 2), end):
         raise Refused(code=400, reason="malformed head")
 
 
@@ -68,7 +68,7 @@
         raise Refused(code=400, reason="unknown version")
     if not _TARGET.fullmatch(target) or not (target[:1] == b"/" or (target == b"*" and event.method == b"OPTIONS")):
         raise Refused(code=400, reason="malformed target")
-    length = _framing(raw=raw, version=version)
+    length = _parse_framing(raw=raw, version=version)
     headers: dict = {}
     for name, value in event.headers:
         key, text = name.decode("latin-1"), value.decode("latin-1")
@@ -90,7 +90,7 @@
     )
 
 
-def _framing(*, raw: bytes, version: bytes) -> int | None:
+def _parse_framing(*, raw: bytes, version: bytes) -> int | None:
     lengths, codings, hosts = [], [], 0
     for name, value in _FRAMING.findall(raw):
         kind = name.lower()
@@ -114,15 +114,15 @@
 class ChunkedBody:
     """A body that comes in chunks; at most `bound` bytes, else Refused with 413."""
 
-    def __init__(self, *, parser: h11.Connection, bound: int, tail_bytes: int) -> None:
+    def __init__(self, *, parser: h11.Connection, max_bytes: int, tail_bytes: int) -> None:
         self._parser = parser
-        self._bound = bound
+        self._max_bytes = max_bytes
         self._tail_bytes = tail_bytes
         self._tail = b""
         self._parts: list = []
         self._size = 0
 
-    def take(self, *, data: bytes) -> tuple[bytes, bytes] | None:
+    def feed(self, *, data: bytes) -> tuple[bytes, bytes] | None:
         """Read on; the whole body and the bytes behind it, or None while some is missing. Raises Refused."""
         self._tail = self._tail[-self._tail_bytes :] + data
         try:
@@ -133,22 +133,28 @@
                     return None
                 if type(event) is h11.Data:
                     self._size += len(event.data)
-                    if self._size > self._bound:
+                    if self._size > self._max_bytes:
                         raise Refused(code=413, reason="body too long")
                     self._parts.append(bytes(event.data))
                     continue
                 rest = bytes(self._parser.trailing_data[0])
-                self._check_end(count=len(event.headers), behind=len(rest))
+                self._check_end(trailer_count=len(event.headers), rest_bytes=len(rest))
                 return b"".join(self._parts), rest
         except h11.RemoteProtocolError as error:
             raise Refused(code=400, reason="malformed chunk") from error
 
-    def _check_end(self, *, count: int, behind: int) -> None:
-        section = self._tail[: len(self._tail) - behind]
+    def _check_end(self, *, trailer_count: int, rest_bytes: int) -> None:
+        section = self._tail[: len(self._tail) - rest_bytes]
         lines = section[: -len(HEAD_END)].split(b"\r\n")
-        trailers = lines[len(lines) - count :]
-        is_sound = section.endswith(HEAD_END) and len(lines) > count and _LAST_CHUNK.fullmatch(lines[-count - 1])
-        if not is_sound or any(_BAD.search(line) or line[:1] in b" \t" or line[-1:] == b"\r" for line in trailers):
+        trailers = lines[len(lines) - trailer_count :]
+        is_sound = (
+            section.endswith(HEAD_END)
+            and len(lines) > trailer_count
+            and _LAST_CHUNK.fullmatch(lines[-trailer_count - 1])
+        )
+        if not is_sound or any(
+            _FORBIDDEN.search(line) or line[:1] in b" \t" or line[-1:] == b"\r" for line in trailers
+        ):
             raise Refused(code=400, reason="malformed trailer")
 
 
--- a/sailward/transport/http_server_listener.py
+++ b/sailward/transport/http_server_listener.py
@@ -9,7 +9,7 @@
 from sailward import constants
 from sailward.runtime.reactor import Reactor
 
-_FULL = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+_OUT_OF_RESOURCES = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
 class Listener:
@@ -18,9 +18,9 @@
     Raises OSError if the address can't be had.
     """
 
-    def __init__(self, *, reactor: Reactor, address: str, accepted: Callable[[socket.socket], None]) -> None:
+    def __init__(self, *, reactor: Reactor, address: str, on_accepted: Callable[[socket.socket], None]) -> None:
         self._reactor = reactor
-        self._accepted = accepted
+        self._on_accepted = on_accepted
         host, _, port = address.rpartition(":")
         self._socket: socket.socket | None = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
@@ -48,13 +48,13 @@
             except (BlockingIOError, InterruptedError):
                 return
             except OSError as error:
-                if error.errno in _FULL:
+                if error.errno in _OUT_OF_RESOURCES:
                     self._reactor.watch(sock=self._socket)
-                    self._reactor.later(delay=constants.HTTP_SERVER_ACCEPT_BACKOFF, call=self._accept_again)
+                    self._reactor.call_later(delay=constants.HTTP_SERVER_ACCEPT_BACKOFF, call=self._resume_accepting)
                     return
                 continue
-            self._accepted(connection)
+            self._on_accepted(connection)
 
-    def _accept_again(self) -> None:
+    def _resume_accepting(self) -> None:
         if self._socket is not None:
             self._reactor.watch(sock=self._socket, readable=self._accept)
--- a/sailward/transport/http_server_reading.py
+++ b/sailward/transport/http_server_reading.py
@@ -61,7 +61,7 @@
         """The body of this head comes next."""
         self._length, self._chunks = head.length or 0, None
         if head.length is None:
-            self._chunks = ChunkedBody(parser=head.parser, bound=limits.body_bytes, tail_bytes=limits.head_bytes)
+            self._chunks = ChunkedBody(parser=head.parser, max_bytes=limits.body_bytes, tail_bytes=limits.head_bytes)
         elif head.length > limits.body_bytes:
             raise Refused(code=413, reason="body too long")
 
@@ -80,10 +80,10 @@
             return None
         data = bytes(self._raw)
         self._raw.clear()
-        taken = chunks.take(data=data)
-        if taken is None:
+        complete = chunks.feed(data=data)
+        if complete is None:
             return None
-        body, rest = taken
+        body, rest = complete
         self._raw += rest
         self._chunks = None
         return body
--- a/sailward/transport/http_server_state.py
+++ b/sailward/transport/http_server_state.py
@@ -37,41 +37,43 @@
     """
 
     sock: socket.socket
-    since: float
+    accepted_at: float
     reader: RequestReader = field(default_factory=RequestReader)
-    moved: float = 0.0
-    wrote: float = 0.0
-    idle_promise: float = 0.0
+    active_at: float = 0.0
+    written_at: float = 0.0
+    announced_idle_wait: float = 0.0
     exchanges: collections.deque = field(default_factory=collections.deque)
     reading: Exchange | None = None
-    out: collections.deque = field(default_factory=collections.deque)
+    outgoing: collections.deque = field(default_factory=collections.deque)
     may_continue: bool = False
-    is_held: bool = False
+    is_paused: bool = False
     is_ending: bool = False
     is_eof: bool = False
-    is_gone: bool = False
-    is_busy: bool = False
+    is_closed: bool = False
+    is_advancing: bool = False
     has_requested: bool = False
-    linger: float | None = None
-    watched: tuple = (False, False)
+    linger_until: float | None = None
+    watched_events: tuple = (False, False)
     readable: Callable | None = None
     writable: Callable | None = None
 
     def is_full(self) -> bool:
         """Whether no further request may be read."""
-        return len(self.exchanges) + len(self.out) >= constants.HTTP_SERVER_PIPELINE_DEPTH
+        return len(self.exchanges) + len(self.outgoing) >= constants.HTTP_SERVER_PIPELINE_DEPTH
 
     def may_read(self) -> bool:
         """Whether bytes are read.
 
         A held connection is read on for a while, so that its caller's close is seen behind requests that wait.
         """
-        return not self.is_eof and (not self.is_held or self.reader.byte_count < constants.HTTP_SERVER_READ_AHEAD_BYTES)
+        return not self.is_eof and (
+            not self.is_paused or self.reader.byte_count < constants.HTTP_SERVER_READ_AHEAD_BYTES
+        )
 
     def is_idle(self) -> bool:
         """Whether nothing is read, unanswered or unwritten."""
-        return not (self.exchanges or self.out or self.reader.has_bytes or self.is_ending)
+        return not (self.exchanges or self.outgoing or self.reader.has_bytes or self.is_ending)
 
     def may_advance(self) -> bool:
         """Whether bytes wait that may begin a further request."""
-        return self.reader.has_bytes and self.reading is None and not (self.is_busy or self.is_ending)
+        return self.reader.has_bytes and self.reading is None and not (self.is_advancing or self.is_ending)
--- a/sailward/transport/message_transport.py
+++ b/sailward/transport/message_transport.py
@@ -20,7 +20,7 @@
 from sailward.transport.address import split_address
 
 LENGTH = struct.Struct(">IB")
-PLAIN, PACKED = 0, 1
+PLAIN, COMPRESSED = 0, 1
 
 
 @dataclass(kw_only=True)
@@ -28,10 +28,10 @@
     """What goes out to one daemon."""
 
     sock: socket.socket | None = None
-    is_up: bool = False
-    out: bytearray = field(default_factory=bytearray)
-    since: float = 0.0
-    not_before: float = 0.0
+    is_connected: bool = False
+    outgoing: bytearray = field(default_factory=bytearray)
+    progress_at: float = 0.0
+    retry_at: float = 0.0
 
 
 class MessageTransport:
@@ -45,34 +45,34 @@
         self._listener = socket.create_server((host, port), backlog=128)
         self._listener.setblocking(False)
         reactor.watch(sock=self._listener, readable=self._accept)
-        reactor.later(delay=constants.MESSAGE_TRANSPORT_SWEEP_INTERVAL, call=self._sweep)
+        reactor.call_later(delay=constants.MESSAGE_TRANSPORT_SWEEP_INTERVAL, call=self._sweep)
 
     def send(self, *, to: str, body: dict) -> None:
         """Send, or lose, a message."""
         if to == self._address:
-            self._reactor.soon(call=lambda: self._deliver(MessageReceived(sender=to, body=body)))
+            self._reactor.call_soon(call=lambda: self._deliver(MessageReceived(sender=to, body=body)))
             return
         peer = self._peers.setdefault(to, Peer())
-        if len(peer.out) > constants.MAX_FRAME_BYTES or self._reactor.clock() < peer.not_before:
+        if len(peer.outgoing) > constants.MAX_FRAME_BYTES or self._reactor.clock() < peer.retry_at:
             self.counts["dropped"] += 1
             return
         if peer.sock is None and not self._dial(to=to, peer=peer):
             return
         try:
             payload = pack_body(body=body)
-        except Exception as fault:  # noqa: BLE001 - the encoder raises many kinds on what it can't carry
+        except Exception as error:  # noqa: BLE001 - the encoder raises many kinds on what it can't carry
             self.counts["unsendable"] += 1
-            fields = {"to": to, "kind": body["kind"], "reason": fault, "count": self.counts["unsendable"]}
+            fields = {"to": to, "kind": body["kind"], "reason": error, "count": self.counts["unsendable"]}
             write_log(event="message-unsendable", fields=fields, level="error")
             return
         self.counts["sent"] += 1
         self.counts["sent-bytes"] += len(payload) + LENGTH.size
         self.counts[f"sent-{body['kind']}"] += len(payload) + LENGTH.size
-        was_empty = not peer.out
+        was_empty = not peer.outgoing
         if was_empty:
-            peer.since = self._reactor.clock()
-        peer.out += payload
-        if peer.is_up and was_empty:
+            peer.progress_at = self._reactor.clock()
+        peer.outgoing += payload
+        if peer.is_connected and was_empty:
             self._flush(to=to, peer=peer)
 
     def _dial(self, *, to: str, peer: Peer) -> bool:
@@ -91,8 +91,8 @@
             self._back_off(peer=peer)
             return False
         own = self._address.encode()
-        peer.sock, peer.is_up, peer.since = sock, False, self._reactor.clock()
-        peer.out = bytearray(LENGTH.pack(len(own), PLAIN) + own)
+        peer.sock, peer.is_connected, peer.progress_at = sock, False, self._reactor.clock()
+        peer.outgoing = bytearray(LENGTH.pack(len(own), PLAIN) + own)
         self._reactor.watch(
             sock=sock,
             readable=lambda: self._check_connection(to=to, peer=peer, sock=sock),
@@ -101,10 +101,10 @@
         return True
 
     def _back_off(self, *, peer: Peer) -> None:
-        peer.sock, peer.is_up = None, False
-        peer.out = bytearray()
+        peer.sock, peer.is_connected = None, False
+        peer.outgoing = bytearray()
         # what waited is stale: the owners ask again by themselves
-        peer.not_before = self._reactor.clock() + constants.CONNECT_BACKOFF
+        peer.retry_at = self._reactor.clock() + constants.CONNECT_BACKOFF
 
     def _drop(self, *, peer: Peer) -> None:
         if peer.sock is not None:
@@ -130,15 +130,15 @@
         if sock is None:
             return None
         try:
-            if not peer.is_up:
-                fault = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-                if fault:
+            if not peer.is_connected:
+                error = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+                if error:
                     return self._drop(peer=peer)
-                peer.is_up = True
-            while peer.out:
-                sent = sock.send(memoryview(peer.out)[: constants.MESSAGE_TRANSPORT_CHUNK_BYTES])
-                peer.since = self._reactor.clock()
-                del peer.out[:sent]
+                peer.is_connected = True
+            while peer.outgoing:
+                sent = sock.send(memoryview(peer.outgoing)[: constants.MESSAGE_TRANSPORT_CHUNK_BYTES])
+                peer.progress_at = self._reactor.clock()
+                del peer.outgoing[:sent]
         except BlockingIOError:
             pass
         except OSError:
@@ -146,7 +146,7 @@
         self._reactor.watch(
             sock=sock,
             readable=lambda: self._check_connection(to=to, peer=peer, sock=sock),
-            writable=(lambda: self._flush(to=to, peer=peer)) if peer.out else None,
+            writable=(lambda: self._flush(to=to, peer=peer)) if peer.outgoing else None,
         )
         return None
 
@@ -161,12 +161,12 @@
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, constants.MESSAGE_TRANSPORT_KEEPALIVE_INTERVAL)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, constants.MESSAGE_TRANSPORT_KEEPALIVE_INTERVAL)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 3)
-            reader = Reader(sock=sock, message_transport=self)
+            reader = IncomingConnection(sock=sock, message_transport=self)
             self._reactor.watch(sock=sock, readable=reader.read)
 
-    def receive(self, *, sender: str, payload: bytes, form: int) -> bool:
+    def receive(self, *, sender: str, payload: bytes, encoding: int) -> bool:
         """Take one message that came; False if its connection can't be believed any more."""
-        body = read_body(payload=payload, form=form)
+        body = read_body(payload=payload, encoding=encoding)
         if isinstance(body, BadMessage):
             self.counts["bad"] += 1
             write_log(
@@ -179,7 +179,7 @@
         self._deliver(MessageReceived(sender=sender, body=body))
         return True
 
-    def forget(self, *, sock: socket.socket) -> None:
+    def close_incoming(self, *, sock: socket.socket) -> None:
         """Close a connection that came in."""
         self._reactor.watch(sock=sock)
         sock.close()
@@ -189,14 +189,14 @@
         for peer in self._peers.values():
             if peer.sock is None:
                 continue
-            wait = constants.LEASE_DURATION if peer.is_up else constants.MESSAGE_TRANSPORT_CONNECT_TIMEOUT
-            if (peer.out or not peer.is_up) and now - peer.since > wait:
+            wait = constants.LEASE_DURATION if peer.is_connected else constants.MESSAGE_TRANSPORT_CONNECT_TIMEOUT
+            if (peer.outgoing or not peer.is_connected) and now - peer.progress_at > wait:
                 self._drop(peer=peer)
-        self._reactor.later(delay=constants.MESSAGE_TRANSPORT_SWEEP_INTERVAL, call=self._sweep)
+        self._reactor.call_later(delay=constants.MESSAGE_TRANSPORT_SWEEP_INTERVAL, call=self._sweep)
 
 
 @dataclass(kw_only=True)
-class Reader:
+class IncomingConnection:
     """One connection that came in; the first frame names its sender."""
 
     sock: socket.socket
@@ -213,20 +213,20 @@
         except OSError:
             chunk = b""
         if not chunk:
-            return self.message_transport.forget(sock=self.sock)
+            return self.message_transport.close_incoming(sock=self.sock)
         self.data += chunk
         while len(self.data) >= LENGTH.size:
-            length, form = LENGTH.unpack_from(self.data)
+            length, encoding = LENGTH.unpack_from(self.data)
             if length > constants.MAX_FRAME_BYTES:
-                return self.message_transport.forget(sock=self.sock)
+                return self.message_transport.close_incoming(sock=self.sock)
             if len(self.data) < LENGTH.size + length:
                 return None
             payload = bytes(memoryview(self.data)[LENGTH.size : LENGTH.size + length])
             del self.data[: LENGTH.size + length]
             if not self.sender:
                 self.sender = payload.decode("ascii", "replace")
-            elif not self.message_transport.receive(sender=self.sender, payload=payload, form=form):
-                return self.message_transport.forget(sock=self.sock)
+            elif not self.message_transport.receive(sender=self.sender, payload=payload, encoding=encoding):
+                return self.message_transport.close_incoming(sock=self.sock)
         return None
 
 
@@ -235,21 +235,21 @@
     kind = body["kind"]
     rest = {name: value for name, value in body.items() if name != "kind" and name not in FIELDS[kind]}
     row = [kind, *(body[name] for name in FIELDS[kind]), *([rest] if rest else [])]
-    payload, form = bytes(flexbuffers.Dumps(row)), PLAIN
+    payload, encoding = bytes(flexbuffers.Dumps(row)), PLAIN
     if len(payload) > constants.MESSAGE_TRANSPORT_COMPRESSION_MIN_BYTES:
-        packed = zlib.compress(payload, 6)
-        if len(packed) < len(payload):
-            payload, form = packed, PACKED
-    return LENGTH.pack(len(payload), form) + payload
+        compressed = zlib.compress(payload, 6)
+        if len(compressed) < len(payload):
+            payload, encoding = compressed, COMPRESSED
+    return LENGTH.pack(len(payload), encoding) + payload
 
 
-def read_body(*, payload: bytes, form: int) -> dict | BadMessage:
+def read_body(*, payload: bytes, encoding: int) -> dict | BadMessage:
     """The message in a frame, or what is wrong with it."""
     try:
-        if form == PACKED:
-            unpack = zlib.decompressobj()
-            payload = unpack.decompress(payload, constants.MAX_FRAME_BYTES)
-            if unpack.unconsumed_tail:
+        if encoding == COMPRESSED:
+            decompressor = zlib.decompressobj()
+            payload = decompressor.decompress(payload, constants.MAX_FRAME_BYTES)
+            if decompressor.unconsumed_tail:
                 return BadMessage(reason="too-long")
         row = flexbuffers.Loads(payload)
         kind = row[0]
@@ -257,6 +257,6 @@
         body = {"kind": kind, **dict(zip(names, row[1 : len(names) + 1], strict=True))}
         if len(row) > len(names) + 1:
             body |= row[len(names) + 1]
-    except Exception as fault:  # noqa: BLE001 - the decoder raises many kinds on foreign bytes
-        return BadMessage(reason=f"undecodable:{type(fault).__name__}")
+    except Exception as error:  # noqa: BLE001 - the decoder raises many kinds on foreign bytes
+        return BadMessage(reason=f"undecodable:{type(error).__name__}")
     return check_message(body=body)
--- a/sailward/transport/wsgi_server.py
+++ b/sailward/transport/wsgi_server.py
@@ -10,7 +10,7 @@
 import time
 from collections.abc import Callable
 from concurrent.futures import Future, ThreadPoolExecutor
-from concurrent.futures import TimeoutError as WaitedOut
+from concurrent.futures import TimeoutError as FutureTimeoutError
 from http import HTTPStatus
 
 from werkzeug.exceptions import HTTPException, RequestEntityTooLarge
@@ -99,7 +99,7 @@
         self._deliver, self._limit = deliver, limit
         self._waiting: dict[str, Future[Respond]] = {}
         self._count = itertools.count(1)
-        self._closing = False
+        self._is_closing = False
         host, port = split_address(address=address)
         self._server = PoolServer(host=host, port=port, app=self._serve, threads=threads)
 
@@ -113,9 +113,9 @@
         if future is not None:
             future.set_result(command)
 
-    def close_after(self) -> None:
+    def close_after_answers(self) -> None:
         """From now on each answer closes its connection."""
-        self._closing = True
+        self._is_closing = True
 
     def open_count(self) -> int:
         """Requests that wait for an answer."""
@@ -146,15 +146,15 @@
         )
         try:
             answer = self._wait_for_answer(future=future, token=token, sock=environ.get("werkzeug.socket"))
-        except WaitedOut:
+        except FutureTimeoutError:
             self._waiting.pop(token, None)
             text = json.dumps({"error": "no-answer", "detail": "the owner gave none", "ran": "unknown"}).encode()
             answer = Respond(token=token, code=500, body=text, headers={"Sailward-Ran": "unknown"})
-        rows = [(name, value) for name, value in answer.headers.items() if name.lower() != "content-length"]
-        rows.append(("Content-Length", str(len(answer.body))))
-        if body is None or self._closing:
-            rows.append(("Connection", "close"))
-        start_response(f"{answer.code} {_phrase(code=answer.code)}", rows)
+        response_headers = [(name, value) for name, value in answer.headers.items() if name.lower() != "content-length"]
+        response_headers.append(("Content-Length", str(len(answer.body))))
+        if body is None or self._is_closing:
+            response_headers.append(("Connection", "close"))
+        start_response(f"{answer.code} {_phrase(code=answer.code)}", response_headers)
         return [b"" if request.method == "HEAD" else answer.body]
 
     def _wait_for_answer(self, *, future: Future[Respond], token: str, sock: socket.socket | None) -> Respond:
@@ -166,7 +166,7 @@
         while sock is not None and time.monotonic() < end:
             try:
                 return future.result(timeout=constants.CLIENT_DISCONNECT_CHECK_INTERVAL)
-            except WaitedOut:
+            except FutureTimeoutError:
                 if _is_closed(sock=sock):
                     self._deliver(ClientDisconnected(token=token))
                     break
--- a/simulation/core_group.py
+++ b/simulation/core_group.py
@@ -20,7 +20,7 @@
 from sailward.control.controller_options import ControllerOptions
 from sailward.discovery.peer_table import Location
 from sailward.events import AppendRecords, ExitProcess, MessageReceived, RewriteRecords, SendMessage, TimerFired
-from sailward.storage.disk import Disk, Read
+from sailward.storage.disk import Disk, FileContents
 from sailward.storage.files import Files
 from simulation.simulated_files import SimulatedFiles
 
@@ -102,7 +102,7 @@
         member.events = []
         member.disk = Disk(folder=Path(member.name), deliver=member.events.append, files=member.files)
         found = member.disk.open()
-        assert isinstance(found, Read), found
+        assert isinstance(found, FileContents), found
         nonce = f"{self._random.getrandbits(48):012x}"
         member.controller = Controller(
             location=Location(
@@ -234,7 +234,7 @@
     def _sync(self, *, member: Member, life: int) -> None:
         if member.life != life:
             return
-        member.disk.run_waiting()
+        member.disk.run_pending()
         events, member.events[:] = list(member.events), []
         for event in events:
             self._give(member=member, event=event)
--- a/simulation/hollow_fleet/added.py
+++ b/simulation/hollow_fleet/added.py
@@ -254,7 +254,7 @@
     http_client = HttpClient(reactor=reactor, deliver=host.deliver, names=hosted.names)
     host.handlers = {
         Respond: lambda one: front.answer(command=one),
-        StartCall: lambda one: http_client.give(call=one),
+        StartCall: lambda one: http_client.start(call=one),
         SendMessage: lambda one: None,
         CancelCall: lambda one: http_client.cancel(token=one.token),
         WithdrawCall: lambda one: http_client.withdraw(token=one.token),
@@ -265,7 +265,7 @@
         while pipe.poll():
             pipe.recv()
             pipe.send(time.process_time())
-        reactor.later(delay=0.02, call=tell_cpu)
+        reactor.call_later(delay=0.02, call=tell_cpu)
 
     tell_cpu()
     pipe.send(front.port)
--- a/simulation/hollow_fleet/network.py
+++ b/simulation/hollow_fleet/network.py
@@ -99,8 +99,8 @@
             begun = time.process_time()
             frame = pack_body(body=body)
             packed = time.process_time()
-            length, form = LENGTH.unpack_from(frame)
-            read = read_body(payload=frame[LENGTH.size :], form=form)
+            length, encoding = LENGTH.unpack_from(frame)
+            read = read_body(payload=frame[LENGTH.size :], encoding=encoding)
             ended = time.process_time()
             is_readable = not isinstance(read, BadMessage) and length <= constants.MAX_FRAME_BYTES
             uses, share = weight.uses, 1.0 if weight.uses == 0 else 0.3
--- a/simulation/hollow_fleet/parts.py
+++ b/simulation/hollow_fleet/parts.py
@@ -121,9 +121,9 @@
     bodies = [push_of(name=name, number=at + 1, text=text) for at, text in enumerate(texts)]
     frames: list[bytes] = []
     pack = _seconds(lambda: frames.append(pack_body(body=bodies[1])))
-    length, form = LENGTH.unpack_from(frames[0])
+    length, encoding = LENGTH.unpack_from(frames[0])
     reads: list = []
-    unpack = _seconds(lambda: reads.append(read_body(payload=frames[0][LENGTH.size :], form=form)))
+    unpack = _seconds(lambda: reads.append(read_body(payload=frames[0][LENGTH.size :], encoding=encoding)))
     _give(proxy=proxy, body=bodies[0], now=1.0)
     take = _seconds(lambda: _give(proxy=proxy, body=bodies[1], now=2.0))
     figures = {
--- a/simulation/sim/disk.py
+++ b/simulation/sim/disk.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from sailward.events import AppendRecords, RewriteRecords
-from sailward.storage.disk import Damaged, Read, pack_frame, read_frames
+from sailward.storage.disk import DamagedFile, FileContents, pack_frame, read_frames
 
 
 @dataclass(kw_only=True)
@@ -76,9 +76,9 @@
         at = len(self.synced) // 3
         self.synced = self.synced[:at] + bytes([self.synced[at] ^ 0x5A]) + self.synced[at + 1 :]
 
-    def read(self) -> Read | Damaged:
+    def read(self) -> FileContents | DamagedFile:
         """What a start finds; a torn end is cut off."""
         found = read_frames(data=self.synced)
-        if isinstance(found, Read):
+        if isinstance(found, FileContents):
             self.synced = self.synced[: found.length]
         return found
--- a/simulation/sim/node.py
+++ b/simulation/sim/node.py
@@ -31,7 +31,7 @@
 )
 from sailward.proxy.directory_server import DirectoryServer
 from sailward.proxy.tenant_proxy import TenantProxy
-from sailward.storage.disk import Damaged
+from sailward.storage.disk import DamagedFile
 from simulation.sim.disk import Disk
 from simulation.sim.environment import Environment
 
@@ -83,7 +83,7 @@
         self.code = None
         if self.location.kind == "controller":
             found = self.disk.read()
-            if isinstance(found, Damaged):
+            if isinstance(found, DamagedFile):
                 self.code = constants.EXIT_DISK
                 return
             self.owner = Controller(
--- a/simulation/sim/sabotage.py
+++ b/simulation/sim/sabotage.py
@@ -32,7 +32,7 @@
     weighted_draw,
 )
 from sailward.routing import proxied_request as exchange_module
-from sailward.storage.disk import Damaged
+from sailward.storage.disk import DamagedFile
 from simulation.sim import disk, network
 
 
@@ -169,7 +169,7 @@
 def _cut_at_damage(old):
     def read(*, data):
         found = old(data=data)
-        return old(data=data[: found.offset]) if isinstance(found, Damaged) else found
+        return old(data=data[: found.offset]) if isinstance(found, DamagedFile) else found
 
     return read
 
--- a/tests/http_client_peer.py
+++ b/tests/http_client_peer.py
@@ -156,7 +156,7 @@
 
     def do(self, function: Callable) -> object:
         done: queue.Queue = queue.Queue()
-        self.reactor.give(call=lambda: done.put(function()))
+        self.reactor.call_from_thread(call=lambda: done.put(function()))
         return done.get(timeout=WAIT)
 
     def give(
@@ -187,7 +187,7 @@
             fresh=fresh,
             begin_by=begin_by,
         )
-        self.do(lambda: self.http_client.give(call=call))
+        self.do(lambda: self.http_client.start(call=call))
         return token
 
     def ask(self, **given: object) -> CallFinished:
@@ -206,7 +206,7 @@
             time.sleep(0.01)
 
     def stop(self) -> None:
-        self.reactor.give(call=self.reactor.stop)
+        self.reactor.call_from_thread(call=self.reactor.stop)
         self._thread.join(timeout=WAIT)
         for peer in self._peers:
             peer.listener.close()
--- a/tests/http_client_script.py
+++ b/tests/http_client_script.py
@@ -46,12 +46,12 @@
         else:
             self.watched.pop(sock, None)
 
-    def later(self, *, delay: float, call: Callable) -> Alarm:
+    def call_later(self, *, delay: float, call: Callable) -> Alarm:
         alarm = Alarm(call=call)
         self.alarms.append((self.now + delay, alarm))
         return alarm
 
-    def soon(self, *, call: Callable) -> None:
+    def call_soon(self, *, call: Callable) -> None:
         self.waiting.append(call)
 
     def run_soon(self) -> None:
@@ -182,7 +182,7 @@
             fresh=bool(is_once % 2),
         )
         self.calls[token] = call
-        self.http_client.give(call=call)
+        self.http_client.start(call=call)
 
     def do_round(self, owner: int, is_once: int, form: int) -> None:
         """A call from its beginning to its answer, with nothing in between."""
--- a/tests/http_server_harness.py
+++ b/tests/http_server_harness.py
@@ -48,7 +48,7 @@
             results.append(call())
             done.set()
 
-        self.reactor.give(call=run)
+        self.reactor.call_from_thread(call=run)
         assert done.wait(PATIENCE)
         return results[0]
 
@@ -94,7 +94,7 @@
     def end(self) -> None:
         for sock in self.sockets:
             sock.close()
-        self.reactor.give(call=self.reactor.stop)
+        self.reactor.call_from_thread(call=self.reactor.stop)
         self.thread.join(PATIENCE)
 
 
--- a/tests/http_server_script.py
+++ b/tests/http_server_script.py
@@ -177,7 +177,7 @@
 
     def do_stop(self, _: int, __: int) -> None:
         """The process begins to stop."""
-        self.front.leave()
+        self.front.drain()
 
     def check(self) -> None:
         """Each caller has read whole answers to its requests, in order; the last may still be on its way."""
--- a/tests/proxy_path.py
+++ b/tests/proxy_path.py
@@ -73,7 +73,7 @@
         self.front = open_front(hosted=hosted, edge="front", reactor=self.reactor, host=self.host, limits=Limits)
         self.client = HttpClient(reactor=self.reactor, deliver=self.host.deliver, names=NAMES)
         self.host.handlers = {
-            StartCall: lambda command: self.client.give(call=command),
+            StartCall: lambda command: self.client.start(call=command),
             CancelCall: lambda command: self.client.cancel(token=command.token),
             WithdrawCall: lambda command: self.client.withdraw(token=command.token),
             **answer_handlers(hosted=hosted, fronts={"front": self.front}),
@@ -102,7 +102,7 @@
     def on_reactor(self, question):
         """What this gives on the reactor's thread."""
         given: queue.Queue = queue.Queue()
-        self.reactor.give(call=lambda: given.put(question()))
+        self.reactor.call_from_thread(call=lambda: given.put(question()))
         return given.get(timeout=PATIENCE)
 
     def until(self, question) -> None:
@@ -120,7 +120,7 @@
 
     def end(self) -> None:
         """Close all that was opened."""
-        self.reactor.give(call=self.reactor.stop)
+        self.reactor.call_from_thread(call=self.reactor.stop)
         self._thread.join(PATIENCE)
         for sock in (*self._callers, self._worker):
             sock.close()
@@ -134,7 +134,7 @@
             self.calls.put(WorkerCall(sock=sock))
 
     def _tick(self) -> None:
-        self.reactor.later(delay=constants.TICK_INTERVAL, call=self._tick)
+        self.reactor.call_later(delay=constants.TICK_INTERVAL, call=self._tick)
         self.host.deliver(TimerFired(wall=time.time()))
 
     def _step(self, *, now: float, event: object) -> list:
--- a/tests/storage_machine.py
+++ b/tests/storage_machine.py
@@ -18,7 +18,7 @@
 from sailward.control.controller_options import ControllerOptions
 from sailward.discovery.peer_table import Location
 from sailward.events import AppendRecords, ExitProcess, MessageReceived, RewriteRecords, SendMessage, TimerFired
-from sailward.storage.disk import Disk, Read
+from sailward.storage.disk import Disk, FileContents
 from simulation.simulated_files import PowerLost, SimulatedFiles
 
 POST, PROPOSER = "10.0.0.1:7620", "10.0.0.9:7620"
@@ -69,7 +69,7 @@
     @rule()
     def work(self) -> None:
         """The disk does what is in line."""
-        self.disk.run_waiting()
+        self.disk.run_pending()
         events, self.events[:] = list(self.events), []
         for event in events:
             self._give(event)
@@ -112,7 +112,7 @@
         room, self.files.room = self.files.room, None  # an open that must cut a torn end needs no room
         found = self.disk.open()
         self.files.room = room
-        assert isinstance(found, Read), found
+        assert isinstance(found, FileContents), found
         self.controller = Controller(
             location=Location(name="v", kind="controller", zone="z", region="r", post=POST, http=POST, seeds=(POST,)),
             platform="10.9.9.9:1",
--- a/tests/test_curl_client_responses.py
+++ b/tests/test_curl_client_responses.py
@@ -52,7 +52,7 @@
             timeout=wait,
             fresh=fresh,
         )
-        self.calls.give(call=call)
+        self.calls.start(call=call)
         called = self.told.get(timeout=WAIT)
         assert called.token == call.token
         return called
--- a/tests/test_data_file.py
+++ b/tests/test_data_file.py
@@ -11,7 +11,7 @@
 from sailward.consensus.acceptor import Acceptor, Slots, fold_record
 from sailward.control.group.write_ahead import WriteAhead
 from sailward.events import AppendRecords, DiskWriteFailed, RecordsSynced, RewriteRecords
-from sailward.storage.disk import Damaged, Disk, Read
+from sailward.storage.disk import DamagedFile, Disk, FileContents
 from simulation.simulated_files import LOST, TORN, WHOLE, PowerLost, SimulatedFiles
 
 TEXT = "x" * 90_000
@@ -29,7 +29,7 @@
         self.files, self.events = files, []
         self.disk = Disk(folder=Path("none"), deliver=self.events.append, files=files)
         found = self.disk.open()
-        assert isinstance(found, Read), found
+        assert isinstance(found, FileContents), found
         slots = Slots()
         for record in found.records:
             if record["k"] in ("vote", "promise"):
@@ -62,7 +62,7 @@
         for command in commands:
             if isinstance(command, (AppendRecords, RewriteRecords)):
                 self.disk.give(command=command)
-        self.disk.run_waiting()
+        self.disk.run_pending()
         events, self.events[:] = list(self.events), []
         return len(replies) + sum(self.work(commands=self.write_ahead.receive(event=event)) for event in events)
 
@@ -116,7 +116,7 @@
                 if seq != 3
                 else RewriteRecords(seq=seq, records=tuple({"k": "drop", "r": f"value {item}"} for item in given))
             )
-            disk.run_waiting()
+            disk.run_pending()
             synced += [event.seq for event in events if isinstance(event, RecordsSynced)]
             events.clear()
     except PowerLost:
@@ -146,7 +146,7 @@
             left = iter(fates)
             files.lose_power(choose=lambda options, left=left: next(left))
             found = Disk(folder=Path("none"), deliver=lambda event: None, files=files).open()
-            assert isinstance(found, Read), (step, fates, found)
+            assert isinstance(found, FileContents), (step, fates, found)
             there = [int(record["r"].split()[1]) for record in found.records]
             assert there == given[: len(there)], (step, fates, there)
             assert len(there) >= max(synced, default=0), (step, fates, there, synced)
@@ -217,9 +217,9 @@
     # there is room again before anything was cut off or rewritten: the next frame is shorter than what was left behind
     files.room = None
     voter.disk.give(command=AppendRecords(seq=voter.write_ahead.seq + 1, records=({"k": "drop", "r": "x"},)))
-    voter.disk.run_waiting()
+    voter.disk.run_pending()
     found = Disk(folder=Path("none"), deliver=lambda event: None, files=files).open()
-    assert isinstance(found, Read) and found.records[-1] == {"k": "drop", "r": "x"}
+    assert isinstance(found, FileContents) and found.records[-1] == {"k": "drop", "r": "x"}
 
 
 def test_a_full_disk_is_told_apart_from_a_broken_one() -> None:
@@ -229,7 +229,7 @@
     disk.open()
     files.room = 3
     disk.give(command=AppendRecords(seq=1, records=({"k": "drop", "r": "x"},)))
-    disk.run_waiting()
+    disk.run_pending()
     assert isinstance(events[0], DiskWriteFailed) and events[0].full
 
 
@@ -247,4 +247,4 @@
     assert again.acceptor.slots["config"].promised == ([2, "p"] if fate == WHOLE else [1, "p"])
     assert again.change(number=3, text="third")
     files.names["registers"].now[5] ^= 0x55
-    assert isinstance(Disk(folder=Path("none"), deliver=lambda event: None, files=files).open(), Damaged)
+    assert isinstance(Disk(folder=Path("none"), deliver=lambda event: None, files=files).open(), DamagedFile)
--- a/tests/test_departures_tenant.py
+++ b/tests/test_departures_tenant.py
@@ -46,7 +46,7 @@
     with socket.create_server(("127.0.0.1", 0)) as worker:
         worker.settimeout(WAIT)
         address = f"127.0.0.1:{worker.getsockname()[1]}"
-        client.give(call=make_call(token="first", address=address))
+        client.start(call=make_call(token="first", address=address))
         connection, _ = worker.accept()
         connection.settimeout(WAIT)
         assert connection.recv(65536).startswith(b"GET /")
@@ -54,7 +54,7 @@
         client.cancel(token="never given")
         with pytest.raises(ConnectionResetError):
             connection.recv(65536)
-        client.give(call=make_call(token="second", address=address))
+        client.start(call=make_call(token="second", address=address))
         other, _ = worker.accept()
         other.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         called = told.get(timeout=WAIT)
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -29,8 +29,8 @@
 from sailward.routing.shard_owners import slot_of
 from sailward.runtime.logs import start_logs
 from sailward.runtime.loop import Loop
-from sailward.storage.disk import Damaged, Disk, Read, Taken, pack_frame, read_frames
-from sailward.transport.address import GREETING, Post
+from sailward.storage.disk import DamagedFile, Disk, FileContents, FolderInUse, pack_frame, read_frames
+from sailward.transport.address import GREETING, ThreadedMessageTransport
 from sailward.transport.curl_client import CurlClient
 from sailward.transport.wsgi_server import WsgiServer
 from simulation.real.callers import ask
@@ -87,9 +87,9 @@
     server = Careless()
     server.start()
     calls, events = make_calls()
-    calls.give(call=make_call(address=server.address, method="GET", fresh=False))
+    calls.start(call=make_call(address=server.address, method="GET", fresh=False))
     assert events.get(timeout=WAIT).code == 200
-    calls.give(call=make_call(address=server.address))
+    calls.start(call=make_call(address=server.address))
     called = events.get(timeout=WAIT)
     assert (called.code, called.sent) == (0, True)
     assert sum(one.startswith(b"POST") for one in server.seen) == 1
@@ -100,9 +100,9 @@
     server = Careless()
     server.start()
     calls, events = make_calls()
-    calls.give(call=make_call(address=server.address, method="GET", fresh=False))
+    calls.start(call=make_call(address=server.address, method="GET", fresh=False))
     assert events.get(timeout=WAIT).code == 200
-    calls.give(call=make_call(address=server.address, fresh=False))
+    calls.start(call=make_call(address=server.address, fresh=False))
     assert events.get(timeout=WAIT).code == 0
     assert sum(one.startswith(b"POST") for one in server.seen) == 2
 
@@ -134,12 +134,12 @@
 def test_what_a_call_given_up_had_not_sent_is_never_sent(is_safe: bool, monkeypatch) -> None:
     """Without the reset (second run) the whole exchange arrives after its proxy gave it up."""
     if not is_safe:
-        monkeypatch.setattr("sailward.transport.curl_client.ABORT", struct.pack("ii", 0, 0))
+        monkeypatch.setattr("sailward.transport.curl_client.RESET_ON_CLOSE", struct.pack("ii", 0, 0))
     server = Deaf()
     server.start()
     calls, events = make_calls()
     body = b"x" * (1 << 20)
-    calls.give(
+    calls.start(
         call=StartCall(
             token="x",
             owner="w/1",
@@ -161,12 +161,12 @@
 
 def test_nothing_is_sent_where_nobody_listens_or_after_its_time() -> None:
     calls, events = make_calls()
-    calls.give(call=make_call(address=free_addresses(count=1)[0]))
+    calls.start(call=make_call(address=free_addresses(count=1)[0]))
     called: CallFinished = events.get(timeout=WAIT)
     assert (called.fault, called.sent) == ("no-connection", False)
     server = Careless()
     server.start()
-    calls.give(call=make_call(address=server.address, begin_by=time.monotonic() - 1))
+    calls.start(call=make_call(address=server.address, begin_by=time.monotonic() - 1))
     called = events.get(timeout=WAIT)
     assert (called.fault, called.sent, server.seen) == ("too-late", False, [])
 
@@ -174,7 +174,7 @@
 def test_ill_formed_messages_close_the_connection_and_change_nothing() -> None:
     events: queue.Queue = queue.Queue()
     address = free_addresses(count=1)[0]
-    post = Post(address=address, deliver=events.put, threads=ThreadPoolExecutor(max_workers=16))
+    post = ThreadedMessageTransport(address=address, deliver=events.put, threads=ThreadPoolExecutor(max_workers=16))
     post.start()
     host, port = address.split(":")
     greeting = struct.pack(">I", len(GREETING) + 3) + GREETING + b"a:1"
@@ -235,7 +235,7 @@
 def test_the_file_keeps_what_was_synced_and_is_rewritten(tmp_path: Path) -> None:
     events: queue.Queue = queue.Queue()
     disk = Disk(folder=tmp_path, deliver=events.put)
-    assert disk.open() == Read(records=[], length=0)
+    assert disk.open() == FileContents(records=[], length=0)
     threading.Thread(target=disk.run, daemon=True).start()
     for seq in range(1, 6):
         disk.give(command=AppendRecords(seq=seq, records=({"k": "drop", "r": "x", "n": seq},)))
@@ -247,7 +247,7 @@
     while events.get(timeout=WAIT) != RecordsSynced(seq=7):
         pass
     assert [row["n"] for row in read_frames(data=(tmp_path / "registers").read_bytes()).records] == [9, 10]
-    assert isinstance(Disk(folder=tmp_path, deliver=events.put).open(), Taken)
+    assert isinstance(Disk(folder=tmp_path, deliver=events.put).open(), FolderInUse)
 
 
 def test_a_torn_end_is_cut_and_damage_before_it_is_refused() -> None:
@@ -255,14 +255,14 @@
     whole = b"".join(frames)
     for cut in range(len(frames[0]) + len(frames[1]), len(whole)):
         found = read_frames(data=whole[:cut])
-        assert isinstance(found, Read) and [row["n"] for row in found.records] == [0, 1]
+        assert isinstance(found, FileContents) and [row["n"] for row in found.records] == [0, 1]
     rng = random.Random(1)
     for at in range(len(whole)):
         found = read_frames(data=whole[:at] + bytes([whole[at] ^ rng.randrange(1, 256)]) + whole[at + 1 :])
         if at < len(frames[0]) + len(frames[1]):
-            assert isinstance(found, Damaged), at
+            assert isinstance(found, DamagedFile), at
         else:
-            assert isinstance(found, Read) and len(found.records) == 2, at
+            assert isinstance(found, FileContents) and len(found.records) == 2, at
 
 
 def test_hashing_moves_only_what_it_must() -> None:
--- a/tests/test_fuzz_edges.py
+++ b/tests/test_fuzz_edges.py
@@ -24,7 +24,7 @@
 from sailward.runtime.adapter import load_part
 from sailward.runtime.reactor import Reactor
 from sailward.runtime.startup import CONTROLLER, BadStartup, read_startup
-from sailward.storage.disk import Damaged, Newer, Read, pack_frame, read_frames
+from sailward.storage.disk import DamagedFile, FileContents, NewerFormat, pack_frame, read_frames
 from sailward.transport.curl_client import CurlClient
 from sailward.transport.http_server_head import Head, Refused, read_head
 from sailward.transport.message_transport import MessageTransport
@@ -110,10 +110,10 @@
 ]
 
 
-def start_on(*, data: bytes) -> Read | Damaged | Newer:
+def start_on(*, data: bytes) -> FileContents | DamagedFile | NewerFormat:
     """Read a data file, and let a controller start on what it holds."""
     found = read_frames(data=data)
-    if isinstance(found, Read):
+    if isinstance(found, FileContents):
         location = Location(name="c1", kind="controller", zone="z", region="r", post="10.0.0.1:1", http="10.0.0.1:2")
         owner = Controller(
             location=location, platform="", nonce="1", start=1, rng=random.Random(1), records=found.records, now=0.0
@@ -124,7 +124,7 @@
 
 
 def test_the_sound_file_and_the_sound_records_are_read() -> None:
-    assert isinstance(start_on(data=DATA), Read)
+    assert isinstance(start_on(data=DATA), FileContents)
     assert start_on(data=pack_frame(records=RECORDS)).records == RECORDS
 
 
@@ -138,7 +138,7 @@
     data = bytearray(DATA)
     for at, value in cuts:
         data[at] = value
-    assert isinstance(start_on(data=bytes(data[:length]) + tail), (Read, Damaged, Newer))
+    assert isinstance(start_on(data=bytes(data[:length]) + tail), (FileContents, DamagedFile, NewerFormat))
 
 
 @settings(BOUNDED, max_examples=300)
@@ -147,7 +147,7 @@
     body = to_json(records)
     frame = pack_frame(records=[])
     frame = frame[:4] + len(body).to_bytes(4, "big") + zlib.crc32(body).to_bytes(4, "big") + body
-    assert isinstance(start_on(data=frame), (Read, Damaged, Newer))
+    assert isinstance(start_on(data=frame), (FileContents, DamagedFile, NewerFormat))
 
 
 @settings(BOUNDED, max_examples=300)
@@ -301,7 +301,7 @@
 
     calls = CurlClient(deliver=deliver)
     threading.Thread(target=calls.run, daemon=True).start()
-    calls.give(
+    calls.start(
         call=StartCall(
             token="t",
             owner="o",
--- a/tests/test_fuzz_messages.py
+++ b/tests/test_fuzz_messages.py
@@ -110,8 +110,8 @@
         frame = pack_body(body=body)
     except Exception:  # noqa: BLE001 - what can't be sent can't come
         return None
-    _, form = LENGTH.unpack_from(frame)
-    return read_body(payload=frame[LENGTH.size :], form=form)
+    _, encoding = LENGTH.unpack_from(frame)
+    return read_body(payload=frame[LENGTH.size :], encoding=encoding)
 
 
 def test_each_example_is_accepted_and_every_kind_has_one() -> None:
@@ -148,9 +148,9 @@
 
 
 @settings(BOUNDED, max_examples=600)
-@given(payload=st.binary(max_size=200), form=st.integers(0, 255))
-def test_random_bytes_are_refused_with_a_reason(payload: bytes, form: int) -> None:
-    for read in (read_message(payload=payload), read_body(payload=payload, form=form)):
+@given(payload=st.binary(max_size=200), encoding=st.integers(0, 255))
+def test_random_bytes_are_refused_with_a_reason(payload: bytes, encoding: int) -> None:
+    for read in (read_message(payload=payload), read_body(payload=payload, encoding=encoding)):
         assert isinstance(read, dict) or read.reason
 
 
@@ -158,11 +158,11 @@
 @given(body=st.sampled_from(VALID), cuts=st.lists(st.tuples(st.integers(0, 10**6), st.integers(0, 255)), max_size=4))
 def test_damaged_frames_are_refused_or_pass_the_check(body: dict, cuts: list) -> None:
     frame = bytearray(pack_body(body=body))
-    _, form = LENGTH.unpack_from(frame)
+    _, encoding = LENGTH.unpack_from(frame)
     payload = frame[LENGTH.size :]
     for at, value in cuts:
         payload[at % len(payload)] = value
-    read = read_body(payload=bytes(payload), form=form)
+    read = read_body(payload=bytes(payload), encoding=encoding)
     if isinstance(read, BadMessage):
         assert read.reason
     else:
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -111,7 +111,7 @@
     def end_and_give() -> None:
         peer.lines[0].sock.shutdown(socket.SHUT_RDWR)
         time.sleep(0.05)
-        edge.http_client.give(call=make_call(token="late", address=peer.address, method="POST", body=b"x"))
+        edge.http_client.start(call=make_call(token="late", address=peer.address, method="POST", body=b"x"))
 
     edge.do(end_and_give)
     assert edge.told.get(timeout=WAIT).code == 200
@@ -244,7 +244,7 @@
     peer = edge.speaker(OK)
 
     def give_and_cancel() -> None:
-        edge.http_client.give(call=make_call(token="x", address=peer.address))
+        edge.http_client.start(call=make_call(token="x", address=peer.address))
         edge.http_client.cancel(token="x")
 
     edge.do(give_and_cancel)
@@ -257,7 +257,7 @@
     peer = edge.speaker(OK)
 
     def give_and_withdraw() -> None:
-        edge.http_client.give(call=make_call(token="x", address=peer.address))
+        edge.http_client.start(call=make_call(token="x", address=peer.address))
         edge.http_client.withdraw(token="x")
 
     edge.do(give_and_withdraw)
--- a/tests/test_http_client_properties.py
+++ b/tests/test_http_client_properties.py
@@ -67,16 +67,16 @@
 
     def unnamed(self, *, response):
         fault = old(self, response=response)
-        self._is_named = True
+        self._echoes_exchange_id = True
         return "" if fault == "another-exchange" else fault
 
     def judge(*, request, worker, event, names):
         event.headers.update({names.exchange: request.name} if event.code else {})
         return old_judge(request=request, worker=worker, event=event, names=names)
 
-    old, old_judge = http_exchange.Exchange._take_head, worker_response.judge_reply
+    old, old_judge = http_exchange.Exchange._on_head, worker_response.judge_reply
     return [
-        mock.patch.object(http_exchange.Exchange, "_take_head", unnamed),
+        mock.patch.object(http_exchange.Exchange, "_on_head", unnamed),
         mock.patch("tests.http_client_script.judge_reply", judge),
     ]
 
@@ -114,7 +114,7 @@
             running.connection = connection.running = None
             readable = functools.partial(self._on_readable, connection=connection)
             self._reactor.watch(sock=connection.sock, readable=readable)
-            self._keep(connection=connection, idle=10.0)
+            self._return_to_pool(connection=connection, idle=10.0)
         old(self, token=token)
 
     old = http_client.HttpClient.cancel
@@ -124,14 +124,14 @@
 def take_kept_ones_for_once_only_work() -> list:
     """Once-only requests go out on kept connections: a surplus refusal that names nobody counts as theirs."""
 
-    def give(self, *, call):
+    def start(self, *, call):
         object.__setattr__(call, "fresh", False)
         old(self, call=call)
         self._reactor.run_soon()
         object.__setattr__(call, "fresh", call.method == "POST")
 
-    old = http_client.HttpClient.give
-    return [mock.patch.object(http_client.HttpClient, "give", give)]
+    old = http_client.HttpClient.start
+    return [mock.patch.object(http_client.HttpClient, "start", start)]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_http_client_responses.py
+++ b/tests/test_http_client_responses.py
@@ -149,7 +149,7 @@
     def speak_and_give() -> None:
         peer.lines[0].say(b"HTTP/1.1 500 Late\r\nContent-Length: 0\r\n\r\n")
         time.sleep(0.05)
-        edge.http_client.give(call=make_call(token="next", address=peer.address))
+        edge.http_client.start(call=make_call(token="next", address=peer.address))
 
     edge.do(speak_and_give)
     assert edge.told.get(timeout=WAIT).code == 200
--- a/tests/test_http_server_connections.py
+++ b/tests/test_http_server_connections.py
@@ -123,7 +123,7 @@
     first, second = edge.wait(RequestReceived, 3)[1:]
     edge.until(lambda: edge.front.open_count() == 3)
     edge.answer(second, body=b"b")
-    edge.on_reactor(edge.front.leave)
+    edge.on_reactor(edge.front.drain)
     assert reader.is_ended()
     busy.sendall(b"123456789")
     edge.settle()
@@ -147,7 +147,7 @@
 def test_leaving_ends_connections_that_ask_nothing(edge, monkeypatch):
     monkeypatch.setattr(constants, "HTTP_SERVER_FIRST_REQUEST_GRACE", 0.05)
     sock = edge.connect()
-    edge.on_reactor(edge.front.leave)
+    edge.on_reactor(edge.front.drain)
     assert Reader(sock).is_ended()
 
 
--- a/tests/test_http_server_properties.py
+++ b/tests/test_http_server_properties.py
@@ -83,18 +83,18 @@
 
 def keep_silent_of_callers_that_left() -> list:
     """A connection that ends is not told of."""
-    return [mock.patch.object(http_server.HttpServer, "_forget", lambda self, *, exchange: None)]
+    return [mock.patch.object(http_server.HttpServer, "_discard_exchange", lambda self, *, exchange: None)]
 
 
 def keep_silent_of_callers_that_closed() -> list:
     """The end of a caller's bytes is not told of; that of its connection is."""
 
-    def meet_eof(self, *, connection):
+    def on_eof(self, *, connection):
         with mock.patch.object(http_server.HttpServer, "_report_disconnect", lambda self, *, exchange, deliver: None):
             old(self, connection=connection)
 
-    old = http_server.HttpServer._meet_eof
-    return [mock.patch.object(http_server.HttpServer, "_meet_eof", meet_eof)]
+    old = http_server.HttpServer._on_eof
+    return [mock.patch.object(http_server.HttpServer, "_on_eof", on_eof)]
 
 
 def read_on_behind_the_last() -> list:
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -64,7 +64,7 @@
 
     def stop_watching() -> list:
         [connection] = edge.front._connections
-        connection.watched = (False, False)
+        connection.watched_events = (False, False)
         return check_departures(connection=connection, pending=edge.front._pending)
 
     [log] = edge.on_reactor(stop_watching)
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -17,7 +17,7 @@
 
 
 def test_a_fault_is_logged_with_the_last_events_but_without_their_contents(logged: list) -> None:
-    kept = Journal(shown=3)
+    kept = Journal(dump_length=3)
     body = {"kind": "push", "value": "a tenant's"}
     called = CallFinished(token="t", code=500, headers={"x": "a caller's"}, body=b"a caller's", fault="", sent=True)
     events = [
--- a/tests/test_message_transport.py
+++ b/tests/test_message_transport.py
@@ -49,7 +49,7 @@
             self.changed.notify_all()
 
     def send(self, *, to: str, body: dict) -> None:
-        self.reactor.give(call=lambda: self.message_transport.send(to=to, body=body))
+        self.reactor.call_from_thread(call=lambda: self.message_transport.send(to=to, body=body))
 
     def wait(self, count: int) -> list:
         with self.changed:
@@ -64,7 +64,7 @@
                     watch.fileobj.close()
             self.reactor.stop()
 
-        self.reactor.give(call=close)
+        self.reactor.call_from_thread(call=close)
         self.thread.join(PATIENCE)
 
 
@@ -92,13 +92,13 @@
 def test_a_frame_reads_back_as_it_was(size: int) -> None:
     body = make_push(number=3, size=size)
     frame = pack_body(body=body)
-    length, form = LENGTH.unpack_from(frame)
-    assert len(frame) == LENGTH.size + length and read_body(payload=frame[LENGTH.size :], form=form) == body
+    length, encoding = LENGTH.unpack_from(frame)
+    assert len(frame) == LENGTH.size + length and read_body(payload=frame[LENGTH.size :], encoding=encoding) == body
 
 
 def test_fields_beyond_the_known_ones_are_kept() -> None:
     frame = pack_body(body={**make_push(number=3), "later": [1]})
-    assert read_body(payload=frame[LENGTH.size :], form=LENGTH.unpack_from(frame)[1])["later"] == [1]
+    assert read_body(payload=frame[LENGTH.size :], encoding=LENGTH.unpack_from(frame)[1])["later"] == [1]
 
 
 def test_damaged_frames_are_told_and_never_raise() -> None:
@@ -108,7 +108,7 @@
         for _ in range(300):
             payload = bytearray(frame[LENGTH.size :])
             payload[rng.randrange(len(payload))] ^= 1 << rng.randrange(8)
-            read_body(payload=bytes(payload[: rng.randrange(len(payload) + 1)]), form=rng.randrange(3))
+            read_body(payload=bytes(payload[: rng.randrange(len(payload) + 1)]), encoding=rng.randrange(3))
 
 
 def test_messages_arrive_whole_and_in_order(stations: list) -> None:
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -20,7 +20,7 @@
 from sailward.proxy.directory_server import DirectoryServer
 from sailward.proxy.tenant_proxy import TenantProxy
 from sailward.routing.plan import read_plan
-from sailward.storage.disk import MAGIC, Newer, Read, pack_frame, read_frames
+from sailward.storage.disk import MAGIC, FileContents, NewerFormat, pack_frame, read_frames
 from tests.test_words import GOOD, run
 
 FIXTURES = Path(__file__).parent / "fixtures"
@@ -97,7 +97,7 @@
 
 def test_the_data_file_of_the_last_version_is_read() -> None:
     found = read_frames(data=DATA)
-    assert isinstance(found, Read) and found.length == len(DATA)
+    assert isinstance(found, FileContents) and found.length == len(DATA)
     controller = make_controller(records=found.records)
     assert controller.write_ahead.copied and len(controller.voters.members) == 4
     value = controller.acceptor.slots["config"].value
@@ -114,7 +114,7 @@
     ],
 )
 def test_a_data_file_of_a_newer_version_is_refused_and_left_alone(name: str, data: bytes, tmp_path: Path) -> None:
-    assert isinstance(read_frames(data=data), Newer)
+    assert isinstance(read_frames(data=data), NewerFormat)
     folder = tmp_path / "data"
     folder.mkdir()
     (folder / "registers").write_bytes(data)
