--- a/sailward/runtime/reactor.py
+++ b/sailward/runtime/reactor.py
@@ -1,4 +1,4 @@
-"""One thread that owns a process's sockets and alarms, and runs a callback when a socket is ready or a time has come."""
+"""One thread that owns a process's sockets and alarms: runs callbacks when a socket is ready or a time is reached."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
         self.watch(sock=self._wake_in, readable=self._drain_wakes)
 
     def watch(self, *, sock: socket.socket, readable: Callable | None = None, writable: Callable | None = None) -> None:
-        """Call `readable` or `writable` (no arguments) when the socket is; with both None the socket is unregistered."""
+        """Call `readable` or `writable`, without arguments, when the socket is; with both None, unregister it."""
         events = (selectors.EVENT_READ if readable else 0) | (selectors.EVENT_WRITE if writable else 0)
         known = sock.fileno() >= 0 and sock in self._selector.get_map()
         if not events:
--- a/sailward/runtime/startup.py
+++ b/sailward/runtime/startup.py
@@ -71,7 +71,7 @@
     try:
         is_sound = validator.validate(settings)
     except Exception as fault:  # noqa: BLE001 - cerberus raises on some unexpected types
-        return BadStartup(faults=(f"{path or 'flags'}: unreadable shape: {fault}",))
+        return BadStartup(faults=(f"{path or 'flags'}: unexpected structure: {fault}",))
     if is_sound:
         document: dict = validator.document
         return document
--- a/sailward/transport/curl_client.py
+++ b/sailward/transport/curl_client.py
@@ -195,7 +195,7 @@
         return pycurl.SOCKOPT_OK
 
     def _close_socket(self, *, fd: int) -> int:
-        """Close a socket; unsent bytes of an aborted call are discarded: they must not arrive after a partition heals."""
+        """Close a socket and discard an aborted call's unsent bytes: they must not arrive after a partition heals."""
         opener = self._openers.pop(fd, None)
         is_reusable = self._reusable.pop(fd, None) is not None or (
             opener is not None and opener.call.fresh and bool(opener.headers)
--- a/sailward/transport/http_client.py
+++ b/sailward/transport/http_client.py
@@ -107,9 +107,9 @@
                 running.connection.is_last = True
 
     def counts(self) -> dict:
-        """Connections opened, reused, found dead while idle (`stale`), and closed for surplus bytes while idle.
+        """Counts of connections: opened, reused, kept ones found dead (`stale`), idle ones closed for surplus bytes.
 
-        Also the numbers of idle and busy connections and of calls at this moment.
+        Also how many connections are idle or busy now, and how many calls are in flight.
         """
         return {
             "opened": self._opened,
