--- a/tests/fuzz_kit.py
+++ b/tests/fuzz_kit.py
@@ -15,7 +15,7 @@
     suppress_health_check=[HealthCheck.too_slow, HealthCheck.data_too_large],
 )
 """The same examples on every machine, and no bound of wall time."""
-ODD = st.sampled_from(
+EDGE_CASES = st.sampled_from(
     [
         None,
         True,
@@ -64,7 +64,7 @@
         ["same"],
     ]
 )
-SCALARS = ODD | st.integers() | st.floats() | st.text(max_size=8) | st.binary(max_size=8)
+SCALARS = EDGE_CASES | st.integers() | st.floats() | st.text(max_size=8) | st.binary(max_size=8)
 ANYTHING = st.recursive(
     SCALARS,
     lambda inner: st.lists(inner, max_size=4) | st.dictionaries(st.text(max_size=6), inner, max_size=4),
@@ -72,26 +72,26 @@
 )
 
 
-def places(value: object, path: tuple = ()) -> list[tuple]:
+def paths_in(value: object, path: tuple = ()) -> list[tuple]:
     """Every place in a value: the value itself, each field, each item."""
     found = [path]
     if isinstance(value, dict):
         for name in value:
-            found += places(value[name], (*path, name))
+            found += paths_in(value[name], (*path, name))
     elif isinstance(value, list):
         for at in range(min(len(value), 3)):
-            found += places(value[at], (*path, at))
+            found += paths_in(value[at], (*path, at))
     return found
 
 
-def put(value: object, path: tuple, fresh: object) -> object:
+def put(value: object, path: tuple, replacement: object) -> object:
     """The value with another one in a place of it."""
     if not path:
-        return fresh
+        return replacement
     inner = value
     for step in path[:-1]:
         inner = inner[step]
-    inner[path[-1]] = fresh
+    inner[path[-1]] = replacement
     return value
 
 
@@ -110,7 +110,7 @@
     """A valid value with one to three places of it replaced or taken out."""
     value = copy.deepcopy(draw(valid))
     for _ in range(draw(st.integers(1, 3))):
-        path = draw(st.sampled_from(places(value)[1:] or [()]))
+        path = draw(st.sampled_from(paths_in(value)[1:] or [()]))
         is_dropped = draw(st.integers(0, 5)) == 0
         value = drop(value, path) if is_dropped else put(value, path, copy.deepcopy(draw(ANYTHING)))
     return value
--- a/tests/http_client_peer.py
+++ b/tests/http_client_peer.py
@@ -47,21 +47,21 @@
     )
 
 
-class Line:
+class PeerConnection:
     """One connection as the peer sees it."""
 
     def __init__(self, *, sock: socket.socket, number: int) -> None:
         self.sock = sock
         self.number = number
-        self.left = b""
+        self.unread = b""
 
     def read(self) -> bytes:
         """One request, head and body; b"" at the end, b"reset" at a reset."""
         try:
-            while b"\r\n\r\n" not in self.left:
+            while b"\r\n\r\n" not in self.unread:
                 if not self._more():
                     return b""
-            head, _, _ = self.left.partition(b"\r\n\r\n")
+            head, _, _ = self.unread.partition(b"\r\n\r\n")
             length = next(
                 (
                     int(line.split(b":")[1])
@@ -71,15 +71,15 @@
                 0,
             )
             size = len(head) + 4 + length
-            while len(self.left) < size:
+            while len(self.unread) < size:
                 if not self._more():
                     return b""
         except ConnectionResetError:
             return b"reset"
-        request, self.left = self.left[:size], self.left[size:]
+        request, self.unread = self.unread[:size], self.unread[size:]
         return request
 
-    def say(self, answer: bytes) -> None:
+    def send(self, answer: bytes) -> None:
         self.sock.sendall(answer)
 
     def reset(self) -> None:
@@ -88,18 +88,18 @@
 
     def _more(self) -> bool:
         data = self.sock.recv(1 << 20)
-        self.left += data
+        self.unread += data
         return bool(data)
 
 
 class Peer:
     """A listener that lets `serve` have each connection, on a thread of its own."""
 
-    def __init__(self, *, serve: Callable[[Line], None]) -> None:
+    def __init__(self, *, serve: Callable[[PeerConnection], None]) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.address = f"127.0.0.1:{self.listener.getsockname()[1]}"
         self.seen: queue.Queue = queue.Queue()
-        self.lines: list[Line] = []
+        self.connections: list[PeerConnection] = []
         self._serve = serve
         threading.Thread(target=self._run, daemon=True).start()
 
@@ -109,13 +109,13 @@
                 sock, _ = self.listener.accept()
             except OSError:
                 return
-            line = Line(sock=sock, number=len(self.lines))
-            self.lines.append(line)
-            threading.Thread(target=self._hand, args=(line,), daemon=True).start()
+            connection = PeerConnection(sock=sock, number=len(self.connections))
+            self.connections.append(connection)
+            threading.Thread(target=self._serve_connection, args=(connection,), daemon=True).start()
 
-    def _hand(self, line: Line) -> None:
+    def _serve_connection(self, connection: PeerConnection) -> None:
         with contextlib.suppress(OSError):
-            self._serve(line)
+            self._serve(connection)
 
     def get(self) -> object:
         return self.seen.get(timeout=WAIT)
@@ -125,41 +125,41 @@
     """An Outbound on a reactor of its own thread."""
 
     def __init__(self) -> None:
-        self.told: queue.Queue = queue.Queue()
+        self.finished: queue.Queue = queue.Queue()
         self.reactor = Reactor()
-        self.http_client = HttpClient(reactor=self.reactor, deliver=self.told.put, names=WireNames())
+        self.http_client = HttpClient(reactor=self.reactor, deliver=self.finished.put, names=WireNames())
         self._peers: list[Peer] = []
         self._count = 0
         self._thread = threading.Thread(target=self.reactor.run, daemon=True)
         self._thread.start()
 
-    def peer(self, *, serve: Callable[[Line], None]) -> Peer:
+    def peer(self, *, serve: Callable[[PeerConnection], None]) -> Peer:
         self._peers.append(Peer(serve=serve))
         return self._peers[-1]
 
-    def speaker(self, *answers: bytes) -> Peer:
+    def answering_peer(self, *answers: bytes) -> Peer:
         """A peer that gives the answers in order, on all connections together, then the last for ever.
 
         Tells (line, request).
         """
-        left = list(answers)
+        remaining = list(answers)
 
-        def serve(line: Line) -> None:
-            while (request := line.read()) not in (b"", b"reset"):
-                answer = left.pop(0) if len(left) > 1 else left[0]
-                peer.seen.put((line.number, request))
-                line.say(answer)
-            peer.seen.put((line.number, request))
+        def serve(connection: PeerConnection) -> None:
+            while (request := connection.read()) not in (b"", b"reset"):
+                answer = remaining.pop(0) if len(remaining) > 1 else remaining[0]
+                peer.seen.put((connection.number, request))
+                connection.send(answer)
+            peer.seen.put((connection.number, request))
 
         peer = self.peer(serve=serve)
         return peer
 
-    def do(self, function: Callable) -> object:
+    def on_reactor(self, function: Callable) -> object:
         done: queue.Queue = queue.Queue()
         self.reactor.call_from_thread(call=lambda: done.put(function()))
         return done.get(timeout=WAIT)
 
-    def give(
+    def start(
         self,
         *,
         address: str,
@@ -187,19 +187,19 @@
             fresh=fresh,
             begin_by=begin_by,
         )
-        self.do(lambda: self.http_client.start(call=call))
+        self.on_reactor(lambda: self.http_client.start(call=call))
         return token
 
     def ask(self, **given: object) -> CallFinished:
-        token = self.give(**given)
-        called = self.told.get(timeout=WAIT)
-        assert called.token == token
-        return called
+        token = self.start(**given)
+        result = self.finished.get(timeout=WAIT)
+        assert result.token == token
+        return result
 
     def counts(self) -> dict:
-        return self.do(self.http_client.counts)
+        return self.on_reactor(self.http_client.counts)
 
-    def until(self, **wanted: int) -> None:
+    def wait_until(self, **wanted: int) -> None:
         end = time.monotonic() + WAIT
         while not wanted.items() <= self.counts().items():
             assert time.monotonic() < end, (wanted, self.counts())
--- a/tests/http_client_script.py
+++ b/tests/http_client_script.py
@@ -74,11 +74,11 @@
     def __init__(self, *, accepts: int) -> None:
         self.sent = b""
         self.inbound: deque = deque()
-        self.is_up = self.is_closed = self.is_reset = False
+        self.is_connected = self.is_closed = self.is_reset = False
         self.answers = 0
         self._accepts = accepts
 
-    def connect_ex(self, location: tuple) -> int:
+    def connect_ex(self, address: tuple) -> int:
         return errno.EINPROGRESS
 
     def getsockopt(self, *names: int) -> int:
@@ -95,10 +95,10 @@
             raise ConnectionResetError
         if not self._accepts:
             raise BlockingIOError
-        taken = bytes(data[: self._accepts])
-        self.sent += taken
-        self._accepts -= len(taken)
-        return len(taken)
+        accepted = bytes(data[: self._accepts])
+        self.sent += accepted
+        self._accepts -= len(accepted)
+        return len(accepted)
 
     def drain(self) -> None:
         """The system has room for more."""
@@ -121,19 +121,19 @@
 
     def requests(self) -> list[bytes]:
         """The ids of the whole requests that came, in order."""
-        found, left = [], self.sent
-        while REQUEST_END in left:
-            head, _, left = left.partition(REQUEST_END)
+        found, rest = [], self.sent
+        while REQUEST_END in rest:
+            head, _, rest = rest.partition(REQUEST_END)
             lines = dict(line.lower().split(b": ", 1) for line in head.split(b"\r\n")[1:])
             size = int(lines.get(b"content-length", b"0"))
-            if len(left) < size:
+            if len(rest) < size:
                 break
-            left = left[size:]
+            rest = rest[size:]
             found.append(lines[b"x-id"])
         return found
 
 
-class Script:
+class ClientScript:
     """Plays steps against an Outbound.
 
     And checks after each that nobody got another's answer and nothing went out twice.
@@ -144,10 +144,10 @@
         self.sockets: list[ScriptedSocket] = []
         self.calls: dict[str, StartCall] = {}
         self.cancelled: set[str] = set()
-        self.told: dict[str, CallFinished] = {}
+        self.finished: dict[str, CallFinished] = {}
         self.refused: set[str] = set()
         self.accepts = 1 << 20
-        self.http_client = http_client.HttpClient(reactor=self.reactor, deliver=self._take, names=NAMES)
+        self.http_client = http_client.HttpClient(reactor=self.reactor, deliver=self._on_finished, names=NAMES)
 
     def play(self, *, steps: list[tuple]) -> None:
         """Play all steps, then let all time pass."""
@@ -163,7 +163,7 @@
             for _ in range(4):
                 self.reactor.pass_time(seconds=30.0)
             self.check()
-            assert set(self.told) | self.cancelled == set(self.calls), "a call without an end"
+            assert set(self.finished) | self.cancelled == set(self.calls), "a call without an end"
             assert self.http_client.counts()["calls"] == 0
 
     def do_give(self, owner: int, is_once: int, accepts: int) -> None:
@@ -220,8 +220,8 @@
         self._let_read(sock=sock, token=token)
         self.reactor.run_soon()
         for other in self.sockets:
-            if not other.is_up and not other.is_closed:
-                other.is_up = True
+            if not other.is_connected and not other.is_closed:
+                other.is_connected = True
                 self._call(sock=other, which=1)
 
     def _begin(self, *, owner: int, is_once: int) -> tuple[str, ScriptedSocket | None]:
@@ -229,14 +229,14 @@
         self.do_give(owner, is_once, 0)
         self.reactor.run_soon()
         token = list(self.calls)[-1]
-        sock = next((one for one in self.sockets if self._is_within_limits(sock=one, token=token)), None)
-        if sock is not None and not sock.is_up:
-            sock.is_up = True
+        sock = next((candidate for candidate in self.sockets if self._carries_call(sock=candidate, token=token)), None)
+        if sock is not None and not sock.is_connected:
+            sock.is_connected = True
             self._call(sock=sock, which=1)
         return token, sock if sock is not None and sock.requests() else None
 
     def _let_read(self, *, sock: ScriptedSocket, token: str) -> None:
-        while sock.inbound and not sock.is_closed and token not in self.told:
+        while sock.inbound and not sock.is_closed and token not in self.finished:
             before = len(sock.inbound)
             self._call(sock=sock, which=0)
             if len(sock.inbound) == before:
@@ -245,14 +245,14 @@
     def do_connect(self, at: int, _: int, __: int) -> None:
         """A connection comes up."""
         for sock in self._open_sockets(at):
-            if not sock.is_up:
-                sock.is_up = True
+            if not sock.is_connected:
+                sock.is_connected = True
                 self._call(sock=sock, which=1)
 
     def do_writable(self, at: int, _: int, __: int) -> None:
         """The system takes all that is left to send."""
         for sock in self._open_sockets(at):
-            if sock.is_up:
+            if sock.is_connected:
                 sock.drain()
                 self._call(sock=sock, which=1)
 
@@ -281,12 +281,12 @@
         """The client reads what has come, at most so many pieces."""
         for sock in self._open_sockets(at):
             for _piece in range(1 + pieces):
-                if sock.inbound and sock.is_up and not sock.is_closed:
+                if sock.inbound and sock.is_connected and not sock.is_closed:
                     self._call(sock=sock, which=0)
 
     def do_cancel(self, at: int, _: int, __: int) -> None:
         """The owner gives a call up."""
-        under_way = [token for token in self.calls if token not in self.told and token not in self.cancelled]
+        under_way = [token for token in self.calls if token not in self.finished and token not in self.cancelled]
         if under_way:
             token = under_way[at % len(under_way)]
             self.cancelled.add(token)
@@ -303,15 +303,15 @@
     def check(self) -> None:
         """What holds after each step."""
         sent = [name.decode() for sock in self.sockets for name in sock.requests()]
-        twice = {name for name in sent if sent.count(name) > 1}
-        assert not twice, f"sent twice: {twice}"
-        for token, called in self.told.items():
+        duplicates = {name for name in sent if sent.count(name) > 1}
+        assert not duplicates, f"sent twice: {duplicates}"
+        for token, result in self.finished.items():
             call = self.calls[token]
-            assert called.sent or not any(f"x-id: id-{token}\r".encode() in sock.sent for sock in self.sockets)
+            assert result.sent or not any(f"x-id: id-{token}\r".encode() in sock.sent for sock in self.sockets)
             verdict = judge_reply(
                 request=SimpleNamespace(name=call.headers["x-id"], service=SimpleNamespace(ranged=False)),
                 worker=call.owner,
-                event=called,
+                event=result,
                 names=NAMES,
             )
             if isinstance(verdict, CompleteResponse):
@@ -323,20 +323,20 @@
             else:
                 assert isinstance(verdict, (Broken, NotSent))
 
-    def _take(self, called: CallFinished) -> None:
-        assert called.token not in self.told, "told twice"
-        assert called.token not in self.cancelled, "told after it was cancelled"
-        self.told[called.token] = called
+    def _on_finished(self, result: CallFinished) -> None:
+        assert result.token not in self.finished, "told twice"
+        assert result.token not in self.cancelled, "told after it was cancelled"
+        self.finished[result.token] = result
 
     def _open(self, *kind: int) -> ScriptedSocket:
         self.sockets.append(ScriptedSocket(accepts=self.accepts))
         return self.sockets[-1]
 
     def _open_sockets(self, at: int) -> list[ScriptedSocket]:
-        there = [sock for sock in self.sockets if not sock.is_closed]
-        return [there[at % len(there)]] if there else []
+        open_sockets = [sock for sock in self.sockets if not sock.is_closed]
+        return [open_sockets[at % len(open_sockets)]] if open_sockets else []
 
-    def _is_within_limits(self, *, sock: ScriptedSocket, token: str) -> bool:
+    def _carries_call(self, *, sock: ScriptedSocket, token: str) -> bool:
         running = self.http_client._running.get(token)
         return running is not None and running.connection is not None and running.connection.sock is sock
 
--- a/tests/http_server_harness.py
+++ b/tests/http_server_harness.py
@@ -14,7 +14,7 @@
 from sailward.runtime.reactor import Reactor
 from sailward.transport.http_server import HttpServer
 
-PATIENCE = 10.0
+WAIT_TIMEOUT = 10.0
 
 
 class Harness:
@@ -22,11 +22,11 @@
 
     def __init__(self) -> None:
         self.limits = Limits()
-        self.ahead = 0.0
-        self.told: list = []
+        self.clock_offset = 0.0
+        self.delivered: list = []
         self.changed = threading.Condition()
-        self.at_once = None
-        self.reactor = Reactor(clock=lambda: time.monotonic() + self.ahead)
+        self.answer_immediately = None
+        self.reactor = Reactor(clock=lambda: time.monotonic() + self.clock_offset)
         self.front = HttpServer(
             reactor=self.reactor, address="127.0.0.1:0", name="edge", deliver=self.deliver, limits=lambda: self.limits
         )
@@ -36,10 +36,10 @@
 
     def deliver(self, event) -> None:
         with self.changed:
-            self.told.append(event)
+            self.delivered.append(event)
             self.changed.notify_all()
-        if self.at_once and isinstance(event, RequestReceived):
-            self.front.answer(command=self.at_once(event))
+        if self.answer_immediately and isinstance(event, RequestReceived):
+            self.front.answer(command=self.answer_immediately(event))
 
     def on_reactor(self, call):
         done, results = threading.Event(), []
@@ -49,14 +49,14 @@
             done.set()
 
         self.reactor.call_from_thread(call=run)
-        assert done.wait(PATIENCE)
+        assert done.wait(WAIT_TIMEOUT)
         return results[0]
 
     def pass_time(self, *, seconds: float) -> None:
         """Let the reactor's clock jump, and its alarms that are due then be called."""
 
         def jump() -> None:
-            self.ahead += seconds
+            self.clock_offset += seconds
 
         self.on_reactor(jump)
         self.settle()
@@ -66,22 +66,22 @@
         return self.on_reactor(lambda: self.front.answer(command=command))
 
     def connect(self) -> socket.socket:
-        sock = socket.create_connection(("127.0.0.1", self.front.port), timeout=PATIENCE)
+        sock = socket.create_connection(("127.0.0.1", self.front.port), timeout=WAIT_TIMEOUT)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.sockets.append(sock)
         return sock
 
     def wait(self, kind, count: int) -> list:
         with self.changed:
-            assert self.changed.wait_for(lambda: len(self.of(kind)) >= count, PATIENCE)
-            return self.of(kind)
+            assert self.changed.wait_for(lambda: len(self.delivered_of(kind)) >= count, WAIT_TIMEOUT)
+            return self.delivered_of(kind)
 
-    def of(self, kind) -> list:
-        return [event for event in self.told if isinstance(event, kind)]
+    def delivered_of(self, kind) -> list:
+        return [event for event in self.delivered if isinstance(event, kind)]
 
-    def until(self, question) -> None:
-        end = time.monotonic() + PATIENCE
-        while not self.on_reactor(question):
+    def wait_until(self, condition) -> None:
+        end = time.monotonic() + WAIT_TIMEOUT
+        while not self.on_reactor(condition):
             assert time.monotonic() < end
             time.sleep(0.005)
 
@@ -95,7 +95,7 @@
         for sock in self.sockets:
             sock.close()
         self.reactor.call_from_thread(call=self.reactor.stop)
-        self.thread.join(PATIENCE)
+        self.thread.join(WAIT_TIMEOUT)
 
 
 def get(path: str = "/", *, more: str = "", method: str = "GET") -> bytes:
--- a/tests/http_server_script.py
+++ b/tests/http_server_script.py
@@ -16,7 +16,7 @@
 
 LIMITS = Limits(head_bytes=600, body_bytes=100, head_wait=3.0, idle_wait=15.0)
 CALLERS = 3
-ROOMS = (1 << 20, 1 << 20, 30, 200)
+SEND_CAPACITIES = (1 << 20, 1 << 20, 30, 200)
 """bytes that the system takes for a caller before the script drains it."""
 LAST_FORM, FIRST_REFUSED, CONTINUE_FORM = 4, 5, 9
 """The form of a request that ends its connection; the forms from here to the next are refused, and end it too."""
@@ -42,7 +42,7 @@
     def setblocking(self, flag: bool) -> None:
         pass
 
-    def bind(self, place: tuple) -> None:
+    def bind(self, index: tuple) -> None:
         pass
 
     def listen(self, backlog: int) -> None:
@@ -64,12 +64,12 @@
     sock: CallerSocket
     stream: bytes = b""
     forms: list = field(default_factory=list)
-    told: list = field(default_factory=list)
-    has_left: bool = False
+    delivered: list = field(default_factory=list)
+    has_closed: bool = False
     is_half_closed: bool = False
 
 
-class FrontScript:
+class ServerScript:
     """Plays steps against a Front, and checks after each that every caller reads its own answers.
 
     In order and whole.
@@ -78,12 +78,12 @@
     def __init__(self) -> None:
         self.reactor = ScriptedReactor()
         self.listener = ScriptedListener()
-        self.asked: dict[str, tuple[Caller, int]] = {}
+        self.requests: dict[str, tuple[Caller, int]] = {}
         self.answered: set[str] = set()
-        self.left: set[str] = set()
+        self.disconnected: set[str] = set()
         with mock.patch.object(http_server.socket, "socket", lambda *kind: self.listener):
             self.front = http_server.HttpServer(
-                reactor=self.reactor, address="127.0.0.1:0", name="front", deliver=self._take, limits=lambda: LIMITS
+                reactor=self.reactor, address="127.0.0.1:0", name="front", deliver=self._on_event, limits=lambda: LIMITS
             )
         self.callers = [self._connect(number=number) for number in range(CALLERS)]
 
@@ -101,10 +101,12 @@
         for caller in self.callers:
             self._reset(caller=caller)
         self.check()
-        unanswered = set(self.asked) - self.answered
-        assert unanswered <= self.left, "a request whose caller left was not told of"
-        told_and_answered = self.left - unanswered
-        assert all(self.asked[token][0].is_half_closed for token in told_and_answered), "a caller that stayed was left"
+        unanswered = set(self.requests) - self.answered
+        assert unanswered <= self.disconnected, "a request whose caller left was not told of"
+        reported_and_answered = self.disconnected - unanswered
+        assert all(self.requests[token][0].is_half_closed for token in reported_and_answered), (
+            "a caller that stayed was left"
+        )
         assert self.front.open_count() == 0 and self.front.connection_count() == 0
 
     def do_send(self, at: int, form: int) -> None:
@@ -123,21 +125,21 @@
         """The server reads so many bytes of what a caller sent."""
         caller = self.callers[at % CALLERS]
         piece, caller.stream = caller.stream[:size], caller.stream[size:]
-        if piece and not caller.has_left:
+        if piece and not caller.has_closed:
             caller.sock.inbound.append(piece)
         self._let_read(caller=caller)
 
     def _waiting(self) -> list[str]:
         return [
             token
-            for token, (caller, _) in self.asked.items()
-            if token not in self.answered and (token not in self.left or caller.is_half_closed)
+            for token, (caller, _) in self.requests.items()
+            if token not in self.answered and (token not in self.disconnected or caller.is_half_closed)
         ]
 
     def _answer_half_closed(self) -> None:
         """A caller that ended its sending side alone reads its answers, though it was told of as left."""
         for token in self._waiting():
-            if self.asked[token][0].is_half_closed:
+            if self.requests[token][0].is_half_closed:
                 self._answer(token=token, code=200)
 
     def do_answer(self, at: int, code: int) -> None:
@@ -147,8 +149,8 @@
             self._answer(token=waiting[at % len(waiting)], code=(200, 200, 500, 503, 200, 201)[code])
 
     def _answer(self, *, token: str, code: int) -> None:
-        caller, place = self.asked[token]
-        name = f"{caller.number}/{place}"
+        caller, index = self.requests[token]
+        name = f"{caller.number}/{index}"
         self.answered.add(token)
         answer = Respond(token=token, code=code, body=name.encode(), headers={"X-For": name})
         assert self.front.answer(command=answer) or caller.sock.is_closed, (
@@ -160,8 +162,8 @@
         caller = self.callers[at % CALLERS]
         if way % 2:
             self._reset(caller=caller)
-        elif not caller.has_left:
-            caller.has_left = caller.is_half_closed = True
+        elif not caller.has_closed:
+            caller.has_closed = caller.is_half_closed = True
             caller.sock.inbound.append(FIN)
             self._let_read(caller=caller)
 
@@ -190,59 +192,59 @@
         """The end of a caller's bytes is told of at once, for each of its requests that has no answer."""
         has_read_all = list(caller.sock.inbound)[:1] == [FIN]
         if has_read_all and not caller.sock.is_closed:
-            unanswered = set(caller.told) - self.answered
-            assert unanswered <= self.left, "a request whose caller left was not told of"
+            unanswered = set(caller.delivered) - self.answered
+            assert unanswered <= self.disconnected, "a request whose caller left was not told of"
 
     def _check_caller(self, *, caller: Caller) -> None:
-        rest, place = caller.sock.sent, 0
+        rest, index = caller.sock.sent, 0
         while b"\r\n\r\n" in rest:
-            head, _, behind = rest.partition(b"\r\n\r\n")
+            head, _, remainder = rest.partition(b"\r\n\r\n")
             first, *lines = head.decode().split("\r\n")
             code, headers = int(first.split()[1]), dict(line.split(": ", 1) for line in lines)
             if code == 100:
-                assert caller.forms[place] == CONTINUE_FORM
-                rest = behind
+                assert caller.forms[index] == CONTINUE_FORM
+                rest = remainder
                 continue
-            assert place < len(caller.forms), "an answer that no request waits for"
-            form = caller.forms[place]
+            assert index < len(caller.forms), "an answer that no request waits for"
+            form = caller.forms[index]
             # a head that never came whole may have been any: its refusal has a body
             size = 0 if form == 3 and "X-For" in headers else int(headers["Content-Length"])
-            if len(behind) < size:
+            if len(remainder) < size:
                 return
             if "X-For" in headers:
-                name = f"{caller.number}/{place}"
+                name = f"{caller.number}/{index}"
                 assert headers["X-For"] == name, f"{name} got the answer to {headers['X-For']}"
-                assert form == 3 or behind[:size] == name.encode()
+                assert form == 3 or remainder[:size] == name.encode()
                 assert not FIRST_REFUSED <= form < CONTINUE_FORM
             else:
                 assert code in (400, 408, 413, 431) and headers["Connection"] == "close"
                 assert code == 408 or FIRST_REFUSED <= form < CONTINUE_FORM, f"{code} for a proper request"
-                assert not behind[size:], "bytes behind the answer that closes"
-            rest, place = behind[size:], place + 1
+                assert not remainder[size:], "bytes behind the answer that closes"
+            rest, index = remainder[size:], index + 1
 
-    def _take(self, event: object) -> None:
+    def _on_event(self, event: object) -> None:
         if isinstance(event, ClientDisconnected):
-            assert event.token in self.asked and event.token not in self.left | self.answered
-            self.left.add(event.token)
+            assert event.token in self.requests and event.token not in self.disconnected | self.answered
+            self.disconnected.add(event.token)
             return
-        assert isinstance(event, RequestReceived) and event.token not in self.asked, "a token that was given before"
-        number, place = (int(part) for part in event.path.strip("/").split("/"))
+        assert isinstance(event, RequestReceived) and event.token not in self.requests, "a token that was given before"
+        number, index = (int(part) for part in event.path.strip("/").split("/"))
         caller = self.callers[number]
-        form = caller.forms[place]
-        assert place == len(caller.told), "told out of order, or behind one that was not told"
-        assert LAST_FORM not in caller.forms[:place], "read behind a request that ends its connection"
-        assert event.body == (f"body {number}/{place}".encode() if form in (1, 2, CONTINUE_FORM) else b"")
-        caller.told.append(event.token)
-        self.asked[event.token] = (caller, place)
+        form = caller.forms[index]
+        assert index == len(caller.delivered), "told out of order, or behind one that was not told"
+        assert LAST_FORM not in caller.forms[:index], "read behind a request that ends its connection"
+        assert event.body == (f"body {number}/{index}".encode() if form in (1, 2, CONTINUE_FORM) else b"")
+        caller.delivered.append(event.token)
+        self.requests[event.token] = (caller, index)
 
     def _connect(self, *, number: int) -> Caller:
-        sock = CallerSocket(accepts=ROOMS[number])
+        sock = CallerSocket(accepts=SEND_CAPACITIES[number])
         self.listener.waiting.append(sock)
         self._call(sock=self.listener, which=0)
         return Caller(number=number, sock=sock)
 
     def _reset(self, *, caller: Caller) -> None:
-        caller.has_left = caller.sock.is_reset = True
+        caller.has_closed = caller.sock.is_reset = True
         caller.sock.inbound.clear()
         caller.sock.inbound.append(RESET)
         self._let_read(caller=caller)
--- a/tests/proxy_path.py
+++ b/tests/proxy_path.py
@@ -19,7 +19,7 @@
 from sailward.runtime.host import Host
 from sailward.runtime.reactor import Reactor
 from sailward.transport.http_client import HttpClient
-from tests.http_server_harness import PATIENCE
+from tests.http_server_harness import WAIT_TIMEOUT
 from tests.proxy_kit import NAMES, Bench, make_plan, make_worker
 
 
@@ -40,7 +40,7 @@
 
     def path(self) -> str:
         """The path of the request that came, once it is complete."""
-        end = time.monotonic() + PATIENCE
+        end = time.monotonic() + WAIT_TIMEOUT
         while b"\r\n\r\n" not in self.raw:
             assert time.monotonic() < end, "no request came"
             time.sleep(0.002)
@@ -87,7 +87,7 @@
 
     def send(self, *requests: bytes) -> socket.socket:
         """A caller connects and sends these."""
-        caller = socket.create_connection(("127.0.0.1", self.front.port), timeout=PATIENCE)
+        caller = socket.create_connection(("127.0.0.1", self.front.port), timeout=WAIT_TIMEOUT)
         caller.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         caller.sendall(b"".join(requests))
         self._callers.append(caller)
@@ -95,7 +95,7 @@
 
     def next_call(self) -> WorkerCall:
         """The next connection at the worker, once its request has come."""
-        call = self.calls.get(timeout=PATIENCE)
+        call = self.calls.get(timeout=WAIT_TIMEOUT)
         call.path()
         return call
 
@@ -103,11 +103,11 @@
         """What this gives on the reactor's thread."""
         given: queue.Queue = queue.Queue()
         self.reactor.call_from_thread(call=lambda: given.put(question()))
-        return given.get(timeout=PATIENCE)
+        return given.get(timeout=WAIT_TIMEOUT)
 
     def until(self, question) -> None:
         """Wait until this holds on the reactor's thread."""
-        end = time.monotonic() + PATIENCE
+        end = time.monotonic() + WAIT_TIMEOUT
         while not self.on_reactor(question):
             assert time.monotonic() < end, "it never came"
             time.sleep(0.005)
@@ -121,7 +121,7 @@
     def end(self) -> None:
         """Close all that was opened."""
         self.reactor.call_from_thread(call=self.reactor.stop)
-        self._thread.join(PATIENCE)
+        self._thread.join(WAIT_TIMEOUT)
         for sock in (*self._callers, self._worker):
             sock.close()
 
--- a/tests/storage_machine.py
+++ b/tests/storage_machine.py
@@ -55,11 +55,11 @@
     @rule()
     def learn_voters(self) -> None:
         """A newer set with the same members was chosen."""
-        held = self.controller.learner.values["voters"]
-        number = held.value["number"] + 1
-        value = {**held.value, "number": number, "mark": f"set {number}"}
+        known = self.controller.learner.values["voters"]
+        number = known.value["number"] + 1
+        value = {**known.value, "number": number, "mark": f"set {number}"}
         ballot = [number, "x"]
-        self._give(
+        self._step(
             MessageReceived(
                 sender=PROPOSER, body={"kind": "chosen", "register": "voters", "ballot": ballot, "value": value}
             )
@@ -72,12 +72,12 @@
         self.disk.run_pending()
         events, self.events[:] = list(self.events), []
         for event in events:
-            self._give(event)
+            self._step(event)
 
     @rule(seconds=st.sampled_from([0.05, 1.2]))
     def tick(self, seconds: float) -> None:
         self.now += seconds
-        self._give(TimerFired(wall=self.now))
+        self._step(TimerFired(wall=self.now))
 
     @rule(written=st.integers(0, 3))
     def kill(self, written: int) -> None:
@@ -142,9 +142,9 @@
 
     def _on_message(self, *, kind: str, register: str, ballot: list, **fields: object) -> None:
         body = {"kind": kind, "op": f"o{ballot}", "register": register, "ballot": ballot, **fields}
-        self._give(MessageReceived(sender=PROPOSER, body={**body, "voters": self.controller.voters.number}))
+        self._step(MessageReceived(sender=PROPOSER, body={**body, "voters": self.controller.voters.number}))
 
-    def _give(self, event: object) -> None:
+    def _step(self, event: object) -> None:
         for command in self.controller.step(now=self.now, event=event):
             if isinstance(command, (AppendRecords, RewriteRecords)):
                 self.disk.give(command=command)
--- a/tests/test_curl_client_responses.py
+++ b/tests/test_curl_client_responses.py
@@ -14,7 +14,7 @@
 
 from sailward.events import CallFinished, StartCall
 from sailward.transport.curl_client import CurlClient
-from tests.http_client_peer import WAIT, Line, Peer
+from tests.http_client_peer import WAIT, Peer, PeerConnection
 
 
 def answer_to(name: str, body: bytes, *, more: str = "") -> bytes:
@@ -27,13 +27,13 @@
     """The library's edge on a thread, and the peers that it is led to."""
 
     def __init__(self) -> None:
-        self.told: queue.Queue = queue.Queue()
-        self.calls = CurlClient(deliver=self.told.put)
+        self.finished: queue.Queue = queue.Queue()
+        self.calls = CurlClient(deliver=self.finished.put)
         self.peers: list[Peer] = []
         self._count = 0
         threading.Thread(target=self.calls.run, daemon=True).start()
 
-    def peer(self, serve: Callable[[Line], None]) -> Peer:
+    def peer(self, serve: Callable[[PeerConnection], None]) -> Peer:
         self.peers.append(Peer(serve=serve))
         return self.peers[-1]
 
@@ -53,16 +53,16 @@
             fresh=fresh,
         )
         self.calls.start(call=call)
-        called = self.told.get(timeout=WAIT)
-        assert called.token == call.token
-        return called
+        result = self.finished.get(timeout=WAIT)
+        assert result.token == call.token
+        return result
 
 
 @pytest.fixture
 def client() -> Iterator[Client]:
     client = Client()
     yield client
-    assert client.told.empty()
+    assert client.finished.empty()
     for peer in client.peers:
         peer.listener.close()
 
@@ -74,20 +74,20 @@
 def test_a_late_answer_at_the_point_of_the_next_goes_to_nobody_and_ends_its_connection(client: Client) -> None:
     """The surplus answer to the first is read where the second's is due; the third must not get the second's."""
 
-    def serve(line: Line) -> None:
-        first = name_of(line.read())
-        line.say(answer_to(first, first.encode()))
-        if line.number == 0:
-            second = name_of(line.read())
-            line.say(answer_to(first, b"late") + answer_to(second, second.encode()))
-            line.read()
+    def serve(connection: PeerConnection) -> None:
+        first = name_of(connection.read())
+        connection.send(answer_to(first, first.encode()))
+        if connection.number == 0:
+            second = name_of(connection.read())
+            connection.send(answer_to(first, b"late") + answer_to(second, second.encode()))
+            connection.read()
 
     peer = client.peer(serve)
     assert client.ask(address=peer.address, name="a").body == b"a"
-    called = client.ask(address=peer.address, name="b")
-    assert (called.code, called.body, called.fault, called.sent) == (0, b"", "another-exchange", True)
+    result = client.ask(address=peer.address, name="b")
+    assert (result.code, result.body, result.fault, result.sent) == (0, b"", "another-exchange", True)
     assert client.ask(address=peer.address, name="c").body == b"c"
-    assert len(peer.lines) == 2
+    assert len(peer.connections) == 2
 
 
 @pytest.mark.parametrize("method", ["GET", "POST"])
@@ -101,73 +101,73 @@
 ) -> None:
     seen: list = []
 
-    def serve(line: Line) -> None:
-        while (request := line.read()) not in (b"", b"reset"):
+    def serve(connection: PeerConnection) -> None:
+        while (request := connection.read()) not in (b"", b"reset"):
             seen.append(name_of(request))
             if seen[-1] == "warm":
-                line.say(answer_to("warm", b"w"))
+                connection.send(answer_to("warm", b"w"))
                 continue
             if answer:
-                line.say(answer)
-            line.reset() if is_reset else line.sock.shutdown(socket.SHUT_WR)
+                connection.send(answer)
+            connection.reset() if is_reset else connection.sock.shutdown(socket.SHUT_WR)
             return
 
     peer = client.peer(serve)
     assert client.ask(address=peer.address, name="warm").code == 200
-    called = client.ask(address=peer.address, name="once", method=method, fresh=True, body=b"{}")
-    assert (called.code, called.body, called.sent) == (0, b"", True)
+    result = client.ask(address=peer.address, name="once", method=method, fresh=True, body=b"{}")
+    assert (result.code, result.body, result.sent) == (0, b"", True)
     assert seen.count("once") == 1
 
 
 def test_silence_on_a_kept_connection_is_no_proof_that_nothing_was_sent(client: Client) -> None:
-    def serve(line: Line) -> None:
-        request = line.read()
-        line.say(answer_to(name_of(request), b"x"))
-        peer.seen.put(line.read())
-        line.read()
+    def serve(connection: PeerConnection) -> None:
+        request = connection.read()
+        connection.send(answer_to(name_of(request), b"x"))
+        peer.seen.put(connection.read())
+        connection.read()
 
     peer = client.peer(serve)
     client.ask(address=peer.address, name="a")
-    called = client.ask(address=peer.address, name="b", wait=0.3)
+    result = client.ask(address=peer.address, name="b", wait=0.3)
     assert name_of(peer.get()) == "b"
-    assert (called.code, called.fault, called.sent) == (0, "timed-out", True)
+    assert (result.code, result.fault, result.sent) == (0, "timed-out", True)
 
 
 @pytest.mark.parametrize("early", [b"HTTP/1.1 100 Continue\r\n\r\n", b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"])
 def test_interim_answers_are_passed_over(client: Client, early: bytes) -> None:
-    def serve(line: Line) -> None:
-        while (request := line.read()) not in (b"", b"reset"):
-            line.say(early + early + answer_to(name_of(request), b"whole"))
+    def serve(connection: PeerConnection) -> None:
+        while (request := connection.read()) not in (b"", b"reset"):
+            connection.send(early + early + answer_to(name_of(request), b"whole"))
 
     peer = client.peer(serve)
     for name in ("a", "b"):
-        called = client.ask(address=peer.address, name=name)
-        assert (called.code, called.body) == (200, b"whole") and "link" not in called.headers
-    assert len(peer.lines) == 1
+        result = client.ask(address=peer.address, name=name)
+        assert (result.code, result.body) == (200, b"whole") and "link" not in result.headers
+    assert len(peer.connections) == 1
 
 
 def test_a_trailer_is_no_header(client: Client) -> None:
     """What a worker adds behind its body may not say that the exchange did not run."""
 
-    def serve(line: Line) -> None:
-        line.read()
-        line.say(
+    def serve(connection: PeerConnection) -> None:
+        connection.read()
+        connection.send(
             b"HTTP/1.1 200 OK\r\nSailward-Exchange: a\r\nTransfer-Encoding: chunked\r\n\r\n"
             b"2\r\nok\r\n0\r\nSailward-Ran: not-run\r\nSailward-Exchange: b\r\n\r\n"
         )
 
-    called = client.ask(address=client.peer(serve).address, name="a")
-    assert (called.code, called.body) == (200, b"ok")
-    assert called.headers == {"sailward-exchange": "a", "transfer-encoding": "chunked"}
+    result = client.ask(address=client.peer(serve).address, name="a")
+    assert (result.code, result.body) == (200, b"ok")
+    assert result.headers == {"sailward-exchange": "a", "transfer-encoding": "chunked"}
 
 
 def test_surplus_bytes_behind_an_answer_reach_nobody(client: Client) -> None:
-    def serve(line: Line) -> None:
-        request = line.read()
-        line.say(answer_to(name_of(request), b"own") + answer_to("x", b"surplus"))
-        peer.seen.put(line.read())
+    def serve(connection: PeerConnection) -> None:
+        request = connection.read()
+        connection.send(answer_to(name_of(request), b"own") + answer_to("x", b"surplus"))
+        peer.seen.put(connection.read())
 
     peer = client.peer(serve)
     for name in ("a", "b"):
         assert client.ask(address=peer.address, name=name).body == b"own"
-    assert len(peer.lines) == 2
+    assert len(peer.connections) == 2
--- a/tests/test_data_file.py
+++ b/tests/test_data_file.py
@@ -40,7 +40,7 @@
 
     def change(self, *, number: int, text: str = TEXT) -> bool:
         """One prepare and one accept; were both told?"""
-        told = 0
+        replies_sent = 0
         ballot = [number, "p"]
         for body in (
             {"kind": "prepare", "register": "config", "op": "o", "ballot": ballot},
@@ -53,12 +53,12 @@
             },
         ):
             records, reply = self.acceptor.step(now=0.0, body=body)
-            told += self.work(commands=self.write_ahead.step(records=records, replies=[reply]))
-        return told == 2
+            replies_sent += self.work(commands=self.write_ahead.step(records=records, replies=[reply]))
+        return replies_sent == 2
 
     def work(self, *, commands: list) -> int:
         """Carry out commands; how many replies were let go."""
-        replies = [one for one in commands if isinstance(one, dict)]
+        replies = [command for command in commands if isinstance(command, dict)]
         for command in commands:
             if isinstance(command, (AppendRecords, RewriteRecords)):
                 self.disk.give(command=command)
@@ -130,28 +130,28 @@
 
     AssertionError names the history in which something acknowledged is lost.
     """
-    calm = make_files()
-    run_rewrite(files=calm)
-    tried = 0
-    for step in range(calm.steps + 1):
-        asked = make_files()
-        asked.lose_power_at = step
-        run_rewrite(files=asked)
+    undisturbed = make_files()
+    run_rewrite(files=undisturbed)
+    histories = 0
+    for step in range(undisturbed.steps + 1):
+        probe = make_files()
+        probe.lose_power_at = step
+        run_rewrite(files=probe)
         choices: list[tuple] = []
-        asked.lose_power(choose=lambda options, choices=choices: choices.append(options) or options[0])
+        probe.lose_power(choose=lambda options, choices=choices: choices.append(options) or options[0])
         for fates in itertools.product(*choices):
             files = make_files()
             files.lose_power_at = step
             given, synced = run_rewrite(files=files)
-            left = iter(fates)
-            files.lose_power(choose=lambda options, left=left: next(left))
+            remaining_fates = iter(fates)
+            files.lose_power(choose=lambda options, remaining_fates=remaining_fates: next(remaining_fates))
             found = Disk(folder=Path("none"), deliver=lambda event: None, files=files).open()
             assert isinstance(found, FileContents), (step, fates, found)
-            there = [int(record["r"].split()[1]) for record in found.records]
-            assert there == given[: len(there)], (step, fates, there)
-            assert len(there) >= max(synced, default=0), (step, fates, there, synced)
-            tried += 1
-    return tried
+            recovered = [int(record["r"].split()[1]) for record in found.records]
+            assert recovered == given[: len(recovered)], (step, fates, recovered)
+            assert len(recovered) >= max(synced, default=0), (step, fates, recovered, synced)
+            histories += 1
+    return histories
 
 
 def test_a_loss_of_power_at_any_step_of_a_rewrite_loses_nothing_that_was_acknowledged() -> None:
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -7,7 +7,7 @@
 import pytest
 
 from sailward import constants
-from tests.http_server_harness import PATIENCE
+from tests.http_server_harness import WAIT_TIMEOUT
 from tests.proxy_path import ProxyPath, request
 
 
@@ -29,7 +29,7 @@
     caller = path.send(request("1"))
     call = path.next_call()
     caller.close()
-    assert call.has_ended.wait(PATIENCE), "the worker runs on for a caller that has left"
+    assert call.has_ended.wait(WAIT_TIMEOUT), "the worker runs on for a caller that has left"
     path.until(lambda: path.front.connection_count() == 0)
 
 
@@ -39,7 +39,7 @@
     calls = [path.next_call() for _ in range(constants.HTTP_SERVER_PIPELINE_DEPTH)]
     caller.close()
     for call in calls:
-        assert call.has_ended.wait(PATIENCE), "the worker runs on for a caller that has left"
+        assert call.has_ended.wait(WAIT_TIMEOUT), "the worker runs on for a caller that has left"
     path.settle()
     assert path.calls.empty(), "a request reached the worker after its caller had left"
     path.until(lambda: path.front.connection_count() == 0)
@@ -50,7 +50,7 @@
     """A proxy that was held up finds the request and the close of its caller in one look."""
     path = make_path(kind="once" if method == "POST" else "repeatable")
     is_sent = threading.Event()
-    path.reactor.call_from_thread(call=lambda: is_sent.wait(PATIENCE))
+    path.reactor.call_from_thread(call=lambda: is_sent.wait(WAIT_TIMEOUT))
     path.send(request("1", method=method)).close()
     is_sent.set()
     path.settle()
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -39,7 +39,7 @@
 WAIT = 10.0
 
 
-class Careless(threading.Thread):
+class ClosingServer(threading.Thread):
     """A server that answers one request on a connection, then reads the next and closes without a word."""
 
     def __init__(self) -> None:
@@ -84,30 +84,30 @@
 
 
 def test_an_unsafe_call_is_sent_once_though_its_connection_dies() -> None:
-    server = Careless()
+    server = ClosingServer()
     server.start()
     calls, events = make_calls()
     calls.start(call=make_call(address=server.address, method="GET", fresh=False))
     assert events.get(timeout=WAIT).code == 200
     calls.start(call=make_call(address=server.address))
-    called = events.get(timeout=WAIT)
-    assert (called.code, called.sent) == (0, True)
-    assert sum(one.startswith(b"POST") for one in server.seen) == 1
+    result = events.get(timeout=WAIT)
+    assert (result.code, result.sent) == (0, True)
+    assert sum(request.startswith(b"POST") for request in server.seen) == 1
 
 
 def test_a_kept_connection_that_dies_is_tried_again_by_the_library() -> None:
     """Why unsafe exchanges have connections of their own: without one the same exchange goes out twice."""
-    server = Careless()
+    server = ClosingServer()
     server.start()
     calls, events = make_calls()
     calls.start(call=make_call(address=server.address, method="GET", fresh=False))
     assert events.get(timeout=WAIT).code == 200
     calls.start(call=make_call(address=server.address, fresh=False))
     assert events.get(timeout=WAIT).code == 0
-    assert sum(one.startswith(b"POST") for one in server.seen) == 2
+    assert sum(request.startswith(b"POST") for request in server.seen) == 2
 
 
-class Deaf(threading.Thread):
+class UnreadingServer(threading.Thread):
     """A server that accepts a connection and reads only when told to: what it gets then was sent before, or late."""
 
     def __init__(self) -> None:
@@ -135,7 +135,7 @@
     """Without the reset (second run) the whole exchange arrives after its proxy gave it up."""
     if not is_safe:
         monkeypatch.setattr("sailward.transport.curl_client.RESET_ON_CLOSE", struct.pack("ii", 0, 0))
-    server = Deaf()
+    server = UnreadingServer()
     server.start()
     calls, events = make_calls()
     body = b"x" * (1 << 20)
@@ -152,8 +152,8 @@
             fresh=True,
         )
     )
-    called = events.get(timeout=WAIT)
-    assert (called.fault, called.sent) == ("timed-out", True)
+    result = events.get(timeout=WAIT)
+    assert (result.fault, result.sent) == ("timed-out", True)
     server.may_read.set()
     assert server.ended.wait(WAIT)
     assert (server.count < len(body)) is is_safe
@@ -162,13 +162,13 @@
 def test_nothing_is_sent_where_nobody_listens_or_after_its_time() -> None:
     calls, events = make_calls()
     calls.start(call=make_call(address=free_addresses(count=1)[0]))
-    called: CallFinished = events.get(timeout=WAIT)
-    assert (called.fault, called.sent) == ("no-connection", False)
-    server = Careless()
+    result: CallFinished = events.get(timeout=WAIT)
+    assert (result.fault, result.sent) == ("no-connection", False)
+    server = ClosingServer()
     server.start()
     calls.start(call=make_call(address=server.address, begin_by=time.monotonic() - 1))
-    called = events.get(timeout=WAIT)
-    assert (called.fault, called.sent, server.seen) == ("too-late", False, [])
+    result = events.get(timeout=WAIT)
+    assert (result.fault, result.sent, server.seen) == ("too-late", False, [])
 
 
 def test_ill_formed_messages_close_the_connection_and_change_nothing() -> None:
@@ -178,26 +178,26 @@
     post.start()
     host, port = address.split(":")
     greeting = struct.pack(">I", len(GREETING) + 3) + GREETING + b"a:1"
-    good = pack_message(body={"kind": "ack", "seq": 1, "name": "config", "number": 2})
-    bads = (
+    valid = pack_message(body={"kind": "ack", "seq": 1, "name": "config", "number": 2})
+    invalid_messages = (
         b"\x00\x01",
         pack_message(body={"kind": "ack", "seq": "one", "name": "config", "number": 2}),
         pack_message(body={"kind": "nothing"}),
         pack_message(body={"kind": "chosen", "register": "x", "ballot": [1], "value": {}}),
     )
-    for count, bad in enumerate(bads, start=1):
+    for count, invalid in enumerate(invalid_messages, start=1):
         with socket.create_connection((host, int(port)), timeout=WAIT) as peer:
             peer.sendall(
                 greeting
-                + struct.pack(">I", len(good))
-                + good
-                + struct.pack(">I", len(bad))
-                + bad
-                + struct.pack(">I", len(good))
-                + good
+                + struct.pack(">I", len(valid))
+                + valid
+                + struct.pack(">I", len(invalid))
+                + invalid
+                + struct.pack(">I", len(valid))
+                + valid
             )
-            heard = events.get(timeout=WAIT)
-            assert isinstance(heard, MessageReceived) and heard.body["number"] == 2
+            received = events.get(timeout=WAIT)
+            assert isinstance(received, MessageReceived) and received.body["number"] == 2
             assert peer.recv(1) == b""
         assert post.counts["bad"] == count
     with socket.create_connection((host, int(port)), timeout=WAIT) as peer:
@@ -207,19 +207,19 @@
 
 
 def test_malformed_and_oversized_requests_get_json_and_reach_no_owner_whole() -> None:
-    asked: list[RequestReceived] = []
+    requests: list[RequestReceived] = []
 
     def deliver(event: RequestReceived) -> None:
-        asked.append(event)
-        web.answer(command=Respond(token=event.token, code=413 if event.body is None else 200, body=b"{}"))
+        requests.append(event)
+        server.answer(command=Respond(token=event.token, code=413 if event.body is None else 200, body=b"{}"))
 
     address = free_addresses(count=1)[0]
-    web = WsgiServer(address=address, limit=1000, deliver=deliver, threads=ThreadPoolExecutor(max_workers=8))
-    threading.Thread(target=web.run, daemon=True).start()
+    server = WsgiServer(address=address, limit=1000, deliver=deliver, threads=ThreadPoolExecutor(max_workers=8))
+    threading.Thread(target=server.run, daemon=True).start()
     assert ask(address=address, method="POST", path="/a?b=c", body=b"x" * 1000)[0] == 200
-    assert (asked[0].path, asked[0].query, len(asked[0].body)) == ("/a", {"b": "c"}, 1000)
+    assert (requests[0].path, requests[0].query, len(requests[0].body)) == ("/a", {"b": "c"}, 1000)
     assert ask(address=address, method="POST", path="/a", body=b"x" * 1001)[0] == 413
-    assert asked[1].body is None
+    assert requests[1].body is None
     host, port = address.split(":")
     with socket.create_connection((host, int(port)), timeout=WAIT) as peer:
         peer.sendall(b"NONSENSE\r\n\r\n")
@@ -229,7 +229,7 @@
         peer.sendall(b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 50\r\n\r\nhalf")
         peer.shutdown(socket.SHUT_WR)
         peer.makefile("rb").read()
-    assert len(asked) == 2
+    assert len(requests) == 2
 
 
 def test_the_file_keeps_what_was_synced_and_is_rewritten(tmp_path: Path) -> None:
--- a/tests/test_fuzz_edges.py
+++ b/tests/test_fuzz_edges.py
@@ -246,10 +246,10 @@
         for _, _, text in changes:
             value = {"number": value["number"] + 1, "text": text}
         for call in [command for command in commands if isinstance(command, StartCall)]:
-            called = CallFinished(
+            result = CallFinished(
                 token=call.token, code=code, headers=headers, body=body, fault="" if code else "reset", sent=is_sent
             )
-            granting.step(now=now, event=called, context=context)
+            granting.step(now=now, event=result, context=context)
         now += 1.0
     assert value["number"]
 
@@ -292,11 +292,11 @@
 
 @pytest.mark.parametrize("address", ADDRESSES)
 def test_a_call_to_no_address_ends_with_a_fault(address: str) -> None:
-    told: list[CallFinished] = []
+    finished: list[CallFinished] = []
     ended = threading.Event()
 
-    def deliver(called: CallFinished) -> None:
-        told.append(called)
+    def deliver(result: CallFinished) -> None:
+        finished.append(result)
         ended.set()
 
     calls = CurlClient(deliver=deliver)
@@ -314,4 +314,4 @@
             fresh=False,
         )
     )
-    assert ended.wait(20.0) and told[0].code == 0 and told[0].fault
+    assert ended.wait(20.0) and finished[0].code == 0 and finished[0].fault
--- a/tests/test_http_client_properties.py
+++ b/tests/test_http_client_properties.py
@@ -15,7 +15,7 @@
 
 from sailward.routing import worker_response
 from sailward.transport import http_client, http_exchange
-from tests.http_client_script import Script
+from tests.http_client_script import ClientScript
 
 SMALL = st.integers(0, 3)
 STEPS = st.one_of(
@@ -53,7 +53,7 @@
     )
     @given(steps=st.lists(STEPS, min_size=4, max_size=24))
     def play(steps: list[tuple]) -> None:
-        Script().play(steps=steps)
+        ClientScript().play(steps=steps)
 
     play()
 
@@ -96,7 +96,7 @@
     return [mock.patch.object(http_client.HttpClient, "_fail", fail)]
 
 
-def reuse_without_a_look() -> list:
+def reuse_without_a_check() -> list:
     """A kept connection is used again though a late answer waits on it, and names are not compared."""
     return [mock.patch.object(http_client, "_peek", lambda *, sock: http_client.CLEAN), *match_by_order_alone()]
 
@@ -121,7 +121,7 @@
     return [mock.patch.object(http_client.HttpClient, "cancel", cancel), *match_by_order_alone()]
 
 
-def take_kept_ones_for_once_only_work() -> list:
+def reuse_connections_for_unsafe_requests() -> list:
     """Once-only requests go out on kept connections: a surplus refusal that names nobody counts as theirs."""
 
     def start(self, *, call):
@@ -139,11 +139,11 @@
     [
         (match_by_order_alone, "got b"),
         (send_again_after_a_reset, "sent twice"),
-        (reuse_without_a_look, "got b"),
+        (reuse_without_a_check, "got b"),
         (keep_after_a_cancel, "got b"),
-        (take_kept_ones_for_once_only_work, "was refused by another's answer"),
+        (reuse_connections_for_unsafe_requests, "was refused by another's answer"),
     ],
-    ids=lambda one: getattr(one, "__name__", ""),
+    ids=lambda param: getattr(param, "__name__", ""),
 )
 def test_a_planted_fault_is_found(plant, breach: str) -> None:
     patches = plant()
--- a/tests/test_http_server_connections.py
+++ b/tests/test_http_server_connections.py
@@ -21,16 +21,16 @@
     harness.end()
 
 
-def test_idle_connection_ends_silently(edge):
+def test_idle_connection_is_closed_without_a_response(edge):
     edge.limits = Limits(idle_wait=0.1)
-    edge.at_once = lambda event: Respond(token=event.token, code=200, body=b"")
+    edge.answer_immediately = lambda event: Respond(token=event.token, code=200, body=b"")
     sock = edge.connect()
     sock.sendall(get())
     reader = Reader(sock)
     code, headers, _ = reader.response()
     assert code == 200 and "keep-alive" not in headers and "connection" not in headers
     assert reader.is_ended()
-    edge.until(lambda: edge.front.connection_count() == 0)
+    edge.wait_until(lambda: edge.front.connection_count() == 0)
 
 
 def test_unanswered_connection_is_not_idle(edge):
@@ -42,36 +42,36 @@
     assert edge.answer(event, body=b"late") and Reader(sock).response()[2] == b"late"
 
 
-def test_reset_tells_caller_left(edge):
+def test_reset_reports_client_disconnects(edge):
     sock = edge.connect()
     sock.sendall(get("/a") + get("/b"))
     events = edge.wait(RequestReceived, 2)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
-    left = edge.wait(ClientDisconnected, 2)
-    assert {event.token for event in left} == {event.token for event in events}
+    disconnects = edge.wait(ClientDisconnected, 2)
+    assert {event.token for event in disconnects} == {event.token for event in events}
     assert not edge.answer(events[0], body=b"nobody")
     assert edge.on_reactor(edge.front.open_count) == 0 and edge.on_reactor(edge.front.connection_count) == 0
 
 
-def test_half_closed_caller_counts_as_left_and_is_answered(edge):
+def test_half_closed_client_counts_as_disconnected_and_is_answered(edge):
     sock = edge.connect()
     sock.sendall(get("/a") + get("/b") + b"GET /c")
     sock.shutdown(socket.SHUT_WR)
     events = edge.wait(RequestReceived, 2)
-    left = [ClientDisconnected(token=event.token) for event in events]
-    assert edge.wait(ClientDisconnected, 2) == left
+    disconnects = [ClientDisconnected(token=event.token) for event in events]
+    assert edge.wait(ClientDisconnected, 2) == disconnects
     for event in events:
         edge.answer(event, body=event.path.encode())
     reader = Reader(sock)
     assert reader.response()[2] == b"/a"
     _, headers, body = reader.response()
     assert body == b"/b" and headers["connection"] == "close"
-    assert reader.is_ended() and edge.of(ClientDisconnected) == left
-    edge.until(lambda: edge.front.connection_count() == 0)
+    assert reader.is_ended() and edge.delivered_of(ClientDisconnected) == disconnects
+    edge.wait_until(lambda: edge.front.connection_count() == 0)
 
 
-def test_only_what_has_no_answer_is_told_of_when_its_caller_closes(edge):
+def test_only_unanswered_requests_are_reported_when_the_client_closes(edge):
     sock = edge.connect()
     sock.sendall(get("/a") + get("/b"))
     first, second = edge.wait(RequestReceived, 2)
@@ -81,10 +81,10 @@
     edge.answer(second, body=b"b")
     reader = Reader(sock)
     assert reader.response()[2] == b"a" and reader.response()[2] == b"b"
-    assert reader.is_ended() and len(edge.of(ClientDisconnected)) == 1
+    assert reader.is_ended() and len(edge.delivered_of(ClientDisconnected)) == 1
 
 
-def test_a_close_and_then_a_reset_are_told_of_once(edge):
+def test_a_close_and_then_a_reset_are_reported_once(edge):
     sock = edge.connect()
     sock.sendall(get("/a"))
     (event,) = edge.wait(RequestReceived, 1)
@@ -93,8 +93,8 @@
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
     edge.answer(event, body=b"nobody")
-    edge.until(lambda: edge.front.connection_count() == 0)
-    assert edge.of(ClientDisconnected) == [ClientDisconnected(token=event.token)]
+    edge.wait_until(lambda: edge.front.connection_count() == 0)
+    assert edge.delivered_of(ClientDisconnected) == [ClientDisconnected(token=event.token)]
 
 
 @pytest.mark.parametrize("raw", [get("/", more="Connection: foo, Close\r\n"), b"GET / HTTP/1.0\r\n\r\n"])
@@ -108,10 +108,14 @@
     reader = Reader(sock)
     _, headers, body = reader.response()
     assert body == b"last" and headers["connection"] == "close"
-    assert reader.is_ended() and edge.of(RequestReceived) == [event] and not edge.of(ClientDisconnected)
+    assert (
+        reader.is_ended()
+        and edge.delivered_of(RequestReceived) == [event]
+        and not edge.delivered_of(ClientDisconnected)
+    )
 
 
-def test_leaving_ends_each_connection_behind_what_was_told(edge, monkeypatch):
+def test_draining_closes_each_connection_after_its_delivered_requests(edge, monkeypatch):
     # a connection that is fresh stays so however slow the machine is
     monkeypatch.setattr(constants, "HTTP_SERVER_FIRST_REQUEST_GRACE", 60.0)
     idle, fresh, busy, new = edge.connect(), edge.connect(), edge.connect(), None
@@ -121,7 +125,7 @@
     reader.response()
     busy.sendall(get("/a") + get("/b") + b"POST /c HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\n")
     first, second = edge.wait(RequestReceived, 3)[1:]
-    edge.until(lambda: edge.front.open_count() == 3)
+    edge.wait_until(lambda: edge.front.open_count() == 3)
     edge.answer(second, body=b"b")
     edge.on_reactor(edge.front.drain)
     assert reader.is_ended()
@@ -133,18 +137,18 @@
     assert body == b"a" and "connection" not in headers
     _, headers, body = reader.response()
     assert body == b"b" and headers["connection"] == "close"
-    assert reader.is_ended() and not edge.of(ClientDisconnected)
+    assert reader.is_ended() and not edge.delivered_of(ClientDisconnected)
     new = edge.connect()
     for sock in (fresh, new):
-        asked = len(edge.of(RequestReceived))
+        request_count = len(edge.delivered_of(RequestReceived))
         sock.sendall(get("/last"))
-        edge.answer(edge.wait(RequestReceived, asked + 1)[-1], body=b"last")
+        edge.answer(edge.wait(RequestReceived, request_count + 1)[-1], body=b"last")
         reader = Reader(sock)
         _, headers, body = reader.response()
         assert body == b"last" and headers["connection"] == "close" and reader.is_ended()
 
 
-def test_leaving_ends_connections_that_ask_nothing(edge, monkeypatch):
+def test_draining_closes_connections_without_requests(edge, monkeypatch):
     monkeypatch.setattr(constants, "HTTP_SERVER_FIRST_REQUEST_GRACE", 0.05)
     sock = edge.connect()
     edge.on_reactor(edge.front.drain)
@@ -153,7 +157,7 @@
 
 def test_closed_listener_takes_no_more(edge):
     sock = edge.connect()
-    edge.until(lambda: edge.front.connection_count() == 1)
+    edge.wait_until(lambda: edge.front.connection_count() == 1)
     edge.on_reactor(edge.front.close_listener)
     with pytest.raises(OSError):
         edge.connect()
@@ -166,14 +170,14 @@
     sock = edge.connect()
     sock.sendall(get())
     edge.answer(edge.wait(RequestReceived, 1)[0], body=b"a" * (16 << 20))
-    edge.until(lambda: edge.front.connection_count() == 0)
+    edge.wait_until(lambda: edge.front.connection_count() == 0)
     assert edge.on_reactor(edge.front.open_count) == 0
 
 
 def test_connections_are_bounded(edge, monkeypatch):
     monkeypatch.setattr(constants, "HTTP_SERVER_MAX_CONNECTIONS", 1)
-    kept = edge.connect()
-    edge.until(lambda: edge.front.connection_count() == 1)
+    open_sock = edge.connect()
+    edge.wait_until(lambda: edge.front.connection_count() == 1)
     assert Reader(edge.connect()).is_ended()
-    kept.sendall(get())
+    open_sock.sendall(get())
     edge.wait(RequestReceived, 1)
--- a/tests/test_http_server_idle.py
+++ b/tests/test_http_server_idle.py
@@ -14,7 +14,7 @@
 @pytest.fixture
 def edge():
     harness = Harness()
-    harness.at_once = lambda event: Respond(token=event.token, code=200, body=b"whole")
+    harness.answer_immediately = lambda event: Respond(token=event.token, code=200, body=b"whole")
     yield harness
     harness.end()
 
@@ -38,7 +38,7 @@
 
 
 @pytest.mark.parametrize("idle_wait", [0.5, 1.0, 2.0, 15.0])
-def test_a_connection_may_be_taken_up_after_four_fifths_of_its_time_and_a_slow_way(edge, idle_wait):
+def test_a_connection_may_be_reused_after_four_fifths_of_its_idle_time_and_a_slow_network(edge, idle_wait):
     edge.limits = replace(edge.limits, idle_wait=idle_wait)
     sock = edge.connect()
     reader = Reader(sock)
--- a/tests/test_http_server_properties.py
+++ b/tests/test_http_server_properties.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from sailward.transport import http_server
-from tests.http_server_script import FrontScript
+from tests.http_server_script import ServerScript
 
 SMALL = st.integers(0, 5)
 STEPS = st.one_of(
@@ -47,7 +47,7 @@
     )
     @given(steps=st.lists(STEPS, min_size=4, max_size=30))
     def play(steps: list[tuple]) -> None:
-        FrontScript().play(steps=steps)
+        ServerScript().play(steps=steps)
 
     play()
 
@@ -81,12 +81,12 @@
     return [mock.patch.object(http_server.HttpServer, "_deliver_request", ask)]
 
 
-def keep_silent_of_callers_that_left() -> list:
+def skip_reports_of_ended_connections() -> list:
     """A connection that ends is not told of."""
     return [mock.patch.object(http_server.HttpServer, "_discard_exchange", lambda self, *, exchange: None)]
 
 
-def keep_silent_of_callers_that_closed() -> list:
+def skip_reports_of_eof() -> list:
     """The end of a caller's bytes is not told of; that of its connection is."""
 
     def on_eof(self, *, connection):
@@ -97,14 +97,14 @@
     return [mock.patch.object(http_server.HttpServer, "_on_eof", on_eof)]
 
 
-def read_on_behind_the_last() -> list:
+def read_past_the_last_request() -> list:
     """What comes behind a request that ends its connection is read as well."""
 
     def ask(self, *, connection, body):
-        connection.reading.is_last, was = False, connection.reading.is_last
+        connection.reading.is_last, was_last = False, connection.reading.is_last
         exchange = connection.reading
         old(self, connection=connection, body=body)
-        exchange.is_last = was
+        exchange.is_last = was_last
 
     old = http_server.HttpServer._deliver_request
     return [mock.patch.object(http_server.HttpServer, "_deliver_request", ask)]
@@ -116,12 +116,12 @@
     [
         (answer_in_order_of_arrival, "got the answer to"),
         (reuse_tokens, "a token that was given before"),
-        (keep_silent_of_callers_that_left, "a request whose caller left was not told of"),
-        (keep_silent_of_callers_that_closed, "a request whose caller left was not told of"),
+        (skip_reports_of_ended_connections, "a request whose caller left was not told of"),
+        (skip_reports_of_eof, "a request whose caller left was not told of"),
         # what is read behind it is told, or its answer is dropped with the connection
-        (read_on_behind_the_last, "read behind a request that ends|an answer to a caller that is there was lost"),
+        (read_past_the_last_request, "read behind a request that ends|an answer to a caller that is there was lost"),
     ],
-    ids=lambda one: getattr(one, "__name__", ""),
+    ids=lambda param: getattr(param, "__name__", ""),
 )
 def test_a_planted_fault_is_found(plant, breach: str) -> None:
     patches = plant()
--- a/tests/test_http_server_requests.py
+++ b/tests/test_http_server_requests.py
@@ -21,7 +21,7 @@
 CHUNKED = b"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
-def test_asked_has_every_part(edge):
+def test_delivered_request_has_every_part(edge):
     sock = edge.connect()
     sock.sendall(b"\r\n" + get("/a%20b/c?x=1&y=&z=%41", more="X-One: 1\r\nx-one: 2\r\n"))
     (event,) = edge.wait(RequestReceived, 1)
@@ -41,15 +41,15 @@
 
 
 def test_bytes_one_by_one(edge):
-    edge.at_once = lambda event: Respond(token=event.token, code=200, body=event.body)
+    edge.answer_immediately = lambda event: Respond(token=event.token, code=200, body=event.body)
     sock = edge.connect()
     chunks = (
         get("/", method="POST", more="Transfer-Encoding: chunked\r\n")
         + b"3;a=b\r\nabc\r\n2\r\nde\r\n0\r\nX-T: 1\r\n\r\n"
     )
     raw = get("/", method="POST", more="Content-Length: 4\r\n") + b"body" + b"\r\n" + chunks + get("/")
-    for location in range(len(raw)):
-        sock.sendall(raw[location : location + 1])
+    for index in range(len(raw)):
+        sock.sendall(raw[index : index + 1])
     reader = Reader(sock)
     assert [reader.response()[2] for _ in range(3)] == [b"body", b"abcde", b""]
     sock.sendall(chunks + chunks)
@@ -112,21 +112,21 @@
     sock.sendall(get("/first"))
     (event,) = edge.wait(RequestReceived, 1)
     if is_split:
-        for location in range(len(raw)):
+        for index in range(len(raw)):
             try:
-                sock.sendall(raw[location : location + 1])
+                sock.sendall(raw[index : index + 1])
             except OSError:
                 break
     else:
         sock.sendall(raw + get("/smuggled"))
-    edge.until(lambda: edge.front.open_count() == 2)
+    edge.wait_until(lambda: edge.front.open_count() == 2)
     edge.answer(event, body=b"first")
     reader = Reader(sock)
     code, headers, body = reader.response()
     assert (code, body) == (200, b"first") and "connection" not in headers
     code, headers, body = reader.response()
     assert code == 400 and headers["connection"] == "close" and b"error" in body
-    assert reader.is_ended() and edge.of(RequestReceived) == [event]
+    assert reader.is_ended() and edge.delivered_of(RequestReceived) == [event]
 
 
 @pytest.mark.parametrize(
@@ -144,7 +144,7 @@
     sock.sendall(raw)
     reader = Reader(sock)
     assert reader.response()[0] == code
-    assert reader.is_ended() and not edge.told
+    assert reader.is_ended() and not edge.delivered
 
 
 @pytest.mark.parametrize("raw", [b"G", get("/", method="POST", more="Content-Length: 2\r\n") + b"a"])
@@ -156,7 +156,7 @@
     reader = Reader(sock)
     code, headers, _ = reader.response()
     assert code == 408 and headers["retry-after"] == "0.2" and headers["connection"] == "close"
-    assert reader.is_ended() and not edge.told
+    assert reader.is_ended() and not edge.delivered
 
 
 def test_continue_is_sent_when_its_turn_comes(edge):
--- a/tests/test_http_server_responses.py
+++ b/tests/test_http_server_responses.py
@@ -34,7 +34,7 @@
     sock.sendall(b"".join(get(f"/{number}") for number in range(count)))
     edge.wait(RequestReceived, constants.HTTP_SERVER_PIPELINE_DEPTH)
     edge.settle()
-    assert len(edge.of(RequestReceived)) == constants.HTTP_SERVER_PIPELINE_DEPTH
+    assert len(edge.delivered_of(RequestReceived)) == constants.HTTP_SERVER_PIPELINE_DEPTH
     reader = Reader(sock)
     for number in range(count):
         event = edge.wait(RequestReceived, number + 1)[number]
@@ -42,8 +42,8 @@
         assert reader.response()[2] == f"/{number}".encode()
 
 
-def test_answers_from_within_tell(edge):
-    edge.at_once = lambda event: Respond(token=event.token, code=404, body=event.path.encode())
+def test_answers_given_during_delivery(edge):
+    edge.answer_immediately = lambda event: Respond(token=event.token, code=404, body=event.path.encode())
     sock = edge.connect()
     sock.sendall(b"".join(get(f"/{number}") for number in range(40)))
     reader = Reader(sock)
@@ -64,10 +64,10 @@
     assert body == b"a" and "connection" not in headers
     _, headers, body = reader.response()
     assert body == b"b" and headers["connection"] == "close"
-    assert reader.is_ended() and len(edge.of(RequestReceived)) == 3
+    assert reader.is_ended() and len(edge.delivered_of(RequestReceived)) == 3
 
 
-def test_told_behind_a_closing_answer_is_left(edge):
+def test_requests_after_a_closing_answer_are_reported_as_disconnected(edge):
     sock = edge.connect()
     sock.sendall(get("/a") + get("/b"))
     first, second = edge.wait(RequestReceived, 2)
@@ -89,7 +89,7 @@
     time.sleep(0.05)
     reader = Reader(sock)
     assert reader.response()[2] == body and reader.is_ended()
-    edge.until(lambda: edge.front.open_count() == 0)
+    edge.wait_until(lambda: edge.front.open_count() == 0)
 
 
 def test_head_has_a_length_and_no_body(edge):
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -44,7 +44,7 @@
         sock.sendall(get())
         edge.wait(RequestReceived, 1)
         sock.shutdown(socket.SHUT_WR)
-        edge.until(lambda: violations[Invariant.DEPARTURES_REPORTED.value] > 0)
+        edge.wait_until(lambda: violations[Invariant.DEPARTURES_REPORTED.value] > 0)
 
 
 def test_a_close_that_is_reported_violates_nothing(edge) -> None:
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -17,7 +17,7 @@
 
 
 def test_a_fault_is_logged_with_the_last_events_but_without_their_contents(logged: list) -> None:
-    kept = Journal(dump_length=3)
+    journal_under_test = Journal(dump_length=3)
     body = {"kind": "push", "value": "a tenant's"}
     called = CallFinished(token="t", code=500, headers={"x": "a caller's"}, body=b"a caller's", fault="", sent=True)
     events = [
@@ -27,11 +27,11 @@
         called,
     ]
     for at, event in enumerate(events):
-        kept.add(now=float(at), event=event)
+        journal_under_test.add(now=float(at), event=event)
     try:
         raise OSError("away")
     except OSError:
-        kept.write_fault(event=events[-1])
+        journal_under_test.write_fault(event=events[-1])
     (name, fault), *rows = logged
     assert name == "fault" and fault["on"] == "CallFinished" and "OSError: away" in fault["trace"]
     assert rows == [
@@ -45,5 +45,5 @@
     carry_out(command=ExitProcess(code=3), handlers={ExitProcess: seen.append})
     carry_out(command=LogEvent(event="said", fields={"a": 1}), handlers={})
     carry_out(command=ExitProcess(code=4), handlers={})
-    assert [one.code for one in seen] == [3]
+    assert [command.code for command in seen] == [3]
     assert logged == [("said", {"a": 1}), ("command-unexpected", {"type": "ExitProcess"})]
--- a/tests/test_message_transport.py
+++ b/tests/test_message_transport.py
@@ -17,7 +17,7 @@
 from sailward.runtime.reactor import Reactor
 from sailward.transport.message_transport import LENGTH, PLAIN, MessageTransport, pack_body, read_body
 
-PATIENCE = 10.0
+WAIT_TIMEOUT = 10.0
 
 
 def make_push(*, number: int, size: int = 10) -> dict:
@@ -31,11 +31,11 @@
     }
 
 
-class Station:
+class Node:
     """A courier on a reactor of its own thread, and what it heard."""
 
     def __init__(self, *, port: int = 0) -> None:
-        self.heard: list = []
+        self.received: list = []
         self.changed = threading.Condition()
         self.reactor = Reactor()
         self.address = f"127.0.0.1:{port or free_port()}"
@@ -45,7 +45,7 @@
 
     def deliver(self, event: object) -> None:
         with self.changed:
-            self.heard.append(event)
+            self.received.append(event)
             self.changed.notify_all()
 
     def send(self, *, to: str, body: dict) -> None:
@@ -53,8 +53,10 @@
 
     def wait(self, count: int) -> list:
         with self.changed:
-            assert self.changed.wait_for(lambda: len(self.heard) >= count, PATIENCE), f"{len(self.heard)} of {count}"
-            return list(self.heard)
+            assert self.changed.wait_for(lambda: len(self.received) >= count, WAIT_TIMEOUT), (
+                f"{len(self.received)} of {count}"
+            )
+            return list(self.received)
 
     def stop(self) -> None:
         def close() -> None:
@@ -65,7 +67,7 @@
             self.reactor.stop()
 
         self.reactor.call_from_thread(call=close)
-        self.thread.join(PATIENCE)
+        self.thread.join(WAIT_TIMEOUT)
 
 
 def free_port() -> int:
@@ -74,16 +76,16 @@
 
 
 @pytest.fixture
-def stations():
-    made = [Station(), Station()]
-    yield made
-    for one in made:
-        one.stop()
+def nodes():
+    nodes = [Node(), Node()]
+    yield nodes
+    for node in nodes:
+        node.stop()
 
 
-def until(question) -> None:
-    end = time.monotonic() + PATIENCE
-    while not question():
+def wait_until(condition) -> None:
+    end = time.monotonic() + WAIT_TIMEOUT
+    while not condition():
         assert time.monotonic() < end
         time.sleep(0.01)
 
@@ -101,7 +103,7 @@
     assert read_body(payload=frame[LENGTH.size :], encoding=LENGTH.unpack_from(frame)[1])["later"] == [1]
 
 
-def test_damaged_frames_are_told_and_never_raise() -> None:
+def test_damaged_frames_are_reported_and_never_raise() -> None:
     rng = random.Random(1)
     for size in (5, 4000):
         frame = pack_body(body=make_push(number=3, size=size))
@@ -111,69 +113,71 @@
             read_body(payload=bytes(payload[: rng.randrange(len(payload) + 1)]), encoding=rng.randrange(3))
 
 
-def test_messages_arrive_whole_and_in_order(stations: list) -> None:
-    near, far = stations
+def test_messages_arrive_whole_and_in_order(nodes: list) -> None:
+    near, far = nodes
     for number in range(200):
         near.send(to=far.address, body=make_push(number=number, size=(number % 7) * 3000))
-    heard = far.wait(200)
-    assert [one.body["number"] for one in heard] == list(range(200)) and {one.sender for one in heard} == {near.address}
-    assert all(len(one.body["value"]["text"]) == (one.body["number"] % 7) * 3000 for one in heard)
+    received = far.wait(200)
+    assert [message.body["number"] for message in received] == list(range(200))
+    assert {message.sender for message in received} == {near.address}
+    assert all(len(message.body["value"]["text"]) == (message.body["number"] % 7) * 3000 for message in received)
 
 
-def test_both_ways_at_once_and_to_itself(stations: list) -> None:
-    for at, station in enumerate(stations):
-        station.send(to=stations[1 - at].address, body=make_push(number=1))
-        station.send(to=station.address, body=make_push(number=2))
-    for station in stations:
-        assert sorted(one.body["number"] for one in station.wait(2)) == [1, 2]
+def test_both_ways_at_once_and_to_itself(nodes: list) -> None:
+    for at, node in enumerate(nodes):
+        node.send(to=nodes[1 - at].address, body=make_push(number=1))
+        node.send(to=node.address, body=make_push(number=2))
+    for node in nodes:
+        assert sorted(message.body["number"] for message in node.wait(2)) == [1, 2]
 
 
-def test_nobody_there_is_no_fault_and_he_is_reached_when_he_comes(stations: list) -> None:
-    near, _ = stations
+def test_an_absent_peer_is_no_fault_and_is_reached_once_it_listens(nodes: list) -> None:
+    near, _ = nodes
     port = free_port()
     for number in range(5):
         near.send(to=f"127.0.0.1:{port}", body=make_push(number=number))
-    late = Station(port=port)
+    late_node = Node(port=port)
     try:
 
         def is_received() -> bool:
-            near.send(to=late.address, body=make_push(number=9))
-            return any(one.body["number"] == 9 for one in late.heard)
+            near.send(to=late_node.address, body=make_push(number=9))
+            return any(message.body["number"] == 9 for message in late_node.received)
 
-        until(is_received)
+        wait_until(is_received)
     finally:
-        late.stop()
+        late_node.stop()
 
 
 @pytest.mark.parametrize(
-    "poison", [LENGTH.pack(3, PLAIN) + b"\xff\xff\xff", LENGTH.pack(1 << 31, PLAIN), b"GET / HTTP/1.1\r\n\r\n" * 9]
+    "invalid_bytes",
+    [LENGTH.pack(3, PLAIN) + b"\xff\xff\xff", LENGTH.pack(1 << 31, PLAIN), b"GET / HTTP/1.1\r\n\r\n" * 9],
 )
-def test_foreign_bytes_end_their_connection_and_no_other(stations: list, poison: bytes) -> None:
-    near, far = stations
+def test_foreign_bytes_end_their_connection_and_no_other(nodes: list, invalid_bytes: bytes) -> None:
+    near, far = nodes
     near.send(to=far.address, body=make_push(number=1))
     far.wait(1)
     host, _, port = far.address.partition(":")
-    with socket.create_connection((host, int(port)), timeout=PATIENCE) as sock:
+    with socket.create_connection((host, int(port)), timeout=WAIT_TIMEOUT) as sock:
         name = b"127.0.0.1:1"
-        sock.sendall(LENGTH.pack(len(name), PLAIN) + name + poison)
-        sock.settimeout(PATIENCE)
+        sock.sendall(LENGTH.pack(len(name), PLAIN) + name + invalid_bytes)
+        sock.settimeout(WAIT_TIMEOUT)
         with contextlib.suppress(ConnectionResetError):
             assert sock.recv(10) == b""
     near.send(to=far.address, body=make_push(number=2))
-    assert [one.body["number"] for one in far.wait(2)] == [1, 2]
+    assert [message.body["number"] for message in far.wait(2)] == [1, 2]
 
 
-def test_a_message_in_single_bytes_and_a_cut_one(stations: list) -> None:
-    _, far = stations
+def test_a_message_in_single_bytes_and_a_cut_one(nodes: list) -> None:
+    _, far = nodes
     host, _, port = far.address.partition(":")
     name = b"127.0.0.1:1"
     whole = LENGTH.pack(len(name), PLAIN) + name + pack_body(body=make_push(number=7))
-    with socket.create_connection((host, int(port)), timeout=PATIENCE) as sock:
+    with socket.create_connection((host, int(port)), timeout=WAIT_TIMEOUT) as sock:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         for at in range(len(whole)):
             sock.sendall(whole[at : at + 1])
         far.wait(1)
         sock.sendall(pack_body(body=make_push(number=8))[:-3])
-    with socket.create_connection((host, int(port)), timeout=PATIENCE) as sock:
+    with socket.create_connection((host, int(port)), timeout=WAIT_TIMEOUT) as sock:
         sock.sendall(whole)
-        assert [one.body["number"] for one in far.wait(2)] == [7, 7]
+        assert [message.body["number"] for message in far.wait(2)] == [7, 7]
--- a/tests/test_storage_machine.py
+++ b/tests/test_storage_machine.py
@@ -57,7 +57,7 @@
         monkeypatch.setattr(
             write_ahead.WriteAhead,
             "_live_records",
-            lambda self: [one for one in old(self) if one["k"] != kind or one.get("r") == acceptor.KNOWN],
+            lambda self: [record for record in old(self) if record["k"] != kind or record.get("r") == acceptor.KNOWN],
         )
 
     return plant
@@ -68,7 +68,7 @@
     monkeypatch.setattr(
         write_ahead.WriteAhead,
         "_live_records",
-        lambda self: [one for one in old(self) if one.get("r") != acceptor.KNOWN],
+        lambda self: [record for record in old(self) if record.get("r") != acceptor.KNOWN],
     )
 
 
