--- a/tests/fuzz_kit.py
+++ b/tests/fuzz_kit.py
@@ -1,4 +1,4 @@
-"""Values of every kind that decoders give, and near-valid variants of valid ones, for property tests of the edges."""
+"""Arbitrary decoded values, and nearly valid variants of valid ones, for property tests of the edges."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     database=None,
     suppress_health_check=[HealthCheck.too_slow, HealthCheck.data_too_large],
 )
-"""The same examples on every machine, and no bound of wall time."""
+"""The same examples on every machine, without a wall-time limit."""
 EDGE_CASES = st.sampled_from(
     [
         None,
@@ -73,7 +73,7 @@
 
 
 def paths_in(value: object, path: tuple = ()) -> list[tuple]:
-    """Every place in a value: the value itself, each field, each item."""
+    """The paths of a value's parts: the value itself, each field, each item."""
     found = [path]
     if isinstance(value, dict):
         for name in value:
@@ -85,7 +85,7 @@
 
 
 def put(value: object, path: tuple, replacement: object) -> object:
-    """The value with another one in a place of it."""
+    """The value with the part at `path` replaced."""
     if not path:
         return replacement
     inner = value
@@ -96,7 +96,7 @@
 
 
 def drop(value: object, path: tuple) -> object:
-    """The value without what is in a place of it."""
+    """The value without the part at `path`."""
     inner = value
     for step in path[:-1]:
         inner = inner[step]
@@ -107,7 +107,7 @@
 
 @st.composite
 def near(draw: st.DrawFn, valid: st.SearchStrategy) -> object:
-    """A valid value with one to three places of it replaced or taken out."""
+    """A valid value with one to three of its parts replaced or removed."""
     value = copy.deepcopy(draw(valid))
     for _ in range(draw(st.integers(1, 3))):
         path = draw(st.sampled_from(paths_in(value)[1:] or [()]))
--- a/tests/http_client_peer.py
+++ b/tests/http_client_peer.py
@@ -1,4 +1,4 @@
-"""A loopback peer written by hand, and an Outbound on a reactor of its own thread, for the tests of the client edge."""
+"""A scriptable loopback peer, and an HttpClient on a reactor with its own thread, for the tests of the client."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     fresh: bool = False,
     begin_by: float = float("inf"),
 ) -> StartCall:
-    """A call as an owner gives it, plain unless said."""
+    """A call as an owner starts it, with plain defaults."""
     return StartCall(
         token=token,
         owner=owner,
@@ -56,7 +56,7 @@
         self.unread = b""
 
     def read(self) -> bytes:
-        """One request, head and body; b"" at the end, b"reset" at a reset."""
+        """Read one request, head and body; b"" at EOF, b"reset" at a reset."""
         try:
             while b"\r\n\r\n" not in self.unread:
                 if not self._more():
@@ -93,7 +93,7 @@
 
 
 class Peer:
-    """A listener that lets `serve` have each connection, on a thread of its own."""
+    """A listener that runs `serve` for each connection on its own thread."""
 
     def __init__(self, *, serve: Callable[[PeerConnection], None]) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
@@ -122,7 +122,7 @@
 
 
 class Edge:
-    """An Outbound on a reactor of its own thread."""
+    """An HttpClient on a reactor with its own thread."""
 
     def __init__(self) -> None:
         self.finished: queue.Queue = queue.Queue()
@@ -138,9 +138,9 @@
         return self._peers[-1]
 
     def answering_peer(self, *answers: bytes) -> Peer:
-        """A peer that gives the answers in order, on all connections together, then the last for ever.
+        """A peer that sends the answers in order across all connections, then repeats the last forever.
 
-        Tells (line, request).
+        Records (connection number, request) in `seen`.
         """
         remaining = list(answers)
 
--- a/tests/http_client_script.py
+++ b/tests/http_client_script.py
@@ -1,6 +1,6 @@
-"""A client edge on sockets that a script plays.
+"""An HTTP client on simulated sockets that are driven by a script.
 
-Every byte, cut, reset and moment is the script's, no thread and no real time.
+The script decides every byte, truncation, reset and time, without threads or real time.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 NAMES = WireNames(exchange="x-id", answered_by="x-who", not_run="x-not-run", not_run_value="", seal="x-seal")
 FIN, RESET = "fin", "reset"
 NAMELESS_REFUSAL, NAMED_REFUSAL = 8, 9
-"""The forms of an answer that says that its request did not run."""
+"""The forms of a response that says that its request did not run, without and with the exchange id."""
 REQUEST_END = b"\r\n\r\n"
 
 
 class ScriptedReactor:
-    """The reactor's interface, stepped by hand."""
+    """The interface of the reactor, advanced explicitly."""
 
     def __init__(self) -> None:
         self.now = 100.0
@@ -69,7 +69,7 @@
 
 
 class ScriptedSocket:
-    """One connection: what the client sent, and what waits in the system to be read."""
+    """One connection: the bytes that the client sent, and those that wait to be read."""
 
     def __init__(self, *, accepts: int) -> None:
         self.sent = b""
@@ -101,7 +101,7 @@
         return len(accepted)
 
     def drain(self) -> None:
-        """The system has room for more."""
+        """The operating system accepts more bytes."""
         self._accepts = 1 << 20
 
     def recv(self, size: int, flags: int = 0) -> bytes:
@@ -120,7 +120,7 @@
         self.is_closed = True
 
     def requests(self) -> list[bytes]:
-        """The ids of the whole requests that came, in order."""
+        """The exchange ids of the complete requests received, in order."""
         found, rest = [], self.sent
         while REQUEST_END in rest:
             head, _, rest = rest.partition(REQUEST_END)
@@ -134,9 +134,9 @@
 
 
 class ClientScript:
-    """Plays steps against an Outbound.
+    """Plays steps against an HttpClient.
 
-    And checks after each that nobody got another's answer and nothing went out twice.
+    Checks after each that no call got another call's response and no request was sent twice.
     """
 
     def __init__(self) -> None:
@@ -150,7 +150,7 @@
         self.http_client = http_client.HttpClient(reactor=self.reactor, deliver=self._on_finished, names=NAMES)
 
     def play(self, *, steps: list[tuple]) -> None:
-        """Play all steps, then let all time pass."""
+        """Play all steps, then let all time-outs pass."""
         patches = (
             mock.patch.object(http_client.socket, "socket", self._open),
             mock.patch.object(http_client, "_resolve", lambda *, address: (0, (address, 0))),
@@ -163,11 +163,11 @@
             for _ in range(4):
                 self.reactor.pass_time(seconds=30.0)
             self.check()
-            assert set(self.finished) | self.cancelled == set(self.calls), "a call without an end"
+            assert set(self.finished) | self.cancelled == set(self.calls), "a call that never finished"
             assert self.http_client.counts()["calls"] == 0
 
     def do_give(self, owner: int, is_once: int, accepts: int) -> None:
-        """A call; `accepts` bounds the bytes that the system takes at first."""
+        """Start a call; `accepts` selects how many bytes the operating system accepts at first."""
         token = f"t{len(self.calls)}"
         self.accepts = (1 << 20, 7, 60, 1 << 20)[accepts % 4]
         call = StartCall(
@@ -185,14 +185,14 @@
         self.http_client.start(call=call)
 
     def do_round(self, owner: int, is_once: int, form: int) -> None:
-        """A call from its beginning to its answer, with nothing in between."""
+        """A complete call, from its start to its response."""
         token, sock = self._begin(owner=owner, is_once=is_once)
         if sock is not None:
             self._put_answer(sock=sock, name=f"id-{token}", form=form)
             self._let_read(sock=sock, token=token)
 
     def do_late_round(self, owner: int, which: int, form: int) -> None:
-        """A call whose connection first brings an answer to an earlier request on it, if there was one."""
+        """A call whose connection first receives a response to an earlier request on it, if there was one."""
         token, sock = self._begin(owner=owner, is_once=0)
         if sock is not None:
             names = sock.requests()
@@ -200,7 +200,7 @@
             self._let_read(sock=sock, token=token)
 
     def do_cancelled_round(self, owner: int, is_once: int, form: int) -> None:
-        """A call is given up; the next one begins, and the answer to the first arrives."""
+        """A call is cancelled; the next one starts, and the response to the first arrives."""
         token, sock = self._begin(owner=owner, is_once=is_once)
         if sock is None:
             return
@@ -211,7 +211,7 @@
         self._let_read(sock=sock, token=following)
 
     def do_reset_round(self, owner: int, is_once: int, way: int) -> None:
-        """A call whose connection ends before its answer; every connection that is dialled then comes up."""
+        """A call whose connection ends before its response; every connection opened then is established."""
         token, sock = self._begin(owner=owner, is_once=is_once)
         if sock is None:
             return
@@ -225,7 +225,7 @@
                 self._call(sock=other, which=1)
 
     def _begin(self, *, owner: int, is_once: int) -> tuple[str, ScriptedSocket | None]:
-        """A call whose bytes are all sent; with its connection, if it has one."""
+        """Start a call and send all its bytes; returns its token, and its connection if it has one."""
         self.do_give(owner, is_once, 0)
         self.reactor.run_soon()
         token = list(self.calls)[-1]
@@ -243,23 +243,23 @@
                 return
 
     def do_connect(self, at: int, _: int, __: int) -> None:
-        """A connection comes up."""
+        """A connection is established."""
         for sock in self._open_sockets(at):
             if not sock.is_connected:
                 sock.is_connected = True
                 self._call(sock=sock, which=1)
 
     def do_writable(self, at: int, _: int, __: int) -> None:
-        """The system takes all that is left to send."""
+        """The operating system accepts all bytes left to send."""
         for sock in self._open_sockets(at):
             if sock.is_connected:
                 sock.drain()
                 self._call(sock=sock, which=1)
 
     def do_answer(self, at: int, which: int, form: int) -> None:
-        """The peer answers one of the requests that came on a connection.
+        """The peer answers one of the requests received on a connection.
 
-        The last (0) or an earlier one, late or once more.
+        That is the last one (0) or an earlier one, whose response is then late or a duplicate.
         """
         for sock in self._open_sockets(at):
             names = sock.requests()
@@ -278,14 +278,14 @@
                 sock.is_reset = True
 
     def do_deliver(self, at: int, pieces: int, _: int) -> None:
-        """The client reads what has come, at most so many pieces."""
+        """The client reads at most `pieces` + 1 of the pieces that have arrived."""
         for sock in self._open_sockets(at):
             for _piece in range(1 + pieces):
                 if sock.inbound and sock.is_connected and not sock.is_closed:
                     self._call(sock=sock, which=0)
 
     def do_cancel(self, at: int, _: int, __: int) -> None:
-        """The owner gives a call up."""
+        """The owner cancels a call."""
         under_way = [token for token in self.calls if token not in self.finished and token not in self.cancelled]
         if under_way:
             token = under_way[at % len(under_way)]
@@ -293,15 +293,15 @@
             self.http_client.cancel(token=token)
 
     def do_hang_up(self, owner: int, _: int, __: int) -> None:
-        """The owner's worker is gone."""
+        """The owner closes its connections because its worker is gone."""
         self.http_client.close_connections(owner=f"w{owner % 2}")
 
     def do_wait(self, ticks: int, _: int, __: int) -> None:
-        """Time goes on."""
+        """Time passes."""
         self.reactor.pass_time(seconds=0.1 + ticks)
 
     def check(self) -> None:
-        """What holds after each step."""
+        """The invariants after each step."""
         sent = [name.decode() for sock in self.sockets for name in sock.requests()]
         duplicates = {name for name in sent if sent.count(name) > 1}
         assert not duplicates, f"sent twice: {duplicates}"
@@ -324,8 +324,8 @@
                 assert isinstance(verdict, (Broken, NotSent))
 
     def _on_finished(self, result: CallFinished) -> None:
-        assert result.token not in self.finished, "told twice"
-        assert result.token not in self.cancelled, "told after it was cancelled"
+        assert result.token not in self.finished, "finished twice"
+        assert result.token not in self.cancelled, "finished after it was cancelled"
         self.finished[result.token] = result
 
     def _open(self, *kind: int) -> ScriptedSocket:
@@ -348,7 +348,7 @@
     def _put_answer(self, *, sock: ScriptedSocket, name: str, form: int) -> None:
         is_only_one = not sock.answers and len(sock.requests()) == 1
         if form == NAMED_REFUSAL or (form == NAMELESS_REFUSAL and is_only_one):
-            # the first answer on a connection that bore one request is that request's, with or without its name
+            # the first response on a connection that carried one request belongs to it, with or without its exchange id
             self.refused.add(name)
         sock.answers += 1
         sock.inbound.extend(self._answer(name=name, form=form))
--- a/tests/http_server_harness.py
+++ b/tests/http_server_harness.py
@@ -1,7 +1,4 @@
-"""The HTTP server edge over loopback sockets, with the reactor on a thread of its own.
-
-For the tests of the server edge.
-"""
+"""The HTTP server on loopback sockets, with the reactor on its own thread, for the tests of the server."""
 
 from __future__ import annotations
 
@@ -18,7 +15,7 @@
 
 
 class Harness:
-    """A front whose told events are kept, and that tests may order to answer at once."""
+    """A server whose events are recorded, and that answers immediately if a test sets `answer_immediately`."""
 
     def __init__(self) -> None:
         self.limits = Limits()
@@ -53,7 +50,7 @@
         return results[0]
 
     def pass_time(self, *, seconds: float) -> None:
-        """Let the reactor's clock jump, and its alarms that are due then be called."""
+        """Advance the reactor's clock and let the alarms run that are then due."""
 
         def jump() -> None:
             self.clock_offset += seconds
@@ -86,7 +83,7 @@
             time.sleep(0.005)
 
     def settle(self) -> None:
-        """Let the reactor pass through what has arrived."""
+        """Let the reactor process what has arrived."""
         for _ in range(3):
             time.sleep(0.01)
             self.on_reactor(lambda: None)
@@ -121,7 +118,7 @@
 
     def _more(self) -> None:
         data = self.sock.recv(65536)
-        assert data, "closed in the midst of a response"
+        assert data, "the connection closed in the middle of a response"
         self.raw += data
 
     def is_ended(self) -> bool:
--- a/tests/http_server_script.py
+++ b/tests/http_server_script.py
@@ -1,6 +1,6 @@
-"""A server edge on sockets that a script plays.
+"""An HTTP server on simulated sockets that are driven by a script.
 
-Callers' bytes cut anywhere, answers in any order, no thread and no real time.
+Clients' bytes are split anywhere and answers are given in any order, without threads or real time.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 LIMITS = Limits(head_bytes=600, body_bytes=100, head_wait=3.0, idle_wait=15.0)
 CALLERS = 3
 SEND_CAPACITIES = (1 << 20, 1 << 20, 30, 200)
-"""bytes that the system takes for a caller before the script drains it."""
+"""Bytes that the operating system accepts for each client before the script drains its socket."""
 LAST_FORM, FIRST_REFUSED, CONTINUE_FORM = 4, 5, 9
-"""The form of a request that ends its connection; the forms from here to the next are refused, and end it too."""
+"""Forms of requests: LAST_FORM ends its connection; from FIRST_REFUSED to before CONTINUE_FORM all are refused."""
 
 
 class ScriptedListener:
-    """Gives the callers' connections."""
+    """A listener that accepts the scripted client connections."""
 
     def __init__(self) -> None:
         self.waiting: deque = deque()
@@ -50,7 +50,7 @@
 
 
 class CallerSocket(ScriptedSocket):
-    """A caller's connection, from the server's side."""
+    """A client's connection, as the server sees it."""
 
     def shutdown(self, how: int) -> None:
         pass
@@ -58,7 +58,7 @@
 
 @dataclass(kw_only=True, eq=False)
 class Caller:
-    """One caller: what it sent and in which forms, and what of that has been told."""
+    """One client: its unread bytes, the forms of its requests, and the tokens of those delivered."""
 
     number: int
     sock: CallerSocket
@@ -70,9 +70,9 @@
 
 
 class ServerScript:
-    """Plays steps against a Front, and checks after each that every caller reads its own answers.
+    """Plays steps against an HttpServer and checks after each that every client reads its own answers.
 
-    In order and whole.
+    They must be complete and in order.
     """
 
     def __init__(self) -> None:
@@ -88,7 +88,7 @@
         self.callers = [self._connect(number=number) for number in range(CALLERS)]
 
     def play(self, *, steps: list[tuple]) -> None:
-        """Play all steps, then let all callers go."""
+        """Play all steps, then disconnect all clients."""
         for name, *numbers in steps:
             getattr(self, f"do_{name}")(*numbers)
             self.reactor.run_soon()
@@ -102,27 +102,27 @@
             self._reset(caller=caller)
         self.check()
         unanswered = set(self.requests) - self.answered
-        assert unanswered <= self.disconnected, "a request whose caller left was not told of"
+        assert unanswered <= self.disconnected, "a request of a disconnected client was not reported"
         reported_and_answered = self.disconnected - unanswered
         assert all(self.requests[token][0].is_half_closed for token in reported_and_answered), (
-            "a caller that stayed was left"
+            "a disconnect of a client that stayed was reported"
         )
         assert self.front.open_count() == 0 and self.front.connection_count() == 0
 
     def do_send(self, at: int, form: int) -> None:
-        """A caller sends a request, behind those that it has sent."""
+        """A client sends a further request."""
         caller = self.callers[at % CALLERS]
         caller.stream += self._request(name=f"{caller.number}/{len(caller.forms)}", form=form)
         caller.forms.append(form)
 
     def do_pair(self, at: int, form: int) -> None:
-        """A caller sends two requests, one behind the other, and the server reads both."""
+        """A client sends two requests in succession, and the server reads both."""
         self.do_send(at, form)
         self.do_send(at, 0)
         self.do_read(at, 1 << 16)
 
     def do_read(self, at: int, size: int) -> None:
-        """The server reads so many bytes of what a caller sent."""
+        """The server reads this many bytes that a client sent."""
         caller = self.callers[at % CALLERS]
         piece, caller.stream = caller.stream[:size], caller.stream[size:]
         if piece and not caller.has_closed:
@@ -137,13 +137,13 @@
         ]
 
     def _answer_half_closed(self) -> None:
-        """A caller that ended its sending side alone reads its answers, though it was told of as left."""
+        """A half-closed client still reads its answers, although it was reported as disconnected."""
         for token in self._waiting():
             if self.requests[token][0].is_half_closed:
                 self._answer(token=token, code=200)
 
     def do_answer(self, at: int, code: int) -> None:
-        """The owner answers any of the requests that it was told."""
+        """The owner answers any of the requests delivered to it."""
         waiting = self._waiting()
         if waiting:
             self._answer(token=waiting[at % len(waiting)], code=(200, 200, 500, 503, 200, 201)[code])
@@ -153,12 +153,10 @@
         name = f"{caller.number}/{index}"
         self.answered.add(token)
         answer = Respond(token=token, code=code, body=name.encode(), headers={"X-For": name})
-        assert self.front.answer(command=answer) or caller.sock.is_closed, (
-            "an answer to a caller that is there was lost"
-        )
+        assert self.front.answer(command=answer) or caller.sock.is_closed, "an answer to a connected client was lost"
 
     def do_leave(self, at: int, way: int) -> None:
-        """A caller ends its connection, or its sending side alone."""
+        """A client resets its connection, or closes only its sending side."""
         caller = self.callers[at % CALLERS]
         if way % 2:
             self._reset(caller=caller)
@@ -168,32 +166,32 @@
             self._let_read(caller=caller)
 
     def do_drain(self, at: int, _: int) -> None:
-        """A caller reads what was written to it."""
+        """A client reads what was written to it."""
         sock = self.callers[at % CALLERS].sock
         sock.drain()
         self._call(sock=sock, which=1)
 
     def do_wait(self, seconds: int, _: int) -> None:
-        """Time goes on."""
+        """Time passes."""
         self.reactor.pass_time(seconds=float(seconds))
 
     def do_stop(self, _: int, __: int) -> None:
-        """The process begins to stop."""
+        """The server begins to drain."""
         self.front.drain()
 
     def check(self) -> None:
-        """Each caller has read whole answers to its requests, in order; the last may still be on its way."""
+        """Each client has read complete answers to its requests, in order; the last may still be incomplete."""
         for caller in self.callers:
             self._check_caller(caller=caller)
             if caller.is_half_closed:
                 self._check_reported(caller=caller)
 
     def _check_reported(self, *, caller: Caller) -> None:
-        """The end of a caller's bytes is told of at once, for each of its requests that has no answer."""
+        """A client's EOF is reported at once for each of its unanswered requests."""
         has_read_all = list(caller.sock.inbound)[:1] == [FIN]
         if has_read_all and not caller.sock.is_closed:
             unanswered = set(caller.delivered) - self.answered
-            assert unanswered <= self.disconnected, "a request whose caller left was not told of"
+            assert unanswered <= self.disconnected, "a request of a disconnected client was not reported"
 
     def _check_caller(self, *, caller: Caller) -> None:
         rest, index = caller.sock.sent, 0
@@ -205,9 +203,9 @@
                 assert caller.forms[index] == CONTINUE_FORM
                 rest = remainder
                 continue
-            assert index < len(caller.forms), "an answer that no request waits for"
+            assert index < len(caller.forms), "an answer without a request"
             form = caller.forms[index]
-            # a head that never came whole may have been any: its refusal has a body
+            # a head that never arrived completely has no known method, so its refusal has a body
             size = 0 if form == 3 and "X-For" in headers else int(headers["Content-Length"])
             if len(remainder) < size:
                 return
@@ -219,7 +217,7 @@
             else:
                 assert code in (400, 408, 413, 431) and headers["Connection"] == "close"
                 assert code == 408 or FIRST_REFUSED <= form < CONTINUE_FORM, f"{code} for a proper request"
-                assert not remainder[size:], "bytes behind the answer that closes"
+                assert not remainder[size:], "bytes after the answer that closes the connection"
             rest, index = remainder[size:], index + 1
 
     def _on_event(self, event: object) -> None:
@@ -227,12 +225,12 @@
             assert event.token in self.requests and event.token not in self.disconnected | self.answered
             self.disconnected.add(event.token)
             return
-        assert isinstance(event, RequestReceived) and event.token not in self.requests, "a token that was given before"
+        assert isinstance(event, RequestReceived) and event.token not in self.requests, "a token that was used before"
         number, index = (int(part) for part in event.path.strip("/").split("/"))
         caller = self.callers[number]
         form = caller.forms[index]
-        assert index == len(caller.delivered), "told out of order, or behind one that was not told"
-        assert LAST_FORM not in caller.forms[:index], "read behind a request that ends its connection"
+        assert index == len(caller.delivered), "delivered out of order, or after one that was not delivered"
+        assert LAST_FORM not in caller.forms[:index], "read after a request that ends its connection"
         assert event.body == (f"body {number}/{index}".encode() if form in (1, 2, CONTINUE_FORM) else b"")
         caller.delivered.append(event.token)
         self.requests[event.token] = (caller, index)
--- a/tests/storage_machine.py
+++ b/tests/storage_machine.py
@@ -1,6 +1,6 @@
-"""A whole controller over simulated files, driven by hypothesis.
+"""A complete controller on simulated files, driven by hypothesis.
 
-Messages to a voter, syncs, kills, losses of power, a full disk.
+The rules are messages to a voter, syncs, kills, losses of power and a full disk.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class StorageMachine(RuleBasedStateMachine):
-    """One voter. What it answered must be there after every start; `acknowledged` is what it answered, by register."""
+    """One voter. What it answered must be there after every start: `promised` and `voted` hold that by register."""
 
     make_files: type = SimulatedFiles
 
@@ -47,14 +47,14 @@
 
     @rule(register=st.sampled_from(REGISTERS), ballot=BALLOTS)
     def accept(self, register: str, ballot: list) -> None:
-        # a proposer gives a ballot one value
+        # a proposer proposes one value per ballot
         value = {"number": ballot[0], "mark": f"{register} {ballot}", "trail": [], "text": ""}
         self._on_message(kind="accept", register=register, ballot=ballot, value=value)
 
     @precondition(lambda self: "voters" in self.controller.learner.values)
     @rule()
     def learn_voters(self) -> None:
-        """A newer set with the same members was chosen."""
+        """A newer set of voters with the same members was chosen."""
         known = self.controller.learner.values["voters"]
         number = known.value["number"] + 1
         value = {**known.value, "number": number, "mark": f"set {number}"}
@@ -68,7 +68,7 @@
 
     @rule()
     def work(self) -> None:
-        """The disk does what is in line."""
+        """The disk carries out the queued commands."""
         self.disk.run_pending()
         events, self.events[:] = list(self.events), []
         for event in events:
@@ -81,7 +81,7 @@
 
     @rule(written=st.integers(0, 3))
     def kill(self, written: int) -> None:
-        """The process ends; the disk has carried out some of its line."""
+        """The process ends after the disk has carried out some of its queued commands."""
         for _ in range(written):
             if not self.disk.is_idle():
                 self.disk.run_batch()
@@ -89,7 +89,7 @@
 
     @rule(calls=st.integers(0, 12), data=st.data())
     def lose_power(self, calls: int, data: st.DataObject) -> None:
-        """Power is lost after so many calls of what the disk has in line."""
+        """Power is lost after this many file calls of the queued commands."""
         self.files.lose_power_at = self.files.steps + calls
         with contextlib.suppress(PowerLost):
             self.work()
@@ -109,7 +109,10 @@
         self.incarnations += 1
         self.events: list = []
         self.disk = Disk(folder=Path("none"), deliver=self.events.append, files=self.files)
-        room, self.files.room = self.files.room, None  # an open that must cut a torn end needs no room
+        room, self.files.room = (
+            self.files.room,
+            None,
+        )  # opening a file, even with a torn end to truncate, needs no space
         found = self.disk.open()
         self.files.room = room
         assert isinstance(found, FileContents), found
@@ -129,9 +132,9 @@
     def _check_start(self) -> None:
         controller = self.controller
         if self.promised or self.voted:
-            assert controller.identity == self.identity, "another identity"
-            assert controller.write_ahead.copied, "it forgot that it has its registers"
-            assert controller.voters.number >= self.known_lasting, "it forgot a set of voters"
+            assert controller.identity == self.identity, "the identity changed"
+            assert controller.write_ahead.copied, "the record that the registers were copied is lost"
+            assert controller.voters.number >= self.known_lasting, "a set of voters is lost"
         for register, ballot in self.promised.items():
             slot = controller.acceptor.slots.get(register)
             assert slot is not None and slot.promised >= ballot, f"{register}: a promise is lost"
@@ -159,7 +162,7 @@
         self.identity = self.controller.identity
         write_ahead = self.controller.write_ahead
         if not write_ahead.waiting and write_ahead.synced >= write_ahead.seq:
-            # answers go out in the order of the records: all that was learnt before this one lasts
+            # replies are sent in the order of the records: everything learnt before this one is durable
             self.known_lasting = max(self.known_lasting, self.known_learnt)
         if body["kind"] == "promise":
             self.promised[register] = max(ballot, self.promised.get(register, [0, ""]))
@@ -169,7 +172,7 @@
 
 
 def shrink_file_bounds(monkeypatch: object) -> None:
-    """Rewrites after a few records."""
+    """Lower the bounds so that the file is rewritten after a few records."""
     monkeypatch.setattr(constants, "REWRITE_THRESHOLD_BYTES", 500)
     monkeypatch.setattr(constants, "REWRITE_FACTOR", 1)
     monkeypatch.setattr(constants, "RECORD_OVERHEAD_BYTES", 60)
--- a/tests/test_curl_client_responses.py
+++ b/tests/test_curl_client_responses.py
@@ -1,6 +1,6 @@
-"""The HTTP library's edge of the product's own mode.
+"""The HTTP client on libcurl, as the product's own programs use it.
 
-No answer but to its call, and what may not be repeated is sent once.
+A call gets no response but its own, and a request that may not be repeated is sent once.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 
 
 def answer_to(name: str, body: bytes, *, more: str = "") -> bytes:
-    """A whole answer that names its exchange."""
+    """A complete response that carries its exchange id."""
     head = f"HTTP/1.1 200 OK\r\nSailward-Exchange: {name}\r\n{more}Content-Length: {len(body)}\r\n\r\n"
     return head.encode() + body
 
 
 class Client:
-    """The library's edge on a thread, and the peers that it is led to."""
+    """A CurlClient on its own thread, and the peers that it calls."""
 
     def __init__(self) -> None:
         self.finished: queue.Queue = queue.Queue()
@@ -72,7 +72,7 @@
 
 
 def test_a_late_answer_at_the_point_of_the_next_goes_to_nobody_and_ends_its_connection(client: Client) -> None:
-    """The surplus answer to the first is read where the second's is due; the third must not get the second's."""
+    """The second call reads a surplus response to the first; the third must not get the response to the second."""
 
     def serve(connection: PeerConnection) -> None:
         first = name_of(connection.read())
@@ -147,7 +147,7 @@
 
 
 def test_a_trailer_is_no_header(client: Client) -> None:
-    """What a worker adds behind its body may not say that the exchange did not run."""
+    """A worker's trailers must not be able to say that the exchange did not run."""
 
     def serve(connection: PeerConnection) -> None:
         connection.read()
--- a/tests/test_data_file.py
+++ b/tests/test_data_file.py
@@ -1,4 +1,4 @@
-"""The data file: bounded in bytes, whole after a loss of power at any step, usable again after a full disk."""
+"""The data file: bounded in size, intact after a loss of power at any step, usable again after a full disk."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Voter:
-    """An acceptor with its write-ahead file on simulated files; the disk does its work at once."""
+    """An acceptor with its write-ahead file on simulated files; the disk carries out commands at once."""
 
     def __init__(self, *, files: SimulatedFiles) -> None:
         self.files, self.events = files, []
@@ -39,7 +39,7 @@
         self.write_ahead.start(records=found.records)
 
     def change(self, *, number: int, text: str = TEXT) -> bool:
-        """One prepare and one accept; were both told?"""
+        """Send one prepare and one accept; were both answered?"""
         replies_sent = 0
         ballot = [number, "p"]
         for body in (
@@ -57,7 +57,7 @@
         return replies_sent == 2
 
     def work(self, *, commands: list) -> int:
-        """Carry out commands; how many replies were let go."""
+        """Carry out commands; returns how many replies were sent."""
         replies = [command for command in commands if isinstance(command, dict)]
         for command in commands:
             if isinstance(command, (AppendRecords, RewriteRecords)):
@@ -102,7 +102,7 @@
 
 
 def run_rewrite(*, files: SimulatedFiles) -> tuple[list[int], list[int]]:
-    """Two stores, a rewrite and two more; (what was given, what was acknowledged) by number."""
+    """Two appends, a rewrite and two more appends; returns the numbers of those submitted and those acknowledged."""
     events: list = []
     given, synced = [], []
     try:
@@ -126,9 +126,9 @@
 
 
 def lose_power_everywhere(*, make_files: type = SimulatedFiles) -> int:
-    """Lose power before each call, with every fate of each name and each write; how many histories were tried.
+    """Lose power before each call, with every outcome for each name and each write; returns how many histories ran.
 
-    AssertionError names the history in which something acknowledged is lost.
+    AssertionError names the history in which an acknowledged record is lost.
     """
     undisturbed = make_files()
     run_rewrite(files=undisturbed)
@@ -159,7 +159,7 @@
 
 
 class RenamesUnsynced(SimulatedFiles):
-    """The new file's sync is left out."""
+    """The sync of the new file is omitted."""
 
     def sync(self, *, file: int) -> None:
         if self.handles[file] is not self.names.get("registers.new"):
@@ -167,14 +167,14 @@
 
 
 class NamesUnsynced(SimulatedFiles):
-    """The folder's sync is left out."""
+    """The sync of the folder is omitted."""
 
     def sync_names(self) -> None:
         self._step()
 
 
 class StoresUnsynced(SimulatedFiles):
-    """The data file's sync is left out."""
+    """The sync of the data file is omitted."""
 
     def sync(self, *, file: int) -> None:
         if self.handles[file] is not self.names.get("registers"):
@@ -214,7 +214,7 @@
     )
     long = [*records, {"k": "vote", "r": "other", "b": [2, "p"], "v": make_value(number=1)}]
     assert voter.work(commands=voter.write_ahead.step(records=long, replies=[reply])) == 0
-    # there is room again before anything was cut off or rewritten: the next frame is shorter than what was left behind
+    # space is free again before any truncation or rewrite, and the next frame is shorter than the torn one
     files.room = None
     voter.disk.give(command=AppendRecords(seq=voter.write_ahead.seq + 1, records=({"k": "drop", "r": "x"},)))
     voter.disk.run_pending()
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -1,4 +1,4 @@
-"""The edges on real sockets, files and the HTTP library."""
+"""The edges with real sockets, real files and the HTTP library."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class ClosingServer(threading.Thread):
-    """A server that answers one request on a connection, then reads the next and closes without a word."""
+    """A server that answers one request on a connection, then reads the next and closes without a response."""
 
     def __init__(self) -> None:
         super().__init__(daemon=True)
@@ -96,7 +96,7 @@
 
 
 def test_a_kept_connection_that_dies_is_tried_again_by_the_library() -> None:
-    """Why unsafe exchanges have connections of their own: without one the same exchange goes out twice."""
+    """The reason why unsafe exchanges use fresh connections: on a reused one the library sends them twice."""
     server = ClosingServer()
     server.start()
     calls, events = make_calls()
@@ -108,7 +108,7 @@
 
 
 class UnreadingServer(threading.Thread):
-    """A server that accepts a connection and reads only when told to: what it gets then was sent before, or late."""
+    """A server that accepts a connection and reads nothing until `may_read` is set, then counts what arrives."""
 
     def __init__(self) -> None:
         super().__init__(daemon=True)
@@ -132,7 +132,7 @@
 
 @pytest.mark.parametrize("is_safe", [True, False])
 def test_what_a_call_given_up_had_not_sent_is_never_sent(is_safe: bool, monkeypatch) -> None:
-    """Without the reset (second run) the whole exchange arrives after its proxy gave it up."""
+    """Without the reset (second run) the complete exchange arrives after its proxy has abandoned it."""
     if not is_safe:
         monkeypatch.setattr("sailward.transport.curl_client.RESET_ON_CLOSE", struct.pack("ii", 0, 0))
     server = UnreadingServer()
--- a/tests/test_fuzz_edges.py
+++ b/tests/test_fuzz_edges.py
@@ -1,4 +1,4 @@
-"""The other edges: list pages, the data file, settings files, answers to grants, request heads, addresses."""
+"""Fuzzing of list pages, the data file, settings files, responses to grants, request heads and addresses."""
 
 from __future__ import annotations
 
@@ -111,7 +111,7 @@
 
 
 def start_on(*, data: bytes) -> FileContents | DamagedFile | NewerFormat:
-    """Read a data file, and let a controller start on what it holds."""
+    """Read a data file and start a controller with its records."""
     found = read_frames(data=data)
     if isinstance(found, FileContents):
         location = Location(name="c1", kind="controller", zone="z", region="r", post="10.0.0.1:1", http="10.0.0.1:2")
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -1,4 +1,4 @@
-"""The client edge on real sockets: connections, their owners and their ends."""
+"""The HTTP client on real sockets: connections, their owners, and how they end."""
 
 from __future__ import annotations
 
@@ -125,7 +125,7 @@
     edge.ask(address=peer.address)
 
     class BrokenSocket:
-        """The kept socket, whose sending side ended between the look and the send."""
+        """A kept socket whose sending side broke between the check and the send."""
 
         def __init__(self, sock: socket.socket) -> None:
             self._sock = sock
--- a/tests/test_http_client_properties.py
+++ b/tests/test_http_client_properties.py
@@ -1,6 +1,6 @@
-"""The client edge against scripts that hypothesis draws.
+"""The HTTP client against scripts drawn by hypothesis.
 
-Answers shuffled, extra, late, cut and reset, calls given up.
+Responses are reordered, duplicated, late, truncated or reset, and calls are cancelled.
 """
 
 from __future__ import annotations
@@ -37,11 +37,11 @@
     st.tuples(st.just("wait"), SMALL, st.just(0), st.just(0)),
 )
 EXAMPLES = int(os.environ.get("SAILWARD_EXAMPLES", "250"))
-"""scripts drawn; a wider run sets more."""
+"""Number of scripts drawn; a longer run sets more."""
 
 
 def play_all(*, examples: int = EXAMPLES) -> None:
-    """Draw scripts and play each; raises AssertionError at the first that shows a breach."""
+    """Draw scripts and play each; raises AssertionError at the first violation."""
 
     @settings(
         derandomize=True,
@@ -63,7 +63,7 @@
 
 
 def match_by_order_alone() -> list:
-    """An answer is taken for the request that is due, whatever it names."""
+    """A response is matched to the current request by order, whatever exchange id it carries."""
 
     def unnamed(self, *, response):
         fault = old(self, response=response)
@@ -82,7 +82,7 @@
 
 
 def send_again_after_a_reset() -> list:
-    """A request whose connection ends before its answer is sent once more."""
+    """A request whose connection ends before its response is sent again."""
 
     def fail(self, *, running, fault):
         if fault != "connection-lost" or running.connection is None:
@@ -97,14 +97,14 @@
 
 
 def reuse_without_a_check() -> list:
-    """A kept connection is used again though a late answer waits on it, and names are not compared."""
+    """A kept connection is reused although a late response waits on it, and exchange ids are not compared."""
     return [mock.patch.object(http_client, "_peek", lambda *, sock: http_client.CLEAN), *match_by_order_alone()]
 
 
 def keep_after_a_cancel() -> list:
-    """A call that is given up leaves its connection to the next one.
+    """A cancelled call's connection is returned to the pool.
 
-    The next call takes the first answer for its own.
+    The next call takes the response to the cancelled one for its own.
     """
 
     def cancel(self, *, token):
@@ -122,7 +122,7 @@
 
 
 def reuse_connections_for_unsafe_requests() -> list:
-    """Once-only requests go out on kept connections: a surplus refusal that names nobody counts as theirs."""
+    """Unsafe requests use kept connections: a surplus refusal without an exchange id is taken for theirs."""
 
     def start(self, *, call):
         object.__setattr__(call, "fresh", False)
--- a/tests/test_http_client_responses.py
+++ b/tests/test_http_client_responses.py
@@ -1,4 +1,4 @@
-"""The client edge on real sockets: answers whole, cut, wrong, late and too many."""
+"""The HTTP client on real sockets: complete, truncated, malformed, late and surplus responses."""
 
 from __future__ import annotations
 
--- a/tests/test_http_client_tokens.py
+++ b/tests/test_http_client_tokens.py
@@ -1,6 +1,6 @@
-"""The client edge's table of calls.
+"""The HTTP client's table of calls.
 
-An answer belongs to the call that asked for it, whatever its token and its owner.
+A response belongs to the call that requested it, whatever its token and its owner.
 """
 
 from __future__ import annotations
@@ -71,7 +71,7 @@
 
 
 def test_two_calls_with_one_id_at_once_get_their_own_answers(edge: Edge) -> None:
-    """An id that two callers share is told apart by the connection: each call has one of its own while it runs."""
+    """Two calls that share an exchange id are distinguished by their connections: each has its own while it runs."""
     may_answer_slow: queue.Queue = queue.Queue()
 
     def serve(connection: PeerConnection) -> None:
@@ -115,7 +115,7 @@
 
 
 def test_an_answer_that_names_a_request_is_not_taken_for_a_call_without_a_name(edge: Edge) -> None:
-    """A health probe has no id: the late answer to a request on its connection must not pass for its own."""
+    """A health probe has no exchange id: a late response to another request must not be taken for its own."""
     peer = edge.answering_peer(b"HTTP/1.1 200 OK\r\nSailward-Exchange: e1\r\nContent-Length: 0\r\n\r\n")
     result = edge.ask(address=peer.address, path="/health")
     assert (result.code, result.fault) == (0, "another-exchange")
@@ -123,7 +123,7 @@
 
 
 def test_a_connection_is_kept_only_behind_an_answer_that_names_its_request(edge: Edge) -> None:
-    """Without the name nobody knows whether the answer was a surplus one, and the true one is still to come."""
+    """Without the id the response may have been a surplus one, with the real one still to come."""
     peer = edge.answering_peer(OK)
     for _ in range(2):
         assert edge.ask(address=peer.address, headers={"sailward-exchange": "e1"}).code == 200
--- a/tests/test_http_server_connections.py
+++ b/tests/test_http_server_connections.py
@@ -1,4 +1,4 @@
-"""When connections of the HTTP server edge begin and end: idle, left, leaving, too many."""
+"""When the HTTP server opens and closes connections: idle ones, client disconnects, draining, and the limit."""
 
 from __future__ import annotations
 
@@ -116,7 +116,7 @@
 
 
 def test_draining_closes_each_connection_after_its_delivered_requests(edge, monkeypatch):
-    # a connection that is fresh stays so however slow the machine is
+    # a new connection keeps its grace for a first request, however slow the machine is
     monkeypatch.setattr(constants, "HTTP_SERVER_FIRST_REQUEST_GRACE", 60.0)
     idle, fresh, busy, new = edge.connect(), edge.connect(), edge.connect(), None
     idle.sendall(get("/idle"))
--- a/tests/test_http_server_idle.py
+++ b/tests/test_http_server_idle.py
@@ -1,4 +1,4 @@
-"""How long the HTTP server edge keeps an idle connection: at least as long as its caller was told."""
+"""How long the HTTP server keeps an idle connection: at least as long as it announced to the client."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def test_a_shorter_idle_time_does_not_end_connections_that_were_promised_more(edge):
-    """A configuration that shortens the idle time comes while a caller rests, who was told the longer one."""
+    """A configuration shortens the idle time while a client is idle to which the longer one was announced."""
     edge.limits = replace(edge.limits, idle_wait=15.0)
     sock = edge.connect()
     reader = Reader(sock)
--- a/tests/test_http_server_properties.py
+++ b/tests/test_http_server_properties.py
@@ -1,6 +1,6 @@
-"""The server edge against scripts that hypothesis draws.
+"""The HTTP server against scripts drawn by hypothesis.
 
-Callers' bytes cut anywhere, answers in any order, callers that leave.
+Clients' bytes are split anywhere, answers are given in any order, and clients disconnect.
 """
 
 from __future__ import annotations
@@ -31,11 +31,11 @@
 )
 
 EXAMPLES = int(os.environ.get("SAILWARD_EXAMPLES", "200"))
-"""scripts drawn; a wider run sets more."""
+"""Number of scripts drawn; a longer run sets more."""
 
 
 def play_all(*, examples: int = EXAMPLES) -> None:
-    """Draw scripts and play each; raises AssertionError at the first that shows a breach."""
+    """Draw scripts and play each; raises AssertionError at the first violation."""
 
     @settings(
         derandomize=True,
@@ -57,7 +57,7 @@
 
 
 def answer_in_order_of_arrival() -> list:
-    """An answer goes out as soon as it is there, not when its request's turn has come."""
+    """An answer is sent as soon as it is given instead of in the order of the requests."""
 
     def answer(self, *, command):
         connection, exchange = self._pending.get(command.token, (None, None))
@@ -71,7 +71,7 @@
 
 
 def reuse_tokens() -> list:
-    """The number of a request is that of its place on its connection."""
+    """A request's token holds only its position on its connection, so that tokens repeat."""
 
     def ask(self, *, connection, body):
         self._numbers = iter([len(connection.exchanges)])
@@ -82,12 +82,12 @@
 
 
 def skip_reports_of_ended_connections() -> list:
-    """A connection that ends is not told of."""
+    """The end of a connection is not reported."""
     return [mock.patch.object(http_server.HttpServer, "_discard_exchange", lambda self, *, exchange: None)]
 
 
 def skip_reports_of_eof() -> list:
-    """The end of a caller's bytes is not told of; that of its connection is."""
+    """A client's EOF is not reported, but the end of its connection is."""
 
     def on_eof(self, *, connection):
         with mock.patch.object(http_server.HttpServer, "_report_disconnect", lambda self, *, exchange, deliver: None):
@@ -98,7 +98,7 @@
 
 
 def read_past_the_last_request() -> list:
-    """What comes behind a request that ends its connection is read as well."""
+    """Requests after one that ends its connection are read as well."""
 
     def ask(self, *, connection, body):
         connection.reading.is_last, was_last = False, connection.reading.is_last
@@ -115,11 +115,11 @@
     ("plant", "breach"),
     [
         (answer_in_order_of_arrival, "got the answer to"),
-        (reuse_tokens, "a token that was given before"),
-        (skip_reports_of_ended_connections, "a request whose caller left was not told of"),
-        (skip_reports_of_eof, "a request whose caller left was not told of"),
-        # what is read behind it is told, or its answer is dropped with the connection
-        (read_past_the_last_request, "read behind a request that ends|an answer to a caller that is there was lost"),
+        (reuse_tokens, "a token that was used before"),
+        (skip_reports_of_ended_connections, "a request of a disconnected client was not reported"),
+        (skip_reports_of_eof, "a request of a disconnected client was not reported"),
+        # a later request is delivered, or its answer is lost with the connection
+        (read_past_the_last_request, "read after a request that ends|an answer to a connected client was lost"),
     ],
     ids=lambda param: getattr(param, "__name__", ""),
 )
--- a/tests/test_http_server_requests.py
+++ b/tests/test_http_server_requests.py
@@ -1,4 +1,4 @@
-"""What the HTTP server edge reads: whole requests, malformed ones, too large and too slow ones."""
+"""Requests read by the HTTP server: valid, malformed, too large and too slow ones."""
 
 from __future__ import annotations
 
--- a/tests/test_http_server_responses.py
+++ b/tests/test_http_server_responses.py
@@ -1,4 +1,4 @@
-"""What the HTTP server edge writes: each answer to its request, in the requests' order."""
+"""Responses written by the HTTP server: each to its own request, in the order of the requests."""
 
 from __future__ import annotations
 
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -1,4 +1,4 @@
-"""What is logged when an owner ends by a fault, and how commands reach the edges."""
+"""What is logged when an owner ends by an exception, and how commands are dispatched to the edges."""
 
 from __future__ import annotations
 
--- a/tests/test_message_transport.py
+++ b/tests/test_message_transport.py
@@ -1,6 +1,6 @@
-"""Messages between processes, over loopback.
+"""Messages between processes over loopback.
 
-Whole, in order, of any size; what can't be believed ends its connection alone.
+They arrive complete, in order and at any size; invalid bytes close only their own connection.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 class Node:
-    """A courier on a reactor of its own thread, and what it heard."""
+    """A message transport on a reactor with its own thread, and the messages it received."""
 
     def __init__(self, *, port: int = 0) -> None:
         self.received: list = []
--- a/tests/test_storage_machine.py
+++ b/tests/test_storage_machine.py
@@ -1,4 +1,4 @@
-"""Long random histories of one voter and its data file, and the faults that they must find."""
+"""Long random histories of one voter and its data file, and the planted faults that they must find."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from tests.test_data_file import NamesUnsynced, RenamesUnsynced, StoresUnsynced
 
 EXAMPLES = int(os.environ.get("SAILWARD_MODEL_EXAMPLES", "40"))
-"""Histories of the sound product; wide runs give more by the environment."""
+"""Number of histories without planted faults; longer runs set more by the environment."""
 PLANTED_EXAMPLES, STEPS = 400, 40
 
 
@@ -73,7 +73,7 @@
 
 
 def answer_during_rewrite(monkeypatch: pytest.MonkeyPatch) -> None:
-    """What waits goes out when a rewrite begins, as if that had ended."""
+    """Waiting replies are sent when a rewrite begins, as if it had finished."""
     old = write_ahead.WriteAhead.rewrite
 
     def rewrite(self):
