--- a/sailward/programs/common.py
+++ b/sailward/programs/common.py
@@ -72,7 +72,7 @@
         post = ThreadedMessageTransport(address=settings["post"], deliver=loop.deliver, threads=threads)
         web = WsgiServer(
             address=settings["http"],
-            limit=limit,
+            max_body_bytes=limit,
             deliver=loop.deliver,
             threads=ThreadPoolExecutor(max_workers=constants.HTTP_SERVER_THREADS),
         )
--- a/sailward/programs/controller.py
+++ b/sailward/programs/controller.py
@@ -34,13 +34,13 @@
 from sailward.programs.common import make_location, make_nonce, make_start, read_flags, read_settings, start_edges
 from sailward.programs.data_folder import open_folder
 from sailward.runtime.loop import Loop, end_process
-from sailward.runtime.startup import CONTROLLER
+from sailward.runtime.startup import CONTROLLER_SCHEMA
 from sailward.storage.disk import Disk
 
 
 def main(argv: list[str] | None = None) -> None:
     """Run a controller until it is told to stop."""
-    settings = read_settings(flags=read_flags(doc=__doc__, argv=argv), schema=CONTROLLER)
+    settings = read_settings(flags=read_flags(doc=__doc__, argv=argv), schema=CONTROLLER_SCHEMA)
     loop = Loop()
     disk = Disk(folder=Path(settings["data"]), deliver=loop.deliver)
     records = open_folder(disk=disk, folder=settings["data"])
--- a/sailward/programs/directory.py
+++ b/sailward/programs/directory.py
@@ -28,12 +28,12 @@
 from sailward.programs.common import make_location, make_nonce, make_start, read_flags, read_settings, start_edges
 from sailward.proxy.directory_server import DirectoryServer
 from sailward.runtime.loop import Loop, end_process
-from sailward.runtime.startup import COMMON
+from sailward.runtime.startup import COMMON_SCHEMA
 
 
 def main(argv: list[str] | None = None) -> None:
     """Run a directory until it is told to stop."""
-    settings = read_settings(flags=read_flags(doc=__doc__, argv=argv), schema=COMMON)
+    settings = read_settings(flags=read_flags(doc=__doc__, argv=argv), schema=COMMON_SCHEMA)
     loop, nonce = Loop(), make_nonce()
     owner = DirectoryServer(
         location=make_location(settings=settings, kind="directory"), start=make_start(), rng=random.Random(nonce)
--- a/sailward/programs/hosted_controller.py
+++ b/sailward/programs/hosted_controller.py
@@ -47,8 +47,8 @@
     if isinstance(disk, Disk):
         checks.submit(disk.run)
     handlers = {
-        AppendRecords: lambda command: disk.give(command=command),
-        RewriteRecords: lambda command: disk.give(command=command),
+        AppendRecords: lambda command: disk.submit(command=command),
+        RewriteRecords: lambda command: disk.submit(command=command),
         ValidateConfig: lambda command: checks.submit(_check, host, command),
         **answer_handlers(hosted=hosted, fronts=fronts),
     }
@@ -64,7 +64,7 @@
 
     host: Host
 
-    def give(self, *, command: AppendRecords | RewriteRecords) -> None:
+    def submit(self, *, command: AppendRecords | RewriteRecords) -> None:
         """Take records as stored."""
         self.host.deliver(RecordsSynced(seq=command.seq))
 
--- a/sailward/programs/hosted_proxy.py
+++ b/sailward/programs/hosted_proxy.py
@@ -25,7 +25,7 @@
                 front.close_listener()
 
     if hosted.changed:
-        host.changed = lambda: setattr(owner.control_client, "seeds", hosted.changed())
+        host.on_reload = lambda: setattr(owner.control_client, "seeds", hosted.changed())
     serve_owner(
         hosted=hosted,
         reactor=reactor,
--- a/sailward/programs/proxy.py
+++ b/sailward/programs/proxy.py
@@ -29,12 +29,12 @@
 from sailward.programs.common import make_location, make_nonce, make_start, read_flags, read_settings, start_edges
 from sailward.proxy.tenant_proxy import TenantProxy
 from sailward.runtime.loop import Loop, end_process
-from sailward.runtime.startup import COMMON
+from sailward.runtime.startup import COMMON_SCHEMA
 
 
 def main(argv: list[str] | None = None) -> None:
     """Run a proxy until it is told to stop."""
-    settings = read_settings(flags=read_flags(doc=__doc__, argv=argv), schema=COMMON)
+    settings = read_settings(flags=read_flags(doc=__doc__, argv=argv), schema=COMMON_SCHEMA)
     loop, nonce = Loop(), make_nonce()
     owner = TenantProxy(
         location=make_location(settings=settings, kind="proxy"),
--- a/sailward/runtime/host.py
+++ b/sailward/runtime/host.py
@@ -23,7 +23,7 @@
     handlers: dict[type, Callable] = field(default_factory=dict)
     step: Callable | None = None
     code: int = 0
-    changed: Callable | None = None
+    on_reload: Callable | None = None
     _queue: deque = field(default_factory=deque)
     _is_busy: bool = False
     _journal: Journal = field(default_factory=lambda: Journal(dump_length=constants.EVENT_JOURNAL_DUMP_LENGTH))
@@ -42,7 +42,7 @@
 
     def deliver_from_thread(self, event: object) -> None:
         """Like `deliver`, from any other thread."""
-        self.reactor.call_from_thread(call=lambda: self.deliver(event))
+        self.reactor.call_from_thread(callback=lambda: self.deliver(event))
 
     def run(self, *, step: Callable) -> int:
         """Run the owner until it stops; returns the exit code."""
@@ -51,14 +51,14 @@
             signal.signal(signal_number, lambda *_: self.deliver_from_thread(ShutdownRequested()))
         signal.signal(
             signal.SIGHUP,
-            lambda *_: self.reactor.call_from_thread(call=lambda: self.changed() if self.changed else None),
+            lambda *_: self.reactor.call_from_thread(callback=lambda: self.on_reload() if self.on_reload else None),
         )
         self._tick()
         self.reactor.run()
         return self.code
 
     def _tick(self) -> None:
-        self.reactor.call_later(delay=constants.TICK_INTERVAL, call=self._tick)
+        self.reactor.call_later(delay=constants.TICK_INTERVAL, callback=self._tick)
         self.deliver(TimerFired(wall=time.time()))
 
     def _run_step(self, *, event: object) -> None:
@@ -71,7 +71,7 @@
                     self.code = command.code
                     self.step = None
                     self._queue.clear()
-                    self.reactor.call_later(delay=constants.FLUSH_TIMEOUT, call=self.reactor.stop)
+                    self.reactor.call_later(delay=constants.FLUSH_TIMEOUT, callback=self.reactor.stop)
                     return
                 carry_out(command=command, handlers=self.handlers)
         except Exception:  # noqa: BLE001 - any exception of the owner is logged and ends the process
--- a/sailward/runtime/loop.py
+++ b/sailward/runtime/loop.py
@@ -100,8 +100,8 @@
             Respond: lambda command: self.http_server.answer(command=command),
             ValidateConfig: lambda command: self.checks.submit(self._check, command),
             CloseConnections: lambda _: None,
-            AppendRecords: lambda command: self.disk.give(command=command),
-            RewriteRecords: lambda command: self.disk.give(command=command),
+            AppendRecords: lambda command: self.disk.submit(command=command),
+            RewriteRecords: lambda command: self.disk.submit(command=command),
         }
         calls = self.calls
         if calls is not None:
--- a/sailward/runtime/reactor.py
+++ b/sailward/runtime/reactor.py
@@ -17,11 +17,11 @@
 class Alarm:
     """A callback scheduled for a time; `cancel` prevents it."""
 
-    call: Callable | None
+    callback: Callable | None
 
     def cancel(self) -> None:
         """Prevent the callback."""
-        self.call = None
+        self.callback = None
 
 
 @dataclass(kw_only=True)
@@ -40,8 +40,8 @@
     _selector: selectors.BaseSelector = field(default_factory=selectors.DefaultSelector)
     _alarms: list = field(default_factory=list)
     _count: itertools.count = field(default_factory=itertools.count)
-    _calls_from_threads: collections.deque = field(default_factory=collections.deque)
-    _pending_calls: collections.deque = field(default_factory=collections.deque)
+    _callbacks_from_threads: collections.deque = field(default_factory=collections.deque)
+    _pending_callbacks: collections.deque = field(default_factory=collections.deque)
     _stopped: bool = False
 
     def __post_init__(self) -> None:
@@ -64,19 +64,19 @@
         else:
             self._selector.register(sock, events, watch)
 
-    def call_later(self, *, delay: float, call: Callable) -> Alarm:
+    def call_later(self, *, delay: float, callback: Callable) -> Alarm:
         """Run the callback once, `delay` seconds from now."""
-        alarm = Alarm(call=call)
+        alarm = Alarm(callback=callback)
         heapq.heappush(self._alarms, (self.clock() + delay, next(self._count), alarm))
         return alarm
 
-    def call_soon(self, *, call: Callable) -> None:
+    def call_soon(self, *, callback: Callable) -> None:
         """Run the callback before the next wait; only from the reactor's own thread."""
-        self._pending_calls.append(call)
+        self._pending_callbacks.append(callback)
 
-    def call_from_thread(self, *, call: Callable) -> None:
+    def call_from_thread(self, *, callback: Callable) -> None:
         """Run the callback on the reactor's thread; may be used from any thread."""
-        self._calls_from_threads.append(call)
+        self._callbacks_from_threads.append(callback)
         with contextlib.suppress(BlockingIOError):
             self._wake_out.send(b"x")
 
@@ -88,8 +88,8 @@
         """Run callbacks until `stop`."""
         while not self._stopped:
             self._run_due_alarms()
-            while self._pending_calls:
-                self._pending_calls.popleft()()
+            while self._pending_callbacks:
+                self._pending_callbacks.popleft()()
             if self._stopped:
                 return
             wait = max(0.0, self._alarms[0][0] - self.clock()) if self._alarms else 1.0
@@ -109,9 +109,9 @@
         now = self.clock()
         while self._alarms and self._alarms[0][0] <= now:
             _, _, alarm = heapq.heappop(self._alarms)
-            call, alarm.call = alarm.call, None
-            if call is not None:
-                call()
+            callback, alarm.callback = alarm.callback, None
+            if callback is not None:
+                callback()
 
     def _drain_wakes(self) -> None:
         try:
@@ -119,5 +119,5 @@
                 pass
         except BlockingIOError:
             pass
-        while self._calls_from_threads:
-            self._calls_from_threads.popleft()()
+        while self._callbacks_from_threads:
+            self._callbacks_from_threads.popleft()()
--- a/sailward/runtime/startup.py
+++ b/sailward/runtime/startup.py
@@ -12,7 +12,7 @@
 
 from sailward.config.errors import list_errors
 
-NAME = {"type": "string", "regex": r"^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$"}
+NAME_RULE = {"type": "string", "regex": r"^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$"}
 
 
 def _check_address(field: str, value: object, error: Callable[[str, str], None]) -> None:
@@ -21,27 +21,27 @@
     host, _, port = value.rpartition(":")
     try:
         ipaddress.IPv4Address(host)
-        sound = port.isascii() and port.isdigit() and 0 < int(port) < 65536
+        is_valid = port.isascii() and port.isdigit() and 0 < int(port) < 65536
     except ValueError:
-        sound = False
-    if not sound:
+        is_valid = False
+    if not is_valid:
         error(field, "must be an IP number and a port, as in 10.0.0.1:7000")
 
 
-ADDRESS = {"type": "string", "check_with": _check_address}
-COMMON = {
-    "name": {**NAME, "required": True},
-    "hall": {**NAME, "required": True},
-    "region": {**NAME, "required": True},
-    "post": {**ADDRESS, "required": True},
-    "http": {**ADDRESS, "required": True},
-    "seeds": {"type": "list", "schema": ADDRESS, "required": True, "minlength": 1, "maxlength": 3},
+ADDRESS_RULE = {"type": "string", "check_with": _check_address}
+COMMON_SCHEMA = {
+    "name": {**NAME_RULE, "required": True},
+    "hall": {**NAME_RULE, "required": True},
+    "region": {**NAME_RULE, "required": True},
+    "post": {**ADDRESS_RULE, "required": True},
+    "http": {**ADDRESS_RULE, "required": True},
+    "seeds": {"type": "list", "schema": ADDRESS_RULE, "required": True, "minlength": 1, "maxlength": 3},
     "log_level": {"type": "string", "allowed": ["debug", "info", "warning", "error"], "default": "info"},
 }
-CONTROLLER = {
-    **COMMON,
+CONTROLLER_SCHEMA = {
+    **COMMON_SCHEMA,
     "data": {"type": "string", "minlength": 1, "required": True},
-    "platform": {**ADDRESS, "required": True},
+    "platform": {**ADDRESS_RULE, "required": True},
 }
 
 
@@ -59,20 +59,20 @@
     if path:
         try:
             settings = tomllib.loads(Path(path).read_text("utf-8"))
-        except OSError as fault:
-            return BadStartup(faults=(f"{path}: {fault.strerror}",))
-        except (ValueError, RecursionError) as fault:
-            return BadStartup(faults=(f"{path}: not TOML: {fault}",))
+        except OSError as error:
+            return BadStartup(faults=(f"{path}: {error.strerror}",))
+        except (ValueError, RecursionError) as error:
+            return BadStartup(faults=(f"{path}: not TOML: {error}",))
     for name in schema:
         given = flags.get("--" + name.replace("_", "-"))
         if given is not None:
             settings[name] = given.split(",") if name == "seeds" else given
     validator = Validator(schema)
     try:
-        is_sound = validator.validate(settings)
-    except Exception as fault:  # noqa: BLE001 - cerberus raises on some unexpected types
-        return BadStartup(faults=(f"{path or 'flags'}: unexpected structure: {fault}",))
-    if is_sound:
+        is_valid = validator.validate(settings)
+    except Exception as error:  # noqa: BLE001 - cerberus raises on some unexpected types
+        return BadStartup(faults=(f"{path or 'flags'}: unexpected structure: {error}",))
+    if is_valid:
         document: dict = validator.document
         return document
     errors = list_errors(errors=validator.errors)
--- a/sailward/storage/disk.py
+++ b/sailward/storage/disk.py
@@ -66,27 +66,27 @@
 
 def read_frames(*, data: bytes) -> FileContents | DamagedFile | NewerFormat:
     """Read all records. A torn last frame is ignored; an invalid frame with a valid one after it is damage."""
-    records, at = [], 0
-    while at < len(data):
-        body = _read_frame_body(data=data, at=at)
+    records, offset = [], 0
+    while offset < len(data):
+        body = _read_frame_body(data=data, offset=offset)
         if body is None:
-            if _is_newer(data=data, at=at):
-                return NewerFormat(unsupported=f"form {data[at : at + len(MAGIC)].decode('ascii')}")
-            follows = data.find(MAGIC, at + 1)
+            if _is_newer_format(data=data, offset=offset):
+                return NewerFormat(unsupported=f"form {data[offset : offset + len(MAGIC)].decode('ascii')}")
+            follows = data.find(MAGIC, offset + 1)
             while follows >= 0:
-                if _read_frame_body(data=data, at=follows) is not None:
-                    return DamagedFile(offset=at)
+                if _read_frame_body(data=data, offset=follows) is not None:
+                    return DamagedFile(offset=offset)
                 follows = data.find(MAGIC, follows + 1)
             break
         found = _records_in(body=body)
         if found is None:
-            return DamagedFile(offset=at)
+            return DamagedFile(offset=offset)
         records += found
-        at += FRAME_HEADER.size + len(body)
+        offset += FRAME_HEADER.size + len(body)
     unknown = sorted({record["k"] for record in records} - set(RECORD_CHECKS))
     if unknown:
         return NewerFormat(unsupported=f"records {','.join(unknown)}")
-    return FileContents(records=records, length=at)
+    return FileContents(records=records, length=offset)
 
 
 def _records_in(*, body: bytes) -> list | None:
@@ -98,19 +98,21 @@
     return found if isinstance(found, list) and all(map(is_record, found)) else None
 
 
-def _is_newer(*, data: bytes, at: int) -> bool:
+def _is_newer_format(*, data: bytes, offset: int) -> bool:
     """Is this a frame of a newer format? After the start only if it is complete: a torn one may look like anything."""
-    magic = data[at : at + len(MAGIC)]
-    is_other = len(magic) == len(MAGIC) and magic != MAGIC and magic[:3] == MAGIC[:3] and magic[3:].isdigit()
-    return is_other and (at == 0 or _read_frame_body(data=MAGIC + data[at + len(MAGIC) :], at=0) is not None)
+    magic = data[offset : offset + len(MAGIC)]
+    is_other_version = len(magic) == len(MAGIC) and magic != MAGIC and magic[:3] == MAGIC[:3] and magic[3:].isdigit()
+    return is_other_version and (
+        offset == 0 or _read_frame_body(data=MAGIC + data[offset + len(MAGIC) :], offset=0) is not None
+    )
 
 
-def _read_frame_body(*, data: bytes, at: int) -> bytes | None:
-    if at + FRAME_HEADER.size > len(data):
+def _read_frame_body(*, data: bytes, offset: int) -> bytes | None:
+    if offset + FRAME_HEADER.size > len(data):
         return None
-    magic, length, check = FRAME_HEADER.unpack_from(data, at)
-    body = data[at + FRAME_HEADER.size : at + FRAME_HEADER.size + length]
-    return body if magic == MAGIC and len(body) == length and zlib.crc32(body) == check else None
+    magic, length, checksum = FRAME_HEADER.unpack_from(data, offset)
+    body = data[offset + FRAME_HEADER.size : offset + FRAME_HEADER.size + length]
+    return body if magic == MAGIC and len(body) == length and zlib.crc32(body) == checksum else None
 
 
 class Disk:
@@ -142,7 +144,7 @@
         self._make_reserve()
         return found
 
-    def give(self, *, command: AppendRecords | RewriteRecords) -> None:
+    def submit(self, *, command: AppendRecords | RewriteRecords) -> None:
         """Queue a command."""
         self._queue.put(command)
 
@@ -191,16 +193,16 @@
         try:
             # at the end of the valid part: this overwrites what a failed earlier write left after it
             self._files.write_at(file=self._file, data=frame, offset=self._length)
-        except OSError as fault:
+        except OSError as error:
             with contextlib.suppress(OSError):
                 self._files.truncate(file=self._file, length=self._length)
             return self._deliver(
-                DiskWriteFailed(seq=appends[-1].seq, full=_is_out_of_space(fault=fault), reason=str(fault))
+                DiskWriteFailed(seq=appends[-1].seq, full=_is_out_of_space(error=error), reason=str(error))
             )
         try:
             self._files.sync(file=self._file)
-        except OSError as fault:
-            return self._deliver(DiskWriteFailed(seq=appends[-1].seq, full=False, reason=str(fault)))
+        except OSError as error:
+            return self._deliver(DiskWriteFailed(seq=appends[-1].seq, full=False, reason=str(error)))
         self._length += len(frame)
         return self._deliver(RecordsSynced(seq=appends[-1].seq))
 
@@ -208,14 +210,14 @@
         frame = pack_frame(records=command.records)
         try:
             file = self._write_new_file(frame=frame)
-        except OSError as fault:
-            return self._deliver(DiskWriteFailed(seq=command.seq, full=True, reason=str(fault)))
+        except OSError as error:
+            return self._deliver(DiskWriteFailed(seq=command.seq, full=True, reason=str(error)))
         try:
             self._files.sync(file=file)
             self._files.rename(old=NEW_DATA_FILE, new=DATA_FILE)
             self._files.sync_names()
-        except OSError as fault:
-            return self._deliver(DiskWriteFailed(seq=command.seq, full=False, reason=str(fault)))
+        except OSError as error:
+            return self._deliver(DiskWriteFailed(seq=command.seq, full=False, reason=str(error)))
         self._files.close(file=self._file)
         self._file, self._length = file, len(frame)
         self._make_reserve()
@@ -250,5 +252,5 @@
                 self._files.remove(name=RESERVE_FILE)
 
 
-def _is_out_of_space(*, fault: OSError) -> bool:
-    return fault.errno in (errno.ENOSPC, errno.EDQUOT)
+def _is_out_of_space(*, error: OSError) -> bool:
+    return error.errno in (errno.ENOSPC, errno.EDQUOT)
--- a/sailward/storage/records.py
+++ b/sailward/storage/records.py
@@ -18,14 +18,14 @@
 """The check of the fields, by kind of record."""
 
 
-def is_record(given: object) -> bool:
+def is_record(record: object) -> bool:
     """Is it a valid record? A record of a kind unknown to this version counts as one."""
-    if not isinstance(given, dict) or not isinstance(given.get("k"), str):
+    if not isinstance(record, dict) or not isinstance(record.get("k"), str):
         return False
-    check = RECORD_CHECKS.get(given["k"])
+    check = RECORD_CHECKS.get(record["k"])
     if check is None:
         return True
-    if not check(given):
+    if not check(record):
         return False
-    register = "voters" if given.get("r") == KNOWN else given.get("r", "")
-    return "v" not in given or is_readable(register=register, text=given["v"]["text"])
+    register = "voters" if record.get("r") == KNOWN else record.get("r", "")
+    return "v" not in record or is_readable(register=register, text=record["v"]["text"])
--- a/sailward/transport/http_client.py
+++ b/sailward/transport/http_client.py
@@ -81,10 +81,10 @@
         self._running[call.token] = running
         if call.timeout < constants.HTTP_CLIENT_SHORT_TIMEOUT:
             running.alarm = self._reactor.call_later(
-                delay=call.timeout, call=functools.partial(self._check_deadlines, running=running)
+                delay=call.timeout, callback=functools.partial(self._check_deadlines, running=running)
             )
         self._schedule_sweep()
-        self._reactor.call_soon(call=functools.partial(self._begin, running=running))
+        self._reactor.call_soon(callback=functools.partial(self._begin, running=running))
 
     def cancel(self, *, token: str) -> None:
         """Abort a call's connection; no CallFinished follows. Does nothing for a call that has ended."""
@@ -340,7 +340,7 @@
 
     def _schedule_sweep(self) -> None:
         if self._alarm is None and (self._running or self._idle):
-            self._alarm = self._reactor.call_later(delay=constants.HTTP_CLIENT_SWEEP_INTERVAL, call=self._sweep)
+            self._alarm = self._reactor.call_later(delay=constants.HTTP_CLIENT_SWEEP_INTERVAL, callback=self._sweep)
 
     def _sweep(self) -> None:
         self._alarm = None
--- a/sailward/transport/http_server.py
+++ b/sailward/transport/http_server.py
@@ -57,7 +57,7 @@
         self._departures_logged = DepartureCounts()
         self._listener = Listener(reactor=reactor, address=address, on_accepted=self._accept)
         self.port = self._listener.port
-        self._reactor.call_later(delay=constants.HTTP_SERVER_SWEEP_INTERVAL, call=self._sweep)
+        self._reactor.call_later(delay=constants.HTTP_SERVER_SWEEP_INTERVAL, callback=self._sweep)
 
     def answer(self, *, command: Respond) -> bool:
         """Answer a delivered request; False if its connection is closed or it has already been answered."""
@@ -86,7 +86,7 @@
             elif connection.reading is not None:
                 connection.reading.is_last = True
             elif connection.is_idle() and connection.has_requested:
-                self._reactor.call_soon(call=functools.partial(self._close_idle, connection=connection))
+                self._reactor.call_soon(callback=functools.partial(self._close_idle, connection=connection))
 
     def close_listener(self) -> None:
         """Stop accepting connections."""
@@ -157,7 +157,7 @@
             deliver(ClientDisconnected(token=exchange.token))
 
     def _deliver_soon(self, event: object) -> None:
-        self._reactor.call_soon(call=functools.partial(self._deliver, event))
+        self._reactor.call_soon(callback=functools.partial(self._deliver, event))
 
     def _advance(self, *, connection: Connection) -> None:
         if connection.is_advancing or connection.is_closed:
@@ -186,7 +186,7 @@
             self._send_continue(connection=connection)
             self._write(connection=connection)
         else:
-            connection.may_continue = False
+            connection.awaits_continue = False
         return False
 
     def _read_head(self, *, connection: Connection) -> bool:
@@ -199,12 +199,12 @@
         connection.exchanges.append(connection.reading)
         self._open += 1
         connection.reader.begin_body(head=head, limits=limits)
-        connection.may_continue = head.may_continue and not connection.reader.has_bytes
+        connection.awaits_continue = head.awaits_continue and not connection.reader.has_bytes
         return True
 
     def _deliver_request(self, *, connection: Connection, body: bytes) -> None:
         exchange, connection.reading = connection.reading, None
-        connection.may_continue = False
+        connection.awaits_continue = False
         head, exchange.head.parser = exchange.head, None
         exchange.token = f"{self._name} {next(self._numbers)}"
         connection.active_at = self._reactor.clock()
@@ -239,7 +239,7 @@
             token="", code=refused.code, headers=headers, body=json.dumps({"error": refused.reason}).encode()
         )
         exchange.is_last = connection.is_ending = True
-        connection.may_continue = False
+        connection.awaits_continue = False
         connection.reader.clear()
         self._flush(connection=connection)
 
@@ -262,8 +262,8 @@
         self._write(connection=connection)
 
     def _send_continue(self, *, connection: Connection) -> None:
-        if connection.may_continue and connection.exchanges and connection.exchanges[0] is connection.reading:
-            connection.may_continue = False
+        if connection.awaits_continue and connection.exchanges and connection.exchanges[0] is connection.reading:
+            connection.awaits_continue = False
             self._send(connection=connection, data=_CONTINUE, count=0)
 
     def _send(self, *, connection: Connection, data: bytes, count: int) -> None:
@@ -295,7 +295,7 @@
         if connection.is_ending and not outgoing and not connection.exchanges:
             self._finish(connection=connection)
         elif connection.may_advance():
-            self._reactor.call_soon(call=functools.partial(self._advance, connection=connection))
+            self._reactor.call_soon(callback=functools.partial(self._advance, connection=connection))
         self._update(connection=connection)
 
     def _finish(self, *, connection: Connection) -> None:
@@ -329,7 +329,7 @@
 
     def _discard_unfinished_request(self, *, connection: Connection) -> None:
         connection.reader.clear()
-        connection.may_continue = False
+        connection.awaits_continue = False
         if connection.reading is not None:
             connection.exchanges.remove(connection.reading)
             connection.reading = None
@@ -366,7 +366,7 @@
             self._close(connection=connection)
 
     def _sweep(self) -> None:
-        self._reactor.call_later(delay=constants.HTTP_SERVER_SWEEP_INTERVAL, call=self._sweep)
+        self._reactor.call_later(delay=constants.HTTP_SERVER_SWEEP_INTERVAL, callback=self._sweep)
         self._log_departures()
         now, limits = self._reactor.clock(), self._limits()
         for connection in list(self._connections):
--- a/sailward/transport/http_server_head.py
+++ b/sailward/transport/http_server_head.py
@@ -43,7 +43,7 @@
     headers: dict
     length: int | None
     is_last: bool
-    may_continue: bool
+    awaits_continue: bool
     parser: h11.Connection
 
 
@@ -85,7 +85,7 @@
         headers=headers,
         length=length,
         is_last=version == b"1.0" or is_closing,
-        may_continue=version == b"1.1" and headers.get("expect", "").lower() == "100-continue",
+        awaits_continue=version == b"1.1" and headers.get("expect", "").lower() == "100-continue",
         parser=parser,
     )
 
--- a/sailward/transport/http_server_listener.py
+++ b/sailward/transport/http_server_listener.py
@@ -50,7 +50,9 @@
             except OSError as error:
                 if error.errno in _OUT_OF_RESOURCES:
                     self._reactor.watch(sock=self._socket)
-                    self._reactor.call_later(delay=constants.HTTP_SERVER_ACCEPT_BACKOFF, call=self._resume_accepting)
+                    self._reactor.call_later(
+                        delay=constants.HTTP_SERVER_ACCEPT_BACKOFF, callback=self._resume_accepting
+                    )
                     return
                 continue
             self._on_accepted(connection)
--- a/sailward/transport/http_server_state.py
+++ b/sailward/transport/http_server_state.py
@@ -46,7 +46,7 @@
     exchanges: collections.deque = field(default_factory=collections.deque)
     reading: Exchange | None = None
     outgoing: collections.deque = field(default_factory=collections.deque)
-    may_continue: bool = False
+    awaits_continue: bool = False
     is_paused: bool = False
     is_ending: bool = False
     is_eof: bool = False
--- a/sailward/transport/message_transport.py
+++ b/sailward/transport/message_transport.py
@@ -45,12 +45,12 @@
         self._listener = socket.create_server((host, port), backlog=128)
         self._listener.setblocking(False)
         reactor.watch(sock=self._listener, readable=self._accept)
-        reactor.call_later(delay=constants.MESSAGE_TRANSPORT_SWEEP_INTERVAL, call=self._sweep)
+        reactor.call_later(delay=constants.MESSAGE_TRANSPORT_SWEEP_INTERVAL, callback=self._sweep)
 
     def send(self, *, to: str, body: dict) -> None:
         """Send a message, or drop it if the peer can't take it."""
         if to == self._address:
-            self._reactor.call_soon(call=lambda: self._deliver(MessageReceived(sender=to, body=body)))
+            self._reactor.call_soon(callback=lambda: self._deliver(MessageReceived(sender=to, body=body)))
             return
         peer = self._peers.setdefault(to, Peer())
         if len(peer.outgoing) > constants.MAX_FRAME_BYTES or self._reactor.clock() < peer.retry_at:
@@ -189,10 +189,10 @@
         for peer in self._peers.values():
             if peer.sock is None:
                 continue
-            wait = constants.LEASE_DURATION if peer.is_connected else constants.MESSAGE_TRANSPORT_CONNECT_TIMEOUT
-            if (peer.outgoing or not peer.is_connected) and now - peer.progress_at > wait:
+            time_limit = constants.LEASE_DURATION if peer.is_connected else constants.MESSAGE_TRANSPORT_CONNECT_TIMEOUT
+            if (peer.outgoing or not peer.is_connected) and now - peer.progress_at > time_limit:
                 self._drop(peer=peer)
-        self._reactor.call_later(delay=constants.MESSAGE_TRANSPORT_SWEEP_INTERVAL, call=self._sweep)
+        self._reactor.call_later(delay=constants.MESSAGE_TRANSPORT_SWEEP_INTERVAL, callback=self._sweep)
 
 
 @dataclass(kw_only=True)
--- a/sailward/transport/wsgi_server.py
+++ b/sailward/transport/wsgi_server.py
@@ -96,9 +96,9 @@
     """Task that owns the HTTP listener. Each request is delivered to the owner and waits for its answer."""
 
     def __init__(
-        self, *, address: str, limit: int, deliver: Callable[[object], None], threads: ThreadPoolExecutor
+        self, *, address: str, max_body_bytes: int, deliver: Callable[[object], None], threads: ThreadPoolExecutor
     ) -> None:
-        self._deliver, self._limit = deliver, limit
+        self._deliver, self._max_body_bytes = deliver, max_body_bytes
         self._waiting: dict[str, Future[Respond]] = {}
         self._count = itertools.count(1)
         self._is_closing = False
@@ -125,14 +125,14 @@
 
     def _serve(self, environ: dict, start_response: Callable) -> list[bytes]:
         request = Request(environ)
-        request.max_content_length = self._limit
+        request.max_content_length = self._max_body_bytes
         token = f"http {next(self._count)}"
         try:
             body: bytes | None = request.get_data(cache=False)
         except RequestEntityTooLarge:
             body = None
-        except (HTTPException, OSError) as fault:
-            raise ConnectionError("the client disconnected before its request was complete") from fault
+        except (HTTPException, OSError) as error:
+            raise ConnectionError("the client disconnected before its request was complete") from error
         future: Future[Respond] = Future()
         self._waiting[token] = future
         headers = {name.lower(): value for name, value in request.headers.items()}
--- a/simulation/core_group.py
+++ b/simulation/core_group.py
@@ -215,7 +215,7 @@
         if isinstance(command, SendMessage):
             self._send_message(member=member, command=command)
         elif isinstance(command, (AppendRecords, RewriteRecords)):
-            member.disk.give(command=command)
+            member.disk.submit(command=command)
             self._after(delay=self.sync_time(), act=lambda life=member.life: self._sync(member=member, life=life))
         elif isinstance(command, ExitProcess):
             self.kill(member=member)
--- a/simulation/hollow_fleet/added.py
+++ b/simulation/hollow_fleet/added.py
@@ -265,7 +265,7 @@
         while pipe.poll():
             pipe.recv()
             pipe.send(time.process_time())
-        reactor.call_later(delay=0.02, call=tell_cpu)
+        reactor.call_later(delay=0.02, callback=tell_cpu)
 
     tell_cpu()
     pipe.send(front.port)
--- a/simulation/hollow_fleet/real.py
+++ b/simulation/hollow_fleet/real.py
@@ -44,7 +44,7 @@
         told = {"at": time.monotonic(), "cpu": time.process_time(), **self.counts}
         Path(self.file + ".new").write_text(json.dumps(told), "utf-8")
         os.replace(self.file + ".new", self.file)
-        reactor.call_later(delay=COUNT_EVERY, call=lambda: self._write(reactor=reactor))
+        reactor.call_later(delay=COUNT_EVERY, callback=lambda: self._write(reactor=reactor))
 
 
 def measure_real(*, size: Size, seconds: float, say: Callable[[str], None]) -> dict:
--- a/tests/http_client_peer.py
+++ b/tests/http_client_peer.py
@@ -156,7 +156,7 @@
 
     def on_reactor(self, function: Callable) -> object:
         done: queue.Queue = queue.Queue()
-        self.reactor.call_from_thread(call=lambda: done.put(function()))
+        self.reactor.call_from_thread(callback=lambda: done.put(function()))
         return done.get(timeout=WAIT)
 
     def start(
@@ -206,7 +206,7 @@
             time.sleep(0.01)
 
     def stop(self) -> None:
-        self.reactor.call_from_thread(call=self.reactor.stop)
+        self.reactor.call_from_thread(callback=self.reactor.stop)
         self._thread.join(timeout=WAIT)
         for peer in self._peers:
             peer.listener.close()
--- a/tests/http_client_script.py
+++ b/tests/http_client_script.py
@@ -46,13 +46,13 @@
         else:
             self.watched.pop(sock, None)
 
-    def call_later(self, *, delay: float, call: Callable) -> Alarm:
-        alarm = Alarm(call=call)
+    def call_later(self, *, delay: float, callback: Callable) -> Alarm:
+        alarm = Alarm(callback=callback)
         self.alarms.append((self.now + delay, alarm))
         return alarm
 
-    def call_soon(self, *, call: Callable) -> None:
-        self.waiting.append(call)
+    def call_soon(self, *, callback: Callable) -> None:
+        self.waiting.append(callback)
 
     def run_soon(self) -> None:
         while self.waiting:
@@ -63,8 +63,8 @@
         due = [alarm for at, alarm in self.alarms if at <= self.now]
         self.alarms = [(at, alarm) for at, alarm in self.alarms if at > self.now]
         for alarm in due:
-            if alarm.call is not None:
-                alarm.call()
+            if alarm.callback is not None:
+                alarm.callback()
         self.run_soon()
 
 
--- a/tests/http_server_harness.py
+++ b/tests/http_server_harness.py
@@ -45,7 +45,7 @@
             results.append(call())
             done.set()
 
-        self.reactor.call_from_thread(call=run)
+        self.reactor.call_from_thread(callback=run)
         assert done.wait(WAIT_TIMEOUT)
         return results[0]
 
@@ -91,7 +91,7 @@
     def end(self) -> None:
         for sock in self.sockets:
             sock.close()
-        self.reactor.call_from_thread(call=self.reactor.stop)
+        self.reactor.call_from_thread(callback=self.reactor.stop)
         self.thread.join(WAIT_TIMEOUT)
 
 
--- a/tests/proxy_path.py
+++ b/tests/proxy_path.py
@@ -102,7 +102,7 @@
     def on_reactor(self, question):
         """What this gives on the reactor's thread."""
         given: queue.Queue = queue.Queue()
-        self.reactor.call_from_thread(call=lambda: given.put(question()))
+        self.reactor.call_from_thread(callback=lambda: given.put(question()))
         return given.get(timeout=WAIT_TIMEOUT)
 
     def until(self, question) -> None:
@@ -120,7 +120,7 @@
 
     def end(self) -> None:
         """Close all that was opened."""
-        self.reactor.call_from_thread(call=self.reactor.stop)
+        self.reactor.call_from_thread(callback=self.reactor.stop)
         self._thread.join(WAIT_TIMEOUT)
         for sock in (*self._callers, self._worker):
             sock.close()
@@ -134,7 +134,7 @@
             self.calls.put(WorkerCall(sock=sock))
 
     def _tick(self) -> None:
-        self.reactor.call_later(delay=constants.TICK_INTERVAL, call=self._tick)
+        self.reactor.call_later(delay=constants.TICK_INTERVAL, callback=self._tick)
         self.host.deliver(TimerFired(wall=time.time()))
 
     def _step(self, *, now: float, event: object) -> list:
--- a/tests/storage_machine.py
+++ b/tests/storage_machine.py
@@ -150,7 +150,7 @@
     def _step(self, event: object) -> None:
         for command in self.controller.step(now=self.now, event=event):
             if isinstance(command, (AppendRecords, RewriteRecords)):
-                self.disk.give(command=command)
+                self.disk.submit(command=command)
             elif isinstance(command, SendMessage) and command.to == PROPOSER:
                 self._note_answer(body=command.body)
             assert not isinstance(command, ExitProcess), command
--- a/tests/test_data_file.py
+++ b/tests/test_data_file.py
@@ -61,7 +61,7 @@
         replies = [command for command in commands if isinstance(command, dict)]
         for command in commands:
             if isinstance(command, (AppendRecords, RewriteRecords)):
-                self.disk.give(command=command)
+                self.disk.submit(command=command)
         self.disk.run_pending()
         events, self.events[:] = list(self.events), []
         return len(replies) + sum(self.work(commands=self.write_ahead.receive(event=event)) for event in events)
@@ -111,7 +111,7 @@
         for seq in range(1, 6):
             record = {"k": "drop", "r": f"value {seq}"}
             given.append(seq)
-            disk.give(
+            disk.submit(
                 command=AppendRecords(seq=seq, records=(record,))
                 if seq != 3
                 else RewriteRecords(seq=seq, records=tuple({"k": "drop", "r": f"value {item}"} for item in given))
@@ -216,7 +216,7 @@
     assert voter.work(commands=voter.write_ahead.step(records=long, replies=[reply])) == 0
     # space is free again before any truncation or rewrite, and the next frame is shorter than the torn one
     files.room = None
-    voter.disk.give(command=AppendRecords(seq=voter.write_ahead.seq + 1, records=({"k": "drop", "r": "x"},)))
+    voter.disk.submit(command=AppendRecords(seq=voter.write_ahead.seq + 1, records=({"k": "drop", "r": "x"},)))
     voter.disk.run_pending()
     found = Disk(folder=Path("none"), deliver=lambda event: None, files=files).open()
     assert isinstance(found, FileContents) and found.records[-1] == {"k": "drop", "r": "x"}
@@ -228,7 +228,7 @@
     disk = Disk(folder=Path("none"), deliver=events.append, files=files)
     disk.open()
     files.room = 3
-    disk.give(command=AppendRecords(seq=1, records=({"k": "drop", "r": "x"},)))
+    disk.submit(command=AppendRecords(seq=1, records=({"k": "drop", "r": "x"},)))
     disk.run_pending()
     assert isinstance(events[0], DiskWriteFailed) and events[0].full
 
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -50,7 +50,7 @@
     """A proxy that was held up finds the request and the close of its caller in one look."""
     path = make_path(kind="once" if method == "POST" else "repeatable")
     is_sent = threading.Event()
-    path.reactor.call_from_thread(call=lambda: is_sent.wait(WAIT_TIMEOUT))
+    path.reactor.call_from_thread(callback=lambda: is_sent.wait(WAIT_TIMEOUT))
     path.send(request("1", method=method)).close()
     is_sent.set()
     path.settle()
--- a/tests/test_departures_tenant.py
+++ b/tests/test_departures_tenant.py
@@ -26,7 +26,7 @@
 def test_a_caller_that_closes_its_connection_is_reported_once() -> None:
     told: queue.Queue = queue.Queue()
     [address] = free_addresses(count=1)
-    web = WsgiServer(address=address, limit=1000, deliver=told.put, threads=ThreadPoolExecutor(max_workers=4))
+    web = WsgiServer(address=address, max_body_bytes=1000, deliver=told.put, threads=ThreadPoolExecutor(max_workers=4))
     threading.Thread(target=web.run, daemon=True).start()
     host, port = address.split(":")
     caller = socket.create_connection((host, int(port)), timeout=WAIT)
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -214,7 +214,9 @@
         server.answer(command=Respond(token=event.token, code=413 if event.body is None else 200, body=b"{}"))
 
     address = free_addresses(count=1)[0]
-    server = WsgiServer(address=address, limit=1000, deliver=deliver, threads=ThreadPoolExecutor(max_workers=8))
+    server = WsgiServer(
+        address=address, max_body_bytes=1000, deliver=deliver, threads=ThreadPoolExecutor(max_workers=8)
+    )
     threading.Thread(target=server.run, daemon=True).start()
     assert ask(address=address, method="POST", path="/a?b=c", body=b"x" * 1000)[0] == 200
     assert (requests[0].path, requests[0].query, len(requests[0].body)) == ("/a", {"b": "c"}, 1000)
@@ -238,12 +240,12 @@
     assert disk.open() == FileContents(records=[], length=0)
     threading.Thread(target=disk.run, daemon=True).start()
     for seq in range(1, 6):
-        disk.give(command=AppendRecords(seq=seq, records=({"k": "drop", "r": "x", "n": seq},)))
+        disk.submit(command=AppendRecords(seq=seq, records=({"k": "drop", "r": "x", "n": seq},)))
     while events.get(timeout=WAIT) != RecordsSynced(seq=5):
         pass
     assert [row["n"] for row in read_frames(data=(tmp_path / "registers").read_bytes()).records] == [1, 2, 3, 4, 5]
-    disk.give(command=RewriteRecords(seq=6, records=({"k": "drop", "r": "x", "n": 9},)))
-    disk.give(command=AppendRecords(seq=7, records=({"k": "drop", "r": "x", "n": 10},)))
+    disk.submit(command=RewriteRecords(seq=6, records=({"k": "drop", "r": "x", "n": 9},)))
+    disk.submit(command=AppendRecords(seq=7, records=({"k": "drop", "r": "x", "n": 10},)))
     while events.get(timeout=WAIT) != RecordsSynced(seq=7):
         pass
     assert [row["n"] for row in read_frames(data=(tmp_path / "registers").read_bytes()).records] == [9, 10]
--- a/tests/test_fuzz_edges.py
+++ b/tests/test_fuzz_edges.py
@@ -23,7 +23,7 @@
 from sailward.events import CallFinished, StartCall, TimerFired
 from sailward.runtime.adapter import load_part
 from sailward.runtime.reactor import Reactor
-from sailward.runtime.startup import CONTROLLER, BadStartup, read_startup
+from sailward.runtime.startup import CONTROLLER_SCHEMA, BadStartup, read_startup
 from sailward.storage.disk import DamagedFile, FileContents, NewerFormat, pack_frame, read_frames
 from sailward.transport.curl_client import CurlClient
 from sailward.transport.http_server_head import Head, Refused, read_head
@@ -176,7 +176,7 @@
     if name.endswith("yaml"):
         assert SETTINGS.read_settings(role="controller", path=str(path)).faults
     else:
-        assert read_startup(flags={"--settings": str(path)}, schema=CONTROLLER).faults
+        assert read_startup(flags={"--settings": str(path)}, schema=CONTROLLER_SCHEMA).faults
 
 
 @settings(BOUNDED, max_examples=200)
@@ -185,7 +185,7 @@
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "settings.toml"
         path.write_bytes(text.encode("utf-8", "surrogatepass"))
-        read = read_startup(flags={"--settings": str(path)}, schema=CONTROLLER)
+        read = read_startup(flags={"--settings": str(path)}, schema=CONTROLLER_SCHEMA)
     assert isinstance(read, BadStartup) and read.faults
 
 
--- a/tests/test_message_transport.py
+++ b/tests/test_message_transport.py
@@ -49,7 +49,7 @@
             self.changed.notify_all()
 
     def send(self, *, to: str, body: dict) -> None:
-        self.reactor.call_from_thread(call=lambda: self.message_transport.send(to=to, body=body))
+        self.reactor.call_from_thread(callback=lambda: self.message_transport.send(to=to, body=body))
 
     def wait(self, count: int) -> list:
         with self.changed:
@@ -66,7 +66,7 @@
                     watch.fileobj.close()
             self.reactor.stop()
 
-        self.reactor.call_from_thread(call=close)
+        self.reactor.call_from_thread(callback=close)
         self.thread.join(WAIT_TIMEOUT)
 
 
--- a/tests/test_words.py
+++ b/tests/test_words.py
@@ -14,7 +14,7 @@
 from sailward.events import RequestReceived
 from sailward.routing.plan import read_plan
 from sailward.routing.proxied_request import Refusal, answer_refusal, take_exchange
-from sailward.runtime.startup import COMMON, CONTROLLER, read_startup
+from sailward.runtime.startup import COMMON_SCHEMA, CONTROLLER_SCHEMA, read_startup
 from simulation.deployments import make_arriaga
 from simulation.real.fleet import free_addresses
 
@@ -69,9 +69,9 @@
 def test_flags_go_before_the_file(tmp_path: Path) -> None:
     path = tmp_path / "settings.toml"
     path.write_text(GOOD)
-    settings = read_startup(flags={"--settings": str(path), "--hall": "gdl-b"}, schema=COMMON)
+    settings = read_startup(flags={"--settings": str(path), "--hall": "gdl-b"}, schema=COMMON_SCHEMA)
     assert (settings["hall"], settings["log_level"]) == ("gdl-b", "info")
-    assert len(read_startup(flags={"--settings": str(path)}, schema=CONTROLLER).faults) == 2
+    assert len(read_startup(flags={"--settings": str(path)}, schema=CONTROLLER_SCHEMA).faults) == 2
 
 
 @pytest.mark.parametrize(
