--- a/sailward/storage/disk.py
+++ b/sailward/storage/disk.py
@@ -26,7 +26,9 @@
 LOCK_FILE = "lock"
 """Name of the file that is locked by the process using the folder."""
 FRAME_HEADER = struct.Struct(">4sII")
+"""Header of a frame: MAGIC, length of the body in bytes, CRC-32 of the body."""
 MAGIC = b"swf1"
+"""Begins each frame; its last character is the format version."""
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/sailward/transport/address.py
+++ b/sailward/transport/address.py
@@ -17,7 +17,9 @@
 from sailward.runtime.logs import write_log
 
 LENGTH = struct.Struct(">I")
+"""Header of a frame: length of the payload in bytes."""
 GREETING = b"sailward/1 "
+"""Begins the first frame of a connection; the sender's address follows."""
 
 
 class ThreadedMessageTransport:
--- a/sailward/transport/curl_client.py
+++ b/sailward/transport/curl_client.py
@@ -22,6 +22,7 @@
 
 NAMES = WireNames()
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
+"""SO_LINGER value with which a close resets the connection and discards its unsent bytes."""
 FAULTS = {
     pycurl.E_COULDNT_CONNECT: "no-connection",
     pycurl.E_OPERATION_TIMEDOUT: "timed-out",
@@ -31,6 +32,7 @@
     pycurl.E_SEND_ERROR: "connection-lost",
     pycurl.E_WRITE_ERROR: "too-large",
 }
+"""Faults of calls by libcurl's error code; a write error means that `take_body` refused the data."""
 
 
 @dataclass(kw_only=True)
--- a/sailward/transport/http_client.py
+++ b/sailward/transport/http_client.py
@@ -19,7 +19,9 @@
 from sailward.wire_names import WireNames
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
+"""SO_LINGER value with which a close resets the connection and discards its unsent bytes."""
 CLEAN, SURPLUS, GONE = "clean", "surplus", "gone"
+"""States of a connection without a request: nothing to read, unexpected bytes, closed by the peer."""
 
 CONNECT_FAULTS = {errno.ECONNREFUSED: "refused", errno.ETIMEDOUT: "connect-timeout"}
 """Faults of failed connects by errno: `refused` is the reply of a running machine with no listener on the port."""
--- a/sailward/transport/message_transport.py
+++ b/sailward/transport/message_transport.py
@@ -20,7 +20,9 @@
 from sailward.transport.address import split_address
 
 LENGTH = struct.Struct(">IB")
+"""Header of a frame: length of the payload in bytes, and its encoding."""
 PLAIN, COMPRESSED = 0, 1
+"""Encodings of a payload."""
 
 
 @dataclass(kw_only=True)
