--- a/sailward/transport/curl_client.py
+++ b/sailward/transport/curl_client.py
@@ -116,7 +116,7 @@
         self._active: dict = {}
         self._free_handles: list[pycurl.Curl] = []
         self._openers: dict[int, ActiveCall] = {}
-        self._reusable: dict[int, str] = {}
+        self._completed_sockets: dict[int, str] = {}
 
     def start(self, *, call: StartCall) -> None:
         """Queue a call."""
@@ -179,7 +179,7 @@
             return
         handle = self._free_handles.pop() if self._free_handles else pycurl.Curl()
         active = ActiveCall(call=call, handle=handle)
-        self._reusable = {fd: owner for fd, owner in self._reusable.items() if owner != call.owner}
+        self._completed_sockets = {fd: owner for fd, owner in self._completed_sockets.items() if owner != call.owner}
         handle.setopt(pycurl.SOCKOPTFUNCTION, lambda fd, _: self._open_socket(fd=fd, active=active))
         handle.setopt(pycurl.CLOSESOCKETFUNCTION, lambda fd: self._close_socket(fd=fd))
         _set_connection(handle=handle, call=call)
@@ -199,10 +199,10 @@
     def _close_socket(self, *, fd: int) -> int:
         """Close a socket and discard an aborted call's unsent bytes: they must not arrive after a partition heals."""
         opener = self._openers.pop(fd, None)
-        is_reusable = self._reusable.pop(fd, None) is not None or (
+        has_completed = self._completed_sockets.pop(fd, None) is not None or (
             opener is not None and opener.call.fresh and bool(opener.headers)
         )
-        if not is_reusable:
+        if not has_completed:
             with _borrow_socket(fd=fd) as connection:
                 connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         os.close(fd)
@@ -227,7 +227,7 @@
             result = CallFinished(token=token, code=0, headers={}, body=b"", sent=is_sent, fault=fault)
         else:
             if not active.call.fresh:
-                self._reusable[handle.getinfo(pycurl.LASTSOCKET)] = active.call.owner
+                self._completed_sockets[handle.getinfo(pycurl.LASTSOCKET)] = active.call.owner
             result = CallFinished(
                 token=token,
                 code=handle.getinfo(pycurl.RESPONSE_CODE),
