--- a/tests/http_server_harness.py
+++ b/tests/http_server_harness.py
@@ -24,7 +24,7 @@
         self.changed = threading.Condition()
         self.answer_immediately = None
         self.reactor = Reactor(clock=lambda: time.monotonic() + self.clock_offset)
-        self.front = HttpServer(
+        self.server = HttpServer(
             reactor=self.reactor, address="127.0.0.1:0", name="edge", deliver=self.deliver, limits=lambda: self.limits
         )
         self.thread = threading.Thread(target=self.reactor.run, daemon=True)
@@ -36,7 +36,7 @@
             self.delivered.append(event)
             self.changed.notify_all()
         if self.answer_immediately and isinstance(event, RequestReceived):
-            self.front.answer(command=self.answer_immediately(event))
+            self.server.answer(command=self.answer_immediately(event))
 
     def on_reactor(self, call):
         done, results = threading.Event(), []
@@ -60,10 +60,10 @@
 
     def answer(self, event, *, code=200, body=b"", headers=None, close=False) -> bool:
         command = Respond(token=event.token, code=code, body=body, headers=headers or {}, close=close)
-        return self.on_reactor(lambda: self.front.answer(command=command))
+        return self.on_reactor(lambda: self.server.answer(command=command))
 
     def connect(self) -> socket.socket:
-        sock = socket.create_connection(("127.0.0.1", self.front.port), timeout=WAIT_TIMEOUT)
+        sock = socket.create_connection(("127.0.0.1", self.server.port), timeout=WAIT_TIMEOUT)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.sockets.append(sock)
         return sock
--- a/tests/http_server_script.py
+++ b/tests/http_server_script.py
@@ -82,7 +82,7 @@
         self.answered: set[str] = set()
         self.disconnected: set[str] = set()
         with mock.patch.object(http_server.socket, "socket", lambda *kind: self.listener):
-            self.front = http_server.HttpServer(
+            self.server = http_server.HttpServer(
                 reactor=self.reactor, address="127.0.0.1:0", name="front", deliver=self._on_event, limits=lambda: LIMITS
             )
         self.callers = [self._connect(number=number) for number in range(CALLERS)]
@@ -107,7 +107,7 @@
         assert all(self.requests[token][0].is_half_closed for token in reported_and_answered), (
             "a disconnect of a client that stayed was reported"
         )
-        assert self.front.open_count() == 0 and self.front.connection_count() == 0
+        assert self.server.open_count() == 0 and self.server.connection_count() == 0
 
     def do_send(self, at: int, form: int) -> None:
         """A client sends a further request."""
@@ -153,7 +153,7 @@
         name = f"{caller.number}/{index}"
         self.answered.add(token)
         answer = Respond(token=token, code=code, body=name.encode(), headers={"X-For": name})
-        assert self.front.answer(command=answer) or caller.sock.is_closed, "an answer to a connected client was lost"
+        assert self.server.answer(command=answer) or caller.sock.is_closed, "an answer to a connected client was lost"
 
     def do_leave(self, at: int, way: int) -> None:
         """A client resets its connection, or closes only its sending side."""
@@ -177,7 +177,7 @@
 
     def do_stop(self, _: int, __: int) -> None:
         """The server begins to drain."""
-        self.front.drain()
+        self.server.drain()
 
     def check(self) -> None:
         """Each client has read complete answers to its requests, in order; the last may still be incomplete."""
--- a/tests/test_http_server_connections.py
+++ b/tests/test_http_server_connections.py
@@ -30,7 +30,7 @@
     code, headers, _ = reader.response()
     assert code == 200 and "keep-alive" not in headers and "connection" not in headers
     assert reader.is_ended()
-    edge.wait_until(lambda: edge.front.connection_count() == 0)
+    edge.wait_until(lambda: edge.server.connection_count() == 0)
 
 
 def test_unanswered_connection_is_not_idle(edge):
@@ -51,7 +51,7 @@
     disconnects = edge.wait(ClientDisconnected, 2)
     assert {event.token for event in disconnects} == {event.token for event in events}
     assert not edge.answer(events[0], body=b"nobody")
-    assert edge.on_reactor(edge.front.open_count) == 0 and edge.on_reactor(edge.front.connection_count) == 0
+    assert edge.on_reactor(edge.server.open_count) == 0 and edge.on_reactor(edge.server.connection_count) == 0
 
 
 def test_half_closed_client_counts_as_disconnected_and_is_answered(edge):
@@ -68,7 +68,7 @@
     _, headers, body = reader.response()
     assert body == b"/b" and headers["connection"] == "close"
     assert reader.is_ended() and edge.delivered_of(ClientDisconnected) == disconnects
-    edge.wait_until(lambda: edge.front.connection_count() == 0)
+    edge.wait_until(lambda: edge.server.connection_count() == 0)
 
 
 def test_only_unanswered_requests_are_reported_when_the_client_closes(edge):
@@ -93,7 +93,7 @@
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
     edge.answer(event, body=b"nobody")
-    edge.wait_until(lambda: edge.front.connection_count() == 0)
+    edge.wait_until(lambda: edge.server.connection_count() == 0)
     assert edge.delivered_of(ClientDisconnected) == [ClientDisconnected(token=event.token)]
 
 
@@ -125,9 +125,9 @@
     reader.response()
     busy.sendall(get("/a") + get("/b") + b"POST /c HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\n")
     first, second = edge.wait(RequestReceived, 3)[1:]
-    edge.wait_until(lambda: edge.front.open_count() == 3)
+    edge.wait_until(lambda: edge.server.open_count() == 3)
     edge.answer(second, body=b"b")
-    edge.on_reactor(edge.front.drain)
+    edge.on_reactor(edge.server.drain)
     assert reader.is_ended()
     busy.sendall(b"123456789")
     edge.settle()
@@ -151,14 +151,14 @@
 def test_draining_closes_connections_without_requests(edge, monkeypatch):
     monkeypatch.setattr(constants, "HTTP_SERVER_FIRST_REQUEST_GRACE", 0.05)
     sock = edge.connect()
-    edge.on_reactor(edge.front.drain)
+    edge.on_reactor(edge.server.drain)
     assert Reader(sock).is_ended()
 
 
 def test_closed_listener_takes_no_more(edge):
     sock = edge.connect()
-    edge.wait_until(lambda: edge.front.connection_count() == 1)
-    edge.on_reactor(edge.front.close_listener)
+    edge.wait_until(lambda: edge.server.connection_count() == 1)
+    edge.on_reactor(edge.server.close_listener)
     with pytest.raises(OSError):
         edge.connect()
     sock.sendall(get())
@@ -170,14 +170,14 @@
     sock = edge.connect()
     sock.sendall(get())
     edge.answer(edge.wait(RequestReceived, 1)[0], body=b"a" * (16 << 20))
-    edge.wait_until(lambda: edge.front.connection_count() == 0)
-    assert edge.on_reactor(edge.front.open_count) == 0
+    edge.wait_until(lambda: edge.server.connection_count() == 0)
+    assert edge.on_reactor(edge.server.open_count) == 0
 
 
 def test_connections_are_bounded(edge, monkeypatch):
     monkeypatch.setattr(constants, "HTTP_SERVER_MAX_CONNECTIONS", 1)
     open_sock = edge.connect()
-    edge.wait_until(lambda: edge.front.connection_count() == 1)
+    edge.wait_until(lambda: edge.server.connection_count() == 1)
     assert Reader(edge.connect()).is_ended()
     open_sock.sendall(get())
     edge.wait(RequestReceived, 1)
--- a/tests/test_http_server_requests.py
+++ b/tests/test_http_server_requests.py
@@ -29,14 +29,14 @@
     assert (event.method, event.path, event.target) == ("GET", "/a%20b/c", "/a%20b/c?x=1&y=&z=%41")
     assert event.query == {"x": "1", "y": "", "z": "A"}
     assert event.headers == {"host": "a.example", "x-one": "1, 2"} and event.body == b""
-    assert edge.on_reactor(edge.front.open_count) == 1
+    assert edge.on_reactor(edge.server.open_count) == 1
     assert edge.answer(
         event, body=b"hello", headers={"X-Seal": "s", "Content-Length": "9", "connection": "x", "Bad": "a\r\nb"}
     )
     code, headers, body = Reader(sock).response()
     assert (code, body) == (200, b"hello")
     assert headers == {"x-seal": "s", "content-length": "5", "keep-alive": "timeout=14"}
-    assert edge.on_reactor(edge.front.open_count) == 0
+    assert edge.on_reactor(edge.server.open_count) == 0
     assert not edge.answer(event)
 
 
@@ -119,7 +119,7 @@
                 break
     else:
         sock.sendall(raw + get("/smuggled"))
-    edge.wait_until(lambda: edge.front.open_count() == 2)
+    edge.wait_until(lambda: edge.server.open_count() == 2)
     edge.answer(event, body=b"first")
     reader = Reader(sock)
     code, headers, body = reader.response()
--- a/tests/test_http_server_responses.py
+++ b/tests/test_http_server_responses.py
@@ -84,12 +84,12 @@
     (event,) = edge.wait(RequestReceived, 1)
     body = bytes(range(256)) * (1 << 15)
     edge.answer(event, body=body)
-    assert edge.on_reactor(edge.front.open_count) == 1
+    assert edge.on_reactor(edge.server.open_count) == 1
     sock.sendall(b"x" * 1000)
     time.sleep(0.05)
     reader = Reader(sock)
     assert reader.response()[2] == body and reader.is_ended()
-    edge.wait_until(lambda: edge.front.open_count() == 0)
+    edge.wait_until(lambda: edge.server.open_count() == 0)
 
 
 def test_head_has_a_length_and_no_body(edge):
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -63,9 +63,9 @@
     edge.wait(RequestReceived, 1)
 
     def stop_watching() -> list:
-        [connection] = edge.front._connections
+        [connection] = edge.server._connections
         connection.watched_events = (False, False)
-        return check_departures(connection=connection, pending=edge.front._pending)
+        return check_departures(connection=connection, pending=edge.server._pending)
 
     [log] = edge.on_reactor(stop_watching)
     assert (log.event, log.fields["invariant"]) == ("invariant-violated", "callers-watched")
