--- a/sailward/transport/wsgi_server.py
+++ b/sailward/transport/wsgi_server.py
@@ -47,9 +47,8 @@
         """Answer a malformed request, of which nothing was run."""
         body = json.dumps({"error": "malformed", "detail": message or "", "ran": "not-run"}).encode() + b"\n"
         self.close_connection = True
-        self.request_version = (
-            self.protocol_version
-        )  # otherwise a request line without a version gets a response without headers
+        # otherwise a request line without a version gets a response without headers
+        self.request_version = self.protocol_version
         self.send_response(code)
         for name, value in (
             ("Content-Type", "application/json"),
