--- a/tests/test_shards.py
+++ b/tests/test_shards.py
@@ -228,6 +228,12 @@
     assert counts["busy"]["a"] / KEYS > 0.9 * throughputs["a"] / sum(throughputs.values())
 
 
+def test_workers_that_respond_within_half_a_millisecond_have_a_throughput() -> None:
+    """Proxies report latencies in whole ms, so that of a fast worker is 0 and must not end the controller."""
+    throughputs = estimate_throughputs(capacities={"a": 4, "b": 4}, latencies={"a": (0.0, 500), "b": (0.0, 500)})
+    assert min(throughputs.values()) > 0
+
+
 def test_latency_of_few_samples_counts_little_and_is_bounded() -> None:
     latencies = {"a": (0.01, 500), "b": (0.1, 500), "c": (0.1, 500), "d": (5.0, 500), "e": (1.0, 1)}
     throughputs = estimate_throughputs(capacities=dict.fromkeys("abcdef", 4), latencies=latencies)
