--- a/simulation/measure.py
+++ b/simulation/measure.py
@@ -22,12 +22,12 @@
 from docopt import docopt
 
 from simulation.deployments import make_arriaga
-from simulation.real.callers import ask
+from simulation.real.callers import send_request
 from simulation.real.fleet import Fleet
-from simulation.run_fleet import bring_up
+from simulation.run_fleet import start_and_configure
 
 
-def cpu_of(*, fleet: Fleet) -> dict[str, float]:
+def cpu_seconds(*, fleet: Fleet) -> dict[str, float]:
     """CPU seconds so far, by program."""
     tick = os.sysconf("SC_CLK_TCK")
     seconds: dict[str, float] = collections.defaultdict(float)
@@ -37,27 +37,27 @@
     return dict(seconds)
 
 
-def time_kind(*, fleet: Fleet, kind: str, count: int, start: int) -> list[float]:
+def time_exchanges(*, fleet: Fleet, kind: str, count: int, start: int) -> list[float]:
     """Seconds of each of `count` exchanges, one after the other."""
     worker = fleet.workers["orders-gdl-a-0"]
-    proxy = fleet.https["proxy-0"]
+    proxy = fleet.http_addresses["proxy-0"]
     times = []
     for number in range(start, start + count):
         headers = {"Sailward-Tenant": "hotels", "X-Caller": f"m{number}", "Sailward-Try": "1"}
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         if kind == "direct":
-            code, _, _ = ask(address=worker["address"], method="GET", path="/orders/", headers=headers)
+            code, _, _ = send_request(address=worker["address"], method="GET", path="/orders/", headers=headers)
         elif kind == "safe":
-            code, _, _ = ask(address=proxy, method="GET", path="/orders/", headers=headers)
+            code, _, _ = send_request(address=proxy, method="GET", path="/orders/", headers=headers)
         else:
-            code, _, _ = ask(
+            code, _, _ = send_request(
                 address=proxy,
                 method="POST",
                 path="/orders/",
                 body=b"{}",
                 headers={**headers, "Idempotency-Key": f"{kind}{number}"},
             )
-        times.append(time.perf_counter() - began)
+        times.append(time.perf_counter() - started_at)
         if code != 200:
             raise RuntimeError(f"{kind} {number}: {code}")
         time.sleep(0.004)
@@ -68,32 +68,31 @@
     """Measure and print."""
     flags = docopt(__doc__)
     count, rounds = int(flags["--count"]), int(flags["--rounds"])
-    whole = make_arriaga()
     fleet = Fleet(
-        deployment=whole,
+        deployment=make_arriaga(),
         folder=Path(tempfile.mkdtemp(prefix="sailward-measure-")),
         python=flags["--python"] or sys.executable,
     )
     try:
-        bring_up(fleet=fleet)
+        start_and_configure(fleet=fleet)
         time.sleep(12)  # past the cold ramp, so that no bound speaks
-        idle = cpu_of(fleet=fleet)
+        idle = cpu_seconds(fleet=fleet)
         time.sleep(5)
-        rest = {name: (cpu - idle[name]) / 5 for name, cpu in cpu_of(fleet=fleet).items()}
-        print("at rest, CPU s/s: " + ", ".join(f"{name} {cpu:.3f}" for name, cpu in sorted(rest.items())))
+        idle_rates = {name: (cpu - idle[name]) / 5 for name, cpu in cpu_seconds(fleet=fleet).items()}
+        print("at rest, CPU s/s: " + ", ".join(f"{name} {cpu:.3f}" for name, cpu in sorted(idle_rates.items())))
         medians: dict = collections.defaultdict(list)
-        used: dict = collections.defaultdict(lambda: collections.defaultdict(float))
+        used_cpu: dict = collections.defaultdict(lambda: collections.defaultdict(float))
         for turn in range(rounds):
             for kind in ("direct", "safe", "unsafe"):
-                before, began = cpu_of(fleet=fleet), time.monotonic()
-                times = time_kind(fleet=fleet, kind=kind, count=count, start=turn * count)
-                took = time.monotonic() - began
+                before, started_at = cpu_seconds(fleet=fleet), time.monotonic()
+                times = time_exchanges(fleet=fleet, kind=kind, count=count, start=turn * count)
+                elapsed = time.monotonic() - started_at
                 medians[kind].append(statistics.median(times) * 1000)
-                for name, cpu in cpu_of(fleet=fleet).items():
-                    used[kind][name] += cpu - before[name] - rest[name] * took
+                for name, cpu in cpu_seconds(fleet=fleet).items():
+                    used_cpu[kind][name] += cpu - before[name] - idle_rates[name] * elapsed
         for kind, values in medians.items():
             cpu = ", ".join(
-                f"{name} {seconds / rounds / count * 1000:.2f}" for name, seconds in sorted(used[kind].items())
+                f"{name} {seconds / rounds / count * 1000:.2f}" for name, seconds in sorted(used_cpu[kind].items())
             )
             print(
                 f"{kind}: median ms {min(values):.1f} to {max(values):.1f} "
--- a/simulation/real/callers.py
+++ b/simulation/real/callers.py
@@ -15,8 +15,8 @@
 from simulation.history import History
 from simulation.mind import judge_body
 
-MOST_TRIES = 6
-PATIENCE = 8.0
+MAX_TRIES = 6
+ANSWER_TIMEOUT = 8.0
 
 
 class Callers:
@@ -43,18 +43,18 @@
             time.sleep(max(0.0, at - time.monotonic()))
             self.lag = max(self.lag, time.monotonic() - at)
             kind = self._rng.choices(kinds, weights=[one.part for one in kinds])[0]
-            self._threads.submit(self._order, kind)
+            self._threads.submit(self._send_order, kind)
         self._threads.shutdown(wait=True)
 
-    def _order(self, kind) -> None:
+    def _send_order(self, kind) -> None:
         number = next(self._count)
         part = f"part{number % kind.keys}" if kind.keys else ""
         nonce, key = f"n{number}", f"k{number}" if kind.unsafe else ""
-        for turn in range(1, MOST_TRIES + 1):
-            wait = self._send(kind=kind, nonce=nonce, key=key, turn=turn, part=part)
-            if wait is None:
+        for try_number in range(1, MAX_TRIES + 1):
+            pause = self._send(kind=kind, nonce=nonce, key=key, try_number=try_number, part=part)
+            if pause is None:
                 return
-            time.sleep(0.02 if kind.eager else wait * self._rng.uniform(1.0, 1.5))
+            time.sleep(0.02 if kind.eager else pause * self._rng.uniform(1.0, 1.5))
 
     def _proxies(self, *, region: str) -> list[str]:
         at, known = self._known.get(region, (-1e9, []))
@@ -62,7 +62,7 @@
             return known
         for directory in self._rng.sample(self._directories, len(self._directories)):
             try:
-                code, _, body = ask(
+                code, _, body = send_request(
                     address=directory, method="GET", path=f"/proxies?region={region}&hall=&caller={self._rng.random()}"
                 )
             except OSError:
@@ -73,23 +73,23 @@
                 return known
         return known
 
-    def _choose(self, *, known: list[str], turn: int) -> str:
-        proxy = self._rng.choice(known[:3] if turn == 1 else known)
-        if not is_open(address=proxy):
+    def _choose_proxy(self, *, known: list[str], try_number: int) -> str:
+        proxy = self._rng.choice(known[:3] if try_number == 1 else known)
+        if not is_listening(address=proxy):
             # nobody listens there: the next address on the list, at once
-            proxy = next((peer for peer in known if peer != proxy and is_open(address=peer)), proxy)
+            proxy = next((peer for peer in known if peer != proxy and is_listening(address=peer)), proxy)
         return proxy
 
-    def _send(self, *, kind, nonce: str, key: str, turn: int, part: str) -> float | None:
+    def _send(self, *, kind, nonce: str, key: str, try_number: int, part: str) -> float | None:
         known = self._proxies(region=kind.region)
         if not known:
             return 1.0
-        proxy = self._choose(known=known, turn=turn)
+        proxy = self._choose_proxy(known=known, try_number=try_number)
         headers = {
             "Sailward-Tenant": kind.tenant,
             "X-Caller": nonce,
-            "X-Caller-Try": str(turn),
-            "Sailward-Try": str(turn),
+            "X-Caller-Try": str(try_number),
+            "Sailward-Try": str(try_number),
             "Content-Type": "application/json",
         }
         if key:
@@ -97,18 +97,18 @@
         common = {
             "nonce": nonce,
             "key": key,
-            "turn": turn,
+            "turn": try_number,
             "tenant": kind.tenant,
             "path": kind.path,
             "unsafe": kind.unsafe,
             "proxy": proxy,
         }
-        began = time.monotonic()
-        self._history.add(t=began, k="sent", region=kind.region, **common)
-        code, seen, body = 0, {}, b""
-        held = fault = ""
+        started_at = time.monotonic()
+        self._history.add(t=started_at, k="sent", region=kind.region, **common)
+        code, response_headers, body = 0, {}, b""
+        fault, has_timed_out = "", False
         try:
-            code, seen, body = ask(
+            code, response_headers, body = send_request(
                 address=proxy,
                 method="POST" if kind.unsafe else "GET",
                 headers=headers,
@@ -116,7 +116,7 @@
                 body=b'{"lot": 1}' if kind.unsafe else b"",
             )
         except TimeoutError:
-            held = "held"
+            has_timed_out = True
         except (OSError, http.client.HTTPException) as error:
             fault = type(error).__name__
         verdict = judge_body(code=code, body=body, nonce=nonce, path=kind.path) if code else ""
@@ -125,21 +125,21 @@
             t=time.monotonic(),
             k="got",
             code=code,
-            ran=seen.get("sailward-ran", ""),
+            ran=response_headers.get("sailward-ran", ""),
             verdict=verdict,
             reason=reason,
-            held=bool(held),
-            retry_after=seen.get("retry-after", ""),
-            took=time.monotonic() - began,
+            held=has_timed_out,
+            retry_after=response_headers.get("retry-after", ""),
+            took=time.monotonic() - started_at,
             taken=fault != "ConnectionRefusedError",
             **common,
         )
         if verdict == "good" or code in (400, 404, 405, 413, 422, 428):
             return None
-        return float(seen.get("retry-after") or 1.0)
+        return float(response_headers.get("retry-after") or 1.0)
 
 
-def is_open(*, address: str) -> bool:
+def is_listening(*, address: str) -> bool:
     """Does anybody listen there?"""
     host, port = address.rsplit(":", 1)
     try:
@@ -149,12 +149,18 @@
         return False
 
 
-def ask(
-    *, address: str, method: str, path: str, headers: dict | None = None, body: bytes = b"", wait: float = PATIENCE
+def send_request(
+    *,
+    address: str,
+    method: str,
+    path: str,
+    headers: dict | None = None,
+    body: bytes = b"",
+    timeout: float = ANSWER_TIMEOUT,
 ) -> tuple[int, dict, bytes]:
     """One HTTP exchange, read whole."""
     host, port = address.rsplit(":", 1)
-    connection = http.client.HTTPConnection(host, int(port), timeout=wait)
+    connection = http.client.HTTPConnection(host, int(port), timeout=timeout)
     try:
         connection.request(method, path, body=body or None, headers=headers or {})
         response = connection.getresponse()
--- a/simulation/real/hosted_fleet.py
+++ b/simulation/real/hosted_fleet.py
@@ -19,7 +19,7 @@
 import yaml
 
 ROOT = Path(__file__).parent.parent.parent
-PATIENCE = 60.0
+WAIT_TIMEOUT = 60.0
 """s that something is waited for before it counts as never coming."""
 ZONES = {"north-a": "north", "south-a": "south", "north-b": "north"}
 
@@ -41,7 +41,7 @@
         """Say nothing."""
 
 
-def ask(address: str, method: str, path: str, body: bytes = b"", **headers: str) -> tuple[int, dict, bytes]:
+def send_request(address: str, method: str, path: str, body: bytes = b"", **headers: str) -> tuple[int, dict, bytes]:
     """One request and its answer; code 0 if none came. An underscore in a header's name stands for a dash."""
     connection = http.client.HTTPConnection(address, timeout=10)
     try:
@@ -56,13 +56,13 @@
         connection.close()
 
 
-def until(question: Callable[[], object], *, what: str = "it") -> object:
+def wait_until(condition: Callable[[], object], *, what: str = "it") -> object:
     """What this gives, once that is true."""
-    end = time.monotonic() + PATIENCE
+    end = time.monotonic() + WAIT_TIMEOUT
     while time.monotonic() < end:
-        found = question()
-        if found:
-            return found
+        value = condition()
+        if value:
+            return value
         time.sleep(0.05)
     raise AssertionError(f"{what} never came")
 
@@ -85,17 +85,17 @@
 
     def __init__(self, *, folder: Path, list_address: str) -> None:
         self.folder, self._list_address = folder, list_address
-        self.net, self.port = random.randrange(2, 250), random.randrange(20000, 30000, 16)
+        self.subnet, self.port = random.randrange(2, 250), random.randrange(20000, 30000, 16)
         self.settings = {}
         for at, zone in enumerate(ZONES):
-            self.settings[f"controller-{at}"] = self._make(role="controller", at=at, zone=zone)
+            self.settings[f"controller-{at}"] = self._make_settings(role="controller", index=at, zone=zone)
         for at, zone in enumerate(("north-a", "south-a")):
-            self.settings[f"proxy-{at}"] = self._make(role="proxy", at=10 + at, zone=zone)
+            self.settings[f"proxy-{at}"] = self._make_settings(role="proxy", index=10 + at, zone=zone)
         self.running: dict[str, subprocess.Popen] = {}
 
     def names(self, *, role: str) -> list[str]:
         """The daemons of a role."""
-        return [name for name, one in self.settings.items() if one["role"] == role]
+        return [name for name, settings in self.settings.items() if settings["role"] == role]
 
     def start(self, name: str) -> None:
         """Start a daemon with its settings; the first start of a controller founds the group."""
@@ -111,9 +111,9 @@
                 stderr=log,
             )
 
-    def at(self, name: str, edge: str) -> str:
+    def address_of(self, name: str, listener: str) -> str:
         """The address of one of a daemon's listeners."""
-        return self.settings[name]["listen"][edge]
+        return self.settings[name]["listen"][listener]
 
     def end(self) -> None:
         """Kill all daemons."""
@@ -121,22 +121,22 @@
             process.kill()
             process.wait()
 
-    def _make(self, *, role: str, at: int, zone: str) -> dict:
-        address = f"127.{self.net}.1.{at + 1}"
+    def _make_settings(self, *, role: str, index: int, zone: str) -> dict:
+        address = f"127.{self.subnet}.1.{index + 1}"
         names = ["control_plane"] if role == "controller" else ["front", "readiness", "directory"]
         return {
             "role": role,
-            "node_name": f"{role}-{at}",
+            "node_name": f"{role}-{index}",
             "ip": address,
             "zone": zone,
             "region": ZONES[zone],
             "zones": ZONES,
-            "listen": {name: f"{address}:{self.port + 10 + location}" for location, name in enumerate(names)},
+            "listen": {name: f"{address}:{self.port + 10 + offset}" for offset, name in enumerate(names)},
             "inner_port_range": [self.port, self.port + 8],
             "bootstrap": True,
             "fault_budget": {"machines": 1},
-            "seed_nodes": [f"127.{self.net}.1.{one + 1}:{self.port + 10}" for one in range(3)],
-            "data_dir": str(self.folder / f"{role}-{at}") if role == "controller" else "",
+            "seed_nodes": [f"127.{self.subnet}.1.{index + 1}:{self.port + 10}" for index in range(3)],
+            "data_dir": str(self.folder / f"{role}-{index}") if role == "controller" else "",
             "bounds": {"retry_slack": 60},
             "cloud_api": {"address": self._list_address, "rate_per_s": 40},
         }
@@ -145,7 +145,7 @@
 def make_config(*, label: int, sharded: bool = True, deadline: float = 8) -> dict:
     """A configuration with a route to each of two services, `stock` divided by key unless said otherwise."""
 
-    def rule(name: str, path: str, kind: str, service: str) -> dict:
+    def make_rule(name: str, path: str, kind: str, service: str) -> dict:
         return {
             "name": name,
             "route_kind": kind,
@@ -171,8 +171,8 @@
             {
                 "hostname": "shop",
                 "ruleset": [
-                    rule("stock", "/stock/", "idempotent", "stock"),
-                    rule("order", "/order/", "nonidempotent", "orders"),
+                    make_rule("stock", "/stock/", "idempotent", "stock"),
+                    make_rule("order", "/order/", "nonidempotent", "orders"),
                 ],
             }
         ],
--- a/simulation/real/platform.py
+++ b/simulation/real/platform.py
@@ -26,15 +26,15 @@
     def set_worker(self, *, row: dict) -> None:
         """List a worker, or mark one."""
         with self._lock:
-            old = self._rows.get(row["id"])
+            previous = self._rows.get(row["id"])
             self._rows[row["id"]] = row
             self.revision += 1
             key = f"{row['id']}/{row['generation']}"
             if row["leaving"]:
                 self._history.add(t=self._clock(), k="leaving", worker=key, revision=self.revision)
-            if old and old["generation"] != row["generation"]:
-                gone = f"{old['id']}/{old['generation']}"
-                self._history.add(t=self._clock(), k="gone", worker=gone, revision=self.revision)
+            if previous and previous["generation"] != row["generation"]:
+                removed = f"{previous['id']}/{previous['generation']}"
+                self._history.add(t=self._clock(), k="gone", worker=removed, revision=self.revision)
 
     def unlist(self, *, name: str) -> None:
         """Take a worker off the list."""
--- a/simulation/real/worker.py
+++ b/simulation/real/worker.py
@@ -47,8 +47,8 @@
         headers = {name.lower(): value for name, value in self.headers.items()}
         path = urlsplit(self.path).path
         if path == "/simulation/mode":
-            order = json.loads(body)
-            self.server.mind.mode, self.server.mind.chance = order["mode"], order["chance"]
+            request = json.loads(body)
+            self.server.mind.mode, self.server.mind.chance = request["mode"], request["chance"]
             self._send(code=200, headers={}, body=b"{}")
             return
         with self.server.lock:
--- a/simulation/run_fleet.py
+++ b/simulation/run_fleet.py
@@ -28,40 +28,42 @@
 
 from simulation.checker import check_history
 from simulation.deployments import DEPLOYMENTS
-from simulation.real.callers import Callers, ask
+from simulation.real.callers import Callers, send_request
 from simulation.real.fleet import Fleet
 
 
-def bring_up(*, fleet: Fleet) -> None:
+def start_and_configure(*, fleet: Fleet) -> None:
     """Start, found, configure, and wait until every proxy serves."""
     fleet.start_all()
-    for words, text in ((("found",), b""), (("put", "-"), json.dumps(fleet.deployment.config).encode())):
-        done = fleet.sailctl(*words, text=text)
-        if done.returncode != 0:
-            raise RuntimeError(f"sailctl {words}: {done.returncode}: {done.stderr.decode()}")
+    for command, text in ((("found",), b""), (("put", "-"), json.dumps(fleet.deployment.config).encode())):
+        completed = fleet.sailctl(*command, text=text)
+        if completed.returncode != 0:
+            raise RuntimeError(f"sailctl {command}: {completed.returncode}: {completed.stderr.decode()}")
     for name in fleet.names_of(kind="proxy"):
-        fleet.wait_for(check=lambda name=name: serves(fleet=fleet, name=name), what=f"{name} to serve")
+        fleet.wait_for(check=lambda name=name: is_serving(fleet=fleet, name=name), what=f"{name} to serve")
     for name in fleet.names_of(kind="directory"):
-        fleet.wait_for(check=lambda name=name: names_all(fleet=fleet, name=name), what=f"{name} to name all proxies")
+        fleet.wait_for(
+            check=lambda name=name: lists_all_proxies(fleet=fleet, name=name), what=f"{name} to name all proxies"
+        )
 
 
-def serves(*, fleet: Fleet, name: str) -> bool:
+def is_serving(*, fleet: Fleet, name: str) -> bool:
     """Does the proxy hold its lease and see all workers well?"""
     status = fleet.status_of(name=name)
     states = collections.Counter(status.get("workers", {}).values())
     return bool(status.get("acting")) and states["good"] == len(fleet.workers)
 
 
-def names_all(*, fleet: Fleet, name: str) -> bool:
+def lists_all_proxies(*, fleet: Fleet, name: str) -> bool:
     """Does the directory name every proxy?"""
     try:
-        code, _, body = ask(address=fleet.https[name], method="GET", path="/proxies")
+        code, _, body = send_request(address=fleet.http_addresses[name], method="GET", path="/proxies")
     except OSError:
         return False
     return code == 200 and len(json.loads(body)["proxies"]) == len(fleet.names_of(kind="proxy"))
 
 
-def do_step(*, fleet: Fleet, verb: str, name: str) -> None:
+def inject_fault(*, fleet: Fleet, verb: str, name: str) -> None:
     """Bring one fault about."""
     if verb not in ("start", "thaw", "refill", "empty"):
         fleet.history.add(t=time.monotonic(), k="trouble", verb=verb, words=[name])
@@ -71,7 +73,7 @@
         VERBS[verb](fleet=fleet, verb=verb, name=name)
         return
     for kind in fleet.kinds:
-        do_step(fleet=fleet, verb=verb, name=kind)
+        inject_fault(fleet=fleet, verb=verb, name=kind)
 
 
 def _start(*, fleet: Fleet, verb: str, name: str) -> None:
@@ -85,10 +87,10 @@
     getattr(fleet, verb)(name=name)
 
 
-def _change_code(*, fleet: Fleet, verb: str, name: str) -> None:
-    if verb == "other" and not fleet.other:
+def _switch_checkout(*, fleet: Fleet, verb: str, name: str) -> None:
+    if verb == "other" and not fleet.other_checkout:
         raise ValueError("no --other checkout is given")
-    (fleet.on_other.add if verb == "other" else fleet.on_other.discard)(name)
+    (fleet.names_on_other_checkout.add if verb == "other" else fleet.names_on_other_checkout.discard)(name)
     fleet.stop(name=name)
     fleet.start_daemon(name=name)
 
@@ -97,19 +99,21 @@
     fleet.replace_worker(name=name)
 
 
-def _leave(*, fleet: Fleet, verb: str, name: str) -> None:
+def _mark_leaving(*, fleet: Fleet, verb: str, name: str) -> None:
     fleet.platform.set_worker(row={**fleet.workers[name], "leaving": True})
 
 
-def _order(*, fleet: Fleet, verb: str, name: str) -> None:
-    begun = time.monotonic()
+def _run_zone_order(*, fleet: Fleet, verb: str, name: str) -> None:
+    started_at = time.monotonic()
     if fleet.sailctl(verb, name).returncode == 0:
-        fleet.history.add(t=time.monotonic(), k="emptied" if verb == "empty" else "refilled", hall=name, begun=begun)
+        fleet.history.add(
+            t=time.monotonic(), k="emptied" if verb == "empty" else "refilled", hall=name, begun=started_at
+        )
 
 
 def _set_mode(*, fleet: Fleet, verb: str, name: str) -> None:
     worker, mode, chance = name.split("/")
-    ask(
+    send_request(
         address=fleet.workers[worker]["address"],
         method="POST",
         path="/simulation/mode",
@@ -123,37 +127,37 @@
     "kill": _signal,
     "freeze": _signal,
     "thaw": _signal,
-    "other": _change_code,
-    "this": _change_code,
+    "other": _switch_checkout,
+    "this": _switch_checkout,
     "replace": _replace,
-    "leave": _leave,
-    "empty": _order,
-    "refill": _order,
+    "leave": _mark_leaving,
+    "empty": _run_zone_order,
+    "refill": _run_zone_order,
     "mode": _set_mode,
 }
 """What --faults may bring about, by its verb."""
 
 
-def report(*, fleet: Fleet) -> list:
+def print_report(*, fleet: Fleet) -> list:
     """Print the figures; gives the broken rules."""
-    history = fleet.whole_history()
-    broken = check_history(history=history, deployment=fleet.deployment)
-    got = history.of(k="got")
-    good = sum(row["verdict"] == "good" for row in got)
+    history = fleet.merged_history()
+    violations = check_history(history=history, deployment=fleet.deployment)
+    results = history.of(k="got")
+    good = sum(row["verdict"] == "good" for row in results)
     kinds = collections.Counter(
-        f"{row['code']}-{row['reason']}-{row['ran']}" for row in got if row["verdict"] != "good"
+        f"{row['code']}-{row['reason']}-{row['ran']}" for row in results if row["verdict"] != "good"
     )
-    times = sorted(row["took"] for row in got if row["verdict"] == "good")
-    print(f"tries {len(got)}, good {good}, others {dict(kinds)}, runs {len(history.of(k='run'))}")
-    if times:
+    response_times = sorted(row["took"] for row in results if row["verdict"] == "good")
+    print(f"tries {len(results)}, good {good}, others {dict(kinds)}, runs {len(history.of(k='run'))}")
+    if response_times:
         print(
-            f"took: median {times[len(times) // 2] * 1000:.1f} ms, "
-            f"99 of 100 under {times[int(len(times) * 0.99)] * 1000:.1f} ms"
+            f"took: median {response_times[len(response_times) // 2] * 1000:.1f} ms, "
+            f"99 of 100 under {response_times[int(len(response_times) * 0.99)] * 1000:.1f} ms"
         )
-    for breach in broken[:10]:
-        print(f"broken {breach.rule}: {breach.detail}")
-    print(f"{len(broken)} broken rules")
-    return broken
+    for violation in violations[:10]:
+        print(f"broken {violation.rule}: {violation.detail}")
+    print(f"{len(violations)} broken rules")
+    return violations
 
 
 def main() -> None:
@@ -161,36 +165,36 @@
     flags = docopt(__doc__)
     deployment = DEPLOYMENTS[flags["DEPLOYMENT"]]()
     folder = Path(flags["--folder"] or tempfile.mkdtemp(prefix="sailward-"))
-    fleet = Fleet(deployment=deployment, folder=folder, other=flags["--other"] or "")
-    fleet.on_other = set(fleet.kinds) if flags["--other"] else set()
+    fleet = Fleet(deployment=deployment, folder=folder, other_checkout=flags["--other"] or "")
+    fleet.names_on_other_checkout = set(fleet.kinds) if flags["--other"] else set()
     try:
-        began = time.monotonic()
-        bring_up(fleet=fleet)
-        print(f"up after {time.monotonic() - began:.1f} s in {folder}")
+        started_at = time.monotonic()
+        start_and_configure(fleet=fleet)
+        print(f"up after {time.monotonic() - started_at:.1f} s in {folder}")
         callers = Callers(
             deployment=deployment,
             seed=int(flags["--seed"]),
             history=fleet.history,
-            directories=[fleet.https[name] for name in fleet.names_of(kind="directory")],
+            directories=[fleet.http_addresses[name] for name in fleet.names_of(kind="directory")],
         )
         thread = threading.Thread(
             target=lambda: callers.run(
                 rate=float(flags["--rate"] or deployment.rate), seconds=float(flags["--seconds"])
             )
         )
-        began = time.monotonic()
+        started_at = time.monotonic()
         thread.start()
         for step in filter(None, (flags["--faults"] or "").split(",")):
             second, verb, name = step.split(":")
-            time.sleep(max(0.0, began + float(second) - time.monotonic()))
-            do_step(fleet=fleet, verb=verb, name=name)
+            time.sleep(max(0.0, started_at + float(second) - time.monotonic()))
+            inject_fault(fleet=fleet, verb=verb, name=name)
         thread.join()
         print(f"callers lagged {callers.lag * 1000:.0f} ms at the most")
         fleet.history.write(path=str(folder / "callers.jsonl"))
-        broken = report(fleet=fleet)
+        violations = print_report(fleet=fleet)
     finally:
         fleet.end()
-    sys.exit(1 if broken else 0)
+    sys.exit(1 if violations else 0)
 
 
 if __name__ == "__main__":
--- a/simulation/soak/__main__.py
+++ b/simulation/soak/__main__.py
@@ -28,17 +28,17 @@
     """Run the soaks of all seeds, one after the other."""
     flags = docopt(__doc__)
     first, _, last = flags["--seeds"].partition("-")
-    is_broken = False
+    has_violations = False
     for seed in range(int(first), int(last or first) + 1):
         with tempfile.TemporaryDirectory() as folder:
             verdict = asyncio.run(Soak(seed=seed, seconds=float(flags["--seconds"]), folder=Path(folder)).run())
-            print(seed, "BROKEN" if verdict.broken else "sound", verdict.figures, flush=True)
-            for breach in verdict.broken[:10]:
-                print("   ", breach, flush=True)
-            if verdict.broken:
-                is_broken = True
+            print(seed, "BROKEN" if verdict.violations else "sound", verdict.figures, flush=True)
+            for violation in verdict.violations[:10]:
+                print("   ", violation, flush=True)
+            if verdict.violations:
+                has_violations = True
                 shutil.copytree(folder, Path(flags["--keep"], f"seed-{seed}"), dirs_exist_ok=True)
-    sys.exit(int(is_broken))
+    sys.exit(int(has_violations))
 
 
 if __name__ == "__main__":
--- a/simulation/soak/troubles.py
+++ b/simulation/soak/faults.py
@@ -11,16 +11,16 @@
 from simulation.real.hosted_fleet import HostedFleet
 from simulation.soak.worker import SoakWorker
 
-GAP = (0.4, 0.9)
+FAULT_INTERVAL = (0.4, 0.9)
 """s from the beginning of a trouble to that of the next."""
-SPAN = (0.8, 2.2)
+FAULT_DURATION = (0.8, 2.2)
 """s that a trouble lasts: two or three overlap."""
-LOST = 0.5
+LOST_ANSWER_SHARE = 0.5
 """Share of the answers that a worker loses while it does."""
 
 
 @dataclass(frozen=True, kw_only=True)
-class Trouble:
+class Fault:
     """One trouble; `at` and `seconds` in s of the soak."""
 
     at: float
@@ -29,50 +29,52 @@
     seconds: float
 
 
-class Troubles:
+class FaultInjector:
     """Brings troubles about on a fleet and its workers."""
 
     def __init__(self, *, fleet: HostedFleet, workers: list[SoakWorker]) -> None:
         self._fleet, self._workers = fleet, {worker.name: worker for worker in workers}
-        self._busy: set[str] = set()
-        self.done: list[Trouble] = []
+        self._targets_in_fault: set[str] = set()
+        self.injected: list[Fault] = []
 
-    def draw(self, *, rng: random.Random, seconds: float) -> list[Trouble]:
+    def draw(self, *, rng: random.Random, seconds: float) -> list[Fault]:
         """The troubles of a soak of so many s."""
         kinds = {"kill": list(self._fleet.settings), "pause": list(self._fleet.settings)}
         kinds |= {"cut": list(self._workers), "lose-answers": list(self._workers)}
-        drawn, at = [], rng.uniform(*GAP)
+        faults, at = [], rng.uniform(*FAULT_INTERVAL)
         while at < seconds:
             kind = rng.choice(list(kinds))
-            drawn.append(Trouble(at=at, kind=kind, target=rng.choice(kinds[kind]), seconds=rng.uniform(*SPAN)))
-            at += rng.uniform(*GAP)
-        return drawn
+            faults.append(Fault(at=at, kind=kind, target=rng.choice(kinds[kind]), seconds=rng.uniform(*FAULT_DURATION)))
+            at += rng.uniform(*FAULT_INTERVAL)
+        return faults
 
-    async def bring(self, *, trouble: Trouble) -> None:
+    async def inject(self, *, fault: Fault) -> None:
         """Wait for the trouble's time, bring it about and end it; one whose target is in trouble is left out."""
-        await asyncio.sleep(trouble.at)
-        if trouble.target in self._busy:
+        await asyncio.sleep(fault.at)
+        if fault.target in self._targets_in_fault:
             return
-        self._busy.add(trouble.target)
-        self.done.append(trouble)
-        acts: dict[str, Callable[[Trouble], Awaitable[None]]] = {
+        self._targets_in_fault.add(fault.target)
+        self.injected.append(fault)
+        actions: dict[str, Callable[[Fault], Awaitable[None]]] = {
             "kill": self._kill,
             "pause": self._pause,
-            "cut": lambda one: self._workers[one.target].cut(seconds=one.seconds),
-            "lose-answers": lambda one: self._workers[one.target].lose_answers(seconds=one.seconds, share=LOST),
+            "cut": lambda fault: self._workers[fault.target].stall(seconds=fault.seconds),
+            "lose-answers": lambda fault: self._workers[fault.target].lose_answers(
+                seconds=fault.seconds, share=LOST_ANSWER_SHARE
+            ),
         }
-        await acts[trouble.kind](trouble)
-        self._busy.discard(trouble.target)
+        await actions[fault.kind](fault)
+        self._targets_in_fault.discard(fault.target)
 
-    async def _kill(self, trouble: Trouble) -> None:
-        process = self._fleet.running[trouble.target]
+    async def _kill(self, fault: Fault) -> None:
+        process = self._fleet.running[fault.target]
         process.kill()
         await asyncio.to_thread(process.wait)
-        await asyncio.sleep(trouble.seconds)
-        self._fleet.start(trouble.target)
+        await asyncio.sleep(fault.seconds)
+        self._fleet.start(fault.target)
 
-    async def _pause(self, trouble: Trouble) -> None:
-        process = self._fleet.running[trouble.target]
+    async def _pause(self, fault: Fault) -> None:
+        process = self._fleet.running[fault.target]
         process.send_signal(signal.SIGSTOP)
-        await asyncio.sleep(trouble.seconds)
+        await asyncio.sleep(fault.seconds)
         process.send_signal(signal.SIGCONT)
--- a/simulation/soak/http_head.py
+++ b/simulation/soak/http_head.py
@@ -12,21 +12,21 @@
 class HttpMessage:
     """A message: the words of its first line, its headers by lower-case name, its body."""
 
-    first: tuple[str, ...]
+    start_line: tuple[str, ...]
     headers: dict[str, str]
     body: bytes
 
 
 async def read_message(*, reader: asyncio.StreamReader) -> HttpMessage:
     """The next message. Raises IncompleteReadError if the stream ends first, OSError if its connection is reset."""
-    first, *lines = (await reader.readuntil(HEAD_END)).decode("latin-1").strip().split("\r\n")
+    start, *lines = (await reader.readuntil(HEAD_END)).decode("latin-1").strip().split("\r\n")
     pairs = (line.partition(":") for line in lines)
     headers = {name.strip().lower(): value.strip() for name, _, value in pairs}
     body = await reader.readexactly(int(headers.get("content-length", "0")))
-    return HttpMessage(first=tuple(first.split()), headers=headers, body=body)
+    return HttpMessage(start_line=tuple(start.split()), headers=headers, body=body)
 
 
-def write_message(*, first: str, headers: dict[str, str], body: bytes = b"") -> bytes:
+def write_message(*, start_line: str, headers: dict[str, str], body: bytes = b"") -> bytes:
     """The bytes of a message."""
-    lines = [first, *(f"{name}: {value}" for name, value in headers.items()), f"Content-Length: {len(body)}"]
+    lines = [start_line, *(f"{name}: {value}" for name, value in headers.items()), f"Content-Length: {len(body)}"]
     return "\r\n".join(lines).encode() + HEAD_END + body
--- a/simulation/soak/judge.py
+++ b/simulation/soak/judge.py
@@ -7,9 +7,9 @@
 
 from simulation.soak.records import Attempt, Records
 
-PROMISES = (408, 421, 429, 503)
+NOT_EXECUTED_CODES = (408, 421, 429, 503)
 """Codes that say: it has not run and never will."""
-BAD_LINES = (
+FORBIDDEN_LOG_TEXTS = (
     "event=invariant-violated",
     "event=fault",
     "event=command-unexpected",
@@ -21,16 +21,16 @@
 
 def judge_attempts(*, records: Records) -> Iterator[str]:
     """Breaches by requests."""
-    for name in records.strangers:
+    for name in records.unknown_names:
         yield f"UNASKED: {name} ran, which nobody sent"
     for attempt in records.attempts.values():
         yield from _judge_attempt(attempt=attempt)
 
 
 def _judge_attempt(*, attempt: Attempt) -> Iterator[str]:
-    if attempt.is_once and len(attempt.runs) > 1:
+    if attempt.is_nonidempotent and len(attempt.runs) > 1:
         yield f"TWICE: {attempt.name} ran {len(attempt.runs)} times"
-    if attempt.is_once and attempt.runs and attempt.code in PROMISES:
+    if attempt.is_nonidempotent and attempt.runs and attempt.code in NOT_EXECUTED_CODES:
         yield f"REFUSED: {attempt.name} got {attempt.code} and ran"
     if attempt.code == 200 and attempt.body != f"body of {attempt.name}".encode():
         yield f"MIXED: {attempt.name} got {attempt.body!r}"
@@ -40,5 +40,5 @@
     """Breaches by the daemons' own words."""
     for path in sorted(folder.glob("*.log")):
         for line in path.read_text("utf-8", "replace").splitlines():
-            if any(bad in line for bad in BAD_LINES):
+            if any(text in line for text in FORBIDDEN_LOG_TEXTS):
                 yield f"LOG: {path.stem}: {line[:300]}"
--- a/simulation/soak/records.py
+++ b/simulation/soak/records.py
@@ -28,8 +28,8 @@
     """One request of a caller: whether it left before the answer, and the answer; `code` 0 if none came whole."""
 
     name: str
-    is_once: bool
-    has_left: bool = False
+    is_nonidempotent: bool
+    has_disconnected: bool = False
     code: int = 0
     body: bytes = b""
     runs: list[Run] = field(default_factory=list)
@@ -40,11 +40,11 @@
     """All requests of a soak by their id, and the ids that ran though nobody sent them."""
 
     attempts: dict[str, Attempt] = field(default_factory=dict)
-    strangers: list[str] = field(default_factory=list)
+    unknown_names: list[str] = field(default_factory=list)
 
-    def begin(self, *, name: str, is_once: bool) -> Attempt:
+    def begin(self, *, name: str, is_nonidempotent: bool) -> Attempt:
         """Write down a request that is about to be sent."""
-        self.attempts[name] = Attempt(name=name, is_once=is_once)
+        self.attempts[name] = Attempt(name=name, is_nonidempotent=is_nonidempotent)
         return self.attempts[name]
 
     def run(self, *, name: str, worker: str) -> Run:
@@ -53,13 +53,15 @@
         if name in self.attempts:
             self.attempts[name].runs.append(run)
         else:
-            self.strangers.append(name)
+            self.unknown_names.append(name)
         return run
 
-    def open_for_departed(self) -> list[str]:
+    def running_for_departed(self) -> list[str]:
         """Repeatable requests whose callers have left and that are still at a worker."""
         return [
             attempt.name
             for attempt in self.attempts.values()
-            if attempt.has_left and not attempt.is_once and any(run.end is RunEnd.OPEN for run in attempt.runs)
+            if attempt.has_disconnected
+            and not attempt.is_nonidempotent
+            and any(run.end is RunEnd.OPEN for run in attempt.runs)
         ]
--- a/simulation/soak/worker.py
+++ b/simulation/soak/worker.py
@@ -12,9 +12,9 @@
 from simulation.soak.http_head import HttpMessage, read_message, write_message
 from simulation.soak.records import Records, Run, RunEnd
 
-WORK = "x-soak-work"
+WORK_HEADER = "x-soak-work"
 """The header in which a caller says how many s its request takes."""
-BREAKS = (OSError, asyncio.IncompleteReadError, asyncio.LimitOverrunError)
+CONNECTION_ERRORS = (OSError, asyncio.IncompleteReadError, asyncio.LimitOverrunError)
 """Ends of a connection before a message is complete."""
 
 
@@ -24,8 +24,8 @@
     def __init__(self, *, name: str, records: Records, rng: random.Random) -> None:
         self.name, self._records, self._rng = name, records, rng
         self.lost_share = 0.0
-        self._is_reachable = asyncio.Event()
-        self._is_reachable.set()
+        self._is_responsive = asyncio.Event()
+        self._is_responsive.set()
         self._server: asyncio.Server | None = None
         self._serving: set[asyncio.Task] = set()
 
@@ -43,11 +43,11 @@
             task.cancel()
         await asyncio.gather(*self._serving, return_exceptions=True)
 
-    async def cut(self, *, seconds: float) -> None:
+    async def stall(self, *, seconds: float) -> None:
         """Neither read nor answer anything for some seconds; what waits is dealt with afterwards."""
-        self._is_reachable.clear()
+        self._is_responsive.clear()
         await asyncio.sleep(seconds)
-        self._is_reachable.set()
+        self._is_responsive.set()
 
     async def lose_answers(self, *, seconds: float, share: float) -> None:
         """For some seconds reset the connections of a share of the requests that ran."""
@@ -60,37 +60,37 @@
         assert task is not None
         self._serving.add(task)
         try:
-            with contextlib.suppress(*BREAKS, asyncio.CancelledError):
-                while await self._serve_one(reader=reader, writer=writer):
+            with contextlib.suppress(*CONNECTION_ERRORS, asyncio.CancelledError):
+                while await self._serve_request(reader=reader, writer=writer):
                     pass
         finally:
             self._serving.discard(task)
             writer.close()
 
-    async def _serve_one(self, *, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
+    async def _serve_request(self, *, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
         """Serve one request; False if the connection ends behind it."""
         message = await read_message(reader=reader)
-        await self._is_reachable.wait()
+        await self._is_responsive.wait()
         headers = {"Instance-Id": self.name}
-        if message.first[1] == "/health":
-            writer.write(write_message(first="HTTP/1.1 200 OK", headers=headers))
+        if message.start_line[1] == "/health":
+            writer.write(write_message(start_line="HTTP/1.1 200 OK", headers=headers))
             return True
         if message.headers.get("expect-instance", self.name) != self.name:
-            writer.write(write_message(first="HTTP/1.1 421 Other", headers={**headers, "Not-Executed": "1"}))
+            writer.write(write_message(start_line="HTTP/1.1 421 Other", headers={**headers, "Not-Executed": "1"}))
             return True
         name = message.headers["attempt-id"]
         run = self._records.run(name=name, worker=self.name)
-        if not await self._work(message=message, reader=reader):
+        if not await self._run_until_done(message=message, reader=reader):
             run.end = RunEnd.CLOSED
             return False
         return self._answer(name=name, run=run, writer=writer)
 
-    async def _work(self, *, message: HttpMessage, reader: asyncio.StreamReader) -> bool:
+    async def _run_until_done(self, *, message: HttpMessage, reader: asyncio.StreamReader) -> bool:
         """Take as long as the request says; False if its connection ends before."""
         closing = asyncio.ensure_future(reader.read(1))
         try:
-            await asyncio.wait({closing}, timeout=float(message.headers.get(WORK, "0")))
-            await self._is_reachable.wait()
+            await asyncio.wait({closing}, timeout=float(message.headers.get(WORK_HEADER, "0")))
+            await self._is_responsive.wait()
             return not closing.done()
         finally:
             closing.cancel()
@@ -103,5 +103,5 @@
             return False
         run.end = RunEnd.ANSWERED
         headers = {"Instance-Id": self.name, "Attempt-Id": name, "Server-Seal": f"seal {name}"}
-        writer.write(write_message(first="HTTP/1.1 200 OK", headers=headers, body=f"body of {name}".encode()))
+        writer.write(write_message(start_line="HTTP/1.1 200 OK", headers=headers, body=f"body of {name}".encode()))
         return True
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -33,7 +33,7 @@
 from sailward.transport.address import GREETING, ThreadedMessageTransport
 from sailward.transport.curl_client import CurlClient
 from sailward.transport.wsgi_server import WsgiServer
-from simulation.real.callers import ask
+from simulation.real.callers import send_request
 from simulation.real.fleet import free_addresses
 
 WAIT = 10.0
@@ -218,9 +218,9 @@
         address=address, max_body_bytes=1000, deliver=deliver, threads=ThreadPoolExecutor(max_workers=8)
     )
     threading.Thread(target=server.run, daemon=True).start()
-    assert ask(address=address, method="POST", path="/a?b=c", body=b"x" * 1000)[0] == 200
+    assert send_request(address=address, method="POST", path="/a?b=c", body=b"x" * 1000)[0] == 200
     assert (requests[0].path, requests[0].query, len(requests[0].body)) == ("/a", {"b": "c"}, 1000)
-    assert ask(address=address, method="POST", path="/a", body=b"x" * 1001)[0] == 413
+    assert send_request(address=address, method="POST", path="/a", body=b"x" * 1001)[0] == 413
     assert requests[1].body is None
     host, port = address.split(":")
     with socket.create_connection((host, int(port)), timeout=WAIT) as peer:
--- a/tests/test_platform_real.py
+++ b/tests/test_platform_real.py
@@ -15,15 +15,15 @@
 import pytest
 
 from simulation.real.hosted_fleet import (
-    PATIENCE,
     ROOT,
+    WAIT_TIMEOUT,
     ZONES,
     EndpointListHandler,
     HostedFleet,
-    ask,
     list_row,
     make_config,
-    until,
+    send_request,
+    wait_until,
 )
 
 SERVICES = ("orders", "stock")
@@ -108,16 +108,22 @@
 def test_requests_and_operator_calls_through_real_processes(fleet: Fleet) -> None:
     for name in fleet.settings:
         fleet.start(name)
-    admin_api = fleet.at("controller-0", "control_plane")
-    until(lambda: ask(admin_api, "PUT", "/config", json.dumps(make_config(label=1)).encode(), If_Match="0")[0] == 200)
+    admin_api = fleet.address_of("controller-0", "control_plane")
+    wait_until(
+        lambda: (
+            send_request(admin_api, "PUT", "/config", json.dumps(make_config(label=1)).encode(), If_Match="0")[0] == 200
+        )
+    )
     for name in ("proxy-0", "proxy-1"):
-        until(lambda name=name: ask(fleet.at(name, "readiness"), "GET", "/readiness")[0] == 200)
-    front_addresses = sorted(fleet.at(name, "front") for name in ("proxy-0", "proxy-1"))
-    until(
+        wait_until(lambda name=name: send_request(fleet.address_of(name, "readiness"), "GET", "/readiness")[0] == 200)
+    front_addresses = sorted(fleet.address_of(name, "front") for name in ("proxy-0", "proxy-1"))
+    wait_until(
         lambda: (
             sorted(
                 json.loads(
-                    ask(fleet.at("proxy-1", "directory"), "GET", "/resolve?name=shop&region=west&zone=x")[2]
+                    send_request(
+                        fleet.address_of("proxy-1", "directory"), "GET", "/resolve?name=shop&region=west&zone=x"
+                    )[2]
                 ).get("addresses", [])
             )
             == front_addresses
@@ -126,8 +132,8 @@
 
     # a sharded service: its workers have been granted key ranges, and each request reaches the owner of its key
     def get(key: int, name: str = "proxy-0") -> tuple:
-        return ask(
-            fleet.at(name, "front"),
+        return send_request(
+            fleet.address_of(name, "front"),
             "GET",
             f"/stock/{key}?a=b%20c",
             Host="shop",
@@ -136,7 +142,7 @@
             Shard_Key=str(key),
         )
 
-    until(lambda: get(1)[0] == 200 and get(65000)[0] == 200)
+    wait_until(lambda: get(1)[0] == 200 and get(65000)[0] == 200)
     code, headers, body = get(2)
     assert (
         code == 200
@@ -148,8 +154,8 @@
     # requests that are not idempotent run once each; unknown routes and old versions are refused
     for at in range(8):
         assert (
-            ask(
-                fleet.at("proxy-1", "front"),
+            send_request(
+                fleet.address_of("proxy-1", "front"),
                 "POST",
                 f"/order/{at}",
                 b"{}",
@@ -161,28 +167,37 @@
         )
     ran = [request for worker in fleet.workers for request in worker.ran if request[0] == "POST"]
     assert sorted(request[2] for request in ran) == [f"o{at}" for at in range(8)]
-    assert ask(fleet.at("proxy-0", "front"), "GET", "/none/", Host="shop", Attempt_Id="n", Time_Budget="1000")[0] == 404
-    assert ask(admin_api, "PUT", "/config", json.dumps(make_config(label=2)).encode(), If_Match="r7")[0] == 412
+    assert (
+        send_request(
+            fleet.address_of("proxy-0", "front"), "GET", "/none/", Host="shop", Attempt_Id="n", Time_Budget="1000"
+        )[0]
+        == 404
+    )
+    assert send_request(admin_api, "PUT", "/config", json.dumps(make_config(label=2)).encode(), If_Match="r7")[0] == 412
     # the version that this change builds on is not current yet but may become so: the answer is inconclusive
-    assert ask(admin_api, "PUT", "/config", json.dumps(make_config(label=9)).encode(), If_Match="r7")[0] == 503
-    assert ask(admin_api, "PUT", "/config", b'{"generation":"r3"', If_Match="r1")[0] == 400
+    assert send_request(admin_api, "PUT", "/config", json.dumps(make_config(label=9)).encode(), If_Match="r7")[0] == 503
+    assert send_request(admin_api, "PUT", "/config", b'{"generation":"r3"', If_Match="r1")[0] == 400
 
     # an evacuation: the zone's workers get no more requests; a change through another controller, which is acknowledged
     # again when it is sent again
-    assert ask(fleet.at("controller-1", "control_plane"), "POST", "/evacuation/north-a")[0] == 200
-    until(lambda: get(3)[0] == 200 and get(3)[2].startswith(b"i-1"))
+    assert send_request(fleet.address_of("controller-1", "control_plane"), "POST", "/evacuation/north-a")[0] == 200
+    wait_until(lambda: get(3)[0] == 200 and get(3)[2].startswith(b"i-1"))
     change = json.dumps({"generation": "r2", "upsert": {}, "remove": {"routes": ["order"]}}).encode()
     for _ in range(2):
         assert (
-            until(lambda: ask(fleet.at("controller-2", "control_plane"), "PATCH", "/config", change, If_Match="r1")[0])
+            wait_until(
+                lambda: send_request(
+                    fleet.address_of("controller-2", "control_plane"), "PATCH", "/config", change, If_Match="r1"
+                )[0]
+            )
             == 200
         )
     # another change on top of a version that was replaced can never be accepted
-    assert ask(admin_api, "PUT", "/config", json.dumps(make_config(label=9)).encode(), If_Match="r1")[0] == 412
-    until(
+    assert send_request(admin_api, "PUT", "/config", json.dumps(make_config(label=9)).encode(), If_Match="r1")[0] == 412
+    wait_until(
         lambda: (
-            ask(
-                fleet.at("proxy-1", "front"),
+            send_request(
+                fleet.address_of("proxy-1", "front"),
                 "POST",
                 "/order/x",
                 b"{}",
@@ -197,15 +212,15 @@
     # a controller is killed: requests go on, and every controller, the restarted one too, returns the change
     fleet.running["controller-0"].kill()
     fleet.running["controller-0"].wait()
-    until(lambda: get(4)[0] == 200 and get(4, "proxy-1")[0] == 200)
+    wait_until(lambda: get(4)[0] == 200 and get(4, "proxy-1")[0] == 200)
     fleet.start("controller-0")
     for name in ("controller-0", "controller-1", "controller-2"):
 
         def read_config(name: str = name) -> bytes | bool:
-            code, _, body = ask(fleet.at(name, "control_plane"), "GET", "/config")
+            code, _, body = send_request(fleet.address_of(name, "control_plane"), "GET", "/config")
             return code == 200 and body
 
-        config = until(read_config)
+        config = wait_until(read_config)
         assert json.loads(config)["generation"] == "r2"
 
     # a proxy is stopped: it answers the request in flight and exits with code 0
@@ -215,11 +230,11 @@
     thread = threading.Thread(target=lambda: answers.append(get(5)))
     count = sum(len(worker.ran) for worker in fleet.workers)
     thread.start()
-    until(lambda: sum(len(worker.ran) for worker in fleet.workers) > count)
+    wait_until(lambda: sum(len(worker.ran) for worker in fleet.workers) > count)
     fleet.running["proxy-0"].send_signal(signal.SIGTERM)
     thread.join()
     assert answers[0][0] == 200 and answers[0][1].get("connection") == "close"
-    assert fleet.running["proxy-0"].wait(PATIENCE) == 0
+    assert fleet.running["proxy-0"].wait(WAIT_TIMEOUT) == 0
 
 
 def test_unusable_settings_end_the_process_with_every_fault(tmp_path: Path) -> None:
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -10,5 +10,5 @@
 
 def test_nothing_is_broken_by_troubles_that_overlap(tmp_path: Path) -> None:
     verdict = asyncio.run(Soak(seed=4, seconds=5.0, folder=tmp_path).run())
-    assert not verdict.broken, verdict.broken[:10]
+    assert not verdict.violations, verdict.violations[:10]
     assert verdict.figures["left-and-run"] and verdict.figures["served"] and verdict.figures["changes"]
