--- a/simulation/hollow.py
+++ b/simulation/hollow.py
@@ -51,7 +51,7 @@
 from simulation.hollow_fleet.deployment import Size
 from simulation.hollow_fleet.fit import fit_line, fit_power, plot_points
 from simulation.hollow_fleet.flags import (
-    MOST_REAL,
+    MAX_REAL_PROCESSES,
     BadInput,
     check_output,
     check_size,
@@ -62,15 +62,15 @@
     read_sizes,
 )
 from simulation.hollow_fleet.fleet import HollowFleet, Plan
-from simulation.hollow_fleet.parts import NAMED, measure_part
+from simulation.hollow_fleet.parts import PARTS, measure_part
 from simulation.hollow_fleet.real import measure_real
 
-CALLERS = 16
+SATURATING_CALLERS = 16
 """callers at once that press a proxy."""
 EXIT_USAGE = 2
 
 
-def figures_of(*, result: dict) -> dict[str, float]:
+def fitted_figures(*, result: dict) -> dict[str, float]:
     """The figures of a fleet that are fitted."""
     quiet = result["quiet"]["roles"]
     rows = {
@@ -81,19 +81,19 @@
     rows["bytes/s between regions"] = result["quiet"]["links"]["regions"][1]
     rows["memory each"] = result["rss_bytes_each"]
     rows["ready s"] = result["rise"]["ready_s"]
-    took = [one for one in result["changes"].get("in_force_s", []) if one is not None]
-    if took:
-        rows["in force s"] = max(took)
-    known = [one for one in result["failures"].get("known_s", []) if one is not None]
-    if known:
-        rows["dead known s"] = max(known)
+    durations = [seconds for seconds in result["changes"].get("in_force_s", []) if seconds is not None]
+    if durations:
+        rows["in force s"] = max(durations)
+    detection = [seconds for seconds in result["failures"].get("known_s", []) if seconds is not None]
+    if detection:
+        rows["dead known s"] = max(detection)
     if result["zone"]:
         rows["zone back s"] = result["zone"]["ready_s"]
         rows["bytes/s of its return"] = sum(row[1] for row in result["zone"]["return"]["links"].values())
     return rows
 
 
-def fits_of(*, points: dict) -> dict:
+def fit_figures(*, points: dict) -> dict:
     """{figure: line and exponent} of all figures with enough points."""
     fits = {}
     for name, rows in points.items():
@@ -113,9 +113,9 @@
 def show_table(*, title: str, points: dict) -> None:
     """The points and lines as text."""
     print(f"\n{title}")
-    fits = fits_of(points=points)
+    fits = fit_figures(points=points)
     for name, rows in points.items():
-        told = " ".join(f"{row[0]}:{row[1]:.5g}" for row in rows)
+        shown = " ".join(f"{row[0]}:{row[1]:.5g}" for row in rows)
         fit = fits.get(name)
         line = (
             (
@@ -125,24 +125,28 @@
             if fit
             else ""
         )
-        print(f"  {name:28} {told}{line}")
+        print(f"  {name:28} {shown}{line}")
 
 
-def refuse(*, bad: BadInput) -> None:
+def exit_with_error(*, problem: BadInput) -> None:
     """Say why nothing was run, and end."""
-    print(f"hollow: {bad.reason}", file=sys.stderr)
+    print(f"hollow: {problem.reason}", file=sys.stderr)
     sys.exit(EXIT_USAGE)
 
 
-def say(text: str) -> None:
+def report_progress(text: str) -> None:
     """Show progress."""
     print(f"{time.strftime('%H:%M:%S')} {text}", file=sys.stderr, flush=True)
 
 
-def name_command(*, words: list[str]) -> str:
+def describe_command(*, arguments: list[str]) -> str:
     """The command without the places of its results, which are of one machine."""
-    places = ("--out", "--plot")
-    kept = [word for at, word in enumerate(words) if word not in places and (at == 0 or words[at - 1] not in places)]
+    path_flags = ("--out", "--plot")
+    kept = [
+        word
+        for at, word in enumerate(arguments)
+        if word not in path_flags and (at == 0 or arguments[at - 1] not in path_flags)
+    ]
     return " ".join(["hollow", *(word for word in kept if not word.startswith(("--out=", "--plot=")))])
 
 
@@ -150,13 +154,13 @@
     """Measure the parts."""
     results = {}
     for name, sizes in chosen.items():
-        points = measure_part(name=name, sizes=sizes, say=say)
-        results[name] = {"x": NAMED[name][0], "points": points, "fits": fits_of(points=points)}
-        show_table(title=f"{name}, by {NAMED[name][0]}", points=points)
+        points = measure_part(name=name, sizes=sizes, report_progress=report_progress)
+        results[name] = {"x": PARTS[name][0], "points": points, "fits": fit_figures(points=points)}
+        show_table(title=f"{name}, by {PARTS[name][0]}", points=points)
         if flags["--plot"]:
             plot_points(
                 figures=points,
-                x_name=NAMED[name][0],
+                x_name=PARTS[name][0],
                 file=Path(flags["--plot"]) / f"part-{name}.svg",
                 title=f"one owner: {name}",
             )
@@ -165,31 +169,35 @@
 
 def run_real(*, size: Size, plan: Plan) -> dict:
     """The same quiet span with real processes and with hollow ones on links as short."""
-    real = measure_real(size=size, seconds=plan.seconds, say=say)
+    real = measure_real(size=size, seconds=plan.seconds, report_progress=report_progress)
     short = Plan(
         seconds=plan.seconds, changes=0, failures=0, zone_down=0.0, delays=(0.0001, 0.0001, 0.0001), seed=plan.seed
     )
-    hollow = HollowFleet(size=size, plan=short, say=say).step()["quiet"]["roles"]
-    told = {}
+    hollow = HollowFleet(size=size, plan=short, report_progress=report_progress).step()["quiet"]["roles"]
+    comparison = {}
     print(f"\nreal processes beside hollow ones, {size.daemons} proxies and {size.core} controllers")
     for role, row in real.items():
         for name in ("cpu", "out", "messages_out"):
             other = hollow[role][name] if name == "messages_out" else hollow[role][name][0]
-            told[f"{role} {name}"] = {"real": row[name], "hollow": other, "real_by_hollow": round(row[name] / other, 3)}
+            comparison[f"{role} {name}"] = {
+                "real": row[name],
+                "hollow": other,
+                "real_by_hollow": round(row[name] / other, 3),
+            }
             print(
                 f"  {role + ' ' + name:24} real {row[name]:.6g}  hollow {other:.6g}"
                 f"  real/hollow {row[name] / other:.3f}"
             )
-        told[f"{role} rss_bytes"] = {"real": row["rss_bytes"]}
+        comparison[f"{role} rss_bytes"] = {"real": row["rss_bytes"]}
         print(f"  {role + ' rss_bytes':24} real {row['rss_bytes']:.6g}")
-    return told
+    return comparison
 
 
 def run_added(*, runs: list, count: int, rate: float) -> list:
     """What a proxy adds, for each size."""
     results = []
     for _, size in runs:
-        figures = measure_added(size=size, count=count, callers=CALLERS, rate=rate)
+        figures = measure_added(size=size, count=count, callers=SATURATING_CALLERS, rate=rate)
         results.append({"size": vars(size), **figures})
         print(
             f"\nadded with {size.workers} workers in {size.services} services, {size.routes} routes, {size.zones} zones"
@@ -203,8 +211,8 @@
     """Play all sizes."""
     results, base, swept = [], None, {}
     for at, (name, size) in enumerate(runs):
-        say(f"{name}: " + " ".join(f"{key}={value}" for key, value in vars(size).items()))
-        result = HollowFleet(size=size, plan=plan, say=say).step()
+        report_progress(f"{name}: " + " ".join(f"{key}={value}" for key, value in vars(size).items()))
+        result = HollowFleet(size=size, plan=plan, report_progress=report_progress).step()
         results.append({"swept": name, **result})
         if flags["--out"] and at + 1 < len(runs):
             # a long sweep that is broken off leaves what it has measured
@@ -214,9 +222,9 @@
         base = base or result
         if name != "base":
             points = swept.setdefault(name, {})
-            for one in ([base] if not points else []) + [result]:
-                for figure, value in figures_of(result=one).items():
-                    points.setdefault(figure, []).append([one["size"][name], value])
+            for measured in ([base] if not points else []) + [result]:
+                for figure, value in fitted_figures(result=measured).items():
+                    points.setdefault(figure, []).append([measured["size"][name], value])
     for name, points in swept.items():
         show_table(title=f"by {name}", points=points)
         if flags["--plot"]:
@@ -229,11 +237,11 @@
     if not swept:
         show_table(
             title="one size",
-            points={name: [[runs[0][1].daemons, value]] for name, value in figures_of(result=base).items()},
+            points={name: [[runs[0][1].daemons, value]] for name, value in fitted_figures(result=base).items()},
         )
     return {
         "fleets": results,
-        "swept": {name: {"points": points, "fits": fits_of(points=points)} for name, points in swept.items()},
+        "swept": {name: {"points": points, "fits": fit_figures(points=points)} for name, points in swept.items()},
     }
 
 
@@ -241,8 +249,8 @@
     """Check what is asked, run it, write what came out."""
     flags = docopt(__doc__, argv=argv)
     numbers = {
-        name: read_number(flags=flags, name=name, least=least, most=most)
-        for name, least, most in (
+        name: read_number(flags=flags, name=name, lowest=lowest, highest=highest)
+        for name, lowest, highest in (
             ("controllers", 0, 1000),
             ("list-rate", 0, 1e6),
             ("changes", 0, 1000),
@@ -258,20 +266,20 @@
     }
     sizes = read_sizes(flags=flags)
     chosen = choose_parts(flags=flags) if flags["--parts"] else {}
-    for bad in (sizes, chosen, *numbers.values(), check_output(flags=flags)):
-        if isinstance(bad, BadInput):
-            refuse(bad=bad)
+    for problem in (sizes, chosen, *numbers.values(), check_output(flags=flags)):
+        if isinstance(problem, BadInput):
+            exit_with_error(problem=problem)
     runs = list_sizes(sizes=sizes, controllers=int(numbers["controllers"]), list_rate=numbers["list-rate"])
     for _, size in runs:
-        bad = check_size(size=size, memory=half_of_memory(), is_fleet=not flags["--added"])
-        if bad is not None:
-            refuse(bad=bad)
+        problem = check_size(size=size, memory=half_of_memory(), is_fleet=not flags["--added"])
+        if problem is not None:
+            exit_with_error(problem=problem)
     base = runs[0][1]
-    if flags["--real"] and (base.daemons + base.core > MOST_REAL or base.daemons > 250):
-        refuse(
-            bad=BadInput(
+    if flags["--real"] and (base.daemons + base.core > MAX_REAL_PROCESSES or base.daemons > 250):
+        exit_with_error(
+            problem=BadInput(
                 reason=f"{base.daemons} daemons and {base.core} controllers are too many real processes: "
-                f"{MOST_REAL} fit"
+                f"{MAX_REAL_PROCESSES} fit"
             )
         )
     plan = Plan(
@@ -283,24 +291,24 @@
         spread=numbers["spread"],
         seed=int(numbers["seed"]),
     )
-    words = argv if argv is not None else sys.argv[1:]
-    told = {
-        "command": name_command(words=words),
+    arguments = argv if argv is not None else sys.argv[1:]
+    output = {
+        "command": describe_command(arguments=arguments),
         "note": flags["--note"] or "",
         "python": platform.python_version(),
         "plan": vars(plan),
     }
     if chosen:
-        told["parts"] = run_parts(chosen=chosen, flags=flags)
+        output["parts"] = run_parts(chosen=chosen, flags=flags)
     elif flags["--added"]:
-        told["added"] = run_added(runs=runs, count=int(numbers["requests"]), rate=numbers["rate"])
+        output["added"] = run_added(runs=runs, count=int(numbers["requests"]), rate=numbers["rate"])
     elif flags["--real"]:
-        told["real"] = run_real(size=base, plan=plan)
+        output["real"] = run_real(size=base, plan=plan)
     else:
-        told |= run_fleets(runs=runs, plan=plan, flags=flags)
+        output |= run_fleets(runs=runs, plan=plan, flags=flags)
     if flags["--out"]:
-        Path(flags["--out"]).write_text(json.dumps(told, indent=1) + "\n", "utf-8")
-        say(f"written: {flags['--out']}")
+        Path(flags["--out"]).write_text(json.dumps(output, indent=1) + "\n", "utf-8")
+        report_progress(f"written: {flags['--out']}")
 
 
 if __name__ == "__main__":
--- a/simulation/hollow_fleet/added.py
+++ b/simulation/hollow_fleet/added.py
@@ -21,8 +21,8 @@
 from sailward.transport.http_client import HttpClient
 from sailward.transport.http_server import HttpServer
 
-from .deployment import Size, hosted_of, told_fleet, told_rows, zones_of
-from .parts import LEAD, config_text, free_route, push_of
+from .deployment import Size, hosted_of, pushed_fleet, pushed_workers, zones_of
+from .parts import CONTROLLER_ADDRESS, config_text, free_route, make_push
 
 ANSWER = (
     b"HTTP/1.1 200 OK\r\nContent-Length: 64\r\nAttempt-Id: %s\r\nServer-Seal: s\r\nInstance-Id: %s\r\n\r\n" + b"x" * 64
@@ -39,83 +39,85 @@
     Then the processor time a request with many callers at once.
     """
     method = multiprocessing.get_context("fork")
-    worker_at, worker_end = method.Pipe()
+    worker_pipe, worker_end = method.Pipe()
     worker = method.Process(target=_serve_worker, kwargs={"pipe": worker_end}, daemon=True)
     worker.start()
-    worker_port = worker_at.recv()
-    proxy_at, proxy_end = method.Pipe()
+    worker_port = worker_pipe.recv()
+    proxy_pipe, proxy_end = method.Pipe()
     proxy = method.Process(
         target=_serve_proxy, kwargs={"pipe": proxy_end, "size": size, "worker_port": worker_port}, daemon=True
     )
     proxy.start()
-    proxy_port = proxy_at.recv()
+    proxy_port = proxy_pipe.recv()
     path, headers = free_route(size=size)
     try:
-        request = _request_of(path=path, headers=headers)
-        figures = _call_both(ports=(worker_port, proxy_port), request=request, count=count)
+        request = _make_request(path=path, headers=headers)
+        figures = _compare_with_direct(ports=(worker_port, proxy_port), request=request, count=count)
         (direct, _), (through, refused) = (
-            _pace(port=port, request=request, count=count, rate=rate) for port in (worker_port, proxy_port)
+            _send_at_rate(port=port, request=request, count=count, rate=rate) for port in (worker_port, proxy_port)
         )
         figures |= {
-            f"paced_p{part}_s": _at(values=through, part=part) - _at(values=direct, part=part) for part in (50, 90, 99)
+            f"paced_p{part}_s": _percentile(values=through, part=part) - _percentile(values=direct, part=part)
+            for part in (50, 90, 99)
         }
         figures |= {"rate": rate, "paced_not_served": refused}
-        return figures | _press(port=proxy_port, request=request, count=count, callers=callers, proxy=proxy_at)
+        return figures | _saturate(port=proxy_port, request=request, count=count, callers=callers, proxy=proxy_pipe)
     finally:
         proxy.terminate()
         worker.terminate()
 
 
-def _call_both(*, ports: tuple, request: bytes, count: int) -> dict:
+def _compare_with_direct(*, ports: tuple, request: bytes, count: int) -> dict:
     socks = [socket.create_connection(("127.0.0.1", port)) for port in ports]
     times: tuple[list, list] = ([], [])
     for at in range(count + 50):
-        for one, sock in enumerate(socks):
+        for index, sock in enumerate(socks):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            begun = time.perf_counter()
+            started_at = time.perf_counter()
             _exchange(sock=sock, request=request)
             if at >= 50:
-                times[one].append(time.perf_counter() - begun)
-    direct, through = (sorted(one) for one in times)
+                times[index].append(time.perf_counter() - started_at)
+    direct, through = (sorted(values) for values in times)
     added = {
-        f"added_p{part}_s": _at(values=through, part=part) - _at(values=direct, part=part) for part in (50, 90, 99)
+        f"added_p{part}_s": _percentile(values=through, part=part) - _percentile(values=direct, part=part)
+        for part in (50, 90, 99)
     }
     pairs = sorted(b - a for a, b in zip(*times, strict=True))
     return {
         **added,
-        "direct_p50_s": _at(values=direct, part=50),
-        "direct_p99_s": _at(values=direct, part=99),
-        "pair_p50_s": _at(values=pairs, part=50),
-        "pair_p99_s": _at(values=pairs, part=99),
+        "direct_p50_s": _percentile(values=direct, part=50),
+        "direct_p99_s": _percentile(values=direct, part=99),
+        "pair_p50_s": _percentile(values=pairs, part=50),
+        "pair_p99_s": _percentile(values=pairs, part=99),
     }
 
 
-def _pace(*, port: int, request: bytes, count: int, rate: float) -> tuple[list[float], float]:
+def _send_at_rate(*, port: int, request: bytes, count: int, rate: float) -> tuple[list[float], float]:
     """Seconds of requests that come at random, sorted, and the part not served.
 
     They come whether the ones before are done or not.
     """
     rng, selector = random.Random(1), selectors.DefaultSelector()
-    free, since, times, got, refused = [], {}, [], {}, 0
-    begun = time.perf_counter()
-    due = [begun + rng.random() * 0.001]
+    idle, sent_at, times, partial, refused = [], {}, [], {}, 0
+    started_at = time.perf_counter()
+    due = [started_at + rng.random() * 0.001]
     while len(due) < count:
         due.append(due[-1] + rng.expovariate(rate))
     due.reverse()
     while len(times) < count:
         now = time.perf_counter()
         while due and now >= due[-1]:
-            sock = free.pop() if free else _connect(port=port, selector=selector)
-            since[sock] = due.pop()
+            sock = idle.pop() if idle else _connect(port=port, selector=selector)
+            sent_at[sock] = due.pop()
             sock.sendall(request)
         for key, _ in selector.select(max(0.0, due[-1] - time.perf_counter()) if due else 1.0):
-            data = got.pop(key.fileobj, b"") + key.fileobj.recv(65536)
+            data = partial.pop(key.fileobj, b"") + key.fileobj.recv(65536)
             if not _is_complete(data=data):
-                got[key.fileobj] = data
+                partial[key.fileobj] = data
                 continue
             refused += not data.startswith(OK)
-            times.append(time.perf_counter() - since.pop(key.fileobj))
-            free.append(key.fileobj)
+            times.append(time.perf_counter() - sent_at.pop(key.fileobj))
+            idle.append(key.fileobj)
     for key in list(selector.get_map().values()):
         key.fileobj.close()
     return sorted(times), refused / count
@@ -128,7 +130,7 @@
     return sock
 
 
-def _press(*, port: int, request: bytes, count: int, callers: int, proxy) -> dict:
+def _saturate(*, port: int, request: bytes, count: int, callers: int, proxy) -> dict:
     """Many callers, each with its next request as soon as it has its answer."""
     selector = selectors.DefaultSelector()
     for _ in range(callers):
@@ -136,14 +138,14 @@
         selector.register(sock, selectors.EVENT_READ)
         sock.sendall(request)
     proxy.send("cpu")
-    cpu, begun, done = proxy.recv(), time.perf_counter(), 0
-    times, got, refused = [], {}, 0
-    sent = {key.fileobj: begun for key in selector.get_map().values()}
+    cpu, started_at, done = proxy.recv(), time.perf_counter(), 0
+    times, partial, refused = [], {}, 0
+    sent = {key.fileobj: started_at for key in selector.get_map().values()}
     while done < count:
         for key, _ in selector.select():
-            data = got.pop(key.fileobj, b"") + key.fileobj.recv(65536)
+            data = partial.pop(key.fileobj, b"") + key.fileobj.recv(65536)
             if not _is_complete(data=data):
-                got[key.fileobj] = data
+                partial[key.fileobj] = data
                 continue
             refused += not data.startswith(OK)
             now = time.perf_counter()
@@ -151,16 +153,16 @@
             sent[key.fileobj] = now
             done += 1
             key.fileobj.sendall(request)
-    took = time.perf_counter() - begun
+    elapsed = time.perf_counter() - started_at
     proxy.send("cpu")
-    used = proxy.recv() - cpu
+    cpu_used = proxy.recv() - cpu
     return {
         "callers": callers,
-        "requests_s": done / took,
+        "requests_s": done / elapsed,
         "pressed_not_served": refused / done,
-        "cpu_s_a_request": used / done,
-        "busy": used / took,
-        "requests_a_core_s": done / used,
+        "cpu_s_a_request": cpu_used / done,
+        "busy": cpu_used / elapsed,
+        "requests_a_core_s": done / cpu_used,
         "pressed_p50_s": statistics.median(times),
     }
 
@@ -183,7 +185,7 @@
     return bool(end) and len(body) >= (int(length.group(1)) if length else 0)
 
 
-def _request_of(*, path: str, headers: dict) -> bytes:
+def _make_request(*, path: str, headers: dict) -> bytes:
     lines = [
         f"GET {path} HTTP/1.1",
         *(f"{name}: {value}" for name, value in headers.items()),
@@ -194,7 +196,7 @@
     return "\r\n".join(lines).encode()
 
 
-def _at(*, values: list, part: int) -> float:
+def _percentile(*, values: list, part: int) -> float:
     return values[min(len(values) - 1, len(values) * part // 100)]
 
 
@@ -203,14 +205,14 @@
     selector, listener = selectors.DefaultSelector(), socket.create_server(("127.0.0.1", 0), backlog=256)
     selector.register(listener, selectors.EVENT_READ)
     pipe.send(listener.getsockname()[1])
-    held: dict = {}
+    buffers: dict = {}
     while True:
         for key, _ in selector.select():
             if key.fileobj is listener:
                 sock, _ = listener.accept()
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
                 selector.register(sock, selectors.EVENT_READ)
-                held[sock] = b""
+                buffers[sock] = b""
                 continue
             sock, data = key.fileobj, b""
             with contextlib.suppress(OSError):
@@ -219,11 +221,11 @@
                 selector.unregister(sock)
                 sock.close()
                 continue
-            held[sock] += data
-            while HEAD_END in held[sock]:
-                head, _, held[sock] = held[sock].partition(HEAD_END)
-                given = dict(line.split(b": ", 1) for line in head.lower().split(b"\r\n")[1:])
-                sock.sendall(ANSWER % (given.get(b"attempt-id", b""), given.get(b"expect-instance", b"")))
+            buffers[sock] += data
+            while HEAD_END in buffers[sock]:
+                head, _, buffers[sock] = buffers[sock].partition(HEAD_END)
+                headers = dict(line.split(b": ", 1) for line in head.lower().split(b"\r\n")[1:])
+                sock.sendall(ANSWER % (headers.get(b"attempt-id", b""), headers.get(b"expect-instance", b"")))
 
 
 def _serve_proxy(*, pipe, size: Size, worker_port: int) -> None:
@@ -232,17 +234,18 @@
     host = Host(reactor=reactor)
     hosted = hosted_of(size=size, role="proxy", index=0, zones=zones_of(size=size))
     owner = Proxy(location=hosted.location, start=1, rng=random.Random(1), options=hosted.options)
-    owner.control_client.followed_controller = LEAD
-    rows = told_rows(size=size)
+    owner.control_client.followed_controller = CONTROLLER_ADDRESS
+    rows = pushed_workers(size=size)
     for row in {part.split('"')[0] for part in rows.split('"address":"')[1:]}:
         rows = rows.replace(f'"{row}"', f'"127.0.0.1:{worker_port}"')
     for name, text in (
         ("config", config_text(size=size)),
         ("workers", rows),
-        ("fleet", told_fleet(size=size, zones=zones_of(size=size))),
+        ("fleet", pushed_fleet(size=size, zones=zones_of(size=size))),
     ):
         owner.step(
-            now=reactor.clock(), event=MessageReceived(sender=LEAD, body=push_of(name=name, number=1, text=text))
+            now=reactor.clock(),
+            event=MessageReceived(sender=CONTROLLER_ADDRESS, body=make_push(name=name, number=1, text=text)),
         )
     front = HttpServer(
         reactor=reactor,
@@ -253,20 +256,20 @@
     )
     http_client = HttpClient(reactor=reactor, deliver=host.deliver, names=hosted.names)
     host.handlers = {
-        Respond: lambda one: front.answer(command=one),
-        StartCall: lambda one: http_client.start(call=one),
-        SendMessage: lambda one: None,
-        CancelCall: lambda one: http_client.cancel(token=one.token),
-        WithdrawCall: lambda one: http_client.withdraw(token=one.token),
-        CloseConnections: lambda one: http_client.close_connections(owner=one.owner),
+        Respond: lambda command: front.answer(command=command),
+        StartCall: lambda command: http_client.start(call=command),
+        SendMessage: lambda command: None,
+        CancelCall: lambda command: http_client.cancel(token=command.token),
+        WithdrawCall: lambda command: http_client.withdraw(token=command.token),
+        CloseConnections: lambda command: http_client.close_connections(owner=command.owner),
     }
 
-    def tell_cpu() -> None:
+    def report_cpu() -> None:
         while pipe.poll():
             pipe.recv()
             pipe.send(time.process_time())
-        reactor.call_later(delay=0.02, callback=tell_cpu)
+        reactor.call_later(delay=0.02, callback=report_cpu)
 
-    tell_cpu()
+    report_cpu()
     pipe.send(front.port)
     host.run(step=owner.step)
--- a/simulation/hollow_fleet/deployment.py
+++ b/simulation/hollow_fleet/deployment.py
@@ -16,9 +16,9 @@
 HOSTING = load_part(folder=FOLDER, name="hosting")
 merge_patch = load_part(folder=FOLDER, name="config").merge
 """The adapter's way to lay a change over a configuration."""
-PAGE = 50
+PAGE_SIZE = 50
 """workers in a page of the platform's list, as on the sites."""
-VOTERS_SEEDED = 3
+SEED_COUNT = 3
 """seeds that every daemon is told."""
 
 
@@ -46,7 +46,7 @@
 
 
 @lru_cache(maxsize=200000)
-def word(*, kind: str, index: int) -> str:
+def unique_name(*, kind: str, index: int) -> str:
     """A name that packs no better than names of people's own choice."""
     return f"{kind}-{hashlib.blake2s(f'{kind}{index}'.encode(), digest_size=4).hexdigest()}"
 
@@ -76,10 +76,10 @@
 def settings_of(*, size: Size, role: str, index: int, zones: dict[str, str]) -> dict:
     """The settings of one daemon, as its file would say."""
     zone = zone_name(index=index % size.zones)
-    seeds = [f"{ip_of(role='controller', index=at)}:7000" for at in range(min(VOTERS_SEEDED, size.core))]
+    seeds = [f"{ip_of(role='controller', index=at)}:7000" for at in range(min(SEED_COUNT, size.core))]
     ip = ip_of(role=role, index=index)
     return {
-        "node_name": word(kind=role, index=index),
+        "node_name": unique_name(kind=role, index=index),
         "ip": ip,
         "zone": zone,
         "region": zones[zone],
@@ -107,7 +107,7 @@
 
 def service_name(*, size: Size, index: int) -> str:
     """The name of a service; the first ones are divided by number."""
-    return word(kind="divided" if index < size.divided else "service", index=index)
+    return unique_name(kind="divided" if index < size.divided else "service", index=index)
 
 
 def make_document(*, size: Size, version: int) -> dict:
@@ -115,11 +115,11 @@
 
     def rule(index: int) -> dict:
         return {
-            "name": word(kind="route", index=index),
+            "name": unique_name(kind="route", index=index),
             "route_kind": "idempotent" if index % 2 else "nonidempotent",
             "target_s": 0.4,
             "priority": index % 3,
-            "matcher": {"path_prefix": f"/{word(kind='part', index=index)}/"},
+            "matcher": {"path_prefix": f"/{unique_name(kind='part', index=index)}/"},
             "verdict": {
                 "split_to": [{"service": service_name(size=size, index=index % size.services), "weight": 100}],
                 "deadline_s": 2.5,
@@ -134,7 +134,7 @@
         "limits": {"max_header_bytes": 16384, "max_body_bytes": 1 << 26, "header_timeout_s": 3, "idle_timeout_s": 15},
         "listeners": [
             {
-                "hostname": f"{word(kind='host', index=at)}.example",
+                "hostname": f"{unique_name(kind='host', index=at)}.example",
                 "ruleset": [rule(index) for index in range(at, size.routes, hosts)],
             }
             for at in range(hosts)
@@ -156,8 +156,8 @@
 
 def make_patch(*, size: Size, version: int) -> dict:
     """A change of one route's deadline."""
-    one = Size(routes=1, services=size.services, regions=size.regions, divided=size.divided)
-    listener = make_document(size=one, version=version)["listeners"][0]
+    single_route = Size(routes=1, services=size.services, regions=size.regions, divided=size.divided)
+    listener = make_document(size=single_route, version=version)["listeners"][0]
     listener["ruleset"][0]["verdict"]["deadline_s"] = 2.0 + version % 10 / 10
     return {"generation": f"r{version}", "upsert": {"listeners": [listener]}}
 
@@ -166,7 +166,7 @@
     """The platform's rows of all workers, zone by zone."""
     return [
         {
-            "id": word(kind="i", index=index),
+            "id": unique_name(kind="i", index=index),
             "service": service_name(size=size, index=index % size.services),
             "zone": zone_name(index=index % size.zones),
             "address": f"10.{100 + index // 62500}.{index // 250 % 250}.{index % 250 + 1}:9000",
@@ -181,18 +181,21 @@
 def list_pages(*, size: Size) -> list[bytes]:
     """The platform's list, page by page."""
     rows = worker_rows(size=size)
-    starts = range(0, max(1, len(rows)), PAGE)
+    starts = range(0, max(1, len(rows)), PAGE_SIZE)
     return [
         json.dumps(
-            {"instances": rows[at : at + PAGE], "next_token": str(at + PAGE) if at + PAGE < len(rows) else None}
+            {
+                "instances": rows[at : at + PAGE_SIZE],
+                "next_token": str(at + PAGE_SIZE) if at + PAGE_SIZE < len(rows) else None,
+            }
         ).encode()
         for at in starts
     ]
 
 
-def told_rows(*, size: Size) -> str:
+def pushed_workers(*, size: Size) -> str:
     """The workers as a controller's push tells them."""
-    told = [
+    rows = [
         {
             "id": row["id"],
             "generation": 0,
@@ -205,16 +208,16 @@
         }
         for row in worker_rows(size=size)
     ]
-    return json.dumps(told, separators=(",", ":"))
+    return json.dumps(rows, separators=(",", ":"))
 
 
-def told_fleet(*, size: Size, zones: dict[str, str]) -> str:
+def pushed_fleet(*, size: Size, zones: dict[str, str]) -> str:
     """The fleet as a controller's push tells it."""
 
     def row(index: int) -> list:
         zone = zone_name(index=index % size.zones)
         return [
-            word(kind="proxy", index=index),
+            unique_name(kind="proxy", index=index),
             f"{ip_of(role='proxy', index=index)}:8000",
             zone,
             zones[zone],
--- a/simulation/hollow_fleet/fit.py
+++ b/simulation/hollow_fleet/fit.py
@@ -29,19 +29,19 @@
     """The line through [x, y, ...] points; None under three, or if all x are the same."""
     xs, ys = [point[0] for point in points], [point[1] for point in points]
     count = len(points)
-    middle_x, middle_y = sum(xs) / max(1, count), sum(ys) / max(1, count)
-    wide = sum((x - middle_x) ** 2 for x in xs)
-    if count < 3 or wide == 0:
+    mean_x, mean_y = sum(xs) / max(1, count), sum(ys) / max(1, count)
+    spread = sum((x - mean_x) ** 2 for x in xs)
+    if count < 3 or spread == 0:
         return None
-    slope = sum((x - middle_x) * (y - middle_y) for x, y in zip(xs, ys, strict=True)) / wide
-    base = middle_y - slope * middle_x
-    left = sum((y - base - slope * x) ** 2 for x, y in zip(xs, ys, strict=True))
-    whole = sum((y - middle_y) ** 2 for y in ys)
+    slope = sum((x - mean_x) * (y - mean_y) for x, y in zip(xs, ys, strict=True)) / spread
+    base = mean_y - slope * mean_x
+    residual = sum((y - base - slope * x) ** 2 for x, y in zip(xs, ys, strict=True))
+    total = sum((y - mean_y) ** 2 for y in ys)
     return Fit(
         base=base,
         slope=slope,
-        error=math.sqrt(left / (count - 2) / wide),
-        fit=1 - left / whole if whole else 1.0,
+        error=math.sqrt(residual / (count - 2) / spread),
+        fit=1 - residual / total if total else 1.0,
         count=count,
     )
 
@@ -60,9 +60,9 @@
     from matplotlib import pyplot
 
     shown = {name: points for name, points in figures.items() if len(points) > 1}
-    wide = min(3, max(1, len(shown)))
-    high = max(1, math.ceil(len(shown) / wide))
-    figure, panels = pyplot.subplots(high, wide, figsize=(4 * wide, 3 * high), squeeze=False)
+    columns = min(3, max(1, len(shown)))
+    rows = max(1, math.ceil(len(shown) / columns))
+    figure, panels = pyplot.subplots(rows, columns, figsize=(4 * columns, 3 * rows), squeeze=False)
     for panel in panels.flat:
         panel.set_visible(False)
     for panel, (name, points) in zip(panels.flat, shown.items(), strict=False):
--- a/simulation/hollow_fleet/flags.py
+++ b/simulation/hollow_fleet/flags.py
@@ -8,10 +8,10 @@
 from pathlib import Path
 
 from sailward import constants
-from simulation.hollow_fleet.deployment import PAGE, Size, make_document
-from simulation.hollow_fleet.parts import NAMED
+from simulation.hollow_fleet.deployment import PAGE_SIZE, Size, make_document
+from simulation.hollow_fleet.parts import PARTS
 
-SWEPT = {
+SIZE_LIMITS = {
     "daemons": (1, 20000),
     "workers": (0, 100000),
     "services": (1, 5000),
@@ -21,9 +21,9 @@
     "regions": (1, 100),
 }
 """{size: (least, most)}"""
-HELD = {"base": 120e3, "worker": 1100.0, "daemon": 700.0, "route": 4500.0}
+MEMORY_BYTES = {"base": 120e3, "worker": 1100.0, "daemon": 700.0, "route": 4500.0}
 """bytes that each hollow proxy holds: by itself, and for each worker, daemon and route."""
-MOST_REAL = 60
+MAX_REAL_PROCESSES = 60
 """real processes at once."""
 
 
@@ -37,17 +37,17 @@
 def read_sizes(*, flags: dict) -> dict | BadInput:
     """{name: [sizes]} of all that can be swept."""
     sizes = {}
-    for name, (least, most) in SWEPT.items():
+    for name, (lowest, highest) in SIZE_LIMITS.items():
         try:
             sizes[name] = [int(part) for part in flags[f"--{name}"].split(",")]
         except ValueError:
             return BadInput(reason=f"--{name} {flags[f'--{name}']}: give whole numbers, as in 100,300,1000")
-        if not all(least <= size <= most for size in sizes[name]):
-            return BadInput(reason=f"--{name} {flags[f'--{name}']}: each must be from {least} to {most}")
+        if not all(lowest <= size <= highest for size in sizes[name]):
+            return BadInput(reason=f"--{name} {flags[f'--{name}']}: each must be from {lowest} to {highest}")
     return sizes
 
 
-def read_number(*, flags: dict, name: str, least: float, most: float) -> float | BadInput:
+def read_number(*, flags: dict, name: str, lowest: float, highest: float) -> float | BadInput:
     """One number of the flags."""
     try:
         number = float(flags[f"--{name}"])
@@ -55,16 +55,16 @@
         return BadInput(reason=f"--{name} {flags[f'--{name}']}: give a number")
     return (
         number
-        if least <= number <= most
-        else BadInput(reason=f"--{name} {number:g}: must be from {least:g} to {most:g}")
+        if lowest <= number <= highest
+        else BadInput(reason=f"--{name} {number:g}: must be from {lowest:g} to {highest:g}")
     )
 
 
 def list_sizes(*, sizes: dict, controllers: int, list_rate: float) -> list[tuple[str, Size]]:
     """What is run: the base, and each further size of what is swept."""
-    base = {name: given[0] for name, given in sizes.items()}
-    runs = [("base", base)] + [(name, {**base, name: item}) for name, given in sizes.items() for item in given[1:]]
-    return [(name, Size(controllers=controllers, list_rate=list_rate, **one)) for name, one in runs]
+    base = {name: values[0] for name, values in sizes.items()}
+    runs = [("base", base)] + [(name, {**base, name: value}) for name, values in sizes.items() for value in values[1:]]
+    return [(name, Size(controllers=controllers, list_rate=list_rate, **run_sizes)) for name, run_sizes in runs]
 
 
 def check_size(*, size: Size, memory: float, is_fleet: bool = True) -> BadInput | None:
@@ -84,16 +84,16 @@
         )
     if not is_fleet:
         return None
-    if size.workers > PAGE * constants.ENDPOINT_LIST_MAX_PAGES:
+    if size.workers > PAGE_SIZE * constants.ENDPOINT_LIST_MAX_PAGES:
         return BadInput(
-            reason=f"{size.workers} workers make more than the {constants.ENDPOINT_LIST_MAX_PAGES} pages of {PAGE} "
-            f"that the product reads: {PAGE * constants.ENDPOINT_LIST_MAX_PAGES} fit"
+            reason=f"{size.workers} workers make more than the {constants.ENDPOINT_LIST_MAX_PAGES} pages of "
+            f"{PAGE_SIZE} that the product reads: {PAGE_SIZE * constants.ENDPOINT_LIST_MAX_PAGES} fit"
         )
-    each = HELD["base"] + HELD["worker"] * size.workers + HELD["route"] * size.routes
-    needed = size.daemons * (each + HELD["daemon"] * size.daemons)
+    per_daemon = MEMORY_BYTES["base"] + MEMORY_BYTES["worker"] * size.workers + MEMORY_BYTES["route"] * size.routes
+    needed = size.daemons * (per_daemon + MEMORY_BYTES["daemon"] * size.daemons)
     if needed > memory:
         fits = size.daemons
-        while fits > 1 and fits * (each + HELD["daemon"] * fits) > memory:
+        while fits > 1 and fits * (per_daemon + MEMORY_BYTES["daemon"] * fits) > memory:
             fits = int(fits * 0.95)
         return BadInput(
             reason=f"{size.daemons} daemons need about {needed / 1e9:.1f} GB, "
@@ -117,30 +117,32 @@
         if not flags[name]:
             continue
         folder = Path(flags[name]).parent if name == "--out" else Path(flags[name])
-        is_bad = name == "--out" and Path(flags[name]).is_dir()
-        is_kept_alive = Path(flags[name]).exists() and not os.access(flags[name], os.W_OK)
-        if is_bad or is_kept_alive or not folder.is_dir() or not os.access(folder, os.W_OK):
-            what = "file" if name == "--out" else "folder"
+        is_folder = name == "--out" and Path(flags[name]).is_dir()
+        is_write_protected = Path(flags[name]).exists() and not os.access(flags[name], os.W_OK)
+        if is_folder or is_write_protected or not folder.is_dir() or not os.access(folder, os.W_OK):
+            wanted = "file" if name == "--out" else "folder"
             return BadInput(
                 reason=f"{name} {flags[name]}: can't be written; "
-                f"give a {what} in a folder that exists and may be written"
+                f"give a {wanted} in a folder that exists and may be written"
             )
     return None
 
 
 def choose_parts(*, flags: dict) -> dict | BadInput:
     """{part: sizes} of the parts asked for."""
-    names = list(NAMED) if flags["--parts"] == "all" else flags["--parts"].split(",")
-    unknown = [name for name in names if name not in NAMED]
+    names = list(PARTS) if flags["--parts"] == "all" else flags["--parts"].split(",")
+    unknown = [name for name in names if name not in PARTS]
     if unknown:
-        return BadInput(reason=f"--parts {flags['--parts']}: no part {unknown[0]!r}; there are {', '.join(NAMED)}")
-    largest = read_number(flags=flags, name="largest", least=1, most=1e9)
+        return BadInput(reason=f"--parts {flags['--parts']}: no part {unknown[0]!r}; there are {', '.join(PARTS)}")
+    largest = read_number(flags=flags, name="largest", lowest=1, highest=1e9)
     if isinstance(largest, BadInput):
         return largest
-    chosen = {name: tuple(size for size in NAMED[name][1] if size <= largest) for name in names}
-    empty = [name for name, sizes in chosen.items() if not sizes]
+    chosen = {name: tuple(size for size in PARTS[name][1] if size <= largest) for name in names}
+    without_sizes = [name for name, sizes in chosen.items() if not sizes]
     return (
-        BadInput(reason=f"--largest {largest:g}: the least size of {empty[0]} is {NAMED[empty[0]][1][0]}")
-        if empty
+        BadInput(
+            reason=f"--largest {largest:g}: the least size of {without_sizes[0]} is {PARTS[without_sizes[0]][1][0]}"
+        )
+        if without_sizes
         else chosen
     )
--- a/simulation/hollow_fleet/fleet.py
+++ b/simulation/hollow_fleet/fleet.py
@@ -16,9 +16,9 @@
 from sailward.proxy.proxy import Proxy
 
 from .deployment import Size, hosted_of, list_pages, make_document, make_patch, zones_of
-from .network import LINKS, Member, Network, ask_operator
+from .network import LINKS, Member, Network, send_operator_request
 
-PATIENCE = 90.0
+PHASE_TIMEOUT = 90.0
 """s of virtual time after which what is waited for counts as not reached."""
 
 
@@ -37,7 +37,7 @@
 
 
 @dataclass(kw_only=True)
-class Tally:
+class Counters:
     """Counters of a moment, to be taken from later ones."""
 
     at: float
@@ -49,7 +49,7 @@
     steps: dict
     costs: dict
     sent: dict
-    heard: dict
+    received: dict
 
 
 @dataclass(kw_only=True)
@@ -58,7 +58,7 @@
 
     size: Size
     plan: Plan
-    say: Callable[[str], None] = lambda text: None
+    report_progress: Callable[[str], None] = lambda text: None
     network: Network = None
     controllers: list = field(default_factory=list)
     proxies: list = field(default_factory=list)
@@ -69,29 +69,29 @@
         """Play it all."""
         gc.collect()
         gc.disable()
-        begun, before = time.process_time(), _rss()
+        started_at, before = time.process_time(), _rss()
         rng = random.Random(self.plan.seed)
         self._build(rng=rng)
-        figures = {"size": {**vars(self.size), "controllers": self.size.core}, "rise": self._rise(rng=rng)}
-        for name, play in (
+        figures = {"size": {**vars(self.size), "controllers": self.size.core}, "rise": self._start_up(rng=rng)}
+        for name, run_phase in (
             ("quiet", self._stay_quiet),
-            ("changes", self._change),
-            ("failures", self._fail),
+            ("changes", self._change_config),
+            ("failures", self._kill_proxies),
             ("zone", self._lose_zone),
             ("cut", self._cut_region),
         ):
             gc.collect()
-            figures[name] = play()
-            self.say(f"{name}: {_short(figures[name])}")
+            figures[name] = run_phase()
+            self.report_progress(f"{name}: {_summary(figures[name])}")
         figures["rss_bytes_each"] = (_rss() - before) / (self.size.daemons + self.size.core)
-        figures["took_s"] = round(time.process_time() - begun, 1)
+        figures["took_s"] = round(time.process_time() - started_at, 1)
         gc.enable()
         return figures
 
     def _build(self, *, rng: random.Random) -> None:
         size, zones = self.size, zones_of(size=self.size)
         self.network = Network(delays=self.plan.delays, pages=list_pages(size=size))
-        self.network.watch = self._record
+        self.network.on_log = self._on_log
 
         def make(member: Member, now: float, hosted) -> object:
             start, nonce = int(1e12 + now * 1e6), f"{rng.getrandbits(48):012x}"
@@ -126,23 +126,23 @@
                 self.network.add(member=member)
                 members.append(member)
 
-    def _record(self, member: Member, log: LogEvent) -> None:
+    def _on_log(self, member: Member, log: LogEvent) -> None:
         if log.event == "in-force" and log.fields.get("register") == "config" and member.role == "proxy":
             self.in_force[member.post] = (log.fields["number"], self.network.now)
 
-    def _rise(self, *, rng: random.Random) -> dict:
+    def _start_up(self, *, rng: random.Random) -> dict:
         network = self.network
         for member in self.controllers:
             network.start(member=member, delay=rng.random() * 0.2)
-        is_core_up = network.run(seconds=PATIENCE, until=self._is_core_up)
+        is_core_up = network.run(seconds=PHASE_TIMEOUT, condition=self._is_core_up)
         core_s = network.now
         network.run(seconds=1.0)
-        accepted = self._operate(method="PUT", document=make_document(size=self.size, version=1), if_match="0")
-        begun, before = network.now, self._tally()
+        accepted = self._send_change(method="PUT", document=make_document(size=self.size, version=1), if_match="0")
+        started_at, before = network.now, self._snapshot()
         for member in self.proxies:
             network.start(member=member, delay=rng.random() * self.plan.spread)
-        is_ready = network.run(seconds=PATIENCE, until=self._all_ready)
-        ready_s = network.now - begun
+        is_ready = network.run(seconds=PHASE_TIMEOUT, condition=self._all_ready)
+        ready_s = network.now - started_at
         network.run(seconds=5.0)
         figures = {
             "core_s": round(core_s, 2),
@@ -150,96 +150,106 @@
             "accepted_s": accepted,
             "all_ready": is_ready,
             "ready_s": round(ready_s, 2),
-            **self._between(before=before),
+            **self._rates_since(before=before),
         }
-        self.say(f"rise: {_short(figures)}")
+        self.report_progress(f"rise: {_summary(figures)}")
         return figures
 
     def _stay_quiet(self) -> dict:
-        before = self._tally()
+        before = self._snapshot()
         self.network.run(seconds=self.plan.seconds)
-        return self._between(before=before)
+        return self._rates_since(before=before)
 
-    def _change(self) -> dict:
-        before, took, accepted = self._tally(), [], []
+    def _change_config(self) -> dict:
+        before, durations, accepted = self._snapshot(), [], []
         for _ in range(self.plan.changes):
             number = max((number for number, _ in self.in_force.values()), default=0)
-            begun = self.network.now
+            started_at = self.network.now
             patch = make_patch(size=self.size, version=self.version + 1)
-            accepted.append(self._operate(method="PATCH", document=patch, if_match=f"r{self.version}"))
-            is_done = self.network.run(seconds=PATIENCE, until=lambda number=number: self._all_hold(number=number + 1))
-            took.append(
-                round(max((at for _, at in self.in_force.values()), default=begun) - begun, 3) if is_done else None
+            accepted.append(self._send_change(method="PATCH", document=patch, if_match=f"r{self.version}"))
+            is_done = self.network.run(
+                seconds=PHASE_TIMEOUT, condition=lambda number=number: self._all_in_force(number=number + 1)
             )
-            self.network.run(seconds=max(0.0, 2.0 - (self.network.now - begun)))
-        return {"accepted_s": accepted, "in_force_s": took, **self._between(before=before)} if self.plan.changes else {}
+            durations.append(
+                round(max((at for _, at in self.in_force.values()), default=started_at) - started_at, 3)
+                if is_done
+                else None
+            )
+            self.network.run(seconds=max(0.0, 2.0 - (self.network.now - started_at)))
+        return (
+            {"accepted_s": accepted, "in_force_s": durations, **self._rates_since(before=before)}
+            if self.plan.changes
+            else {}
+        )
 
-    def _fail(self) -> dict:
+    def _kill_proxies(self) -> dict:
         if not self.plan.failures:
             return {}
-        before, took = self._tally(), []
+        before, durations = self._snapshot(), []
         for at in range(self.plan.failures):
-            dead, begun = self.proxies[(at * 7 + 1) % len(self.proxies)], self.network.now
-            self.network.kill(member=dead)
-            is_known = self.network.run(seconds=PATIENCE, until=lambda dead=dead: not self._names(dead=dead))
-            took.append(round(self.network.now - begun, 2) if is_known else None)
-            self.network.start(member=dead)
+            killed, started_at = self.proxies[(at * 7 + 1) % len(self.proxies)], self.network.now
+            self.network.kill(member=killed)
+            is_known = self.network.run(
+                seconds=PHASE_TIMEOUT, condition=lambda killed=killed: not self._is_listed(killed=killed)
+            )
+            durations.append(round(self.network.now - started_at, 2) if is_known else None)
+            self.network.start(member=killed)
             self.network.run(seconds=4.0)
-        return {"known_s": took, **self._between(before=before)}
+        return {"known_s": durations, **self._rates_since(before=before)}
 
     def _lose_zone(self) -> dict:
         if not self.plan.zone_down or self.size.zones < 2:
             return {}
         zone = self.controllers[-1].zone
         lost = [controller for controller in (*self.controllers, *self.proxies) if controller.zone == zone]
-        before = self._tally()
+        before = self._snapshot()
         for member in lost:
             self.network.kill(member=member)
         self.network.run(seconds=self.plan.zone_down)
-        down = self._between(before=before)
-        before, begun = self._tally(), self.network.now
+        down = self._rates_since(before=before)
+        before, started_at = self._snapshot(), self.network.now
         for at, member in enumerate(lost):
             self.network.start(member=member, delay=at / max(1, len(lost)) * 0.5)
-        is_ready = self.network.run(seconds=PATIENCE, until=self._all_ready)
-        ready = self.network.now - begun
+        is_ready = self.network.run(seconds=PHASE_TIMEOUT, condition=self._all_ready)
+        ready = self.network.now - started_at
         self.network.run(seconds=max(0.0, 5.0 - ready))
         return {
             "lost": len(lost),
             "ready": is_ready,
             "ready_s": round(ready, 2),
             "down": down,
-            "return": self._between(before=before),
+            "return": self._rates_since(before=before),
         }
 
     def _cut_region(self) -> dict:
         if not self.plan.cut or self.size.regions < 2:
             return {}
         region = f"region-{self.size.regions - 1}"
-        self.network.cut = {region}
+        self.network.cut_regions = {region}
         self.network.run(seconds=min(2.0, self.plan.cut))
         number = max((number for number, _ in self.in_force.values()), default=0)
-        accepted = self._operate(
+        accepted = self._send_change(
             method="PATCH", document=make_patch(size=self.size, version=self.version + 1), if_match=f"r{self.version}"
         )
         self.network.run(seconds=self.plan.cut)
-        self.network.cut = set()
-        before, begun = self._tally(), self.network.now
-        is_healed = self.network.run(seconds=PATIENCE, until=lambda: self._all_hold(number=number + 1))
-        healed = self.network.now - begun
-        self.network.run(seconds=max(0.0, 5.0 - healed))
+        self.network.cut_regions = set()
+        before, started_at = self._snapshot(), self.network.now
+        has_recovered = self.network.run(seconds=PHASE_TIMEOUT, condition=lambda: self._all_in_force(number=number + 1))
+        recovery_s = self.network.now - started_at
+        self.network.run(seconds=max(0.0, 5.0 - recovery_s))
         return {
             "accepted_s": accepted,
-            "healed": is_healed,
-            "healed_s": round(healed, 2),
-            **self._between(before=before),
+            "healed": has_recovered,
+            "healed_s": round(recovery_s, 2),
+            **self._rates_since(before=before),
         }
 
-    def _operate(self, *, method: str, document: dict, if_match: str) -> float | None:
+    def _send_change(self, *, method: str, document: dict, if_match: str) -> float | None:
         """Seconds until an operator's change was accepted, None if it was not."""
-        begun, body = self.network.now, json.dumps(document, separators=(",", ":")).encode()
-        for turn in range(5):
-            token = f"desk {method} {self.version + 1} {turn} {begun}"
-            ask_operator(
+        started_at, body = self.network.now, json.dumps(document, separators=(",", ":")).encode()
+        for attempt in range(5):
+            token = f"desk {method} {self.version + 1} {attempt} {started_at}"
+            send_operator_request(
                 network=self.network,
                 member=self.controllers[0],
                 token=token,
@@ -248,13 +258,13 @@
                 body=body,
                 if_match=if_match,
             )
-            self.network.run(seconds=12.0, until=lambda token=token: token in self.network.answers)
+            self.network.run(seconds=12.0, condition=lambda token=token: token in self.network.answers)
             answer = self.network.answers.pop(token, None)
             if answer is not None and answer.code == 200:
                 self.version += 1
-                return round(self.network.now - begun, 3)
+                return round(self.network.now - started_at, 3)
             if answer is not None and answer.code != 503:
-                self.say(f"the change was refused: {answer.code} {answer.body[:200]!r}")
+                self.report_progress(f"the change was refused: {answer.code} {answer.body[:200]!r}")
                 return None
         return None
 
@@ -266,17 +276,17 @@
     def _all_ready(self) -> bool:
         return all(proxy.owner is not None and proxy.owner.is_ready for proxy in self.proxies)
 
-    def _all_hold(self, *, number: int) -> bool:
+    def _all_in_force(self, *, number: int) -> bool:
         return all(
             self.in_force.get(proxy.post, (0, 0))[0] >= number for proxy in self.proxies if proxy.owner is not None
         )
 
-    def _names(self, *, dead: Member) -> bool:
-        return any(dead.name in proxy.owner.context.peers for proxy in self.proxies if proxy.owner is not None)
+    def _is_listed(self, *, killed: Member) -> bool:
+        return any(killed.name in proxy.owner.context.peers for proxy in self.proxies if proxy.owner is not None)
 
-    def _tally(self) -> Tally:
+    def _snapshot(self) -> Counters:
         network, members = self.network, [*self.controllers, *self.proxies]
-        return Tally(
+        return Counters(
             at=network.now,
             messages=network.messages.copy(),
             bytes=network.bytes.copy(),
@@ -284,14 +294,14 @@
             calls=network.calls.copy(),
             lost=network.lost.copy(),
             steps={key: tuple(row) for key, row in network.steps.items()},
-            costs={one.post: one.cost.copy() for one in members},
-            sent={one.post: one.sent.copy() for one in members},
-            heard={member.post: member.heard.copy() for member in members},
+            costs={member.post: member.cost.copy() for member in members},
+            sent={member.post: member.sent.copy() for member in members},
+            received={member.post: member.received.copy() for member in members},
         )
 
-    def _between(self, *, before: Tally) -> dict:
+    def _rates_since(self, *, before: Counters) -> dict:
         """All figures since then, a second."""
-        after, span = self._tally(), max(1e-9, self.network.now - before.at)
+        after, span = self._snapshot(), max(1e-9, self.network.now - before.at)
         kinds: dict = {}
         for (kind, link), count in (after.messages - before.messages).items():
             row = kinds.setdefault(kind, {})
@@ -313,22 +323,27 @@
         }
         roles = {}
         for role, members in (("controller", self.controllers), ("proxy", self.proxies)):
-            cpu = [sum((after.costs[one.post] - before.costs[one.post]).values()) / span for one in members]
-            out = [(after.sent[one.post]["bytes"] - before.sent[one.post]["bytes"]) / span for one in members]
-            into = [(after.heard[one.post]["bytes"] - before.heard[one.post]["bytes"]) / span for one in members]
+            cpu = [sum((after.costs[member.post] - before.costs[member.post]).values()) / span for member in members]
+            out = [(after.sent[member.post]["bytes"] - before.sent[member.post]["bytes"]) / span for member in members]
+            into = [
+                (after.received[member.post]["bytes"] - before.received[member.post]["bytes"]) / span
+                for member in members
+            ]
             parts = {
-                part: sum(after.costs[one.post][part] - before.costs[one.post][part] for one in members)
+                part: sum(after.costs[member.post][part] - before.costs[member.post][part] for member in members)
                 / span
                 / len(members)
                 for part in ("step", "pack", "unpack", "check")
             }
-            told = sum(after.sent[member.post]["messages"] - before.sent[member.post]["messages"] for member in members)
+            messages = sum(
+                after.sent[member.post]["messages"] - before.sent[member.post]["messages"] for member in members
+            )
             roles[role] = {
                 "cpu": _spread(values=cpu),
                 "out": _spread(values=out),
                 "in": _spread(values=into),
                 "cpu_parts": {name: round(value, 6) for name, value in parts.items()},
-                "messages_out": round(told / span / len(members), 2),
+                "messages_out": round(messages / span / len(members), 2),
             }
         return {
             "span_s": round(span, 2),
@@ -353,12 +368,12 @@
         return int(file.read().split()[1]) * resource.getpagesize()
 
 
-def _short(figures: dict) -> str:
-    told = {name: value for name, value in figures.items() if name.endswith("_s") and name != "span_s"}
+def _summary(figures: dict) -> str:
+    shown = {name: value for name, value in figures.items() if name.endswith("_s") and name != "span_s"}
     inner = figures.get("return", figures)
     if "roles" in inner:
-        told |= {f"{role} cpu": inner["roles"][role]["cpu"][0] for role in inner["roles"]}
-        told |= {
+        shown |= {f"{role} cpu": inner["roles"][role]["cpu"][0] for role in inner["roles"]}
+        shown |= {
             f"{role} bytes": inner["roles"][role]["out"][0] + inner["roles"][role]["in"][0] for role in inner["roles"]
         }
-    return " ".join(f"{name}={value}" for name, value in told.items())
+    return " ".join(f"{name}={value}" for name, value in shown.items())
--- a/simulation/hollow_fleet/network.py
+++ b/simulation/hollow_fleet/network.py
@@ -36,13 +36,13 @@
 
 LINKS = ("zone", "region", "regions")
 """Within a zone, between zones of a region, between regions."""
-SAMPLE = 24
+SAMPLE_INTERVAL = 24
 """A message of a kind and shape is packed anew each so many times; the others count as the last one did."""
-SYNC = 0.0005
+SYNC_DELAY = 0.0005
 """s that a disk takes to sync, as on the sites."""
-API = 0.005
+CALL_DELAY = 0.005
 """s that the platform's list and a worker's grant take."""
-CACHED = 4000
+MAX_CACHED_WEIGHTS = 4000
 """sizes that are kept."""
 
 
@@ -57,7 +57,7 @@
     post: str
     make: Callable
     owner: object = None
-    life: int = 0
+    incarnation: int = 0
     records: list = field(default_factory=list)
     queue: deque = field(default_factory=deque)
     is_waiting: bool = False
@@ -65,8 +65,8 @@
     tick_at: float = 0.0
     cost: Counter = field(default_factory=Counter)
     sent: Counter = field(default_factory=Counter)
-    heard: Counter = field(default_factory=Counter)
-    longest: float = 0.0
+    received: Counter = field(default_factory=Counter)
+    longest_busy: float = 0.0
 
 
 @dataclass(kw_only=True)
@@ -80,23 +80,23 @@
     is_readable: bool = True
 
 
-class Scale:
+class MessageScale:
     """Weighs messages by the product's own packing. `step` gives the Weight of a body."""
 
     def __init__(self) -> None:
-        self._kept: dict = {}
+        self._weights: dict = {}
 
     def step(self, *, body: dict) -> Weight:
         """Weigh it, or take the weight of one like it."""
-        key = _shape_of(body=body)
-        weight = self._kept.get(key)
+        key = _cache_key(body=body)
+        weight = self._weights.get(key)
         if weight is None:
-            if len(self._kept) > CACHED:
-                self._kept.clear()
-            weight = self._kept[key] = Weight()
+            if len(self._weights) > MAX_CACHED_WEIGHTS:
+                self._weights.clear()
+            weight = self._weights[key] = Weight()
         is_large = weight.size > 20 * constants.MESSAGE_TRANSPORT_COMPRESSION_MIN_BYTES
-        if weight.uses == 0 or (weight.uses % SAMPLE == 0 and not is_large):
-            begun = time.process_time()
+        if weight.uses == 0 or (weight.uses % SAMPLE_INTERVAL == 0 and not is_large):
+            started_at = time.process_time()
             frame = pack_body(body=body)
             packed = time.process_time()
             length, encoding = LENGTH.unpack_from(frame)
@@ -104,18 +104,18 @@
             ended = time.process_time()
             is_readable = not isinstance(read, BadMessage) and length <= constants.MAX_FRAME_BYTES
             uses, share = weight.uses, 1.0 if weight.uses == 0 else 0.3
-            weight = self._kept[key] = Weight(
+            weight = self._weights[key] = Weight(
                 size=len(frame),
                 is_readable=is_readable,
                 uses=uses,
-                pack=weight.pack + share * (packed - begun - weight.pack),
+                pack=weight.pack + share * (packed - started_at - weight.pack),
                 unpack=weight.unpack + share * (ended - packed - weight.unpack),
             )
         weight.uses += 1
         return weight
 
 
-def _shape_of(*, body: dict) -> tuple:
+def _cache_key(*, body: dict) -> tuple:
     kind = body["kind"]
     if "value" in body and isinstance(body["value"], dict):
         return (kind, body.get("name") or body.get("register", ""), body["value"]["text"])
@@ -129,138 +129,156 @@
 class Network:
     """Runs members on virtual time. A member is busy for as long as its steps, packing and unpacking took here."""
 
-    def __init__(self, *, delays: tuple[float, float, float], pages: list[bytes], is_charged: bool = True) -> None:
+    def __init__(
+        self, *, delays: tuple[float, float, float], pages: list[bytes], counts_busy_time: bool = True
+    ) -> None:
         self.now = 0.0
         self.members: dict[str, Member] = {}
-        self.watch: Callable[[Member, LogEvent], None] = lambda member, log: None
+        self.on_log: Callable[[Member, LogEvent], None] = lambda member, log: None
         self.answers: dict[str, Respond] = {}
-        self.cut: set[str] = set()
+        self.cut_regions: set[str] = set()
         self.messages: Counter = Counter()
         self.bytes: Counter = Counter()
         self.lost: Counter = Counter()
         self.disk: Counter = Counter()
         self.steps: defaultdict = defaultdict(lambda: [0, 0.0])
         self.calls: Counter = Counter()
-        self._delays, self._pages, self._is_charged = dict(zip(LINKS, delays, strict=True)), pages, is_charged
-        self._scale = Scale()
-        self._line: list = []
+        self._delays, self._pages, self._counts_busy_time = (
+            dict(zip(LINKS, delays, strict=True)),
+            pages,
+            counts_busy_time,
+        )
+        self._scale = MessageScale()
+        self._timers: list = []
         self._count = 0
 
     def add(self, *, member: Member) -> None:
         """Know a member; it is not up yet."""
         self.members[member.post] = member
 
-    def after(self, *, delay: float, act: Callable[[], None]) -> None:
+    def schedule(self, *, delay: float, action: Callable[[], None]) -> None:
         """Run `act` after so many s."""
         self._count += 1
-        heapq.heappush(self._line, (self.now + delay, self._count, act))
+        heapq.heappush(self._timers, (self.now + delay, self._count, action))
 
-    def run(self, *, seconds: float, until: Callable[[], bool] | None = None) -> bool:
+    def run(self, *, seconds: float, condition: Callable[[], bool] | None = None) -> bool:
         """Let time go on; was what is waited for reached?"""
-        end, look = self.now + seconds, self.now
-        while self._line and self._line[0][0] <= end:
-            self.now, _, act = heapq.heappop(self._line)
-            act()
-            if until is not None and self.now >= look:
-                look = self.now + 0.01
-                if until():
+        end, next_check = self.now + seconds, self.now
+        while self._timers and self._timers[0][0] <= end:
+            self.now, _, action = heapq.heappop(self._timers)
+            action()
+            if condition is not None and self.now >= next_check:
+                next_check = self.now + 0.01
+                if condition():
                     return True
         self.now = end
-        return until is not None and until()
+        return condition is not None and condition()
 
     def start(self, *, member: Member, delay: float = 0.0) -> None:
         """Bring a member up; its ticks are spread by its own delay."""
-        member.life += 1
-        life = member.life
+        member.incarnation += 1
+        incarnation = member.incarnation
 
         def begin() -> None:
-            if member.life == life:
+            if member.incarnation == incarnation:
                 member.owner = member.make(member=member, now=self.now)
                 member.busy_until = member.tick_at = self.now
-                self._tick(member=member, life=life)
+                self._tick(member=member, incarnation=incarnation)
 
-        self.after(delay=delay, act=begin)
+        self.schedule(delay=delay, action=begin)
 
     def kill(self, *, member: Member) -> None:
         """End it at once; its disk stays."""
-        member.life += 1
+        member.incarnation += 1
         member.owner, member.is_waiting = None, False
         member.queue.clear()
 
-    def give(self, *, member: Member, event: object, cost: float = 0.0, delay: float = 0.0) -> None:
+    def deliver(self, *, member: Member, event: object, cost: float = 0.0, delay: float = 0.0) -> None:
         """An event for a member after so many s; `cost` is what taking it in costs before the step."""
-        life = member.life
-        self.after(delay=delay, act=lambda: self._arrive(member=member, life=life, event=event, cost=cost))
+        incarnation = member.incarnation
+        self.schedule(
+            delay=delay, action=lambda: self._on_event(member=member, incarnation=incarnation, event=event, cost=cost)
+        )
 
-    def link(self, *, one: Member, other: Member) -> str:
+    def link(self, *, first: Member, second: Member) -> str:
         """The class of the link between two members."""
-        return "zone" if one.zone == other.zone else "region" if one.region == other.region else "regions"
+        return "zone" if first.zone == second.zone else "region" if first.region == second.region else "regions"
 
-    def _tick(self, *, member: Member, life: int) -> None:
-        if member.life == life:
-            self._arrive(member=member, life=life, event=TimerFired(wall=1000.0 + self.now), cost=0.0)
+    def _tick(self, *, member: Member, incarnation: int) -> None:
+        if member.incarnation == incarnation:
+            self._on_event(member=member, incarnation=incarnation, event=TimerFired(wall=1000.0 + self.now), cost=0.0)
             member.tick_at = max(member.tick_at + constants.TICK_INTERVAL, member.busy_until)
-            self.after(delay=member.tick_at - self.now, act=lambda: self._tick(member=member, life=life))
+            self.schedule(
+                delay=member.tick_at - self.now, action=lambda: self._tick(member=member, incarnation=incarnation)
+            )
 
-    def _arrive(self, *, member: Member, life: int, event: object, cost: float) -> None:
-        if member.life != life or member.owner is None:
+    def _on_event(self, *, member: Member, incarnation: int, event: object, cost: float) -> None:
+        if member.incarnation != incarnation or member.owner is None:
             return
         if member.is_waiting or member.busy_until > self.now:
             member.queue.append((event, cost))
             if not member.is_waiting:
                 member.is_waiting = True
-                self.after(delay=member.busy_until - self.now, act=lambda: self._drain(member=member, life=life))
+                self.schedule(
+                    delay=member.busy_until - self.now,
+                    action=lambda: self._drain(member=member, incarnation=incarnation),
+                )
             return
-        self._take(member=member, event=event, cost=cost)
+        self._step_owner(member=member, event=event, cost=cost)
 
-    def _drain(self, *, member: Member, life: int) -> None:
-        if member.life != life:
+    def _drain(self, *, member: Member, incarnation: int) -> None:
+        if member.incarnation != incarnation:
             return
         member.is_waiting = False
         while member.queue:
             if member.busy_until > self.now:
                 member.is_waiting = True
-                self.after(delay=member.busy_until - self.now, act=lambda: self._drain(member=member, life=life))
+                self.schedule(
+                    delay=member.busy_until - self.now,
+                    action=lambda: self._drain(member=member, incarnation=incarnation),
+                )
                 return
             event, cost = member.queue.popleft()
-            self._take(member=member, event=event, cost=cost)
-            if member.life != life:
+            self._step_owner(member=member, event=event, cost=cost)
+            if member.incarnation != incarnation:
                 return
 
-    def _take(self, *, member: Member, event: object, cost: float) -> None:
-        what = event.body["kind"] if isinstance(event, MessageReceived) else type(event).__name__
-        begun = time.process_time()
+    def _step_owner(self, *, member: Member, event: object, cost: float) -> None:
+        event_kind = event.body["kind"] if isinstance(event, MessageReceived) else type(event).__name__
+        started_at = time.process_time()
         commands = member.owner.step(now=self.now, event=event)
-        took = time.process_time() - begun
-        member.cost["step"] += took
+        elapsed = time.process_time() - started_at
+        member.cost["step"] += elapsed
         member.cost["unpack"] += cost
-        row = self.steps[(member.role, what)]
+        row = self.steps[(member.role, event_kind)]
         row[0] += 1
-        row[1] += took + cost
-        ready, life = self.now + cost + took, member.life
+        row[1] += elapsed + cost
+        ready, incarnation = self.now + cost + elapsed, member.incarnation
         for command in commands:
-            if member.life != life:
+            if member.incarnation != incarnation:
                 return
-            ready += self._carry_out(member=member, command=command, ready=ready - self.now)
-        member.longest = max(member.longest, ready - self.now)
-        member.busy_until = ready if self._is_charged else self.now
+            ready += self._execute(member=member, command=command, ready=ready - self.now)
+        member.longest_busy = max(member.longest_busy, ready - self.now)
+        member.busy_until = ready if self._counts_busy_time else self.now
 
-    def _carry_out(self, *, member: Member, command: object, ready: float) -> float:
-        ready = ready if self._is_charged else 0.0
+    def _execute(self, *, member: Member, command: object, ready: float) -> float:
+        ready = ready if self._counts_busy_time else 0.0
         if isinstance(command, SendMessage):
             return self._send(member=member, to=self.members.get(command.to), body=command.body, ready=ready)
         if isinstance(command, LogEvent):
-            self.watch(member, command)
+            self.on_log(member, command)
         elif isinstance(command, Respond):
             self.answers[command.token] = command
         elif isinstance(command, (AppendRecords, RewriteRecords)):
             self._store(member=member, command=command, ready=ready)
         elif isinstance(command, ValidateConfig):
-            begun = time.process_time()
+            started_at = time.process_time()
             verdict = check_config(config=command.config)
-            took = time.process_time() - begun
-            member.cost["check"] += took
-            self.give(member=member, event=ConfigValidated(token=command.token, verdict=verdict), delay=ready + took)
+            elapsed = time.process_time() - started_at
+            member.cost["check"] += elapsed
+            self.deliver(
+                member=member, event=ConfigValidated(token=command.token, verdict=verdict), delay=ready + elapsed
+            )
         elif isinstance(command, StartCall):
             self._call(member=member, command=command, ready=ready)
         elif isinstance(command, ExitProcess):
@@ -269,25 +287,25 @@
 
     def _send(self, *, member: Member, to: Member | None, body: dict, ready: float) -> float:
         if to is member:
-            self.give(member=member, event=MessageReceived(sender=member.post, body=body), delay=ready)
+            self.deliver(member=member, event=MessageReceived(sender=member.post, body=body), delay=ready)
             return 0.0
         weight = self._scale.step(body=body)
         member.cost["pack"] += weight.pack
         member.sent["messages"] += 1
         member.sent["bytes"] += weight.size
-        if to is None or to.owner is None or (member.region in self.cut) != (to.region in self.cut):
+        if to is None or to.owner is None or (member.region in self.cut_regions) != (to.region in self.cut_regions):
             self.lost["unreachable"] += 1
             return weight.pack
-        link = self.link(one=member, other=to)
+        link = self.link(first=member, second=to)
         self.messages[(body["kind"], link)] += 1
         self.bytes[(body["kind"], link)] += weight.size
-        to.heard["messages"] += 1
-        to.heard["bytes"] += weight.size
+        to.received["messages"] += 1
+        to.received["bytes"] += weight.size
         if not weight.is_readable:
             self.lost["unreadable"] += 1
             return weight.pack
-        delay = ready + self._delays[link] + (weight.pack if self._is_charged else 0.0)
-        self.give(member=to, event=MessageReceived(sender=member.post, body=body), cost=weight.unpack, delay=delay)
+        delay = ready + self._delays[link] + (weight.pack if self._counts_busy_time else 0.0)
+        self.deliver(member=to, event=MessageReceived(sender=member.post, body=body), cost=weight.unpack, delay=delay)
         return weight.pack
 
     def _store(self, *, member: Member, command: AppendRecords | RewriteRecords, ready: float) -> None:
@@ -295,33 +313,33 @@
         self.disk["syncs"] += 1
         self.disk["bytes"] += size
         member.records = (member.records if isinstance(command, AppendRecords) else []) + list(command.records)
-        self.give(member=member, event=RecordsSynced(seq=command.seq), delay=ready + SYNC)
+        self.deliver(member=member, event=RecordsSynced(seq=command.seq), delay=ready + SYNC_DELAY)
 
     def _call(self, *, member: Member, command: StartCall, ready: float) -> None:
         is_list = command.owner == "platform"
         self.calls["list" if is_list else "worker"] += 1
         if is_list:
             token = command.path.rpartition("=")[2] if "=" in command.path else "0"
-            body = self._pages[int(token) // max(1, _rows_in(pages=self._pages))] if self._pages else b""
+            body = self._pages[int(token) // max(1, _page_size(pages=self._pages))] if self._pages else b""
         else:
             body = b"{}"
         headers = {} if is_list else {"instance-id": command.owner}
         called = CallFinished(token=command.token, code=200, headers=headers, body=body, fault="", sent=True)
-        self.give(member=member, event=called, delay=ready + API)
+        self.deliver(member=member, event=called, delay=ready + CALL_DELAY)
 
 
-def _rows_in(*, pages: list[bytes]) -> int:
+def _page_size(*, pages: list[bytes]) -> int:
     return len(json.loads(pages[0])["instances"])
 
 
-def ask_operator(
+def send_operator_request(
     *, network: Network, member: Member, token: str, method: str, path: str, body: bytes, if_match: str
 ) -> None:
     """An operator's call; too large a body is not read, as at the front."""
-    given = body if len(body) <= constants.MAX_CONFIG_BYTES else None
-    network.give(
+    readable_body = body if len(body) <= constants.MAX_CONFIG_BYTES else None
+    network.deliver(
         member=member,
         event=RequestReceived(
-            token=token, method=method, path=path, query={}, headers={"if-match": if_match}, body=given
+            token=token, method=method, path=path, query={}, headers={"if-match": if_match}, body=readable_body
         ),
     )
--- a/simulation/hollow_fleet/parts.py
+++ b/simulation/hollow_fleet/parts.py
@@ -25,16 +25,16 @@
     make_document,
     make_patch,
     merge_patch,
+    pushed_fleet,
+    pushed_workers,
     service_name,
-    told_fleet,
-    told_rows,
-    word,
+    unique_name,
     zones_of,
 )
 
-LEAD = "10.1.0.1:7000"
+CONTROLLER_ADDRESS = "10.1.0.1:7000"
 REPEATS = 3
-NAMED = {
+PARTS = {
     "list": ("workers", (500, 1000, 2000, 4000, 8000, 16000, 32000, 63000)),
     "fleet": ("daemons", (100, 300, 1000, 3000, 6000, 12000)),
     "config": ("routes", (100, 300, 1000, 2500, 5000, 10000, 31000)),
@@ -47,20 +47,20 @@
 """{part: (what is varied, sizes)}"""
 
 
-def measure_part(*, name: str, sizes: tuple, say: Callable[[str], None]) -> dict:
+def measure_part(*, name: str, sizes: tuple, report_progress: Callable[[str], None]) -> dict:
     """All points of one part.
 
     {figure: [[size, value], ...]}, each the middle of REPEATS runs, with the least and greatest.
     """
     measure = {
-        "list": _list,
-        "fleet": _fleet,
-        "config": _config,
-        "tenants": _tenants,
-        "place": _place,
-        "halls": _zones,
-        "core": _core,
-        "askers": _askers,
+        "list": _measure_list,
+        "fleet": _measure_fleet,
+        "config": _measure_config,
+        "tenants": _measure_tenants,
+        "place": _measure_placement,
+        "halls": _measure_zones,
+        "core": _measure_controller,
+        "askers": _measure_asks,
     }[name]
     points: dict = {}
     for size in sizes:
@@ -73,7 +73,7 @@
         for figure in runs[0]:
             values = sorted(run[figure] for run in runs)
             points.setdefault(figure, []).append([size, statistics.median(values), values[0], values[-1]])
-        say(f"{name} {size}: " + " ".join(f"{figure}={points[figure][-1][1]:.6g}" for figure in points))
+        report_progress(f"{name} {size}: " + " ".join(f"{figure}={points[figure][-1][1]:.6g}" for figure in points))
     return points
 
 
@@ -81,11 +81,11 @@
     """A proxy that has heard a controller."""
     hosted = hosted_of(size=size, role="proxy", index=0, zones=zones_of(size=size))
     proxy = Proxy(location=hosted.location, start=1, rng=random.Random(1), options=hosted.options)
-    proxy.control_client.followed_controller = LEAD
+    proxy.control_client.followed_controller = CONTROLLER_ADDRESS
     return proxy
 
 
-def push_of(*, name: str, number: int, text: str) -> dict:
+def make_push(*, name: str, number: int, text: str) -> dict:
     """A push of this text."""
     return {
         "kind": "push",
@@ -93,7 +93,7 @@
         "name": name,
         "number": number,
         "ballot": [0, ""],
-        "value": {"number": number, "mark": LEAD, "trail": [], "text": text},
+        "value": {"number": number, "mark": CONTROLLER_ADDRESS, "trail": [], "text": text},
     }
 
 
@@ -102,30 +102,30 @@
     return json.dumps({"written": make_document(size=size, version=version)}, separators=(",", ":"))
 
 
-def _seconds(act: Callable[[], object]) -> float:
-    begun = time.process_time()
-    act()
-    return time.process_time() - begun
+def _cpu_seconds(action: Callable[[], object]) -> float:
+    started_at = time.process_time()
+    action()
+    return time.process_time() - started_at
 
 
-def _give(*, proxy: Proxy, body: dict, now: float) -> list:
-    return proxy.step(now=now, event=MessageReceived(sender=LEAD, body=body))
+def _deliver(*, proxy: Proxy, body: dict, now: float) -> list:
+    return proxy.step(now=now, event=MessageReceived(sender=CONTROLLER_ADDRESS, body=body))
 
 
-def _push_figures(*, size: Size, name: str, texts: tuple[str, str]) -> tuple[dict, Proxy]:
+def _measure_push(*, size: Size, name: str, texts: tuple[str, str]) -> tuple[dict, Proxy]:
     """Sending, taking and holding one push of a register or list.
 
     The second of two is timed, as the first one is new.
     """
     proxy = make_proxy(size=size)
-    bodies = [push_of(name=name, number=at + 1, text=text) for at, text in enumerate(texts)]
+    bodies = [make_push(name=name, number=at + 1, text=text) for at, text in enumerate(texts)]
     frames: list[bytes] = []
-    pack = _seconds(lambda: frames.append(pack_body(body=bodies[1])))
+    pack = _cpu_seconds(lambda: frames.append(pack_body(body=bodies[1])))
     length, encoding = LENGTH.unpack_from(frames[0])
     reads: list = []
-    unpack = _seconds(lambda: reads.append(read_body(payload=frames[0][LENGTH.size :], encoding=encoding)))
-    _give(proxy=proxy, body=bodies[0], now=1.0)
-    take = _seconds(lambda: _give(proxy=proxy, body=bodies[1], now=2.0))
+    unpack = _cpu_seconds(lambda: reads.append(read_body(payload=frames[0][LENGTH.size :], encoding=encoding)))
+    _deliver(proxy=proxy, body=bodies[0], now=1.0)
+    take = _cpu_seconds(lambda: _deliver(proxy=proxy, body=bodies[1], now=2.0))
     figures = {
         "text_bytes": len(texts[1]),
         "frame_bytes": len(frames[0]),
@@ -135,77 +135,78 @@
         "readable": 0 if isinstance(reads[0], BadMessage) or length > constants.MAX_FRAME_BYTES else 1,
     }
     ticks = [
-        _seconds(lambda at=at: proxy.step(now=3.0 + at * constants.TICK_INTERVAL, event=TimerFired(wall=1.0)))
+        _cpu_seconds(lambda at=at: proxy.step(now=3.0 + at * constants.TICK_INTERVAL, event=TimerFired(wall=1.0)))
         for at in range(40)
     ]
     return {**figures, "tick_s": statistics.fmean(ticks)}, proxy
 
 
-def _held_bytes(*, size: Size, name: str, text: str) -> int:
+def _measure_memory(*, size: Size, name: str, text: str) -> int:
     """Bytes that a proxy holds for this push, its own copy of the text included."""
     proxy = make_proxy(size=size)
     tracemalloc.start()
-    body = json.loads(json.dumps(push_of(name=name, number=1, text=text)))
-    _give(proxy=proxy, body=body, now=1.0)
+    body = json.loads(json.dumps(make_push(name=name, number=1, text=text)))
+    _deliver(proxy=proxy, body=body, now=1.0)
     del body
     gc.collect()
-    held = tracemalloc.get_traced_memory()[0]
+    memory = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    return held
+    return memory
 
 
-def _list(*, size: int) -> dict:
+def _measure_list(*, size: int) -> dict:
     shape = Size(workers=size, services=max(1, size // 32), zones=8, regions=4)
-    text = told_rows(size=shape)
-    figures, _ = _push_figures(size=shape, name="workers", texts=(text, text))
-    return {**figures, "held_bytes": _held_bytes(size=shape, name="workers", text=text)}
+    text = pushed_workers(size=shape)
+    figures, _ = _measure_push(size=shape, name="workers", texts=(text, text))
+    return {**figures, "held_bytes": _measure_memory(size=shape, name="workers", text=text)}
 
 
-def _fleet(*, size: int) -> dict:
+def _measure_fleet(*, size: int) -> dict:
     shape = Size(daemons=size, zones=max(4, size // 136), regions=4)
-    text = told_fleet(size=shape, zones=zones_of(size=shape))
-    figures, proxy = _push_figures(size=shape, name="fleet", texts=(text, text))
-    asked = RequestReceived(
+    text = pushed_fleet(size=shape, zones=zones_of(size=shape))
+    figures, proxy = _measure_push(size=shape, name="fleet", texts=(text, text))
+    request = RequestReceived(
         token="directory 1", method="GET", path="/proxies", query={}, headers={}, body=b"", target="/proxies"
     )
-    figures["resolve_s"] = _seconds(lambda: [proxy.step(now=9.0, event=asked) for _ in range(20)]) / 20
-    return {**figures, "held_bytes": _held_bytes(size=shape, name="fleet", text=text)}
+    figures["resolve_s"] = _cpu_seconds(lambda: [proxy.step(now=9.0, event=request) for _ in range(20)]) / 20
+    return {**figures, "held_bytes": _measure_memory(size=shape, name="fleet", text=text)}
 
 
-def _config(*, size: int) -> dict:
+def _measure_config(*, size: int) -> dict:
     shape = Size(routes=size, services=max(2, size // 16), zones=8, regions=4)
     texts = (config_text(size=shape), config_text(size=shape, version=2))
-    figures, proxy = _push_figures(size=shape, name="config", texts=texts)
+    figures, proxy = _measure_push(size=shape, name="config", texts=texts)
     full = proxy.options.expand(make_document(size=shape, version=2))
-    check = _seconds(lambda: check_config(config=full))
+    check = _cpu_seconds(lambda: check_config(config=full))
     written = make_document(size=shape, version=2)
-    expand = _seconds(lambda: proxy.options.expand(written))
-    merge = _seconds(lambda: merge_patch(written, make_patch(size=shape, version=3)))
+    expand = _cpu_seconds(lambda: proxy.options.expand(written))
+    merge = _cpu_seconds(lambda: merge_patch(written, make_patch(size=shape, version=3)))
     delta = json.dumps(make_patch(size=shape, version=3), separators=(",", ":"))
-    frame = pack_body(body=push_of(name="config", number=3, text=delta))
+    frame = pack_body(body=make_push(name="config", number=3, text=delta))
     figures |= {"expand_s": expand, "merge_s": merge, "delta_frame_bytes": len(frame)}
-    return {**figures, "check_s": check, "held_bytes": _held_bytes(size=shape, name="config", text=texts[0])}
+    return {**figures, "check_s": check, "held_bytes": _measure_memory(size=shape, name="config", text=texts[0])}
 
 
-def _tenants(*, size: int) -> dict:
+def _measure_tenants(*, size: int) -> dict:
     """Tenants are not in the platform's words: the product's own full form holds them."""
     shape = Size(routes=4, services=2, divided=0)
     proxy = make_proxy(size=shape)
     full = proxy.options.expand(make_document(size=shape, version=1))
     full["tenants"] = {
-        word(kind="tenant", index=index): {"homes": [f"region-{index % 37}"], "share": 1} for index in range(size)
+        unique_name(kind="tenant", index=index): {"homes": [f"region-{index % 37}"], "share": 1}
+        for index in range(size)
     }
     text = json.dumps({"full": full}, separators=(",", ":"))
-    body = push_of(name="config", number=1, text=text)
+    body = make_push(name="config", number=1, text=text)
     frames: list[bytes] = []
-    pack = _seconds(lambda: frames.append(pack_body(body=body)))
-    take = _seconds(lambda: _give(proxy=proxy, body=body, now=1.0))
+    pack = _cpu_seconds(lambda: frames.append(pack_body(body=body)))
+    take = _cpu_seconds(lambda: _deliver(proxy=proxy, body=body, now=1.0))
     return {
         "text_bytes": len(text),
         "frame_bytes": len(frames[0]),
         "pack_s": pack,
         "take_s": take,
-        "held_bytes": _held_bytes(size=shape, name="config", text=text),
+        "held_bytes": _measure_memory(size=shape, name="config", text=text),
     }
 
 
@@ -225,24 +226,24 @@
     }
 
 
-def _request_seconds(*, size: Size, count: int) -> dict:
+def _measure_requests(*, size: Size, count: int) -> dict:
     """Processor time of the owner a request: one Asked and one Called; and of the placing alone with ticks apart."""
     proxy = make_proxy(size=size)
     for name, text in (
         ("config", config_text(size=size)),
-        ("workers", told_rows(size=size)),
-        ("fleet", told_fleet(size=size, zones=zones_of(size=size))),
+        ("workers", pushed_workers(size=size)),
+        ("fleet", pushed_fleet(size=size, zones=zones_of(size=size))),
     ):
-        _give(proxy=proxy, body=push_of(name=name, number=1, text=text), now=1.0)
+        _deliver(proxy=proxy, body=make_push(name=name, number=1, text=text), now=1.0)
     proxy.step(now=1.1, event=TimerFired(wall=1.0))
     path, headers = free_route(size=size)
 
-    def one(at: int) -> None:
-        asked = RequestReceived(
+    def exchange(at: int) -> None:
+        request = RequestReceived(
             token=f"front {at}", method="GET", path=path, query={}, headers=headers, body=b"", target=path
         )
-        call = next(command for command in proxy.step(now=1.2, event=asked) if isinstance(command, StartCall))
-        called = CallFinished(
+        call = next(command for command in proxy.step(now=1.2, event=request) if isinstance(command, StartCall))
+        finished = CallFinished(
             token=call.token,
             code=200,
             headers={"attempt-id": "a", "server-seal": "s", "instance-id": call.owner},
@@ -250,22 +251,22 @@
             fault="",
             sent=True,
         )
-        answer = next(command for command in proxy.step(now=1.25, event=called) if isinstance(command, Respond))
+        answer = next(command for command in proxy.step(now=1.25, event=finished) if isinstance(command, Respond))
         assert answer.code == 200, answer
 
-    one(0)
-    took = _seconds(lambda: [one(at + 1) for at in range(count)])
-    counting = _seconds(proxy.context.counts)
-    return {"request_s": took / count, "count_s": counting}
+    exchange(0)
+    elapsed = _cpu_seconds(lambda: [exchange(at + 1) for at in range(count)])
+    counting = _cpu_seconds(proxy.context.counts)
+    return {"request_s": elapsed / count, "count_s": counting}
 
 
-def _place(*, size: int) -> dict:
-    return _request_seconds(
+def _measure_placement(*, size: int) -> dict:
+    return _measure_requests(
         size=Size(workers=2 * size, services=2, routes=4, zones=8, regions=4, divided=0, daemons=4), count=60
     )
 
 
-def _zones(*, size: int) -> dict:
+def _measure_zones(*, size: int) -> dict:
     # one worker in each zone of each service at the least, as each place with a worker is a zone of the service
     services = max(2, size // 88)
     zones = min(88, size // 2)
@@ -288,31 +289,31 @@
         for zone in range(zones)
     ]
     for name, text in (("config", config_text(size=shape)), ("workers", json.dumps(rows))):
-        _give(proxy=proxy, body=push_of(name=name, number=1, text=text), now=1.0)
+        _deliver(proxy=proxy, body=make_push(name=name, number=1, text=text), now=1.0)
     proxy.step(now=1.1, event=TimerFired(wall=1.0))
     path, headers = free_route(size=shape)
 
-    def one(at: int) -> None:
-        asked = RequestReceived(
+    def exchange(at: int) -> None:
+        request = RequestReceived(
             token=f"front {at}", method="GET", path=path, query={}, headers=headers, body=b"", target=path
         )
-        call = next(command for command in proxy.step(now=1.2, event=asked) if isinstance(command, StartCall))
+        call = next(command for command in proxy.step(now=1.2, event=request) if isinstance(command, StartCall))
         answered = {"attempt-id": "a", "server-seal": "s"}
         proxy.step(
             now=1.25, event=CallFinished(token=call.token, code=200, headers=answered, body=b"{}", fault="", sent=True)
         )
 
-    one(0)
-    took = _seconds(lambda: [one(at + 1) for at in range(10)])
-    count = _seconds(lambda: proxy.step(now=1.3, event=TimerFired(wall=1.0)))
-    return {"request_s": took / 10, "count_and_tick_s": count}
+    exchange(0)
+    elapsed = _cpu_seconds(lambda: [exchange(at + 1) for at in range(10)])
+    count = _cpu_seconds(lambda: proxy.step(now=1.3, event=TimerFired(wall=1.0)))
+    return {"request_s": elapsed / 10, "count_and_tick_s": count}
 
 
-def make_core(*, size: Size, askers: int) -> tuple[Controller, list[MessageReceived]]:
+def make_controller(*, size: Size, asking_proxies: int) -> tuple[Controller, list[MessageReceived]]:
     """A controller of a core of one, with this many proxies of its own and all others told by the other controllers."""
-    one = Size(**{**vars(size), "controllers": 1})
+    single = Size(**{**vars(size), "controllers": 1})
     zones = zones_of(size=size)
-    hosted = hosted_of(size=one, role="controller", index=0, zones=zones)
+    hosted = hosted_of(size=single, role="controller", index=0, zones=zones)
     controller = Controller(
         location=hosted.location,
         platform="",
@@ -324,8 +325,8 @@
         options=hosted.options,
     )
     asks = []
-    for index in range(askers):
-        location = hosted_of(size=one, role="proxy", index=index, zones=zones).location
+    for index in range(asking_proxies):
+        location = hosted_of(size=single, role="proxy", index=index, zones=zones).location
         daemon = {
             "id": location.name,
             "kind": KINDS_ON_WIRE[location.kind],
@@ -352,12 +353,12 @@
     return controller, asks
 
 
-def _core(*, size: int) -> dict:
-    askers = min(136, size // 2)
+def _measure_controller(*, size: int) -> dict:
+    asking_proxies = min(136, size // 2)
     zones = max(2, size // 136)
     shape = Size(daemons=size, zones=zones, regions=min(37, zones))
-    controller, asks = make_core(size=shape, askers=askers)
-    rows = json.loads(told_fleet(size=shape, zones=zones_of(size=shape)))["proxies"][askers:]
+    controller, asks = make_controller(size=shape, asking_proxies=asking_proxies)
+    rows = json.loads(pushed_fleet(size=shape, zones=zones_of(size=shape)))["proxies"][asking_proxies:]
     others = max(1, size // 136 - 1)
     share = -(-len(rows) // others)
     frames = []
@@ -369,10 +370,10 @@
         controller.step(now=1.0, event=ask)
     controller.step(now=1.05, event=TimerFired(wall=1.0))
     ticks = [
-        _seconds(lambda at=at: controller.step(now=1.1 + at * constants.TICK_INTERVAL, event=TimerFired(wall=1.0)))
+        _cpu_seconds(lambda at=at: controller.step(now=1.1 + at * constants.TICK_INTERVAL, event=TimerFired(wall=1.0)))
         for at in range(10)
     ]
-    ask = _seconds(lambda: [controller.step(now=1.7, event=one) for one in asks]) / len(asks)
+    ask = _cpu_seconds(lambda: [controller.step(now=1.7, event=ask) for ask in asks]) / len(asks)
     return {
         "tick_s": statistics.fmean(ticks),
         "ask_s": ask,
@@ -381,14 +382,14 @@
     }
 
 
-def _askers(*, size: int) -> dict:
-    controller, asks = make_core(size=Size(daemons=size, zones=4), askers=size)
+def _measure_asks(*, size: int) -> dict:
+    controller, asks = make_controller(size=Size(daemons=size, zones=4), asking_proxies=size)
     for ask in asks:
         controller.step(now=1.0, event=ask)
     controller.step(now=1.05, event=TimerFired(wall=1.0))
-    ask = _seconds(lambda: [controller.step(now=1.2, event=one) for one in asks]) / len(asks)
+    ask = _cpu_seconds(lambda: [controller.step(now=1.2, event=ask) for ask in asks]) / len(asks)
     ticks = [
-        _seconds(lambda at=at: controller.step(now=1.3 + at * constants.TICK_INTERVAL, event=TimerFired(wall=1.0)))
+        _cpu_seconds(lambda at=at: controller.step(now=1.3 + at * constants.TICK_INTERVAL, event=TimerFired(wall=1.0)))
         for at in range(10)
     ]
     return {"ask_s": ask, "tick_s": statistics.fmean(ticks)}
--- a/simulation/hollow_fleet/real.py
+++ b/simulation/hollow_fleet/real.py
@@ -27,8 +27,8 @@
 
 from .deployment import FOLDER, HOSTING, Size, list_pages, make_document, settings_of, zones_of
 
-COUNT_EVERY = 0.2
-PATIENCE = 30.0
+COUNT_INTERVAL = 0.2
+START_TIMEOUT = 30.0
 
 
 class CountedTransport(transport_module.MessageTransport):
@@ -36,25 +36,25 @@
 
     file = ""
 
-    def __init__(self, *, reactor, **given) -> None:
-        super().__init__(reactor=reactor, **given)
+    def __init__(self, *, reactor, **arguments) -> None:
+        super().__init__(reactor=reactor, **arguments)
         self._write(reactor=reactor)
 
     def _write(self, *, reactor) -> None:
-        told = {"at": time.monotonic(), "cpu": time.process_time(), **self.counts}
-        Path(self.file + ".new").write_text(json.dumps(told), "utf-8")
+        counts = {"at": time.monotonic(), "cpu": time.process_time(), **self.counts}
+        Path(self.file + ".new").write_text(json.dumps(counts), "utf-8")
         os.replace(self.file + ".new", self.file)
-        reactor.call_later(delay=COUNT_EVERY, callback=lambda: self._write(reactor=reactor))
+        reactor.call_later(delay=COUNT_INTERVAL, callback=lambda: self._write(reactor=reactor))
 
 
-def measure_real(*, size: Size, seconds: float, say: Callable[[str], None]) -> dict:
+def measure_real(*, size: Size, seconds: float, report_progress: Callable[[str], None]) -> dict:
     """Figures a second of each role in a quiet span of a real fleet of this size.
 
     One thread serves the platform's list.
     """
     pages = list_pages(size=size)
 
-    class List(http.server.BaseHTTPRequestHandler):
+    class ListHandler(http.server.BaseHTTPRequestHandler):
         protocol_version = "HTTP/1.1"
 
         def do_GET(self) -> None:
@@ -65,21 +65,21 @@
             self.end_headers()
             self.wfile.write(body)
 
-        def log_message(self, *given) -> None:
+        def log_message(self, *arguments) -> None:
             return None
 
-    server = http.server.ThreadingHTTPServer(("127.0.0.1", 0), List)
+    server = http.server.ThreadingHTTPServer(("127.0.0.1", 0), ListHandler)
     threading.Thread(target=server.serve_forever, daemon=True).start()
     with tempfile.TemporaryDirectory() as folder:
         processes: list = []
         try:
-            return _play(
+            return _measure(
                 size=size,
                 seconds=seconds,
                 folder=Path(folder),
                 api=f"127.0.0.1:{server.server_port}",
                 processes=processes,
-                say=say,
+                report_progress=report_progress,
             )
         finally:
             for _, process, _ in processes:
@@ -88,7 +88,9 @@
             server.shutdown()
 
 
-def _play(*, size: Size, seconds: float, folder: Path, api: str, processes: list, say: Callable[[str], None]) -> dict:
+def _measure(
+    *, size: Size, seconds: float, folder: Path, api: str, processes: list, report_progress: Callable[[str], None]
+) -> dict:
     zones, port, net = zones_of(size=size), random.randrange(20000, 30000, 16), random.randrange(1, 250)
     settings: list[tuple[str, dict]] = []
     for role, count in (("controller", size.core), ("proxy", size.daemons)):
@@ -99,56 +101,67 @@
                 .replace('"10.1.0.', f'"127.{net}.1.')
                 .replace('"10.2.0.', f'"127.{net}.2.')
             )
-            given = json.loads(text)
-            given["inner_port_range"] = [port, port + 9]
-            given["seed_nodes"] = [seed.rpartition(":")[0] + f":{port}" for seed in given["seed_nodes"]]
-            given["listen"] = {
-                name: f"{given['ip']}:{port + 10 + at}" for at, name in enumerate(sorted(given["listen"]))
+            node_settings = json.loads(text)
+            node_settings["inner_port_range"] = [port, port + 9]
+            node_settings["seed_nodes"] = [seed.rpartition(":")[0] + f":{port}" for seed in node_settings["seed_nodes"]]
+            node_settings["listen"] = {
+                name: f"{node_settings['ip']}:{port + 10 + at}"
+                for at, name in enumerate(sorted(node_settings["listen"]))
             }
-            given["data_dir"] = str(folder / given["node_name"])
-            settings.append((role, given))
-    begun = time.monotonic()
-    for role, given in settings:
+            node_settings["data_dir"] = str(folder / node_settings["node_name"])
+            settings.append((role, node_settings))
+    started_at = time.monotonic()
+    for role, node_settings in settings:
         processes.append(
-            (role, _start(role=role, given=given, folder=folder), str(folder / f"{given['node_name']}.counts"))
+            (
+                role,
+                _start_process(role=role, node_settings=node_settings, folder=folder),
+                str(folder / f"{node_settings['node_name']}.counts"),
+            )
         )
     _configure(size=size, address=settings[0][1]["listen"]["control_plane"])
-    for role, given in settings:
-        while role == "proxy" and not _is_ready(address=given["listen"]["readiness"]):
-            if time.monotonic() - begun > PATIENCE:
+    for role, node_settings in settings:
+        while role == "proxy" and not _is_ready(address=node_settings["listen"]["readiness"]):
+            if time.monotonic() - started_at > START_TIMEOUT:
                 raise RuntimeError("the real fleet did not come up")
             time.sleep(0.05)
-    say(f"real: {len(settings)} processes ready after {time.monotonic() - begun:.1f} s")
+    report_progress(f"real: {len(settings)} processes ready after {time.monotonic() - started_at:.1f} s")
     time.sleep(4.0)
     before = [json.loads(Path(file).read_text("utf-8")) for _, _, file in processes]
     time.sleep(seconds)
     after = [json.loads(Path(file).read_text("utf-8")) for _, _, file in processes]
     roles: dict = {}
-    for (role, process, _), one, other in zip(processes, before, after, strict=True):
-        span = other["at"] - one["at"]
+    for (role, process, _), start, last in zip(processes, before, after, strict=True):
+        span = last["at"] - start["at"]
         row = roles.setdefault(role, [])
         row.append(
             {
-                "cpu": (other["cpu"] - one["cpu"]) / span,
-                "out": (other["sent-bytes"] - one["sent-bytes"]) / span,
-                "messages_out": (other["sent"] - one["sent"]) / span,
-                "rss_bytes": _rss_of(pid=process.pid),
+                "cpu": (last["cpu"] - start["cpu"]) / span,
+                "out": (last["sent-bytes"] - start["sent-bytes"]) / span,
+                "messages_out": (last["sent"] - start["sent"]) / span,
+                "rss_bytes": _resident_bytes(pid=process.pid),
             }
         )
     return {
-        role: {name: round(sum(one[name] for one in rows) / len(rows), 6) for name in rows[0]}
+        role: {name: round(sum(row[name] for row in rows) / len(rows), 6) for name in rows[0]}
         for role, rows in roles.items()
     }
 
 
-def _start(*, role: str, given: dict, folder: Path) -> subprocess.Popen:
-    file = folder / f"{given['node_name']}.yaml"
-    file.write_text(yaml.safe_dump(given), "utf-8")
+def _start_process(*, role: str, node_settings: dict, folder: Path) -> subprocess.Popen:
+    file = folder / f"{node_settings['node_name']}.yaml"
+    file.write_text(yaml.safe_dump(node_settings), "utf-8")
     root = str(FOLDER.parent)
     env = {**os.environ, "SAILWARD_NODE_FILE": str(file), "PYTHONPATH": root}
-    with (folder / f"{given['node_name']}.log").open("wb") as log:
+    with (folder / f"{node_settings['node_name']}.log").open("wb") as log:
         return subprocess.Popen(
-            [sys.executable, "-m", "simulation.hollow_fleet.real", role, str(folder / f"{given['node_name']}.counts")],
+            [
+                sys.executable,
+                "-m",
+                "simulation.hollow_fleet.real",
+                role,
+                str(folder / f"{node_settings['node_name']}.counts"),
+            ],
             cwd=root,
             env=env,
             stdout=log,
@@ -157,8 +170,8 @@
 
 
 def _configure(*, size: Size, address: str) -> None:
-    body, begun = json.dumps(make_document(size=size, version=1)), time.monotonic()
-    while time.monotonic() - begun < PATIENCE:
+    body, started_at = json.dumps(make_document(size=size, version=1)), time.monotonic()
+    while time.monotonic() - started_at < START_TIMEOUT:
         try:
             connection = http.client.HTTPConnection(address, timeout=5)
             connection.request("PUT", "/config", body=body, headers={"If-Match": "0"})
@@ -179,7 +192,7 @@
         return False
 
 
-def _rss_of(*, pid: int) -> int:
+def _resident_bytes(*, pid: int) -> int:
     text = Path(f"/proc/{pid}/statm").read_text("ascii")
     return int(text.split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -10,12 +10,12 @@
 from sailward.transport.message_transport import pack_body
 from simulation import hollow
 from simulation.hollow_fleet.added import measure_added
-from simulation.hollow_fleet.deployment import Size, list_pages, make_document, told_fleet, told_rows, zones_of
+from simulation.hollow_fleet.deployment import Size, list_pages, make_document, pushed_fleet, pushed_workers, zones_of
 from simulation.hollow_fleet.fit import fit_line, fit_power, plot_points
 from simulation.hollow_fleet.flags import check_size
 from simulation.hollow_fleet.fleet import HollowFleet, Plan
-from simulation.hollow_fleet.network import Member, Network, Scale
-from simulation.hollow_fleet.parts import NAMED, measure_part
+from simulation.hollow_fleet.network import Member, MessageScale, Network
+from simulation.hollow_fleet.parts import PARTS, measure_part
 
 SMALL = Size(daemons=6, workers=12, services=3, routes=6, zones=4, regions=2)
 ACK = {"kind": "ack", "seq": 1, "name": "config", "number": 1}
@@ -25,12 +25,12 @@
     """Tells `to` something at its first tick; without one it answers the first message that it hears."""
 
     def __init__(self, *, to: str = "") -> None:
-        self.to, self.may_answer, self.heard = to, not to, []
+        self.to, self.may_answer, self.received = to, not to, []
 
     def step(self, *, now: float, event: object) -> list:
         if isinstance(event, MessageReceived):
-            self.heard.append((now, event))
-            return [SendMessage(to=event.sender, body=ACK)] if len(self.heard) == 1 and self.may_answer else []
+            self.received.append((now, event))
+            return [SendMessage(to=event.sender, body=ACK)] if len(self.received) == 1 and self.may_answer else []
         if isinstance(event, TimerFired) and self.to:
             to, self.to = self.to, ""
             return [SendMessage(to=to, body=ACK)]
@@ -38,7 +38,7 @@
 
 
 def make_pair(*, zones: tuple[str, str], regions: tuple[str, str]) -> tuple[Network, list[Member], list[Echo]]:
-    network = Network(delays=(0.1, 0.2, 0.4), pages=[], is_charged=False)
+    network = Network(delays=(0.1, 0.2, 0.4), pages=[], counts_busy_time=False)
     owners = [Echo(to="b"), Echo()]
     members = [
         Member(
@@ -72,15 +72,17 @@
     network.run(seconds=2.0)
     assert dict(network.messages) == {("ack", link): 2}
     assert dict(network.bytes) == {("ack", link): 2 * len(pack_body(body=ACK))}
-    assert [one.sent["messages"] for one in members] == [member.heard["messages"] for member in members] == [1, 1]
-    assert owners[1].heard[0][0] == pytest.approx(delay)
+    assert (
+        [member.sent["messages"] for member in members] == [member.received["messages"] for member in members] == [1, 1]
+    )
+    assert owners[1].received[0][0] == pytest.approx(delay)
 
 
 def test_nothing_reaches_who_is_down_or_cut_off():
     network, members, owners = make_pair(zones=("x", "y"), regions=("r", "s"))
-    network.cut = {"s"}
+    network.cut_regions = {"s"}
     network.run(seconds=2.0)
-    assert not owners[1].heard and not network.messages and network.lost["unreachable"] == 1
+    assert not owners[1].received and not network.messages and network.lost["unreachable"] == 1
     network.kill(member=members[1])
     network.run(seconds=1.0)
     assert members[1].owner is None
@@ -91,14 +93,14 @@
     network.run(seconds=0.01)
     members[1].busy_until = 1.0
     for number in (1, 2):
-        network.give(member=members[1], event=MessageReceived(sender="c", body={**ACK, "seq": number}))
+        network.deliver(member=members[1], event=MessageReceived(sender="c", body={**ACK, "seq": number}))
     network.run(seconds=3.0)
-    given = [(at, event.body["seq"]) for at, event in owners[1].heard if event.sender == "c"]
+    given = [(at, event.body["seq"]) for at, event in owners[1].received if event.sender == "c"]
     assert [seq for _, seq in given] == [1, 2] and all(at >= 1.0 for at, _ in given)
 
 
 def test_a_weight_is_the_frame_and_what_no_receiver_reads_is_told_apart():
-    scale = Scale()
+    scale = MessageScale()
     assert scale.step(body=ACK).size == len(pack_body(body=ACK))
     value = {"number": 1, "mark": "", "trail": [], "text": "x" * (9 << 20)}
     assert not scale.step(
@@ -109,9 +111,9 @@
 def test_the_made_deployment_is_what_the_size_says():
     zones = zones_of(size=SMALL)
     assert len(zones) == 4 and set(zones.values()) == {"region-0", "region-1"}
-    assert len(json.loads(told_rows(size=SMALL))) == 12
+    assert len(json.loads(pushed_workers(size=SMALL))) == 12
     assert sum(len(json.loads(page)["instances"]) for page in list_pages(size=Size(workers=120))) == 120
-    assert len(json.loads(told_fleet(size=SMALL, zones=zones))["proxies"]) == 6
+    assert len(json.loads(pushed_fleet(size=SMALL, zones=zones))["proxies"]) == 6
     document = make_document(size=SMALL, version=3)
     assert sum(len(listener["ruleset"]) for listener in document["listeners"]) == 6 and len(document["pools"]) == 3
 
@@ -127,9 +129,9 @@
     assert sum(row[1] for row in quiet["links"].values()) > 0
 
 
-@pytest.mark.parametrize("name", sorted(NAMED))
+@pytest.mark.parametrize("name", sorted(PARTS))
 def test_each_part_gives_its_figures_at_its_least_size(name):
-    points = measure_part(name=name, sizes=NAMED[name][1][:1], say=lambda text: None)
+    points = measure_part(name=name, sizes=PARTS[name][1][:1], report_progress=lambda text: None)
     assert points and all(row[0][2] <= row[0][1] <= row[0][3] for row in points.values())
 
 
@@ -159,7 +161,7 @@
 
 
 @pytest.mark.parametrize(
-    ("flags", "told"),
+    ("flags", "message"),
     [
         (["--daemons", "many"], "give whole numbers"),
         (["--daemons", "0"], "from 1 to 20000"),
@@ -178,12 +180,12 @@
         (["--plot", "/no/such/folder"], "can't be written"),
     ],
 )
-def test_what_can_not_be_run_is_refused_before_the_run(flags, told, capsys, monkeypatch):
+def test_what_can_not_be_run_is_refused_before_the_run(flags, message, capsys, monkeypatch):
     monkeypatch.setattr(hollow, "half_of_memory", lambda: 16e9)
     monkeypatch.setattr(hollow, "run_fleets", lambda **given: pytest.fail("it ran"))
     with pytest.raises(SystemExit) as end:
         hollow.main(flags)
-    assert end.value.code == 2 and told in capsys.readouterr().err
+    assert end.value.code == 2 and message in capsys.readouterr().err
 
 
 def test_what_is_said_to_fit_fits():
@@ -223,7 +225,7 @@
             str(out),
         ]
     )
-    told = json.loads(out.read_text("utf-8"))
-    assert told["fleets"][0]["size"]["daemons"] == 4
-    assert told["command"].startswith("hollow --daemons 4") and str(tmp_path) not in told["command"]
+    written = json.loads(out.read_text("utf-8"))
+    assert written["fleets"][0]["size"]["daemons"] == 4
+    assert written["command"].startswith("hollow --daemons 4") and str(tmp_path) not in written["command"]
     assert "controller core share" in capsys.readouterr().out
