--- a/simulation/model/__init__.py
+++ b/simulation/model/__init__.py
@@ -1,1 +1,1 @@
-"""An explorer of interleavings: the product's own voters, proposers and copying, in every order within bounds."""
+"""A model checker that runs the product's own voters, proposers and copying in every interleaving within bounds."""
--- a/simulation/model/__main__.py
+++ b/simulation/model/__main__.py
@@ -1,4 +1,4 @@
-"""Search the interleavings of a case; exit code 1 if an invariant is broken.
+"""Search the interleavings of a case; exit code 1 if an invariant is violated.
 
 Run as `python -m simulation.model`.
 
@@ -7,12 +7,12 @@
   model --list
 
 Options:
-  --most=N         States to visit in each case, 0 for no bound [default: 0].
-  --depth=N        Actions in a history, 0 for no bound [default: 0].
-  --walks=N        So many random histories instead of a search of all states [default: 0].
-  --seed=N         Where the random histories begin [default: 1].
-  --without=FAULT  Plant a fault first.
-  --list           Show the cases and the faults.
+  --most=N         Most states to visit in each case, 0 for no bound [default: 0].
+  --depth=N        Most actions in a history, 0 for no bound [default: 0].
+  --walks=N        Number of random histories to run instead of a search of all states [default: 0].
+  --seed=N         Seed of the random histories [default: 1].
+  --without=FAULT  Plant this fault before the search.
+  --list           List the cases and the faults.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Search each case and print what was found."""
+    """Search each case and print the results."""
     flags = docopt(__doc__, argv=argv)
     if flags["--list"]:
         print("cases: " + " ".join(CASES), "faults: " + " ".join(FAULTS), sep="\n")
--- a/simulation/model/actions.py
+++ b/simulation/model/actions.py
@@ -1,4 +1,4 @@
-"""The actions of a history: which are possible in a state, and what each does."""
+"""The actions that a history consists of: which are possible in a state, and the effect of each."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 OPERATION_KINDS = ("put", "read", "change")
 MESSAGES: dict[str, tuple[str, str, dict]] = {}
-"""Messages by their names: (sender, receiver, body)."""
+"""Messages by name: (sender, receiver, body)."""
 
 
 def successors(*, state: State, bounds: Bounds) -> Iterator[tuple[str, State]]:
-    """Every action that is possible here, by its words, and the state after it."""
+    """Every action that is possible in the state, as text, with the state that it leads to."""
     for action in candidate_actions(state=state, bounds=bounds):
         after = apply(state=state, bounds=bounds, action=action)
         if after is not None:
@@ -27,7 +27,7 @@
 
 
 def apply(*, state: State, bounds: Bounds, action: str) -> State | None:
-    """The state after an action; None if it is not possible or changes nothing."""
+    """Returns the state after an action; None if the action is not possible or changes nothing."""
     verb, *rest = action.split()
     if verb in ("crash", "wipe"):
         return _canonicalize(state=_restart(state=state, name=rest[0], is_wiped=verb == "wipe"), bounds=bounds)
@@ -41,7 +41,7 @@
 
 
 def _switch_thread(*, state: State, bounds: Bounds, thread: str) -> State | None:
-    """Go on with another thread."""
+    """Switches to another thread; None if this would exceed the bound on returns to a thread."""
     returns = state.returns + (thread in state.left_threads)
     if returns > bounds.returns:
         return None
@@ -50,7 +50,7 @@
 
 
 def candidate_actions(*, state: State, bounds: Bounds) -> Iterator[str]:
-    """The words of all actions that may be possible here."""
+    """The texts of all actions that may be possible in the state; `apply` decides whether they are."""
     pending = sorted(operation for node in state.nodes for operation in node.facts.pending)
     may_return = state.returns < bounds.returns
     for op, phase, needed in pending:
@@ -59,7 +59,7 @@
         any(op == state.thread and phase == "accept" for op, phase, _ in pending) and not state.has_voted
     )
     if is_between_rounds and not may_return:
-        # to leave a thread for good between its two rounds is to have begun it in vain
+        # abandoning a thread between its two rounds has the same effect as never having started it
         return
     for op in sorted({MESSAGES[request][2]["op"] for request in state.requests} - {op for op, _, _ in pending}):
         if op in state.left_threads:
@@ -85,7 +85,7 @@
 
 
 def _begin_actions(*, state: State, bounds: Bounds) -> Iterator[str]:
-    """Begin an operation under a set of voters, and deliver its first round."""
+    """Actions that start an operation under a set of voters and deliver its first round."""
     sets = {node.facts.number: node.facts.members for node in state.nodes}
     allowed = (bounds.puts, bounds.reads, bounds.changes)
     for kind, done, places in zip(OPERATION_KINDS, state.begun_counts, allowed, strict=True):
@@ -104,7 +104,10 @@
 
 
 def _phase_actions(*, state: State, bounds: Bounds, op: str, phase: str, needed: int) -> Iterator[str]:
-    """Deliver the requests of a round to a smallest set that ends it, or to a part; a vote may end with a torn sync."""
+    """Actions that deliver the requests of a round to a minimal set that completes it, or to a part of such a set.
+
+    One of the voters may crash before its vote is synced.
+    """
     bodies = {
         MESSAGES[request][1]: MESSAGES[request][2] for request in state.requests if MESSAGES[request][2]["op"] == op
     }
@@ -123,7 +126,7 @@
 
 
 def _copy_actions(*, state: State, node: Node, numbers: list[int]) -> Iterator[str]:
-    """Copy from a smallest set that is enough, under any set of voters that has this node in it."""
+    """Actions that copy from a minimal sufficient set, under any set of voters that includes this node."""
     for number in numbers:
         members = next(dict(other.facts.members) for other in state.nodes if other.facts.number == number)
         if node.facts.identity not in members or number < node.facts.number:
@@ -137,7 +140,7 @@
 
 
 def _copy_sources(*, state: State, node: Node, number: int) -> list[str]:
-    """Who may be copied from under a set: its other members, and those of the set before."""
+    """The nodes that may be copied from under a set of voters: its other members, and those of the previous set."""
     voters = json.loads(
         next(other.facts.voters_message for other in state.nodes if other.facts.number == number)["value"]["text"]
     )
@@ -190,13 +193,13 @@
 
 
 def _vote(state: State, bounds: Bounds, op: str, *names: str) -> State | None:
-    """Voters vote, and the proposer does not hear of it yet."""
+    """Voters vote; the proposer has not received the votes yet."""
     after = _deliver_phase(state=state, bounds=bounds, op=op, phase="accept", names=names)
     return None if after is None else after.replace(has_voted=True)
 
 
 def _decide(state: State, bounds: Bounds, op: str, *names: str) -> State | None:
-    """A majority votes, and the proposer learns it."""
+    """A majority votes, and the proposer receives the votes."""
     after = _vote(state, bounds, op, *names)
     return None if after is None else _count(after, bounds, op)
 
@@ -224,7 +227,10 @@
 
 
 def _deliver_request(*, state: State, message: str, is_torn: bool) -> State | None:
-    """Let a voter judge a request under the voters that it names; torn: it crashes before its disk has synced."""
+    """Delivers a request to a voter that knows the set of voters it names.
+
+    With `is_torn` the voter crashes before its disk has synced.
+    """
     sender, to, body = MESSAGES[message]
     state = _learn_voters(state=state, name=to, number=body["voters"])
     node = state.node(to)
@@ -247,7 +253,7 @@
 
 
 def _retry(state: State, bounds: Bounds, op: str) -> State | None:
-    """The alarm of an operation: a new round, under the voters that are known now."""
+    """The retry timer of an operation fires: a new round, under the voters that are known now."""
 
     def call(controller: Controller) -> list:
         commands, _ = controller.proposer.step(now=NEVER / 2, voters=controller.voters, event=None)
@@ -290,7 +296,7 @@
 
 
 def _learn_voters(*, state: State, name: str, number: int) -> State:
-    """A node that is behind hears of a set of voters, if anyone knows it."""
+    """A node with an older set of voters learns a newer one, if any node knows it."""
     informed = next((node for node in state.nodes if node.facts.number == number), None)
     if informed is None or state.node(name).facts.number >= number:
         return state
@@ -321,7 +327,7 @@
 
 
 def _apply_step(*, state: State, result: StepResult) -> State:
-    """Fold what a step did: its node, its messages, and what its proposer settled."""
+    """Applies the result of a step: its node, its messages, and the operations that its proposer finished."""
     state = state.with_node(result.node)
     for operation in result.finished:
         state = record_outcome(state=state, op=operation.op, register=operation.register, outcome=operation.outcome)
@@ -350,7 +356,7 @@
 
 
 def _canonicalize(*, state: State, bounds: Bounds) -> State:
-    """Leave out what can have no effect any more, so that equal states look equal."""
+    """Drops what can no longer have an effect, so that equivalent states compare equal."""
     known = {node.name: node.facts.number for node in state.nodes}
     pending = {(op, phase) for node in state.nodes for op, phase, _ in node.facts.pending}
     abandoned = state.left_threads if state.returns == bounds.returns else frozenset()
@@ -378,5 +384,5 @@
     _, to, body = MESSAGES[request]
     if body["voters"] < known[to] or body["op"] in abandoned:
         return False
-    # a late vote may still count; a late promise only forbids
+    # a late vote may still count; a late promise can only forbid
     return body["kind"] in ("accept", "first") or (body["op"], body["kind"]) in pending
--- a/simulation/model/cases.py
+++ b/simulation/model/cases.py
@@ -1,4 +1,4 @@
-"""Bounds that are searched by name."""
+"""The named bounds of the searches."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 FOUR = ("a", "b", "c", "d")
 CASES: dict[str, Bounds] = {
-    # small ones, each whole within a second of a core
+    # small cases, each searched completely within a second of processor time
     "small-crash": Bounds(members=THREE, puts=("a",), reads=("c",), crashes=("b",)),
     "small-larger": Bounds(
         members=("a", "b"), spares=("c",), puts=("b",), reads=("a",), changes=(Change(at="a", add="c"),)
@@ -18,14 +18,14 @@
         spares=("d", "e"),
         changes=(Change(at="a", drop="c", add="d"), Change(at="b", drop="c", add="e")),
     ),
-    # two operators race, and a third one reads: messages late, lost, twice
+    # two operators write concurrently while a third reads; messages are late, lost or duplicated
     "race": Bounds(members=THREE, puts=("a", "b"), reads=("c",), retries=1),
     "race-late": Bounds(members=THREE, puts=("a", "b"), reads=("c",), retries=1, returns=1),
     "race-doubled": Bounds(members=THREE, puts=("a", "b"), reads=("c",), duplicates=1),
-    # a voter loses its memory at any moment, also before its disk has synced
+    # a voter crashes at any moment, also before its disk has synced
     "crash": Bounds(members=THREE, puts=("a",), reads=("c",), crashes=("b",), retries=1),
     "crash-two": Bounds(members=THREE, puts=("a", "c"), reads=("c",), crashes=("a", "b"), retries=1),
-    # one voter is exchanged, and what was confirmed before or meanwhile is read
+    # one voter is replaced, and values confirmed before or during the change are read
     "exchange": Bounds(
         members=THREE, spares=("d",), puts=("b",), reads=("a",), changes=(Change(at="a", drop="c", add="d"),)
     ),
@@ -40,11 +40,11 @@
         changes=(Change(at="a", drop="c", add="d"),),
         crashes=("b", "d"),
     ),
-    # the disk of one goes, and it comes back empty at its address
+    # a voter loses its disk and restarts empty at the same address
     "wipe": Bounds(
         members=THREE, puts=("b",), reads=("b",), changes=(Change(at="a", drop="c", add="c"),), wipes=("c",), retries=1
     ),
-    # two voters propose different sets
+    # two voters propose different sets of voters
     "two-changes": Bounds(
         members=THREE,
         spares=("d", "e"),
@@ -52,7 +52,7 @@
         changes=(Change(at="a", drop="c", add="d"), Change(at="b", drop="c", add="e")),
         retries=1,
     ),
-    # out and in again
+    # a voter is removed and added again
     "again": Bounds(
         members=THREE,
         spares=("d",),
@@ -79,4 +79,4 @@
         members=FIVE, puts=("e",), reads=("a",), changes=(Change(at="a", drop="e"), Change(at="a", drop="d"))
     ),
 }
-"""The cases by what they are about."""
+"""The cases by name."""
--- a/simulation/model/changes.py
+++ b/simulation/model/changes.py
@@ -1,4 +1,4 @@
-"""What a change of the voters proposes: by the product's own rule of repair, or as an operator orders it."""
+"""The set of voters that a change proposes: by the product's own repair rule, or as an operator orders it."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def make_change_text(*, state: State, change: Change) -> str:
-    """The register's next text; "" if the change is not possible now."""
+    """The next text of the voters register; "" if the change is not possible now."""
     proposer = state.node(change.at)
     if not proposer.facts.is_voting:
         return ""
@@ -27,7 +27,7 @@
     add = (added.facts.identity, added.address) if added else None
     proposed = change_members(text=text, number=proposer.facts.number, add=add, drop=dropped)
     if add is None or not dropped:
-        # an operator's order sets the size as well
+        # an operator's order also sets the size of the group
         proposed = json.dumps({**json.loads(proposed), "size": len(json.loads(proposed)["members"])}, sort_keys=True)
     return proposed if keeps_majority(text=proposed, healthy=healthy) else ""
 
@@ -49,5 +49,5 @@
     repair = Repair(is_self_managed=True, replace_after=0.0, last_seen_at=dict.fromkeys(members, -1.0))
     repair.last_voting_at = dict.fromkeys(members, 0.0)
     healthy = [name for name in members if name in alive and alive[name]["fit"]]
-    # the product's rule, judged at one moment
+    # the product's own rule, evaluated at a single moment
     return repair._choose_change(now=0.0, number=number, text=text, members=members, alive=alive, healthy=healthy)
--- a/simulation/model/checks.py
+++ b/simulation/model/checks.py
@@ -1,4 +1,4 @@
-"""The invariants, judged by what operations end with."""
+"""The invariants, checked against the outcomes of operations."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def record_outcome(*, state: State, op: str, register: str, outcome: object) -> State:
-    """Fold the end of an operation; the state may be broken by it."""
+    """Records the outcome of an operation; the returned state holds a violation if the outcome breaks an invariant."""
     if state.violation is not None or not isinstance(outcome, Accepted):
         return state
     state = _record_chosen(state=state, register=register, value=outcome.value)
@@ -24,12 +24,12 @@
 
 
 def mark_at(*, value: dict, number: int) -> str:
-    """The mark of an earlier number, by the trail of a value."""
+    """The mark of an earlier number, taken from the value's trail of previous marks."""
     return [value["mark"], *value["trail"]][value["number"] - number]
 
 
 def _record_chosen(*, state: State, register: str, value: dict) -> State:
-    """Every number of a register has one value, also those that the trail tells of."""
+    """Checks that each number of a register has a single value, including the numbers that the trail lists."""
     known = {(name, number): mark for name, number, mark in state.chosen}
     for number in range(max(1, value["number"] - len(value["trail"])), value["number"] + 1):
         mark = mark_at(value=value, number=number)
--- a/simulation/model/explore.py
+++ b/simulation/model/explore.py
@@ -1,4 +1,4 @@
-"""The search: every state within the bounds once, the shortest histories first."""
+"""The search: visits every state within the bounds once, shortest histories first."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class SearchResult:
-    """What a search showed: `trace` leads to the breach; `is_complete` if no state within the bounds is left."""
+    """The result: `trace` leads to the violation; `is_complete`: all states within the bounds were visited."""
 
     states: int
     steps: int
@@ -33,7 +33,7 @@
     max_depth: int = 0,
     report_progress: Callable[[int, int, int], None] | None = None,
 ) -> SearchResult:
-    """Visit the states breadth first until one is broken, none is left, or `max_states` were visited (0: no bound)."""
+    """Visits states breadth first until a violation, until none is left, or until `max_states` (0: no bound)."""
     clear_caches()
     initial, started_at = begin(bounds=bounds), time.monotonic()
     parents: dict = {initial.key(): None}
@@ -83,7 +83,7 @@
 
 
 def replay(*, bounds: Bounds, trace: tuple[str, ...]) -> State:
-    """Play a trace again; a ValueError names the step that is not possible."""
+    """Replays a trace; raises a ValueError that names the first step that is not possible."""
     clear_caches()
     state = begin(bounds=bounds)
     for position, action in enumerate(trace, start=1):
@@ -103,7 +103,7 @@
     seed: int = 1,
     report_progress: Callable[[int, int, int], None] | None = None,
 ) -> SearchResult:
-    """Walk at random from the beginning, again and again: deep histories soon, without a claim to have seen all."""
+    """Runs random histories from the initial state: reaches deep states quickly, but is never complete."""
     clear_caches()
     rng, started_at, initial = random.Random(seed), time.monotonic(), begin(bounds=bounds)
     visited, steps, deepest = {initial.key()}, 0, 0
@@ -145,7 +145,7 @@
 
 
 def shorten(*, bounds: Bounds, trace: tuple[str, ...]) -> tuple[str, ...]:
-    """Leave out every step that the breach does not need."""
+    """Removes every step of a trace that the violation does not need."""
     position = 0
     while position < len(trace):
         shorter = trace[:position] + trace[position + 1 :]
--- a/simulation/model/faults.py
+++ b/simulation/model/faults.py
@@ -1,4 +1,4 @@
-"""Faults planted into the product on purpose: the explorer, or a history that it once found, must show each."""
+"""Faults planted into the product on purpose: the explorer, or a recorded history, must detect each."""
 
 from __future__ import annotations
 
@@ -54,21 +54,21 @@
 FAULTS: dict[str, Callable[[], list[AbstractContextManager]]] = {
     # an acceptor answers before its disk has synced
     "early-answer": lambda: [_patch(write_ahead.WriteAhead, "step", _answers_before_sync)],
-    # a newcomer copies from one voter
+    # a new member copies from a single voter
     "copy-from-one": lambda: [mock.patch.object(copying, "majority_size", lambda *, members: 1)],
-    # a newcomer counts before it has copied
+    # a new member votes before it has copied
     "counts-at-once": lambda: [mock.patch.object(Voter, "has_required_copy", property(lambda self: True))],
-    # a member that was out and is in again goes on with what it voted for before
+    # a member that was removed and added again continues with its old votes
     "keeps-old-slots": lambda: [
         mock.patch.object(Voter, "has_required_copy", property(lambda self: self.write_ahead.has_copied))
     ],
-    # members of a smaller set go on without a copy
+    # members of a smaller set continue without a copy
     "smaller-without-copy": lambda: [
         _patch(repair, "change_members", _without_copy_for_smaller_sets),
         _patch(changes, "change_members", _without_copy_for_smaller_sets),
     ],
-    # a newcomer copies from a majority of those that stay, not of all before
+    # a new member copies from a majority of the remaining members, not of the whole previous set
     "copy-from-the-rest": lambda: [_patch(copying, "read_voters", _without_previous_set)],
-    # a voter votes under whatever set it is asked under
+    # a voter votes under any set that a request names
     "any-set": lambda: [_patch(Voter, "answer", _acts_under_any_set)],
 }
--- a/simulation/model/histories.py
+++ b/simulation/model/histories.py
@@ -1,4 +1,4 @@
-"""Histories that break the product with a planted fault, and must not without it."""
+"""Histories that violate an invariant with a planted fault, and must not without it."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class History:
-    """A trace within bounds; without the `fault` the product does not break, whatever step of it is impossible then."""
+    """A trace within bounds. Without the `fault` no invariant is violated; some of its steps may then be impossible."""
 
     fault: str
     rule: str
--- a/simulation/model/node.py
+++ b/simulation/model/node.py
@@ -1,4 +1,4 @@
-"""One controller under the explorer: built by the product's own class, stepped by single events, cloned by bytes."""
+"""A controller under the explorer: an instance of the product's own class, stepped by single events and pickled."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 from sailward.events import AppendRecords, MessageReceived, RecordsSynced, RequestReceived, RewriteRecords, SendMessage
 
 STATE_NUMBERS: dict[tuple, int] = {}
-"""A number for each state of a node: equal for states that act alike."""
+"""A number for each state of a node: equal for states that behave alike."""
 STEP_RESULTS: dict[tuple, StepResult] = {}
-"""What came of an event at a node in a state: many global states share one of a node."""
+"""The cached result of an event at a node in a state: many global states share the state of a node."""
 OPTIONS = ControllerOptions(copy_retry_interval=0.0)
 NEVER = 1e12
-"""s. An operation under the explorer expires only when an action says so."""
+"""s. The time-out of operations: under the explorer they expire only by an action."""
 
 
 def _make_slots(items: dict) -> Slots:
@@ -36,29 +36,30 @@
 
 
 class FixedRandom:
-    """In place of a random generator: every pause is half of its bound."""
+    """Replaces a random generator: every pause is half of its bound."""
 
     def random(self) -> float:
-        """The middle."""
+        """Returns the middle of the interval."""
         return 0.5
 
 
 class RecordingProposer(Proposer):
-    """The product's proposer; what it settles is noted for the checks."""
+    """The product's proposer; the operations that it finishes are recorded for the checks."""
 
     finished: list[OperationFinished]
 
     def step(self, *, now: float, voters: dict, event: object) -> tuple[list, list[OperationFinished]]:
-        """As the product's."""
+        """Steps the proposer and records the finished operations."""
         commands, finished = super().step(now=now, voters=voters, event=event)
         self.finished = [*getattr(self, "finished", []), *finished]
         return commands, finished
 
 
 class Snapshotter:
-    """The controller of one start of a node, and the parts of it that change: a state of it is the bytes of these.
+    """Pickles and restores the state of the controller of one incarnation of a node.
 
-    The parts stay the same objects, as others refer to them; what is not among them does not change what a voter does.
+    A snapshot holds the attributes of the parts that change. The parts remain the same objects, as other objects refer
+    to them; anything that is not among them has no influence on what a voter does.
     """
 
     def __init__(self, *, controller: Controller) -> None:
@@ -87,7 +88,7 @@
         self.names_by_id = {id(part): name for name, part in self.objects.items()}
 
     def dump(self) -> bytes:
-        """The bytes of this state."""
+        """Pickles the current state."""
         buffer = io.BytesIO()
         pickler = pickle.Pickler(buffer, protocol=5)
         pickler.persistent_id = lambda part: self.names_by_id.get(id(part))
@@ -95,7 +96,7 @@
         return buffer.getvalue()
 
     def load(self, *, snapshot: bytes) -> Controller:
-        """The controller in this state; it is the same object for every state."""
+        """Restores a state and returns the controller, which is the same object for every state."""
         unpickler = pickle.Unpickler(io.BytesIO(snapshot))
         unpickler.persistent_load = self.objects.__getitem__
         for part, state in zip(self.parts.values(), unpickler.load(), strict=True):
@@ -105,12 +106,12 @@
 
 
 SNAPSHOTTERS: dict[tuple[str, int], Snapshotter] = {}
-"""By name and start of a node."""
+"""Snapshotters by name and incarnation of a node."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Facts:
-    """What the explorer needs to know of a controller without opening it.
+    """The attributes of a controller that the explorer needs without restoring it.
 
     `pending` are (operation, phase, number of answers still missing).
     `voters_message` is the message body by which it sends the set of voters it knows to others.
@@ -137,17 +138,17 @@
 
     @property
     def address(self) -> str:
-        """Its address."""
+        """The address that other controllers send messages to."""
         return f"{self.name}:1"
 
     def open(self) -> Controller:
-        """The controller in this state, to be stepped; until another state of this start is opened."""
+        """The controller restored to this state, valid until another state of this incarnation is opened."""
         return SNAPSHOTTERS[self.name, self.incarnation].load(snapshot=self.snapshot)
 
 
 @dataclass(frozen=True, kw_only=True)
 class StepResult:
-    """What came of an event: the node after it, what it sent, and what its proposer settled."""
+    """The result of an event: the node after it, the messages it sent, and the operations its proposer finished."""
 
     node: Node
     sent: list
@@ -155,7 +156,7 @@
 
 
 def boot(*, name: str, incarnation: int, disk: tuple) -> Node:
-    """Start a node on what its disk holds."""
+    """Starts a node from the records on its disk."""
     address = f"{name}:1"
     controller = Controller(
         location=Location(name=name, kind="controller", zone="h", region="r", post=address, http=address),
@@ -171,13 +172,13 @@
     controller.proposer = controller.registers._proposer = recording
     SNAPSHOTTERS[name, incarnation] = Snapshotter(controller=controller)
     node = Node(name=name, incarnation=incarnation, snapshot=b"", key=-1, facts=Facts(), disk=disk)
-    # the first event stores the identity
+    # the first event stores the controller's identity
     commands = controller.step(now=0.0, event=RecordsSynced(seq=0))
     return _execute(node=node, controller=controller, commands=commands).node
 
 
 def found_group(*, node: Node, members: dict) -> Node:
-    """Let a node found a core with these members, by the operators' order."""
+    """Makes a node found a control group with these members, as by an operator's request."""
     event = RequestReceived(
         token="t", method="POST", path="/found", query={}, headers={}, body=json.dumps({"members": members}).encode()
     )
@@ -186,7 +187,7 @@
 
 
 def receive(*, node: Node, sender: str, event_name: str, body: dict, is_synced: bool = True) -> StepResult:
-    """Deliver a message of the node `sender`; `event_name` is its name, equal only for equal ones."""
+    """Delivers a message from the node `sender`; `event_name` must differ for different messages."""
 
     def call(controller: Controller) -> list:
         return controller.step(now=0.0, event=MessageReceived(sender=f"{sender}:1", body=body))
@@ -195,7 +196,7 @@
 
 
 def run_step(*, node: Node, event_name: str, call: Callable[[Controller], list], is_synced: bool = True) -> StepResult:
-    """Let a part of the controller act by itself: `call(controller)` gives its commands; `event_name` names it."""
+    """Calls into the controller: `call(controller)` returns its commands; `event_name` is the cache key of the call."""
     cache_key = (node.name, node.key, event_name, is_synced)
     if cache_key not in STEP_RESULTS:
         controller = node.open()
@@ -206,13 +207,13 @@
 
 
 def clear_caches() -> None:
-    """Forget what was noted of earlier searches: the product may have been changed since."""
+    """Clears what earlier searches cached: the product may have been patched since."""
     STEP_RESULTS.clear()
     STATE_NUMBERS.clear()
 
 
 def _execute(*, node: Node, controller: Controller, commands: list, is_synced: bool = True) -> StepResult:
-    """Carry out the commands and close the node again; without `is_synced` its stores are never written."""
+    """Executes the commands and takes a snapshot; without `is_synced` nothing reaches the disk."""
     sent, disk, queue = [], node.disk, list(commands)
     while queue:
         command = queue.pop(0)
@@ -254,7 +255,7 @@
 
 
 def fingerprint(*, controller: Controller) -> str:
-    """All that later steps depend on, as a text that is equal for equal states."""
+    """A text of everything that later steps depend on, equal for equivalent states."""
     write_ahead, copying = controller.write_ahead, controller.membership.copying
     proposer = (controller.proposer._count, controller.proposer._round)
     operations = sorted(
--- a/simulation/model/space.py
+++ b/simulation/model/space.py
@@ -1,15 +1,16 @@
-"""The states that the explorer visits and the bounds that it keeps.
-
-What is left out, and why nothing is lost by it:
-
-- A message that is never delivered is a lost one, so loss needs no action of its own.
-- Each operation, and each copy, is a thread of actions. A history may leave a thread for good at no cost, which
-loses its other messages, or leave it and return to it, which delays them; `Bounds.returns` says how often.
-- Answers to a prepare or a read reach the proposer with the delivery: what it does then shows only in its next
-messages, and these are delivered when the history says so.
-- A vote more than a majority, or a promise less than one, only makes it harder to break agreement: a thread delivers
-the requests of a phase to a smallest set that is enough, or votes to a smaller one.
-- Who is behind learns the voters just before it takes part under them. To learn them sooner only makes it refuse more.
+"""The states that the explorer visits and the bounds of a search.
+
+The following reductions keep the search small without hiding a violation:
+
+- A message that is never delivered is a lost message, so loss needs no action of its own.
+- Each operation, and each copy, is a thread of actions. A history may abandon a thread at no cost, which loses its
+remaining messages, or leave it and return to it later, which delays them; `Bounds.returns` limits the returns.
+- Answers to a prepare or a read reach the proposer together with the delivery: their effect shows only in the
+proposer's next messages, and the history decides when these are delivered.
+- Votes beyond a majority, or promises short of one, only make it harder to violate agreement: a thread delivers the
+requests of a phase to a minimal sufficient set, and votes also to a smaller one.
+- A node with an older set of voters learns a newer one just before it takes part under it. Learning it sooner would
+only make the node refuse more requests.
 """
 
 from __future__ import annotations
@@ -19,14 +20,15 @@
 from simulation.model.node import Node, boot, found_group
 
 DATA = "orders"
-"""The register that is changed and read; any control register would do."""
+"""The register that is written and read; any control register would do."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Change:
-    """A change of the voters that one node may begin: `drop` a member, `add` a waiting node, or both.
+    """A change of the voters that one node may start: remove the member `drop`, add the spare node `add`, or both.
 
-    With `is_repair` the product's own rule judges: `drop` is lost to it, `add` waits, and what it chooses is proposed.
+    With `is_repair` the product's own repair rule decides: it sees `drop` as lost and `add` as a spare, and what it
+    chooses is proposed.
     """
 
     at: str
@@ -37,12 +39,13 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Bounds:
-    """What the explorer may do in one history.
+    """What may happen in one history.
 
-    `puts`, `reads` and `changes` say where operations may begin, each kind in its order. `crashes` and `wipes` name the
-    nodes that may lose their memory, or their disk as well, each once and in any order. `retries` are new rounds,
-    `doubles` second deliveries of one request. With `is_first`, puts try the shared first ballot. With `keeps_old`,
-    requests under a set reach also those that know a newer one: the product refuses them.
+    `puts`, `reads` and `changes` name the nodes where operations may start, each kind in its order. `crashes` and
+    `wipes` name the nodes that may restart, without or with loss of their disk, each once and in any order. `retries`
+    bounds the new rounds, `duplicates` the second deliveries of a request. With `uses_first_ballot`, puts try the
+    shared first ballot. With `delivers_outdated`, requests under a set of voters also reach nodes that know a newer
+    set; the product must refuse them.
     """
 
     members: tuple[str, ...]
@@ -61,7 +64,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Violation:
-    """An invariant that does not hold."""
+    """A violated invariant."""
 
     rule: str
     detail: str
@@ -69,11 +72,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class State:
-    """All nodes, the messages under way, and what has been seen so far.
+    """All nodes, the messages in flight, and what has been observed so far.
 
-    `requests` and `votes` are names of messages, `begun` how many operations of each kind there were, `left` the
-    threads that were left, `chosen` each value that was seen to be chosen, `confirmed` what a caller was told, `wanted`
-    what each read must give at least.
+    `requests` and `votes` are names of messages, `begun_counts` the number of operations of each kind so far,
+    `left_threads` the threads that were left, `chosen` each value that was observed as chosen, `confirmed` the writes
+    that were acknowledged, `read_floors` the least number that each read must return.
     """
 
     nodes: tuple[Node, ...]
@@ -95,7 +98,7 @@
     violation: Violation | None = None
 
     def key(self) -> tuple:
-        """What makes two states equal."""
+        """The key by which states are compared."""
         return (
             tuple(node.key for node in self.nodes),
             (self.requests, self.delivered, self.votes),
@@ -105,23 +108,23 @@
         )
 
     def replace(self, **changed: object) -> State:
-        """This state with some fields changed: `dataclasses.replace`, three times as fast."""
+        """This state with some fields changed; three times as fast as `dataclasses.replace`."""
         after = object.__new__(State)
         after.__dict__.update(self.__dict__)
         after.__dict__.update(changed)
         return after
 
     def node(self, name: str) -> Node:
-        """A node by its name."""
+        """Finds a node by name."""
         return next(node for node in self.nodes if node.name == name)
 
     def with_node(self, node: Node) -> State:
-        """This state with a node in a new state."""
+        """This state with one node replaced."""
         return self.replace(nodes=tuple(node if other.name == node.name else other for other in self.nodes))
 
 
 def begin(*, bounds: Bounds) -> State:
-    """The core as it was founded."""
+    """The initial state: the control group has just been founded."""
     nodes = [boot(name=name, incarnation=1, disk=()) for name in (*bounds.members, *bounds.spares)]
     members = {f"{name}#n1": f"{name}:1" for name in bounds.members}
     return State(
--- a/tests/test_model_explorer.py
+++ b/tests/test_model_explorer.py
@@ -1,4 +1,4 @@
-"""The explorer: small cases searched whole, histories that break with a planted fault, and only with it."""
+"""The explorer: small cases are searched completely; recorded histories violate an invariant only with their fault."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def replay_with(history: History, *, fault: str) -> State | None:
-    """The state that a history ends in; None if the product makes one of its steps impossible."""
+    """The final state of a history; None if one of its steps is not possible."""
     with contextlib.ExitStack() as stack:
         for patch in FAULTS[fault]() if fault else []:
             stack.enter_context(patch)
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize("name", HISTORIES)
-def test_a_history_breaks_with_its_planted_fault_and_only_with_it(name: str) -> None:
+def test_a_history_violates_an_invariant_only_with_its_planted_fault(name: str) -> None:
     history = HISTORIES[name]
     with_fault = replay_with(history, fault=history.fault)
     assert with_fault is not None
@@ -40,13 +40,13 @@
 
 
 @pytest.mark.parametrize("name", ["small-crash", "small-larger", "small-smaller", "small-changes"])
-def test_a_small_case_is_searched_whole_and_nothing_breaks(name: str) -> None:
+def test_a_small_case_is_searched_completely_without_a_violation(name: str) -> None:
     result = explore(bounds=CASES[name])
     assert result.is_complete
     assert result.violation is None
 
 
-def test_a_search_finds_an_answer_before_the_sync_by_itself_and_shortens_its_history() -> None:
+def test_a_search_detects_an_answer_before_the_sync_and_shortens_its_history() -> None:
     with contextlib.ExitStack() as stack:
         for patch in FAULTS["early-answer"]():
             stack.enter_context(patch)
@@ -64,6 +64,6 @@
     assert first.violation is None
 
 
-def test_a_step_that_is_not_possible_is_named() -> None:
+def test_replay_names_the_step_that_is_not_possible() -> None:
     with pytest.raises(ValueError, match="step 1"):
         replay(bounds=CASES["race"], trace=("copy a 9 b",))
