--- a/simulation/__init__.py
+++ b/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""Development only: stand-ins, simulator, fleet runner and checker. Not part of the product."""
+"""Development only: test doubles, simulators, fleet runners and checkers. Not part of the product."""
--- a/simulation/measure.py
+++ b/simulation/measure.py
@@ -1,12 +1,12 @@
-"""Measure a real fleet: added time over a direct call, cost of the claim, CPU by program.
+"""Measure a real fleet: latency added to a direct call, cost of claiming a key, CPU time by program.
 
 Usage:
   measure [--count=N] [--rounds=N] [--python=PATH]
 
 Options:
-  --count=N      Exchanges of each kind in a round [default: 400].
+  --count=N      Requests of each kind in a round [default: 400].
   --rounds=N     Rounds; kinds alternate within each [default: 5].
-  --python=PATH  Interpreter for the daemons, as of another commit's own environment.
+  --python=PATH  Interpreter for the daemons, for instance from another commit's environment.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 
 def time_exchanges(*, fleet: Fleet, kind: str, count: int, start: int) -> list[float]:
-    """Seconds of each of `count` exchanges, one after the other."""
+    """Latency in s of each of `count` sequential requests."""
     worker = fleet.workers["orders-gdl-a-0"]
     proxy = fleet.http_addresses["proxy-0"]
     times = []
@@ -75,7 +75,7 @@
     )
     try:
         start_and_configure(fleet=fleet)
-        time.sleep(12)  # past the cold ramp, so that no bound speaks
+        time.sleep(12)  # past slow start, so that no rate bound applies
         idle = cpu_seconds(fleet=fleet)
         time.sleep(5)
         idle_rates = {name: (cpu - idle[name]) / 5 for name, cpu in cpu_seconds(fleet=fleet).items()}
--- a/simulation/real/__init__.py
+++ b/simulation/real/__init__.py
@@ -1,1 +1,1 @@
-"""The test fleet: real processes on loopback. The one place that may start processes."""
+"""The test fleet: real processes on loopback. Only this package may start processes."""
--- a/simulation/real/callers.py
+++ b/simulation/real/callers.py
@@ -1,4 +1,4 @@
-"""The callers' stand-in over HTTP: threads that order at a given rate."""
+"""Simulated callers over HTTP: threads that send requests at a given rate."""
 
 from __future__ import annotations
 
@@ -17,6 +17,7 @@
 
 MAX_TRIES = 6
 ANSWER_TIMEOUT = 8.0
+"""s."""
 
 
 class Callers:
@@ -34,7 +35,7 @@
         self.lag = 0.0
 
     def run(self, *, rate: float, seconds: float) -> None:
-        """Order at this rate for so long, then wait for the last results."""
+        """Send requests at this rate for this long, then wait for the last answers."""
         end = time.monotonic() + seconds
         at = time.monotonic()
         kinds = self._deployment.callers
@@ -76,7 +77,7 @@
     def _choose_proxy(self, *, known: list[str], try_number: int) -> str:
         proxy = self._rng.choice(known[:3] if try_number == 1 else known)
         if not is_listening(address=proxy):
-            # nobody listens there: the next address on the list, at once
+            # nothing listens at this address: fail over to the next one on the list at once
             proxy = next((peer for peer in known if peer != proxy and is_listening(address=peer)), proxy)
         return proxy
 
@@ -140,7 +141,7 @@
 
 
 def is_listening(*, address: str) -> bool:
-    """Does anybody listen there?"""
+    """Whether the address accepts connections."""
     host, port = address.rsplit(":", 1)
     try:
         socket.create_connection((host, int(port)), timeout=0.5).close()
@@ -158,7 +159,7 @@
     body: bytes = b"",
     timeout: float = ANSWER_TIMEOUT,
 ) -> tuple[int, dict, bytes]:
-    """One HTTP exchange, read whole."""
+    """Send an HTTP request and read the complete response."""
     host, port = address.rsplit(":", 1)
     connection = http.client.HTTPConnection(host, int(port), timeout=timeout)
     try:
--- a/simulation/real/fleet.py
+++ b/simulation/real/fleet.py
@@ -1,4 +1,4 @@
-"""A whole fleet as real processes on loopback."""
+"""A complete fleet as real processes on loopback."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def free_addresses(*, count: int) -> list[str]:
-    """Addresses that the system says are free."""
+    """Loopback addresses that are free at the moment."""
     sockets = [socket.create_server(("127.0.0.1", 0)) for _ in range(count)]
     addresses = [f"127.0.0.1:{server.getsockname()[1]}" for server in sockets]
     for server in sockets:
@@ -28,7 +28,7 @@
 
 
 class Fleet:
-    """Starts, breaks and ends the processes of one deployment. It ends only what it started."""
+    """Starts, disturbs and ends the processes of one deployment. It ends only processes that it started."""
 
     def __init__(
         self, *, deployment: Deployment, folder: Path, python: str = sys.executable, other_checkout: str = ""
@@ -63,7 +63,7 @@
         return [name for name, daemon_kind in self.kinds.items() if daemon_kind == kind]
 
     def start_all(self) -> None:
-        """Start workers and daemons, wait until they answer."""
+        """Start workers and daemons and wait until they answer."""
         for name in self.workers:
             self.start_worker(name=name)
         for name in self.kinds:
@@ -99,7 +99,7 @@
         return f"sailward.programs.{KINDS_ON_WIRE[kind] if is_older else kind}"
 
     def start_worker(self, *, name: str) -> None:
-        """Start one worker and list it."""
+        """Start one worker and add it to the platform's list."""
         row = self.workers[name]
         self._start_process(
             name=name,
@@ -131,14 +131,14 @@
         self.start_worker(name=name)
 
     def kill(self, *, name: str) -> None:
-        """End one process at once."""
+        """Kill one process."""
         process = self.processes.pop(name)
         self._record_event(name=name, k="daemon-down")
         process.kill()
         process.wait()
 
     def stop(self, *, name: str) -> int:
-        """A planned stop; gives the exit code."""
+        """Stop one process gracefully; returns its exit code."""
         process = self.processes.pop(name)
         self.history.add(t=time.monotonic(), k="planned-stop", daemon=self.http_addresses.get(name, name))
         process.terminate()
@@ -147,17 +147,17 @@
         return code
 
     def freeze(self, *, name: str) -> None:
-        """Let a process stand still."""
+        """Suspend a process."""
         self._record_event(name=name, k="daemon-frozen")
         os.kill(self.processes[name].pid, signal.SIGSTOP)
 
     def thaw(self, *, name: str) -> None:
-        """Let it go on."""
+        """Resume a suspended process."""
         self._record_event(name=name, k="daemon-thawed")
         os.kill(self.processes[name].pid, signal.SIGCONT)
 
     def end(self) -> None:
-        """End all that was started here."""
+        """Kill all processes of the fleet."""
         for process in self.processes.values():
             process.kill()
         for process in self.processes.values():
@@ -166,7 +166,7 @@
         self.platform.server.shutdown()
 
     def sailctl(self, *arguments: str, text: bytes = b"") -> subprocess.CompletedProcess:
-        """Run the operators' client."""
+        """Run sailctl, the operators' client."""
         controllers = ",".join(self.http_addresses[name] for name in self.names_of(kind="controller"))
         return subprocess.run(
             [self._python, "-m", "sailward.programs.sailctl", "--controllers", controllers, *arguments],
@@ -177,7 +177,7 @@
         )
 
     def status_of(self, *, name: str) -> dict:
-        """What a daemon says of itself: for waiting only, never for judging."""
+        """A daemon's own status: used only to wait for it, never by the checker."""
         path = "/sailward/status" if self.kinds[name] == "proxy" else "/status"
         try:
             return json.loads(send_request(address=self.http_addresses[name], method="GET", path=path, timeout=2.0)[2])
@@ -193,7 +193,7 @@
             time.sleep(0.05)
 
     def merged_history(self) -> History:
-        """What all stand-ins wrote, together."""
+        """The merged history of callers, platform and workers."""
         merged = read_history(paths=sorted(self.folder.glob("runs-*.jsonl")))
         merged.rows += list(self.history.rows)
         homes = {
@@ -203,7 +203,7 @@
         return merged
 
     def _record_event(self, *, name: str, k: str) -> None:
-        """Callers know a daemon by its address, the judge of losses by its name."""
+        """Record an event with address and name: callers use the address, the rule on losses uses the name."""
         if name in self.kinds:
             self.history.add(t=time.monotonic(), k=k, daemon=self.http_addresses[name], name=name)
 
--- a/simulation/real/hosted_fleet.py
+++ b/simulation/real/hosted_fleet.py
@@ -1,6 +1,6 @@
-"""A fleet of the daemons as the users' platform runs them: real processes on loopback, through the adapter's entry.
+"""A fleet of daemons as the users' platform runs them: real processes on loopback, started through the adapter.
 
-The platform's list and the workers are the caller's.
+The caller provides the platform's list and the workers.
 """
 
 from __future__ import annotations
@@ -20,17 +20,17 @@
 
 ROOT = Path(__file__).parent.parent.parent
 WAIT_TIMEOUT = 60.0
-"""s that something is waited for before it counts as never coming."""
+"""s after which `wait_until` gives up."""
 ZONES = {"north-a": "north", "south-a": "south", "north-b": "north"}
 
 
 class EndpointListHandler(http.server.BaseHTTPRequestHandler):
-    """The platform's list: `rows` of its server, by zone."""
+    """Serves the platform's list: the server's `rows`, by zone."""
 
     protocol_version = "HTTP/1.1"
 
     def do_GET(self) -> None:
-        """Give the whole list on one page."""
+        """Return the complete list as one page."""
         body = json.dumps({"instances": self.server.rows, "next_token": None}).encode()
         self.send_response(200)
         self.send_header("Content-Length", str(len(body)))
@@ -38,11 +38,11 @@
         self.wfile.write(body)
 
     def log_message(self, *given: object) -> None:
-        """Say nothing."""
+        """Log nothing."""
 
 
 def send_request(address: str, method: str, path: str, body: bytes = b"", **headers: str) -> tuple[int, dict, bytes]:
-    """One request and its answer; code 0 if none came. An underscore in a header's name stands for a dash."""
+    """Send a request; code 0 if no answer came. Underscores in header names are sent as dashes."""
     connection = http.client.HTTPConnection(address, timeout=10)
     try:
         connection.request(
@@ -57,18 +57,18 @@
 
 
 def wait_until(condition: Callable[[], object], *, what: str = "it") -> object:
-    """What this gives, once that is true."""
+    """Poll the condition until it is true; returns its value."""
     end = time.monotonic() + WAIT_TIMEOUT
     while time.monotonic() < end:
         value = condition()
         if value:
             return value
         time.sleep(0.05)
-    raise AssertionError(f"{what} never came")
+    raise AssertionError(f"waited {WAIT_TIMEOUT} s for {what}")
 
 
 def list_row(*, name: str, service: str, address: str) -> dict:
-    """A worker as the platform's list gives it."""
+    """A worker's row in the platform's list."""
     return {
         "id": name,
         "service": service,
@@ -81,7 +81,7 @@
 
 
 class HostedFleet:
-    """Three controllers and two proxies, each at an address of its own. It ends only what it started."""
+    """Three controllers and two proxies, each at an address of its own. It ends only processes that it started."""
 
     def __init__(self, *, folder: Path, list_address: str) -> None:
         self.folder, self._list_address = folder, list_address
@@ -94,11 +94,11 @@
         self.running: dict[str, subprocess.Popen] = {}
 
     def names(self, *, role: str) -> list[str]:
-        """The daemons of a role."""
+        """The names of the daemons with a role."""
         return [name for name, settings in self.settings.items() if settings["role"] == role]
 
     def start(self, name: str) -> None:
-        """Start a daemon with its settings; the first start of a controller founds the group."""
+        """Start a daemon with its settings; only its first start may found the control group."""
         file = self.folder / f"{name}.yaml"
         file.write_text(yaml.safe_dump(self.settings[name]), "utf-8")
         self.settings[name]["bootstrap"] = False
@@ -143,7 +143,7 @@
 
 
 def make_config(*, label: int, sharded: bool = True, deadline: float = 8) -> dict:
-    """A configuration with a route to each of two services, `stock` divided by key unless said otherwise."""
+    """A configuration with a route to each of two services; `stock` is sharded by key unless `sharded` is false."""
 
     def make_rule(name: str, path: str, kind: str, service: str) -> dict:
         return {
--- a/simulation/real/platform.py
+++ b/simulation/real/platform.py
@@ -1,4 +1,4 @@
-"""The platform's stand-in over HTTP, inside the fleet runner."""
+"""A fake platform that serves the list of workers over HTTP, inside the fleet runner."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Platform:
-    """Keeps the list of workers and serves it in pages."""
+    """Holds the list of workers and serves it in pages."""
 
     def __init__(self, *, address: str, history: History, clock) -> None:
         self._rows: dict[str, dict] = {}
@@ -24,7 +24,7 @@
         threading.Thread(target=self.server.serve_forever, daemon=True).start()
 
     def set_worker(self, *, row: dict) -> None:
-        """List a worker, or mark one."""
+        """Add a worker to the list, or replace its row."""
         with self._lock:
             previous = self._rows.get(row["id"])
             self._rows[row["id"]] = row
@@ -37,7 +37,7 @@
                 self._history.add(t=self._clock(), k="gone", worker=removed, revision=self.revision)
 
     def unlist(self, *, name: str) -> None:
-        """Take a worker off the list."""
+        """Remove a worker from the list."""
         with self._lock:
             row = self._rows.pop(name)
             self.revision += 1
@@ -65,10 +65,10 @@
             wbufsize = -1
 
             def log_message(self, *_: object) -> None:
-                """Say nothing."""
+                """Log nothing."""
 
             def do_GET(self) -> None:
-                """One page."""
+                """Return one page of the list."""
                 query = {name: values[0] for name, values in parse_qs(urlsplit(self.path).query).items()}
                 body = json.dumps(page(after=query.get("after", ""), limit=int(query.get("limit", "20")))).encode()
                 self.send_response(200)
--- a/simulation/real/worker.py
+++ b/simulation/real/worker.py
@@ -1,4 +1,4 @@
-"""The worker stand-in as a process.
+"""A fake worker as a process.
 
 Usage:
   worker --name=NAME --generation=N --service=NAME --hall=HALL --region=REGION --address=ADDRESS --history=FILE
@@ -31,7 +31,7 @@
 
 
 class Handler(BaseHTTPRequestHandler):
-    """Answers exchanges, probes and the test's own orders."""
+    """Answers forwarded requests, health checks and the test's own commands."""
 
     protocol_version = "HTTP/1.1"
     disable_nagle_algorithm = True
@@ -39,7 +39,7 @@
     server: Server
 
     def log_message(self, *_: object) -> None:
-        """Say nothing."""
+        """Log nothing."""
 
     def _serve(self) -> None:
         length = int(self.headers.get("content-length") or 0)
--- a/simulation/run_fleet.py
+++ b/simulation/run_fleet.py
@@ -1,14 +1,15 @@
-"""Run a deployment as real processes, bring faults about, and check the histories.
+"""Run a deployment as real processes, inject faults, and check the histories.
 
 Usage:
   run_fleet [options] DEPLOYMENT
 
 Options:
-  --seconds N      How long the callers order [default: 20].
-  --rate N         Orders a second; by default the deployment's own.
-  --seed N         Seed of the callers and of the faults [default: 1].
-  --faults WORDS   Steps as SECOND:VERB:NAME with commas; verbs are kill, start, stop, freeze, thaw, replace,
-                   leave, empty, refill, mode, other (stop, start with the other checkout's code), this (back again).
+  --seconds N      How long the callers send requests [default: 20].
+  --rate N         Requests per second; by default the deployment's own rate.
+  --seed N         Seed of the callers [default: 1].
+  --faults WORDS   Steps SECOND:VERB:NAME separated by commas; verbs are kill, start, stop, freeze, thaw, replace,
+                   leave, empty, refill, mode, other (restart with the other checkout's code), this (restart
+                   with this checkout's code).
                    For mode, NAME is WORKER/MODE/CHANCE; all is every daemon.
   --other DIR      Another checkout of this project, whose code all daemons start with: a roll-out by `this`.
   --folder DIR     Where settings, data, logs and histories are kept; a new one by default.
@@ -33,7 +34,7 @@
 
 
 def start_and_configure(*, fleet: Fleet) -> None:
-    """Start, found, configure, and wait until every proxy serves."""
+    """Start all processes, found the control group, configure it, and wait until every proxy serves."""
     fleet.start_all()
     for command, text in ((("found",), b""), (("put", "-"), json.dumps(fleet.deployment.config).encode())):
         completed = fleet.sailctl(*command, text=text)
@@ -43,19 +44,19 @@
         fleet.wait_for(check=lambda name=name: is_serving(fleet=fleet, name=name), what=f"{name} to serve")
     for name in fleet.names_of(kind="directory"):
         fleet.wait_for(
-            check=lambda name=name: lists_all_proxies(fleet=fleet, name=name), what=f"{name} to name all proxies"
+            check=lambda name=name: lists_all_proxies(fleet=fleet, name=name), what=f"{name} to list all proxies"
         )
 
 
 def is_serving(*, fleet: Fleet, name: str) -> bool:
-    """Does the proxy hold its lease and see all workers well?"""
+    """Whether the proxy holds its lease and sees all workers healthy."""
     status = fleet.status_of(name=name)
     states = collections.Counter(status.get("workers", {}).values())
     return bool(status.get("acting")) and states["good"] == len(fleet.workers)
 
 
 def lists_all_proxies(*, fleet: Fleet, name: str) -> bool:
-    """Does the directory name every proxy?"""
+    """Whether the directory lists every proxy."""
     try:
         code, _, body = send_request(address=fleet.http_addresses[name], method="GET", path="/proxies")
     except OSError:
@@ -64,7 +65,7 @@
 
 
 def inject_fault(*, fleet: Fleet, verb: str, name: str) -> None:
-    """Bring one fault about."""
+    """Run one step of `--faults`."""
     if verb not in ("start", "thaw", "refill", "empty"):
         fleet.history.add(t=time.monotonic(), k="trouble", verb=verb, words=[name])
     if verb not in VERBS:
@@ -135,11 +136,11 @@
     "refill": _run_zone_order,
     "mode": _set_mode,
 }
-"""What --faults may bring about, by its verb."""
+"""The steps of `--faults`, by verb."""
 
 
 def print_report(*, fleet: Fleet) -> list:
-    """Print the figures; gives the broken rules."""
+    """Print the figures; returns the violations."""
     history = fleet.merged_history()
     violations = check_history(history=history, deployment=fleet.deployment)
     results = history.of(k="got")
--- a/simulation/soak/__init__.py
+++ b/simulation/soak/__init__.py
@@ -1,4 +1,4 @@
-"""The soak: the platform's daemons as real processes on loopback, under drawn troubles that overlap.
+"""The soak test: the platform's daemons as real processes on loopback, under random faults that overlap.
 
-Some of its callers leave before their answers.
+Some of its callers disconnect before they are answered.
 """
--- a/simulation/soak/__main__.py
+++ b/simulation/soak/__main__.py
@@ -1,14 +1,14 @@
-"""Soak the platform's daemons as real processes on loopback.
+"""Run the soak test: the platform's daemons as real processes on loopback, under random faults.
 
 Usage:
   soak [--seeds LIST] [--seconds S] [--keep FOLDER]
 
 Options:
   --seeds LIST     A seed, or the first and last of a range, as in 3-7 [default: 1].
-  --seconds S      How long troubles begin in each soak [default: 15].
-  --keep FOLDER    Where the logs of soaks that broke something are kept [default: /tmp/sailward-soak].
+  --seconds S      How long faults are injected in each run [default: 15].
+  --keep FOLDER    Where the logs of failed runs are kept [default: /tmp/sailward-soak].
 
-Exit codes: 0 nothing broken; 1 something broken.
+Exit codes: 0 no violation; 1 at least one violation.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 def main() -> None:
-    """Run the soaks of all seeds, one after the other."""
+    """Run the soak test with each seed, one after the other."""
     flags = docopt(__doc__)
     first, _, last = flags["--seeds"].partition("-")
     has_violations = False
--- a/simulation/soak/callers.py
+++ b/simulation/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers of the soak: some wait for their answers, others close, reset or half-close their connections before."""
+"""Callers of the soak test: some wait for their answers, others close, reset or half-close their connections first."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 from simulation.soak.worker import CONNECTION_ERRORS, WORK_HEADER
 
 TIME_BUDGET = 80.0
-"""s that a request may take by its `Time-Budget`: a run of a departed caller must end long before it."""
+"""s. The `Time-Budget` of each request: the run for a disconnected caller must end long before it."""
 DEPARTED_WORK = 75.0
-"""s of work of a request whose caller will leave: only the end of its connection ends it in time."""
+"""s. The work of a request whose caller will disconnect: it ends in time only if its connection is closed."""
 ANSWER_TIMEOUT = 30.0
-"""s after which an answer counts as held."""
+"""s. An answer that takes longer is reported as HELD."""
 LINGER_RESET = struct.pack("ii", 1, 0)
-"""SO_LINGER's value by which a close resets the connection."""
+"""The value of SO_LINGER with which closing a socket resets the connection."""
 WAITING_WEIGHT = 8
-"""Of each thirteen callers, those that wait for their answers."""
+"""How many of thirteen requests wait for their answers."""
 DEEP_PIPELINE = 24
-"""Requests of a deep pipeline: more than a proxy works on for one connection at once."""
+"""Requests in a deep pipeline: more than a proxy handles concurrently for one connection."""
 
 
 @dataclass(kw_only=True)
 class Callers:
-    """All callers of a soak. `run` lets one send requests until it is stopped."""
+    """All callers of a run. Each call of `run` is one caller, which sends requests until `is_stopped` is set."""
 
     fronts: list[str]
     records: Records
@@ -40,7 +40,7 @@
     _numbers: itertools.count = field(default_factory=lambda: itertools.count(1))
 
     async def run(self) -> None:
-        """Send one request, or a pipeline of them, after the other."""
+        """Send requests, single or pipelined, one after the other."""
         behaviours = [
             *([self._wait_for_answer] * WAITING_WEIGHT),
             self._close_early,
@@ -55,7 +55,7 @@
                 await self.rng.choice(behaviours)()
 
     async def send_request(self, *, front: str) -> Attempt:
-        """One repeatable request to this proxy, and its answer."""
+        """Send one repeatable request to this proxy and read its answer."""
         attempt, data = self._make_request(is_nonidempotent=False, work=0.0)
         with contextlib.suppress(*CONNECTION_ERRORS):
             reader, writer = await self._connect(front=front)
@@ -81,7 +81,7 @@
         await self._disconnect_early(count=self.rng.choice((3, DEEP_PIPELINE)), is_reset=False)
 
     async def _disconnect_early(self, *, count: int, is_reset: bool) -> None:
-        """Send repeatable requests that would run on and on, or one that may run only once, and leave."""
+        """Send long-running repeatable requests, or one non-idempotent request, and disconnect before the answer."""
         is_nonidempotent = count == 1 and self.rng.random() < 0.3
         work = self.rng.uniform(0.0, 0.5) if is_nonidempotent else DEPARTED_WORK
         requests = [self._make_request(is_nonidempotent=is_nonidempotent, work=work) for _ in range(count)]
@@ -95,7 +95,7 @@
             attempt.has_disconnected = True
 
     async def _half_close(self) -> None:
-        """Close the sending side alone, and read on: what may run only once is answered all the same."""
+        """Close only the sending side and keep reading: a non-idempotent request must still be answered."""
         attempt, data = self._make_request(is_nonidempotent=True, work=self.rng.uniform(0.0, 0.2))
         reader, writer = await self._connect()
         writer.write(data)
--- a/simulation/soak/faults.py
+++ b/simulation/soak/faults.py
@@ -1,4 +1,4 @@
-"""The troubles of a soak: drawn by its seed, each a few seconds long, two or three at a time."""
+"""The faults of a run: drawn from its seed, each a few seconds long, two or three at a time."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from simulation.soak.worker import SoakWorker
 
 FAULT_INTERVAL = (0.4, 0.9)
-"""s from the beginning of a trouble to that of the next."""
+"""s from the start of a fault to the start of the next, least and greatest."""
 FAULT_DURATION = (0.8, 2.2)
-"""s that a trouble lasts: two or three overlap."""
+"""s that a fault lasts, least and greatest: two or three overlap."""
 LOST_ANSWER_SHARE = 0.5
-"""Share of the answers that a worker loses while it does."""
+"""Share of answers that a worker loses during the fault `lose-answers`."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Fault:
-    """One trouble; `at` and `seconds` in s of the soak."""
+    """One fault: `at` is its start in s since the start of the run, `seconds` its duration."""
 
     at: float
     kind: str
@@ -30,7 +30,7 @@
 
 
 class FaultInjector:
-    """Brings troubles about on a fleet and its workers."""
+    """Injects faults into a fleet and its workers."""
 
     def __init__(self, *, fleet: HostedFleet, workers: list[SoakWorker]) -> None:
         self._fleet, self._workers = fleet, {worker.name: worker for worker in workers}
@@ -38,7 +38,7 @@
         self.injected: list[Fault] = []
 
     def draw(self, *, rng: random.Random, seconds: float) -> list[Fault]:
-        """The troubles of a soak of so many s."""
+        """Draw the faults of a run of this many s."""
         kinds = {"kill": list(self._fleet.settings), "pause": list(self._fleet.settings)}
         kinds |= {"cut": list(self._workers), "lose-answers": list(self._workers)}
         faults, at = [], rng.uniform(*FAULT_INTERVAL)
@@ -49,7 +49,7 @@
         return faults
 
     async def inject(self, *, fault: Fault) -> None:
-        """Wait for the trouble's time, bring it about and end it; one whose target is in trouble is left out."""
+        """Wait until the fault is due, inject it and end it; skipped if its target already has a fault."""
         await asyncio.sleep(fault.at)
         if fault.target in self._targets_in_fault:
             return
--- a/simulation/soak/http_head.py
+++ b/simulation/soak/http_head.py
@@ -1,4 +1,4 @@
-"""Heads and bodies of HTTP/1.1 messages on a stream, as far as the soak's own callers and workers need them."""
+"""Minimal reading and writing of HTTP/1.1 messages for the callers and workers of the soak test."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class HttpMessage:
-    """A message: the words of its first line, its headers by lower-case name, its body."""
+    """A message: the fields of its start line, its headers by lower-case name, its body."""
 
     start_line: tuple[str, ...]
     headers: dict[str, str]
@@ -18,7 +18,7 @@
 
 
 async def read_message(*, reader: asyncio.StreamReader) -> HttpMessage:
-    """The next message. Raises IncompleteReadError if the stream ends first, OSError if its connection is reset."""
+    """Read the next message. Raises IncompleteReadError if the stream ends first, OSError on a reset."""
     start, *lines = (await reader.readuntil(HEAD_END)).decode("latin-1").strip().split("\r\n")
     pairs = (line.partition(":") for line in lines)
     headers = {name.strip().lower(): value.strip() for name, _, value in pairs}
@@ -27,6 +27,6 @@
 
 
 def write_message(*, start_line: str, headers: dict[str, str], body: bytes = b"") -> bytes:
-    """The bytes of a message."""
+    """Encode a message."""
     lines = [start_line, *(f"{name}: {value}" for name, value in headers.items()), f"Content-Length: {len(body)}"]
     return "\r\n".join(lines).encode() + HEAD_END + body
--- a/simulation/soak/judge.py
+++ b/simulation/soak/judge.py
@@ -1,4 +1,4 @@
-"""What a soak broke: by what its callers and workers saw, and by the daemons' logs."""
+"""Finds the violations of a run in the records of callers and workers and in the daemons' logs."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from simulation.soak.records import Attempt, Records
 
 NOT_EXECUTED_CODES = (408, 421, 429, 503)
-"""Codes that say: it has not run and never will."""
+"""Codes that promise that the request has not run and never will."""
 FORBIDDEN_LOG_TEXTS = (
     "event=invariant-violated",
     "event=fault",
@@ -16,13 +16,13 @@
     "event=event-unexpected",
     "Traceback",
 )
-"""What no log may hold."""
+"""Texts that no log may contain."""
 
 
 def judge_attempts(*, records: Records) -> Iterator[str]:
-    """Breaches by requests."""
+    """Violations found in the records of requests."""
     for name in records.unknown_names:
-        yield f"UNASKED: {name} ran, which nobody sent"
+        yield f"UNASKED: {name} ran but was never sent"
     for attempt in records.attempts.values():
         yield from _judge_attempt(attempt=attempt)
 
@@ -37,7 +37,7 @@
 
 
 def judge_logs(*, folder: Path) -> Iterator[str]:
-    """Breaches by the daemons' own words."""
+    """Violations that the daemons logged."""
     for path in sorted(folder.glob("*.log")):
         for line in path.read_text("utf-8", "replace").splitlines():
             if any(text in line for text in FORBIDDEN_LOG_TEXTS):
--- a/simulation/soak/records.py
+++ b/simulation/soak/records.py
@@ -1,4 +1,4 @@
-"""What callers and workers of a soak wrote down."""
+"""The records that callers and workers of a soak test keep."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @dataclass(kw_only=True)
 class Attempt:
-    """One request of a caller: whether it left before the answer, and the answer; `code` 0 if none came whole."""
+    """One request of a caller: whether it disconnected early, and the answer; `code` 0 if it was incomplete."""
 
     name: str
     is_nonidempotent: bool
@@ -37,18 +37,18 @@
 
 @dataclass(kw_only=True)
 class Records:
-    """All requests of a soak by their id, and the ids that ran though nobody sent them."""
+    """All requests by their id, and the ids that ran although no caller sent them."""
 
     attempts: dict[str, Attempt] = field(default_factory=dict)
     unknown_names: list[str] = field(default_factory=list)
 
     def begin(self, *, name: str, is_nonidempotent: bool) -> Attempt:
-        """Write down a request that is about to be sent."""
+        """Record a request that is about to be sent."""
         self.attempts[name] = Attempt(name=name, is_nonidempotent=is_nonidempotent)
         return self.attempts[name]
 
     def run(self, *, name: str, worker: str) -> Run:
-        """Write down that a worker begins to run a request."""
+        """Record that a worker starts to run a request."""
         run = Run(worker=worker)
         if name in self.attempts:
             self.attempts[name].runs.append(run)
@@ -57,7 +57,7 @@
         return run
 
     def running_for_departed(self) -> list[str]:
-        """Repeatable requests whose callers have left and that are still at a worker."""
+        """Repeatable requests that still run at a worker although their callers have disconnected."""
         return [
             attempt.name
             for attempt in self.attempts.values()
--- a/simulation/soak/run.py
+++ b/simulation/soak/run.py
@@ -1,4 +1,4 @@
-"""One soak from its start to its verdict."""
+"""One run of the soak test, from start to verdict."""
 
 from __future__ import annotations
 
@@ -26,27 +26,27 @@
 from simulation.soak.worker import SoakWorker
 
 WORKERS = 6
-"""Of each service: as many as let callers that leave hold some without refusals for all others."""
+"""Workers of each service: enough that requests of disconnecting callers do not cause refusals for all others."""
 CALLERS = 12
-"""Callers at the same time: some ten requests a second, far under what two proxies bear beside other load."""
+"""Concurrent callers: some ten requests per second, far below what two proxies can serve on a busy machine."""
 CONFIG_CHANGE_INTERVAL = 1.5
 """s between two changes of the configuration."""
 CONSECUTIVE_REQUESTS = 10
-"""Requests to each proxy after the troubles that must be served one after the other."""
+"""Consecutive requests that each proxy must serve after the faults."""
 MAX_SERVICE_CHECKS = 40
-"""Looks, half a second apart, until which a proxy must serve so."""
+"""Checks, half a second apart, by the last of which a proxy must serve `CONSECUTIVE_REQUESTS`."""
 
 
 @dataclass(kw_only=True)
 class Verdict:
-    """What a soak did and broke."""
+    """The violations and figures of a run."""
 
     violations: list[str]
     figures: dict[str, int] = field(default_factory=dict)
 
 
 class Soak:
-    """One soak in a folder of its own. `run` gives its verdict."""
+    """One run in a folder of its own. `run` returns its verdict."""
 
     def __init__(self, *, seed: int, seconds: float, folder: Path) -> None:
         self._seconds, self._folder = seconds, folder
@@ -56,7 +56,7 @@
         self._acknowledged_label = 1
 
     async def run(self) -> Verdict:
-        """Start the fleet, let the troubles pass, and judge."""
+        """Start the fleet, inject the faults, and check for violations."""
         workers = [SoakWorker(name=f"i-{at}", records=self._records, rng=self._rng) for at in range(2 * WORKERS)]
         rows: dict[str, list] = {zone: [] for zone in ZONES}
         for at, worker in enumerate(workers):
@@ -85,7 +85,7 @@
             self._wait_for_ready(fleet, name)
 
     def _put_config(self, *, fleet: HostedFleet, label: int, base: str) -> int:
-        """Send a configuration to a controller that the seed draws; its answer's code."""
+        """Send a configuration to a random controller; returns the status code."""
         controller = fleet.address_of(self._rng.choice(fleet.names(role="controller")), "control_plane")
         body = json.dumps(make_config(label=label, sharded=False, deadline=TIME_BUDGET)).encode()
         return send_request(controller, "PUT", "/config", body, If_Match=base)[0]
@@ -105,12 +105,14 @@
         violations = [*self._violations, *judge_attempts(records=self._records), *judge_logs(folder=self._folder)]
         violations += [f"HELD: {name}" for name in callers.timed_out]
         violations += [
-            f"FAULT: {name} ended by itself" for name, process in fleet.running.items() if process.poll() is not None
+            f"FAULT: {name} exited unexpectedly"
+            for name, process in fleet.running.items()
+            if process.poll() is not None
         ]
         return Verdict(violations=violations, figures=self._figures(injector=injector))
 
     async def _change_config(self, *, fleet: HostedFleet) -> None:
-        """Change the configuration now and then, each time on top of what was acknowledged last."""
+        """Change the configuration at intervals, each time based on the last acknowledged one."""
         for label in range(2, 2 + int(self._seconds / CONFIG_CHANGE_INTERVAL)):
             await asyncio.sleep(CONFIG_CHANGE_INTERVAL)
             base = f"r{self._acknowledged_label}"
@@ -118,7 +120,7 @@
                 self._acknowledged_label = label
 
     async def _check_recovery(self, *, fleet: HostedFleet, callers: Callers) -> None:
-        """After the troubles: nothing runs for who has left, each proxy serves, and no change is lost."""
+        """After the faults: nothing runs for disconnected callers, each proxy serves, acknowledged changes persist."""
         for name in fleet.names(role="proxy"):
             await asyncio.to_thread(self._wait_for_ready, fleet, name)
         await self._wait_for_departed()
@@ -127,14 +129,14 @@
         await asyncio.to_thread(self._wait_for_last_change, fleet)
 
     async def _wait_for_service(self, *, front: str, callers: Callers) -> None:
-        """A proxy serves so many requests in a row, each in its first attempt."""
+        """Wait until a proxy serves `CONSECUTIVE_REQUESTS` requests in a row, without a retry by the caller."""
         codes = []
         for _ in range(MAX_SERVICE_CHECKS):
             codes = [(await callers.send_request(front=front)).code for _ in range(CONSECUTIVE_REQUESTS)]
             if set(codes) == {200}:
                 return
             await asyncio.sleep(0.5)
-        self._violations.append(f"UNSERVED: {front} answers {codes} after all troubles")
+        self._violations.append(f"UNSERVED: {front} answers {codes} after all faults")
 
     async def _wait_for_departed(self) -> None:
         for _ in range(300):
@@ -142,13 +144,13 @@
                 return
             await asyncio.sleep(0.1)
         self._violations += [
-            f"GONE: {name} runs on after its caller left" for name in self._records.running_for_departed()
+            f"GONE: {name} still runs after its caller disconnected" for name in self._records.running_for_departed()
         ]
 
     def _wait_for_ready(self, fleet: HostedFleet, name: str) -> None:
         wait_until(
             lambda: send_request(fleet.address_of(name, "readiness"), "GET", "/readiness")[0] == 200,
-            what=f"{name}, ready,",
+            what=f"readiness of {name}",
         )
 
     def _wait_for_last_change(self, fleet: HostedFleet) -> None:
--- a/simulation/soak/worker.py
+++ b/simulation/soak/worker.py
@@ -1,6 +1,6 @@
-"""A worker of the soak: it runs a request until its work is done or its connection closes.
+"""A worker of the soak test: it runs a request until its work is done or its connection closes.
 
-It can be cut off, and lose answers.
+It can stall and lose answers.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 from simulation.soak.records import Records, Run, RunEnd
 
 WORK_HEADER = "x-soak-work"
-"""The header in which a caller says how many s its request takes."""
+"""The header by which a caller sets how many s its request takes."""
 CONNECTION_ERRORS = (OSError, asyncio.IncompleteReadError, asyncio.LimitOverrunError)
-"""Ends of a connection before a message is complete."""
+"""Errors raised when a connection ends before a message is complete."""
 
 
 class SoakWorker:
-    """One worker, listening on loopback. `start` gives its address."""
+    """One worker, listening on loopback. `start` returns its address."""
 
     def __init__(self, *, name: str, records: Records, rng: random.Random) -> None:
         self.name, self._records, self._rng = name, records, rng
@@ -30,13 +30,13 @@
         self._serving: set[asyncio.Task] = set()
 
     async def start(self) -> str:
-        """Listen; gives "ip:port"."""
+        """Start to listen; returns "ip:port"."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         host, port = self._server.sockets[0].getsockname()
         return f"{host}:{port}"
 
     async def end(self) -> None:
-        """Accept no more connections and end those that are open."""
+        """Accept no more connections and close those that are open."""
         if self._server is not None:
             self._server.close()
         for task in self._serving:
@@ -44,13 +44,13 @@
         await asyncio.gather(*self._serving, return_exceptions=True)
 
     async def stall(self, *, seconds: float) -> None:
-        """Neither read nor answer anything for some seconds; what waits is dealt with afterwards."""
+        """Handle no requests for some seconds; those that arrive meanwhile are handled afterwards."""
         self._is_responsive.clear()
         await asyncio.sleep(seconds)
         self._is_responsive.set()
 
     async def lose_answers(self, *, seconds: float, share: float) -> None:
-        """For some seconds reset the connections of a share of the requests that ran."""
+        """For some seconds, reset the connections of a share of the requests after they have run."""
         self.lost_share = share
         await asyncio.sleep(seconds)
         self.lost_share = 0.0
@@ -68,7 +68,7 @@
             writer.close()
 
     async def _serve_request(self, *, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
-        """Serve one request; False if the connection ends behind it."""
+        """Serve one request; False if the connection ends after it."""
         message = await read_message(reader=reader)
         await self._is_responsive.wait()
         headers = {"Instance-Id": self.name}
@@ -86,7 +86,7 @@
         return self._answer(name=name, run=run, writer=writer)
 
     async def _run_until_done(self, *, message: HttpMessage, reader: asyncio.StreamReader) -> bool:
-        """Take as long as the request says; False if its connection ends before."""
+        """Take as long as the request asks for; False if its connection closes first."""
         closing = asyncio.ensure_future(reader.read(1))
         try:
             await asyncio.wait({closing}, timeout=float(message.headers.get(WORK_HEADER, "0")))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""One small run of real processes: facts, not speed."""
+"""A small run of real processes: checks behaviour, not speed."""
 
 from __future__ import annotations
 
