--- a/simulation/hollow.py
+++ b/simulation/hollow.py
@@ -1,39 +1,39 @@
 """Run a hollow fleet.
 
-The product's owners for many daemons in one process, on virtual time, over a network that counts.
+It runs the product's state machines of many daemons in one process, on virtual time, over a simulated network that
+counts messages and bytes.
 
 Usage:
   hollow [options]
 
-Each LIST is one number or several, as in 100,300,1000. The first of each is the base; where there are several, that
-size is swept while the others stay at their base.
+Each LIST is one number or several, as in 100,300,1000. The first number is the base value; if there are several, that
+size is swept while the others keep their base value.
 
 Options:
   --daemons LIST    Proxies [default: 100].
-  --workers LIST    Workers before them [default: 200].
+  --workers LIST    Workers behind them [default: 200].
   --services LIST   Services of the workers [default: 10].
-  --divided LIST    Services among them that are divided by number [default: 1].
+  --divided LIST    Services among them that are sharded [default: 1].
   --routes LIST     Routes of the configuration [default: 40].
   --zones LIST      Zones [default: 8].
   --regions LIST    Regions [default: 4].
-  --controllers N   Machines that hold state; 0 for one in each zone [default: 0].
-  --list-rate N     Calls/s that the platform's list bears [default: 37].
+  --controllers N   Controllers; 0 for one in each zone [default: 0].
+  --list-rate N     Calls/s that the platform's list can serve [default: 37].
   --changes N       Changes of the configuration [default: 3].
-  --failures N      Proxies that die, one after the other [default: 3].
-  --zone-down S     s that a zone is lost; 0 for not at all [default: 4].
-  --cut S           s that a region is cut off; 0 for not at all [default: 0].
-  --seconds S       s of the quiet span [default: 10].
+  --failures N      Proxies that are killed, one after the other [default: 3].
+  --zone-down S     s that a zone is down; 0 for not at all [default: 4].
+  --cut S           s that a region is partitioned; 0 for not at all [default: 0].
+  --seconds S       s of the steady state [default: 10].
   --spread S        s over which the proxies start [default: 2].
-  --parts LIST      Measure single owners at sizes up to the two-year one instead: all, or names of parts.
-  --real            Run the base size with real processes on loopback as well, and say by how much the hollow ones
-                    differ.
-  --added           Measure what a proxy adds to a request instead, with the workers, services and routes given.
+  --parts LIST      Measure single daemons at growing sizes instead: all, or names of parts.
+  --real            Also run the base size with real processes on loopback, and compare the figures.
+  --added           Measure the latency that a proxy adds instead, with the given workers, services and routes.
   --requests N      Requests of each kind for --added [default: 3000].
-  --rate N          Requests/s that come at random for --added [default: 267].
-  --largest N       Leave out the parts' sizes over this [default: 1000000].
+  --rate N          Requests/s with random arrivals for --added [default: 267].
+  --largest N       Skip sizes of the parts above this [default: 1000000].
   --seed N          Seed [default: 1].
-  --note TEXT       Kept with the results, as the commit that was measured.
-  --plot DIR        Write plots of what was swept into this folder.
+  --note TEXT       Text to keep with the results, for instance the commit that was measured.
+  --plot DIR        Write plots of the swept sizes into this folder.
   --out FILE        Write all figures as JSON.
 """
 
@@ -66,12 +66,12 @@
 from simulation.hollow_fleet.real import measure_real
 
 SATURATING_CALLERS = 16
-"""callers at once that press a proxy."""
+"""Concurrent callers that saturate a proxy."""
 EXIT_USAGE = 2
 
 
 def fitted_figures(*, result: dict) -> dict[str, float]:
-    """The figures of a fleet that are fitted."""
+    """The figures of a fleet to which lines are fitted."""
     quiet = result["quiet"]["roles"]
     rows = {
         f"{role} {what}": quiet[role][part][0]
@@ -94,7 +94,7 @@
 
 
 def fit_figures(*, points: dict) -> dict:
-    """{figure: line and exponent} of all figures with enough points."""
+    """{figure: line and exponent} for all figures with enough points."""
     fits = {}
     for name, rows in points.items():
         line, power = fit_line(points=rows), fit_power(points=rows)
@@ -111,7 +111,7 @@
 
 
 def show_table(*, title: str, points: dict) -> None:
-    """The points and lines as text."""
+    """Print the points and the fitted lines."""
     print(f"\n{title}")
     fits = fit_figures(points=points)
     for name, rows in points.items():
@@ -129,18 +129,18 @@
 
 
 def exit_with_error(*, problem: BadInput) -> None:
-    """Say why nothing was run, and end."""
+    """Print why nothing was run, and exit."""
     print(f"hollow: {problem.reason}", file=sys.stderr)
     sys.exit(EXIT_USAGE)
 
 
 def report_progress(text: str) -> None:
-    """Show progress."""
+    """Print a progress line."""
     print(f"{time.strftime('%H:%M:%S')} {text}", file=sys.stderr, flush=True)
 
 
 def describe_command(*, arguments: list[str]) -> str:
-    """The command without the places of its results, which are of one machine."""
+    """The command without the output paths, which are specific to a machine."""
     path_flags = ("--out", "--plot")
     kept = [
         word
@@ -168,14 +168,14 @@
 
 
 def run_real(*, size: Size, plan: Plan) -> dict:
-    """The same quiet span with real processes and with hollow ones on links as short."""
+    """Measure the same steady state with real processes and with a hollow fleet on links as short as loopback."""
     real = measure_real(size=size, seconds=plan.seconds, report_progress=report_progress)
     short = Plan(
         seconds=plan.seconds, changes=0, failures=0, zone_down=0.0, delays=(0.0001, 0.0001, 0.0001), seed=plan.seed
     )
     hollow = HollowFleet(size=size, plan=short, report_progress=report_progress).step()["quiet"]["roles"]
     comparison = {}
-    print(f"\nreal processes beside hollow ones, {size.daemons} proxies and {size.core} controllers")
+    print(f"\nreal processes and hollow ones, {size.daemons} proxies and {size.core} controllers")
     for role, row in real.items():
         for name in ("cpu", "out", "messages_out"):
             other = hollow[role][name] if name == "messages_out" else hollow[role][name][0]
@@ -194,7 +194,7 @@
 
 
 def run_added(*, runs: list, count: int, rate: float) -> list:
-    """What a proxy adds, for each size."""
+    """Measure the latency that a proxy adds, for each size."""
     results = []
     for _, size in runs:
         figures = measure_added(size=size, count=count, callers=SATURATING_CALLERS, rate=rate)
@@ -208,14 +208,14 @@
 
 
 def run_fleets(*, runs: list, plan: Plan, flags: dict) -> dict:
-    """Play all sizes."""
+    """Run a hollow fleet of each size."""
     results, base, swept = [], None, {}
     for at, (name, size) in enumerate(runs):
         report_progress(f"{name}: " + " ".join(f"{key}={value}" for key, value in vars(size).items()))
         result = HollowFleet(size=size, plan=plan, report_progress=report_progress).step()
         results.append({"swept": name, **result})
         if flags["--out"] and at + 1 < len(runs):
-            # a long sweep that is broken off leaves what it has measured
+            # an interrupted sweep keeps the results so far
             Path(flags["--out"]).write_text(
                 json.dumps({"unfinished": True, "fleets": results}, indent=1) + "\n", "utf-8"
             )
@@ -246,7 +246,7 @@
 
 
 def main(argv: list[str] | None = None) -> None:
-    """Check what is asked, run it, write what came out."""
+    """Check the input, run, and write the results."""
     flags = docopt(__doc__, argv=argv)
     numbers = {
         name: read_number(flags=flags, name=name, lowest=lowest, highest=highest)
--- a/simulation/hollow_fleet/added.py
+++ b/simulation/hollow_fleet/added.py
@@ -1,6 +1,6 @@
-"""What a proxy adds to a request.
+"""Measures the latency that a proxy adds to a request.
 
-The real front, owner and client edge in a process of their own, before a stand-in worker.
+The real HTTP server, proxy and HTTP client run in a process of their own, in front of a fake worker.
 """
 
 from __future__ import annotations
@@ -32,11 +32,10 @@
 
 
 def measure_added(*, size: Size, count: int, callers: int, rate: float) -> dict:
-    """Percentiles in s of what is added.
+    """Measure the added latency, as percentiles in s.
 
-    To one request after the other, and to requests that come at random, `rate` a second.
-
-    Then the processor time a request with many callers at once.
+    Measured with sequential requests, and with requests that arrive at random, `rate` per second. Then measures the
+    processor time per request with many concurrent callers.
     """
     method = multiprocessing.get_context("fork")
     worker_pipe, worker_end = method.Pipe()
@@ -93,9 +92,9 @@
 
 
 def _send_at_rate(*, port: int, request: bytes, count: int, rate: float) -> tuple[list[float], float]:
-    """Seconds of requests that come at random, sorted, and the part not served.
+    """Sorted latencies in s of requests that arrive at random, and the share that was not served.
 
-    They come whether the ones before are done or not.
+    The arrivals do not wait for earlier requests to finish.
     """
     rng, selector = random.Random(1), selectors.DefaultSelector()
     idle, sent_at, times, partial, refused = [], {}, [], {}, 0
@@ -131,7 +130,7 @@
 
 
 def _saturate(*, port: int, request: bytes, count: int, callers: int, proxy) -> dict:
-    """Many callers, each with its next request as soon as it has its answer."""
+    """Run many concurrent callers, each of which sends its next request as soon as it has an answer."""
     selector = selectors.DefaultSelector()
     for _ in range(callers):
         sock = socket.create_connection(("127.0.0.1", port))
@@ -168,7 +167,7 @@
 
 
 def _exchange(*, sock: socket.socket, request: bytes) -> bool:
-    """Was it served?"""
+    """Send one request and read the answer; returns whether it was served."""
     sock.sendall(request)
     data = b""
     while not _is_complete(data=data):
@@ -201,7 +200,7 @@
 
 
 def _serve_worker(*, pipe) -> None:
-    """Answer every request at once, with what a worker's answer must have."""
+    """Answer every request immediately, with the headers that a worker's answer must have."""
     selector, listener = selectors.DefaultSelector(), socket.create_server(("127.0.0.1", 0), backlog=256)
     selector.register(listener, selectors.EVENT_READ)
     pipe.send(listener.getsockname()[1])
@@ -229,7 +228,7 @@
 
 
 def _serve_proxy(*, pipe, size: Size, worker_port: int) -> None:
-    """A proxy as `run_proxy` makes it, told its state at once instead of by a controller."""
+    """Run a proxy as `run_proxy` builds it, with its state pushed directly instead of by a controller."""
     reactor = Reactor()
     host = Host(reactor=reactor)
     hosted = hosted_of(size=size, role="proxy", index=0, zones=zones_of(size=size))
--- a/simulation/hollow_fleet/deployment.py
+++ b/simulation/hollow_fleet/deployment.py
@@ -1,4 +1,4 @@
-"""A made-up deployment of any size: places, settings, a configuration and a list of workers in the platform's words."""
+"""A synthetic deployment of any size: zones, settings, configuration and list of workers in the platform's formats."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 FOLDER = Path(__file__).parent.parent.parent / "platform"
 HOSTING = load_part(folder=FOLDER, name="hosting")
 merge_patch = load_part(folder=FOLDER, name="config").merge
-"""The adapter's way to lay a change over a configuration."""
+"""The adapter's function that applies a patch to a configuration."""
 PAGE_SIZE = 50
-"""workers in a page of the platform's list, as on the sites."""
+"""Workers in a page of the platform's list, as in production."""
 SEED_COUNT = 3
-"""seeds that every daemon is told."""
+"""Seed addresses in the settings of every daemon."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Size:
-    """How large the deployment is.
+    """The size of a deployment.
 
-    `divided`: services divided by number, among the others. `controllers`: machines that hold state.
+    `divided` is how many of the services are sharded. `controllers` 0 stands for one controller in each zone.
     """
 
     daemons: int = 100
@@ -41,13 +41,13 @@
 
     @property
     def core(self) -> int:
-        """Controllers: one in each zone where none are said."""
+        """The number of controllers: one in each zone unless given."""
         return self.controllers or self.zones
 
 
 @lru_cache(maxsize=200000)
 def unique_name(*, kind: str, index: int) -> str:
-    """A name that packs no better than names of people's own choice."""
+    """A unique name that compresses no better than names in real deployments."""
     return f"{kind}-{hashlib.blake2s(f'{kind}{index}'.encode(), digest_size=4).hexdigest()}"
 
 
@@ -57,24 +57,24 @@
 
 
 def zones_of(*, size: Size) -> dict[str, str]:
-    """{zone: region}; zones are dealt to the regions in turn."""
+    """{zone: region}; zones are assigned to the regions round-robin."""
     return {zone_name(index=index): f"region-{index % size.regions}" for index in range(size.zones)}
 
 
 def ip_of(*, role: str, index: int) -> str:
-    """An address that no other daemon has."""
+    """An IP address that no other daemon has."""
     return f"10.{1 if role == 'controller' else 2}.{index // 250}.{index % 250 + 1}"
 
 
 @lru_cache(maxsize=1)
 def _bounds() -> dict:
-    """The bounds of the settings, with the adapter's own defaults for those not named here."""
+    """The `bounds` of the settings, with the adapter's defaults for those not set here."""
     shape = {"bounds": load_part(folder=FOLDER, name="settings").SCHEMA["bounds"]}
     return Validator(shape).normalized({"bounds": {"retry_ratio": 0.2, "retry_slack": 3, "grace_s": 6}})["bounds"]
 
 
 def settings_of(*, size: Size, role: str, index: int, zones: dict[str, str]) -> dict:
-    """The settings of one daemon, as its file would say."""
+    """The settings of one daemon, as in its settings file."""
     zone = zone_name(index=index % size.zones)
     seeds = [f"{ip_of(role='controller', index=at)}:7000" for at in range(min(SEED_COUNT, size.core))]
     ip = ip_of(role=role, index=index)
@@ -101,17 +101,17 @@
 
 
 def hosted_of(*, size: Size, role: str, index: int, zones: dict[str, str]) -> object:
-    """What the adapter makes of these settings."""
+    """The result of the adapter for these settings."""
     return HOSTING.hosted_daemon_of(settings=settings_of(size=size, role=role, index=index, zones=zones), role=role)
 
 
 def service_name(*, size: Size, index: int) -> str:
-    """The name of a service; the first ones are divided by number."""
+    """The name of a service; the first ones are sharded."""
     return unique_name(kind="divided" if index < size.divided else "service", index=index)
 
 
 def make_document(*, size: Size, version: int) -> dict:
-    """A whole configuration in the platform's words."""
+    """A complete configuration in the platform's format."""
 
     def rule(index: int) -> dict:
         return {
@@ -155,7 +155,7 @@
 
 
 def make_patch(*, size: Size, version: int) -> dict:
-    """A change of one route's deadline."""
+    """A patch that changes the deadline of one route."""
     single_route = Size(routes=1, services=size.services, regions=size.regions, divided=size.divided)
     listener = make_document(size=single_route, version=version)["listeners"][0]
     listener["ruleset"][0]["verdict"]["deadline_s"] = 2.0 + version % 10 / 10
@@ -194,7 +194,7 @@
 
 
 def pushed_workers(*, size: Size) -> str:
-    """The workers as a controller's push tells them."""
+    """The workers as a controller pushes them."""
     rows = [
         {
             "id": row["id"],
@@ -212,7 +212,7 @@
 
 
 def pushed_fleet(*, size: Size, zones: dict[str, str]) -> str:
-    """The fleet as a controller's push tells it."""
+    """The fleet as a controller pushes it."""
 
     def row(index: int) -> list:
         zone = zone_name(index=index % size.zones)
--- a/simulation/hollow_fleet/fit.py
+++ b/simulation/hollow_fleet/fit.py
@@ -1,4 +1,4 @@
-"""Slopes by least squares with their spread, and plots of them."""
+"""Least-squares fits with the standard error of the slope, and plots of them."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
     count: int
 
     def at(self, *, x: float) -> float:
-        """The line's value."""
+        """The value of the line at x."""
         return self.base + self.slope * x
 
 
 def fit_line(*, points: list) -> Fit | None:
-    """The line through [x, y, ...] points; None under three, or if all x are the same."""
+    """The line through [x, y, ...] points; None for fewer than three points, or if all x are equal."""
     xs, ys = [point[0] for point in points], [point[1] for point in points]
     count = len(points)
     mean_x, mean_y = sum(xs) / max(1, count), sum(ys) / max(1, count)
@@ -47,7 +47,7 @@
 
 
 def fit_power(*, points: list) -> Fit | None:
-    """The exponent: the line through the logarithms, for points over 0."""
+    """Fit a power law: a line through the logarithms of positive points; its slope is the exponent."""
     return fit_line(points=[[math.log(x), math.log(y)] for x, y, *_ in points if x > 0 and y > 0])
 
 
--- a/simulation/hollow_fleet/flags.py
+++ b/simulation/hollow_fleet/flags.py
@@ -1,4 +1,4 @@
-"""What a run of the hollow fleet is asked for: its flags read and checked, with what would fit where it does not."""
+"""Reads and checks the flags of the hollow fleet; error messages say which values are possible."""
 
 from __future__ import annotations
 
@@ -20,22 +20,22 @@
     "zones": (1, 250),
     "regions": (1, 100),
 }
-"""{size: (least, most)}"""
+"""{size: (lowest, highest)} of the sizes that can be swept."""
 MEMORY_BYTES = {"base": 120e3, "worker": 1100.0, "daemon": 700.0, "route": 4500.0}
-"""bytes that each hollow proxy holds: by itself, and for each worker, daemon and route."""
+"""Bytes of memory of each hollow proxy: its base, and for each worker, daemon and route."""
 MAX_REAL_PROCESSES = 60
-"""real processes at once."""
+"""Real processes that may run concurrently."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class BadInput:
-    """What can't be run, and what could."""
+    """Why a run is not possible, and which values are."""
 
     reason: str
 
 
 def read_sizes(*, flags: dict) -> dict | BadInput:
-    """{name: [sizes]} of all that can be swept."""
+    """{name: [sizes]} of all flags that can be swept."""
     sizes = {}
     for name, (lowest, highest) in SIZE_LIMITS.items():
         try:
@@ -48,7 +48,7 @@
 
 
 def read_number(*, flags: dict, name: str, lowest: float, highest: float) -> float | BadInput:
-    """One number of the flags."""
+    """Read one numeric flag."""
     try:
         number = float(flags[f"--{name}"])
     except ValueError:
@@ -61,14 +61,14 @@
 
 
 def list_sizes(*, sizes: dict, controllers: int, list_rate: float) -> list[tuple[str, Size]]:
-    """What is run: the base, and each further size of what is swept."""
+    """The sizes to run: the base, and each further value of the swept sizes."""
     base = {name: values[0] for name, values in sizes.items()}
     runs = [("base", base)] + [(name, {**base, name: value}) for name, values in sizes.items() for value in values[1:]]
     return [(name, Size(controllers=controllers, list_rate=list_rate, **run_sizes)) for name, run_sizes in runs]
 
 
 def check_size(*, size: Size, memory: float, is_fleet: bool = True) -> BadInput | None:
-    """Why this size can't be run, with what would fit; a fleet also reads the platform's list and takes memory."""
+    """Why this size can't be run, or None; a fleet is also limited by the platform's list and by memory."""
     if size.regions > size.zones:
         return BadInput(reason=f"{size.regions} regions in {size.zones} zones: at most as many regions as zones")
     if size.divided > size.services:
@@ -112,7 +112,7 @@
 
 
 def check_output(*, flags: dict) -> BadInput | None:
-    """Can the results be written where they are to go?"""
+    """Why the results can't be written to the given paths, or None."""
     for name in ("--out", "--plot"):
         if not flags[name]:
             continue
@@ -129,7 +129,7 @@
 
 
 def choose_parts(*, flags: dict) -> dict | BadInput:
-    """{part: sizes} of the parts asked for."""
+    """{part: sizes} of the requested parts."""
     names = list(PARTS) if flags["--parts"] == "all" else flags["--parts"].split(",")
     unknown = [name for name in names if name not in PARTS]
     if unknown:
--- a/simulation/hollow_fleet/fleet.py
+++ b/simulation/hollow_fleet/fleet.py
@@ -1,4 +1,4 @@
-"""A hollow fleet's day: coming up, a quiet span, changes, dead proxies, a lost zone and its return, a cut region."""
+"""The phases of a hollow fleet: start, steady state, changes, killed proxies, the loss of a zone, a partition."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 from .network import LINKS, Member, Network, send_operator_request
 
 PHASE_TIMEOUT = 90.0
-"""s of virtual time after which what is waited for counts as not reached."""
+"""s of virtual time that a phase waits for its condition."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Plan:
-    """What is done to the fleet. `seconds`: the quiet span; `zone_down` and `cut`: s, 0 to leave out."""
+    """The phases to run. `seconds` is the steady state; `zone_down` and `cut` are in s, 0 to skip the phase."""
 
     seconds: float = 10.0
     changes: int = 3
@@ -38,7 +38,7 @@
 
 @dataclass(kw_only=True)
 class Counters:
-    """Counters of a moment, to be taken from later ones."""
+    """A snapshot of all counters, to be subtracted from a later one."""
 
     at: float
     messages: Counter
@@ -54,7 +54,7 @@
 
 @dataclass(kw_only=True)
 class HollowFleet:
-    """A fleet of one size. `step` plays the plan and gives the figures."""
+    """A fleet of one size. `step` runs the plan and returns the figures."""
 
     size: Size
     plan: Plan
@@ -66,7 +66,7 @@
     version: int = 0
 
     def step(self) -> dict:
-        """Play it all."""
+        """Run all phases."""
         gc.collect()
         gc.disable()
         started_at, before = time.process_time(), _rss()
@@ -300,7 +300,7 @@
         )
 
     def _rates_since(self, *, before: Counters) -> dict:
-        """All figures since then, a second."""
+        """All figures since the snapshot, per second."""
         after, span = self._snapshot(), max(1e-9, self.network.now - before.at)
         kinds: dict = {}
         for (kind, link), count in (after.messages - before.messages).items():
@@ -359,7 +359,7 @@
 
 
 def _spread(*, values: list) -> list:
-    """Mean, least, greatest."""
+    """Mean, minimum, maximum."""
     return [round(sum(values) / len(values), 6), round(min(values), 6), round(max(values), 6)]
 
 
--- a/simulation/hollow_fleet/network.py
+++ b/simulation/hollow_fleet/network.py
@@ -1,6 +1,6 @@
-"""Virtual time and a network that counts.
+"""Virtual time and a simulated network with accounting.
 
-Each message's bytes, and the processor time of each step, packing and unpacking.
+It counts the bytes of each message, and the processor time of each step, of packing and of unpacking.
 """
 
 from __future__ import annotations
@@ -37,18 +37,18 @@
 LINKS = ("zone", "region", "regions")
 """Within a zone, between zones of a region, between regions."""
 SAMPLE_INTERVAL = 24
-"""A message of a kind and shape is packed anew each so many times; the others count as the last one did."""
+"""One in so many messages of the same kind and shape is really packed; the others use its cached weight."""
 SYNC_DELAY = 0.0005
-"""s that a disk takes to sync, as on the sites."""
+"""s that a disk takes to sync, as in production."""
 CALL_DELAY = 0.005
-"""s that the platform's list and a worker's grant take."""
+"""s that a call to the platform's list or to a worker takes."""
 MAX_CACHED_WEIGHTS = 4000
-"""sizes that are kept."""
+"""Entries in the cache of weights."""
 
 
 @dataclass(kw_only=True, eq=False)
 class Member:
-    """One daemon: its owner while it is up, and what it has cost."""
+    """One daemon: its state machine (`owner`) while it is up, and its costs."""
 
     name: str
     role: str
@@ -71,7 +71,7 @@
 
 @dataclass(kw_only=True)
 class Weight:
-    """What one message weighs: its frame's bytes, and the s of packing and of unpacking it."""
+    """The cost of a message: the bytes of its frame, and the s of packing and of unpacking it."""
 
     size: int = 0
     pack: float = 0.0
@@ -81,13 +81,13 @@
 
 
 class MessageScale:
-    """Weighs messages by the product's own packing. `step` gives the Weight of a body."""
+    """Weighs messages with the product's own packing. `step` returns the Weight of a body."""
 
     def __init__(self) -> None:
         self._weights: dict = {}
 
     def step(self, *, body: dict) -> Weight:
-        """Weigh it, or take the weight of one like it."""
+        """Weigh a body, or return the cached weight of a similar one."""
         key = _cache_key(body=body)
         weight = self._weights.get(key)
         if weight is None:
@@ -127,7 +127,7 @@
 
 
 class Network:
-    """Runs members on virtual time. A member is busy for as long as its steps, packing and unpacking took here."""
+    """Runs members on virtual time. A member is busy for the measured time of its steps, packing and unpacking."""
 
     def __init__(
         self, *, delays: tuple[float, float, float], pages: list[bytes], counts_busy_time: bool = True
@@ -153,16 +153,16 @@
         self._count = 0
 
     def add(self, *, member: Member) -> None:
-        """Know a member; it is not up yet."""
+        """Register a member; it is not started yet."""
         self.members[member.post] = member
 
     def schedule(self, *, delay: float, action: Callable[[], None]) -> None:
-        """Run `act` after so many s."""
+        """Run `action` after `delay` s."""
         self._count += 1
         heapq.heappush(self._timers, (self.now + delay, self._count, action))
 
     def run(self, *, seconds: float, condition: Callable[[], bool] | None = None) -> bool:
-        """Let time go on; was what is waited for reached?"""
+        """Advance the time, at most until the condition holds; returns whether it holds."""
         end, next_check = self.now + seconds, self.now
         while self._timers and self._timers[0][0] <= end:
             self.now, _, action = heapq.heappop(self._timers)
@@ -175,7 +175,7 @@
         return condition is not None and condition()
 
     def start(self, *, member: Member, delay: float = 0.0) -> None:
-        """Bring a member up; its ticks are spread by its own delay."""
+        """Start a member; different delays spread the ticks of the members."""
         member.incarnation += 1
         incarnation = member.incarnation
 
@@ -188,13 +188,13 @@
         self.schedule(delay=delay, action=begin)
 
     def kill(self, *, member: Member) -> None:
-        """End it at once; its disk stays."""
+        """Kill a member; its disk remains."""
         member.incarnation += 1
         member.owner, member.is_waiting = None, False
         member.queue.clear()
 
     def deliver(self, *, member: Member, event: object, cost: float = 0.0, delay: float = 0.0) -> None:
-        """An event for a member after so many s; `cost` is what taking it in costs before the step."""
+        """Deliver an event to a member after `delay` s; `cost` is the s of unpacking before the step."""
         incarnation = member.incarnation
         self.schedule(
             delay=delay, action=lambda: self._on_event(member=member, incarnation=incarnation, event=event, cost=cost)
@@ -335,7 +335,7 @@
 def send_operator_request(
     *, network: Network, member: Member, token: str, method: str, path: str, body: bytes, if_match: str
 ) -> None:
-    """An operator's call; too large a body is not read, as at the front."""
+    """Send an operator's request; a body that is too large is not read, as by the real HTTP server."""
     readable_body = body if len(body) <= constants.MAX_CONFIG_BYTES else None
     network.deliver(
         member=member,
--- a/simulation/hollow_fleet/parts.py
+++ b/simulation/hollow_fleet/parts.py
@@ -1,4 +1,4 @@
-"""What one owner costs at a size: one proxy or one controller is given what a fleet of that size would give it."""
+"""The cost of a single proxy or controller that receives the input of a fleet of a given size."""
 
 from __future__ import annotations
 
@@ -44,13 +44,13 @@
     "core": ("daemons", (272, 1000, 3000, 6000, 12000)),
     "askers": ("askers of a controller", (10, 30, 100, 136, 300, 1000)),
 }
-"""{part: (what is varied, sizes)}"""
+"""{part: (the varied size, its values)}"""
 
 
 def measure_part(*, name: str, sizes: tuple, report_progress: Callable[[str], None]) -> dict:
-    """All points of one part.
+    """Measure all points of one part.
 
-    {figure: [[size, value], ...]}, each the middle of REPEATS runs, with the least and greatest.
+    Returns {figure: [[size, median, minimum, maximum], ...]} over REPEATS runs.
     """
     measure = {
         "list": _measure_list,
@@ -78,7 +78,7 @@
 
 
 def make_proxy(*, size: Size) -> Proxy:
-    """A proxy that has heard a controller."""
+    """A proxy that follows a controller."""
     hosted = hosted_of(size=size, role="proxy", index=0, zones=zones_of(size=size))
     proxy = Proxy(location=hosted.location, start=1, rng=random.Random(1), options=hosted.options)
     proxy.control_client.followed_controller = CONTROLLER_ADDRESS
@@ -86,7 +86,7 @@
 
 
 def make_push(*, name: str, number: int, text: str) -> dict:
-    """A push of this text."""
+    """A push message with this text."""
     return {
         "kind": "push",
         "seq": number,
@@ -113,9 +113,9 @@
 
 
 def _measure_push(*, size: Size, name: str, texts: tuple[str, str]) -> tuple[dict, Proxy]:
-    """Sending, taking and holding one push of a register or list.
+    """The cost of packing, unpacking and handling a push of a register or list.
 
-    The second of two is timed, as the first one is new.
+    The second of two pushes is timed, as the first one builds new state.
     """
     proxy = make_proxy(size=size)
     bodies = [make_push(name=name, number=at + 1, text=text) for at, text in enumerate(texts)]
@@ -142,7 +142,7 @@
 
 
 def _measure_memory(*, size: Size, name: str, text: str) -> int:
-    """Bytes that a proxy holds for this push, its own copy of the text included."""
+    """Bytes of memory that a proxy uses for this push, including its own copy of the text."""
     proxy = make_proxy(size=size)
     tracemalloc.start()
     body = json.loads(json.dumps(make_push(name=name, number=1, text=text)))
@@ -188,7 +188,7 @@
 
 
 def _measure_tenants(*, size: int) -> dict:
-    """Tenants are not in the platform's words: the product's own full form holds them."""
+    """Tenants do not exist in the platform's format, so they are added to the product's own expanded form."""
     shape = Size(routes=4, services=2, divided=0)
     proxy = make_proxy(size=shape)
     full = proxy.options.expand(make_document(size=shape, version=1))
@@ -211,7 +211,7 @@
 
 
 def free_route(*, size: Size) -> tuple[str, dict]:
-    """A path and headers that match a repeatable route of a service that is not divided."""
+    """A path and headers that match a repeatable route of a service that is not sharded."""
     divided = {service_name(size=size, index=index) for index in range(size.divided)}
     listener, rule = next(
         (listener, rule)
@@ -227,7 +227,7 @@
 
 
 def _measure_requests(*, size: Size, count: int) -> dict:
-    """Processor time of the owner a request: one Asked and one Called; and of the placing alone with ticks apart."""
+    """Processor time of the proxy per request, without I/O; and of counting workers for zone health."""
     proxy = make_proxy(size=size)
     for name, text in (
         ("config", config_text(size=size)),
@@ -267,7 +267,7 @@
 
 
 def _measure_zones(*, size: int) -> dict:
-    # one worker in each zone of each service at the least, as each place with a worker is a zone of the service
+    # every service has a worker in each zone, as only zones with a worker count for a service
     services = max(2, size // 88)
     zones = min(88, size // 2)
     shape = Size(
@@ -310,7 +310,7 @@
 
 
 def make_controller(*, size: Size, asking_proxies: int) -> tuple[Controller, list[MessageReceived]]:
-    """A controller of a core of one, with this many proxies of its own and all others told by the other controllers."""
+    """The only member of a control group, and the requests of this many proxies that follow it."""
     single = Size(**{**vars(size), "controllers": 1})
     zones = zones_of(size=size)
     hosted = hosted_of(size=single, role="controller", index=0, zones=zones)
--- a/simulation/hollow_fleet/real.py
+++ b/simulation/hollow_fleet/real.py
@@ -1,6 +1,6 @@
-"""A few real processes on loopback, to say by how much the hollow ones' figures differ.
+"""A few real processes on loopback, for comparison with the figures of the hollow fleet.
 
-Also the program of one such process: real ROLE COUNTS_FILE, with the settings as the platform gives them.
+Also the program of one such process: real ROLE COUNTS_FILE, with the settings file that the platform would provide.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 class CountedTransport(transport_module.MessageTransport):
-    """A courier that writes its counts into a file now and then."""
+    """A message transport that writes its counters into a file every `COUNT_INTERVAL` s."""
 
     file = ""
 
@@ -48,9 +48,9 @@
 
 
 def measure_real(*, size: Size, seconds: float, report_progress: Callable[[str], None]) -> dict:
-    """Figures a second of each role in a quiet span of a real fleet of this size.
+    """Figures per second of each role in the steady state of a real fleet of this size.
 
-    One thread serves the platform's list.
+    A thread serves the platform's list.
     """
     pages = list_pages(size=size)
 
@@ -123,7 +123,7 @@
     for role, node_settings in settings:
         while role == "proxy" and not _is_ready(address=node_settings["listen"]["readiness"]):
             if time.monotonic() - started_at > START_TIMEOUT:
-                raise RuntimeError("the real fleet did not come up")
+                raise RuntimeError("the real fleet was not ready in time")
             time.sleep(0.05)
     report_progress(f"real: {len(settings)} processes ready after {time.monotonic() - started_at:.1f} s")
     time.sleep(4.0)
@@ -198,7 +198,7 @@
 
 
 def main() -> None:
-    """Run one daemon with counted messages."""
+    """Run one daemon that counts its messages."""
     role, CountedTransport.file = sys.argv[1:]
     hosted_module.MessageTransport = CountedTransport
     settings = yaml.safe_load(Path(os.environ["SAILWARD_NODE_FILE"]).read_text("utf-8"))
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -1,4 +1,4 @@
-"""The hollow fleet: its counts are whole, its phases end, its fits are lines, and bad input is refused before a run."""
+"""The hollow fleet: its counters are complete, its phases end, its fits are right, and bad input is refused at once."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Echo:
-    """Tells `to` something at its first tick; without one it answers the first message that it hears."""
+    """Sends a message to `to` at its first tick; without `to`, answers the first message that it receives."""
 
     def __init__(self, *, to: str = "") -> None:
         self.to, self.may_answer, self.received = to, not to, []
@@ -53,7 +53,7 @@
     ]
     for member in members:
         network.add(member=member)
-    # the one that speaks first is the last to come up
+    # the sender starts last
     for member in reversed(members):
         network.start(member=member)
     return network, members, owners
@@ -78,7 +78,7 @@
     assert owners[1].received[0][0] == pytest.approx(delay)
 
 
-def test_nothing_reaches_who_is_down_or_cut_off():
+def test_no_message_reaches_a_member_that_is_down_or_partitioned():
     network, members, owners = make_pair(zones=("x", "y"), regions=("r", "s"))
     network.cut_regions = {"s"}
     network.run(seconds=2.0)
@@ -88,7 +88,7 @@
     assert members[1].owner is None
 
 
-def test_a_busy_member_takes_its_events_later_and_in_order():
+def test_a_busy_member_handles_its_events_later_and_in_order():
     network, members, owners = make_pair(zones=("x", "x"), regions=("r", "r"))
     network.run(seconds=0.01)
     members[1].busy_until = 1.0
@@ -99,7 +99,7 @@
     assert [seq for _, seq in given] == [1, 2] and all(at >= 1.0 for at, _ in given)
 
 
-def test_a_weight_is_the_frame_and_what_no_receiver_reads_is_told_apart():
+def test_a_weight_is_the_size_of_the_frame_and_marks_unreadable_messages():
     scale = MessageScale()
     assert scale.step(body=ACK).size == len(pack_body(body=ACK))
     value = {"number": 1, "mark": "", "trail": [], "text": "x" * (9 << 20)}
@@ -108,7 +108,7 @@
     ).is_readable
 
 
-def test_the_made_deployment_is_what_the_size_says():
+def test_the_deployment_has_the_given_size():
     zones = zones_of(size=SMALL)
     assert len(zones) == 4 and set(zones.values()) == {"region-0", "region-1"}
     assert len(json.loads(pushed_workers(size=SMALL))) == 12
@@ -118,7 +118,7 @@
     assert sum(len(listener["ruleset"]) for listener in document["listeners"]) == 6 and len(document["pools"]) == 3
 
 
-def test_a_small_fleet_plays_its_whole_day():
+def test_a_small_fleet_runs_all_phases():
     result = HollowFleet(size=SMALL, plan=Plan(seconds=1.0, changes=1, failures=1, zone_down=1.0, cut=1.0)).step()
     assert result["rise"]["core_up"] and result["rise"]["all_ready"]
     assert None not in result["changes"]["accepted_s"] + result["changes"]["in_force_s"] + result["failures"]["known_s"]
@@ -130,7 +130,7 @@
 
 
 @pytest.mark.parametrize("name", sorted(PARTS))
-def test_each_part_gives_its_figures_at_its_least_size(name):
+def test_each_part_returns_its_figures_at_its_smallest_size(name):
     points = measure_part(name=name, sizes=PARTS[name][1][:1], report_progress=lambda text: None)
     assert points and all(row[0][2] <= row[0][1] <= row[0][3] for row in points.values())
 
@@ -149,7 +149,7 @@
     assert file.read_text("utf-8").startswith("<?xml")
 
 
-def test_what_a_proxy_adds_is_measured_through_the_real_edges():
+def test_added_latency_is_measured_through_the_real_transport():
     figures = measure_added(size=Size(workers=8, services=2, divided=0, daemons=2), count=60, callers=4, rate=100.0)
     through = [figures[f"direct_{part}_s"] + figures[f"added_{part}_s"] for part in ("p50", "p99")]
     assert (
@@ -180,7 +180,7 @@
         (["--plot", "/no/such/folder"], "can't be written"),
     ],
 )
-def test_what_can_not_be_run_is_refused_before_the_run(flags, message, capsys, monkeypatch):
+def test_invalid_input_is_refused_before_the_run(flags, message, capsys, monkeypatch):
     monkeypatch.setattr(hollow, "half_of_memory", lambda: 16e9)
     monkeypatch.setattr(hollow, "run_fleets", lambda **given: pytest.fail("it ran"))
     with pytest.raises(SystemExit) as end:
@@ -188,7 +188,7 @@
     assert end.value.code == 2 and message in capsys.readouterr().err
 
 
-def test_what_is_said_to_fit_fits():
+def test_the_suggested_size_fits():
     size = Size(daemons=20000, workers=1000)
     bad = check_size(size=size, memory=4e9)
     fits = int(bad.reason.rsplit("about ", 1)[1].split()[0])
