--- a/simulation/hollow.py
+++ b/simulation/hollow.py
@@ -25,7 +25,8 @@
   --cut S           s that a region is partitioned; 0 for not at all [default: 0].
   --seconds S       s of the steady state [default: 10].
   --spread S        s over which the proxies start [default: 2].
-  --parts LIST      Measure single daemons at growing sizes instead: all, or names of parts.
+  --parts LIST      Measure single daemons instead, at sizes up to the one expected in two years: all, or names of
+                    parts.
   --real            Also run the base size with real processes on loopback, and compare the figures.
   --added           Measure the latency that a proxy adds instead, with the given workers, services and routes.
   --requests N      Requests of each kind for --added [default: 3000].
@@ -143,11 +144,11 @@
     """The command without the output paths, which are specific to a machine."""
     path_flags = ("--out", "--plot")
     kept = [
-        word
-        for at, word in enumerate(arguments)
-        if word not in path_flags and (at == 0 or arguments[at - 1] not in path_flags)
+        argument
+        for at, argument in enumerate(arguments)
+        if argument not in path_flags and (at == 0 or arguments[at - 1] not in path_flags)
     ]
-    return " ".join(["hollow", *(word for word in kept if not word.startswith(("--out=", "--plot=")))])
+    return " ".join(["hollow", *(argument for argument in kept if not argument.startswith(("--out=", "--plot=")))])
 
 
 def run_parts(*, chosen: dict, flags: dict) -> dict:
@@ -162,7 +163,7 @@
                 figures=points,
                 x_name=PARTS[name][0],
                 file=Path(flags["--plot"]) / f"part-{name}.svg",
-                title=f"one owner: {name}",
+                title=f"one daemon: {name}",
             )
     return results
 
--- a/simulation/model/histories.py
+++ b/simulation/model/histories.py
@@ -21,13 +21,13 @@
 
 
 HISTORIES: dict[str, History] = {
-    "a vote that was told is not on the disk": History(
+    "an acknowledged vote is not on the disk": History(
         fault="early-answer",
         rule="old-read",
         bounds=Bounds(members=THREE, puts=("a",), reads=("c",), crashes=("b",)),
         trace=("begin put1@a 1 a b", "vote put1@a a b!", "count put1@a", "begin read1@c 1 b c"),
     ),
-    "a newcomer copies from the one that lacks the value": History(
+    "a new member copies from a voter that lacks the value": History(
         fault="copy-from-one",
         rule="old-read",
         bounds=Bounds(
@@ -42,7 +42,7 @@
             "begin read1@a 2 a d",
         ),
     ),
-    "a newcomer answers a read before it has copied": History(
+    "a new member answers a read before it has copied": History(
         fault="counts-at-once",
         rule="old-read",
         bounds=Bounds(
@@ -56,7 +56,7 @@
             "begin read1@a 2 a d",
         ),
     ),
-    "a member is out and in again and has not heard of it": History(
+    "a member is removed and added again without learning of it": History(
         fault="keeps-old-slots",
         rule="old-read",
         bounds=Bounds(
@@ -77,7 +77,7 @@
             "begin read1@c 3 a c",
         ),
     ),
-    "two members are taken out one after the other": History(
+    "two members are removed one after the other": History(
         fault="smaller-without-copy",
         rule="old-read",
         bounds=Bounds(
@@ -93,7 +93,7 @@
             "begin read1@a 3 a",
         ),
     ),
-    "two of five are taken out one after the other": History(
+    "two of five members are removed one after the other": History(
         fault="smaller-without-copy",
         rule="old-read",
         bounds=Bounds(
@@ -112,7 +112,7 @@
             "begin read1@a 3 a b",
         ),
     ),
-    "four voters exchange one, and the newcomer lacks a claim": History(
+    "one of four voters is replaced, and the new member lacks a claim": History(
         fault="copy-from-the-rest",
         rule="old-read",
         bounds=Bounds(
@@ -135,7 +135,7 @@
             "prepare read1@a a b x",
         ),
     ),
-    "a voter goes on under the set that was left": History(
+    "a voter continues under an outdated set of voters": History(
         fault="any-set",
         rule="old-read",
         bounds=Bounds(
--- a/simulation/real/hosted_fleet.py
+++ b/simulation/real/hosted_fleet.py
@@ -37,7 +37,7 @@
         self.end_headers()
         self.wfile.write(body)
 
-    def log_message(self, *given: object) -> None:
+    def log_message(self, *arguments: object) -> None:
         """Log nothing."""
 
 
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -95,8 +95,8 @@
     for number in (1, 2):
         network.deliver(member=members[1], event=MessageReceived(sender="c", body={**ACK, "seq": number}))
     network.run(seconds=3.0)
-    given = [(at, event.body["seq"]) for at, event in owners[1].received if event.sender == "c"]
-    assert [seq for _, seq in given] == [1, 2] and all(at >= 1.0 for at, _ in given)
+    deliveries = [(at, event.body["seq"]) for at, event in owners[1].received if event.sender == "c"]
+    assert [seq for _, seq in deliveries] == [1, 2] and all(at >= 1.0 for at, _ in deliveries)
 
 
 def test_a_weight_is_the_size_of_the_frame_and_marks_unreadable_messages():
@@ -182,7 +182,7 @@
 )
 def test_invalid_input_is_refused_before_the_run(flags, message, capsys, monkeypatch):
     monkeypatch.setattr(hollow, "half_of_memory", lambda: 16e9)
-    monkeypatch.setattr(hollow, "run_fleets", lambda **given: pytest.fail("it ran"))
+    monkeypatch.setattr(hollow, "run_fleets", lambda **arguments: pytest.fail("it ran"))
     with pytest.raises(SystemExit) as end:
         hollow.main(flags)
     assert end.value.code == 2 and message in capsys.readouterr().err
