--- a/simulation/real/callers.py
+++ b/simulation/real/callers.py
@@ -27,7 +27,7 @@
         self._deployment, self._directories, self._history = deployment, directories, history
         self._rng = random.Random(seed)
         self._count = itertools.count(1)
-        self._known: dict[str, tuple[float, list]] = {}
+        self._proxy_lists: dict[str, tuple[float, list]] = {}
         self._threads = ThreadPoolExecutor(max_workers=128)
         self._lock = threading.Lock()
         self._open = 0
@@ -37,12 +37,12 @@
     def run(self, *, rate: float, seconds: float) -> None:
         """Send requests at this rate for this long, then wait for the last answers."""
         end = time.monotonic() + seconds
-        at = time.monotonic()
+        send_at = time.monotonic()
         kinds = self._deployment.callers
-        while at < end:
-            at += self._rng.expovariate(rate)
-            time.sleep(max(0.0, at - time.monotonic()))
-            self.lag = max(self.lag, time.monotonic() - at)
+        while send_at < end:
+            send_at += self._rng.expovariate(rate)
+            time.sleep(max(0.0, send_at - time.monotonic()))
+            self.lag = max(self.lag, time.monotonic() - send_at)
             kind = self._rng.choices(kinds, weights=[one.part for one in kinds])[0]
             self._threads.submit(self._send_order, kind)
         self._threads.shutdown(wait=True)
@@ -57,10 +57,10 @@
                 return
             time.sleep(0.02 if kind.eager else pause * self._rng.uniform(1.0, 1.5))
 
-    def _proxies(self, *, region: str) -> list[str]:
-        at, known = self._known.get(region, (-1e9, []))
-        if time.monotonic() - at < 1.0 and known:
-            return known
+    def _list_proxies(self, *, region: str) -> list[str]:
+        fetched_at, proxies = self._proxy_lists.get(region, (-1e9, []))
+        if time.monotonic() - fetched_at < 1.0 and proxies:
+            return proxies
         for directory in self._rng.sample(self._directories, len(self._directories)):
             try:
                 code, _, body = send_request(
@@ -69,23 +69,23 @@
             except OSError:
                 continue
             if code == 200:
-                known = [row["address"] for row in json.loads(body)["proxies"]]
-                self._known[region] = (time.monotonic(), known)
-                return known
-        return known
+                proxies = [row["address"] for row in json.loads(body)["proxies"]]
+                self._proxy_lists[region] = (time.monotonic(), proxies)
+                return proxies
+        return proxies
 
-    def _choose_proxy(self, *, known: list[str], try_number: int) -> str:
-        proxy = self._rng.choice(known[:3] if try_number == 1 else known)
+    def _choose_proxy(self, *, proxies: list[str], try_number: int) -> str:
+        proxy = self._rng.choice(proxies[:3] if try_number == 1 else proxies)
         if not is_listening(address=proxy):
             # nothing listens at this address: fail over to the next one on the list at once
-            proxy = next((peer for peer in known if peer != proxy and is_listening(address=peer)), proxy)
+            proxy = next((peer for peer in proxies if peer != proxy and is_listening(address=peer)), proxy)
         return proxy
 
     def _send(self, *, kind, nonce: str, key: str, try_number: int, part: str) -> float | None:
-        known = self._proxies(region=kind.region)
-        if not known:
+        proxies = self._list_proxies(region=kind.region)
+        if not proxies:
             return 1.0
-        proxy = self._choose_proxy(known=known, try_number=try_number)
+        proxy = self._choose_proxy(proxies=proxies, try_number=try_number)
         headers = {
             "Sailward-Tenant": kind.tenant,
             "X-Caller": nonce,
@@ -95,7 +95,7 @@
         }
         if key:
             headers["Idempotency-Key"] = key
-        common = {
+        request_fields = {
             "nonce": nonce,
             "key": key,
             "turn": try_number,
@@ -105,7 +105,7 @@
             "proxy": proxy,
         }
         started_at = time.monotonic()
-        self._history.add(t=started_at, k="sent", region=kind.region, **common)
+        self._history.add(t=started_at, k="sent", region=kind.region, **request_fields)
         code, response_headers, body = 0, {}, b""
         fault, has_timed_out = "", False
         try:
@@ -133,7 +133,7 @@
             retry_after=response_headers.get("retry-after", ""),
             took=time.monotonic() - started_at,
             taken=fault != "ConnectionRefusedError",
-            **common,
+            **request_fields,
         )
         if verdict == "good" or code in (400, 404, 405, 413, 422, 428):
             return None
