--- a/simulation/model/histories.py
+++ b/simulation/model/histories.py
@@ -1,4 +1,4 @@
-"""Histories that break the product with a planted fault, and must not without it."""
+"""Histories that violate an invariant with a planted fault, and must not without it."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class History:
-    """A trace within bounds; without the `fault` the product does not break, whatever step of it is impossible then."""
+    """A trace within bounds. Without the `fault` no invariant is violated; some of its steps may then be impossible."""
 
     fault: str
     rule: str
@@ -21,13 +21,13 @@
 
 
 HISTORIES: dict[str, History] = {
-    "a vote that was told is not on the disk": History(
+    "an acknowledged vote is not on the disk": History(
         fault="early-answer",
         rule="old-read",
         bounds=Bounds(members=THREE, puts=("a",), reads=("c",), crashes=("b",)),
         trace=("begin put1@a 1 a b", "vote put1@a a b!", "count put1@a", "begin read1@c 1 b c"),
     ),
-    "a newcomer copies from the one that lacks the value": History(
+    "a new member copies from a voter that lacks the value": History(
         fault="copy-from-one",
         rule="old-read",
         bounds=Bounds(
@@ -42,7 +42,7 @@
             "begin read1@a 2 a d",
         ),
     ),
-    "a newcomer answers a read before it has copied": History(
+    "a new member answers a read before it has copied": History(
         fault="counts-at-once",
         rule="old-read",
         bounds=Bounds(
@@ -56,7 +56,7 @@
             "begin read1@a 2 a d",
         ),
     ),
-    "a member is out and in again and has not heard of it": History(
+    "a member is removed and added again without learning of it": History(
         fault="keeps-old-slots",
         rule="old-read",
         bounds=Bounds(
@@ -77,7 +77,7 @@
             "begin read1@c 3 a c",
         ),
     ),
-    "two members are taken out one after the other": History(
+    "two members are removed one after the other": History(
         fault="smaller-without-copy",
         rule="old-read",
         bounds=Bounds(
@@ -93,7 +93,7 @@
             "begin read1@a 3 a",
         ),
     ),
-    "two of five are taken out one after the other": History(
+    "two of five members are removed one after the other": History(
         fault="smaller-without-copy",
         rule="old-read",
         bounds=Bounds(
@@ -112,7 +112,7 @@
             "begin read1@a 3 a b",
         ),
     ),
-    "four voters exchange one, and the newcomer lacks a claim": History(
+    "one of four voters is replaced, and the new member lacks a claim": History(
         fault="copy-from-the-rest",
         rule="old-read",
         bounds=Bounds(
@@ -121,7 +121,7 @@
             puts=("d",),
             reads=("a",),
             changes=(Change(at="a", drop="d", add="x", is_repair=True),),
-            is_first=True,
+            uses_first_ballot=True,
             retries=1,
         ),
         trace=(
@@ -135,7 +135,7 @@
             "prepare read1@a a b x",
         ),
     ),
-    "a voter goes on under the set that was left": History(
+    "a voter continues under an outdated set of voters": History(
         fault="any-set",
         rule="old-read",
         bounds=Bounds(
@@ -144,7 +144,7 @@
             puts=("c",),
             reads=("a",),
             changes=(Change(at="a", drop="c", add="d"),),
-            keeps_old=True,
+            delivers_outdated=True,
         ),
         trace=(
             "begin change1@a 1 a b",
--- a/simulation/model/node.py
+++ b/simulation/model/node.py
@@ -1,4 +1,4 @@
-"""One controller under the explorer: built by the product's own class, stepped by single events, cloned by bytes."""
+"""A controller under the explorer: an instance of the product's own class, stepped by single events and pickled."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from sailward.discovery.peer_table import Location
 from sailward.events import AppendRecords, MessageReceived, RecordsSynced, RequestReceived, RewriteRecords, SendMessage
 
-KEYS: dict[tuple, int] = {}
-"""A number for each state of a node: equal for states that act alike."""
-STEPS: dict[tuple, Stepped] = {}
-"""What came of an event at a node in a state: many global states share one of a node."""
+STATE_NUMBERS: dict[tuple, int] = {}
+"""A number for each state of a node: equal for states that behave alike."""
+STEP_RESULTS: dict[tuple, StepResult] = {}
+"""The cached result of an event at a node in a state: many global states share the state of a node."""
 OPTIONS = ControllerOptions(copy_retry_interval=0.0)
 NEVER = 1e12
-"""s. An operation under the explorer expires only when an action says so."""
+"""s. The time-out of operations: under the explorer they expire only by an action."""
 
 
 def _make_slots(items: dict) -> Slots:
@@ -36,29 +36,30 @@
 
 
 class FixedRandom:
-    """In place of a random generator: every pause is half of its bound."""
+    """Replaces a random generator: every pause is half of its bound."""
 
     def random(self) -> float:
-        """The middle."""
+        """Returns the middle of the interval."""
         return 0.5
 
 
 class RecordingProposer(Proposer):
-    """The product's proposer; what it settles is noted for the checks."""
+    """The product's proposer; the operations that it finishes are recorded for the checks."""
 
     finished: list[OperationFinished]
 
     def step(self, *, now: float, voters: dict, event: object) -> tuple[list, list[OperationFinished]]:
-        """As the product's."""
+        """Steps the proposer and records the finished operations."""
         commands, finished = super().step(now=now, voters=voters, event=event)
         self.finished = [*getattr(self, "finished", []), *finished]
         return commands, finished
 
 
-class Mold:
-    """The controller of one start of a node, and the parts of it that change: a state of it is the bytes of these.
+class Snapshotter:
+    """Pickles and restores the state of the controller of one incarnation of a node.
 
-    The parts stay the same objects, as others refer to them; what is not among them does not change what a voter does.
+    A snapshot holds the attributes of the parts that change. The parts remain the same objects, as other objects refer
+    to them; anything that is not among them has no influence on what a voter does.
     """
 
     def __init__(self, *, controller: Controller) -> None:
@@ -66,14 +67,14 @@
         self.controller = controller
         self.parts = {
             "voter": controller.voter,
-            "held": controller.learner,
+            "learner": controller.learner,
             "acceptor": controller.acceptor,
-            "ledger": controller.write_ahead,
+            "write-ahead": controller.write_ahead,
             "proposer": controller.proposer,
             "membership": membership,
             "copying": membership.copying,
-            "anew": membership.recovery,
-            "anew-copying": membership.recovery.copying,
+            "recovery": membership.recovery,
+            "recovery-copying": membership.recovery.copying,
             "catch-up": controller.catch_up,
         }
         shared = [
@@ -83,44 +84,45 @@
             membership.repair,
             controller.proposer._rng,
         ]
-        self.named = {**self.parts, **{f"shared-{at}": part for at, part in enumerate(shared)}}
-        self.names = {id(part): name for name, part in self.named.items()}
+        self.objects = {**self.parts, **{f"shared-{at}": part for at, part in enumerate(shared)}}
+        self.names_by_id = {id(part): name for name, part in self.objects.items()}
 
     def dump(self) -> bytes:
-        """The bytes of this state."""
-        out = io.BytesIO()
-        pickler = pickle.Pickler(out, protocol=5)
-        pickler.persistent_id = lambda part: self.names.get(id(part))
+        """Pickles the current state."""
+        buffer = io.BytesIO()
+        pickler = pickle.Pickler(buffer, protocol=5)
+        pickler.persistent_id = lambda part: self.names_by_id.get(id(part))
         pickler.dump([vars(part) for part in self.parts.values()])
-        return out.getvalue()
+        return buffer.getvalue()
 
-    def load(self, *, blob: bytes) -> Controller:
-        """The controller in this state; it is the same object for every state."""
-        unpickler = pickle.Unpickler(io.BytesIO(blob))
-        unpickler.persistent_load = self.named.__getitem__
+    def load(self, *, snapshot: bytes) -> Controller:
+        """Restores a state and returns the controller, which is the same object for every state."""
+        unpickler = pickle.Unpickler(io.BytesIO(snapshot))
+        unpickler.persistent_load = self.objects.__getitem__
         for part, state in zip(self.parts.values(), unpickler.load(), strict=True):
             vars(part).clear()
             vars(part).update(state)
         return self.controller
 
 
-MOLDS: dict[tuple[str, int], Mold] = {}
-"""By name and start of a node."""
+SNAPSHOTTERS: dict[tuple[str, int], Snapshotter] = {}
+"""Snapshotters by name and incarnation of a node."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Facts:
-    """What the explorer needs to know of a controller without opening it.
+    """The attributes of a controller that the explorer needs without restoring it.
 
-    `live` are (operation, phase, answers that it still needs); `told` is how it tells the voters that it knows.
+    `pending` are (operation, phase, number of answers still missing).
+    `voters_message` is the message body by which it sends the set of voters it knows to others.
     """
 
     identity: str = ""
     number: int = 0
     members: tuple[tuple[str, str], ...] = ()
     is_voting: bool = False
-    live: frozenset = frozenset()
-    told: dict = field(default_factory=dict)
+    pending: frozenset = frozenset()
+    voters_message: dict = field(default_factory=dict)
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -128,39 +130,39 @@
     """A controller at one moment, with its disk."""
 
     name: str
-    starts: int
-    blob: bytes
+    incarnation: int
+    snapshot: bytes
     key: int
     facts: Facts
     disk: tuple = ()
 
     @property
-    def post(self) -> str:
-        """Its address."""
+    def address(self) -> str:
+        """The address that other controllers send messages to."""
         return f"{self.name}:1"
 
     def open(self) -> Controller:
-        """The controller in this state, to be stepped; until another state of this start is opened."""
-        return MOLDS[self.name, self.starts].load(blob=self.blob)
+        """The controller restored to this state, valid until another state of this incarnation is opened."""
+        return SNAPSHOTTERS[self.name, self.incarnation].load(snapshot=self.snapshot)
 
 
 @dataclass(frozen=True, kw_only=True)
-class Stepped:
-    """What came of an event: the node after it, what it sent, and what its proposer settled."""
+class StepResult:
+    """The result of an event: the node after it, the messages it sent, and the operations its proposer finished."""
 
     node: Node
     sent: list
     finished: list
 
 
-def boot(*, name: str, starts: int, disk: tuple) -> Node:
-    """Start a node on what its disk holds."""
-    post = f"{name}:1"
+def boot(*, name: str, incarnation: int, disk: tuple) -> Node:
+    """Starts a node from the records on its disk."""
+    address = f"{name}:1"
     controller = Controller(
-        location=Location(name=name, kind="controller", zone="h", region="r", post=post, http=post),
+        location=Location(name=name, kind="controller", zone="h", region="r", post=address, http=address),
         platform="p:1",
-        nonce=f"n{starts}",
-        start=starts,
+        nonce=f"n{incarnation}",
+        start=incarnation,
         rng=FixedRandom(),
         records=list(disk),
         now=0.0,
@@ -168,110 +170,123 @@
     )
     recording = RecordingProposer(identity=controller.proposer.identity, rng=FixedRandom())
     controller.proposer = controller.registers._proposer = recording
-    MOLDS[name, starts] = Mold(controller=controller)
-    node = Node(name=name, starts=starts, blob=b"", key=-1, facts=Facts(), disk=disk)
-    # the first event stores the identity
+    SNAPSHOTTERS[name, incarnation] = Snapshotter(controller=controller)
+    node = Node(name=name, incarnation=incarnation, snapshot=b"", key=-1, facts=Facts(), disk=disk)
+    # the first event stores the controller's identity
     commands = controller.step(now=0.0, event=RecordsSynced(seq=0))
-    return _finish(node=node, controller=controller, commands=commands).node
+    return _execute(node=node, controller=controller, commands=commands).node
 
 
-def found(*, node: Node, members: dict) -> Node:
-    """Let a node found a core with these members, by the operators' order."""
+def found_group(*, node: Node, members: dict) -> Node:
+    """Makes a node found a control group with these members, as by an operator's request."""
     event = RequestReceived(
         token="t", method="POST", path="/found", query={}, headers={}, body=json.dumps({"members": members}).encode()
     )
     controller = node.open()
-    return _finish(node=node, controller=controller, commands=controller.step(now=0.0, event=event)).node
+    return _execute(node=node, controller=controller, commands=controller.step(now=0.0, event=event)).node
 
 
-def receive(*, node: Node, sender: str, word: str, body: dict, is_synced: bool = True) -> Stepped:
-    """Deliver a message of the node `sender`; `word` is its name, equal only for equal ones."""
+def receive(*, node: Node, sender: str, event_name: str, body: dict, is_synced: bool = True) -> StepResult:
+    """Delivers a message from the node `sender`; `event_name` must differ for different messages."""
 
     def call(controller: Controller) -> list:
         return controller.step(now=0.0, event=MessageReceived(sender=f"{sender}:1", body=body))
 
-    return act(node=node, word=f"{sender} {word}", call=call, is_synced=is_synced)
+    return run_step(node=node, event_name=f"{sender} {event_name}", call=call, is_synced=is_synced)
 
 
-def act(*, node: Node, word: str, call: Callable[[Controller], list], is_synced: bool = True) -> Stepped:
-    """Let a part of the controller act by itself: `call(controller)` gives its commands; `word` names it."""
-    known = (node.name, node.key, word, is_synced)
-    if known not in STEPS:
+def run_step(*, node: Node, event_name: str, call: Callable[[Controller], list], is_synced: bool = True) -> StepResult:
+    """Calls into the controller: `call(controller)` returns its commands; `event_name` is the cache key of the call."""
+    cache_key = (node.name, node.key, event_name, is_synced)
+    if cache_key not in STEP_RESULTS:
         controller = node.open()
-        STEPS[known] = _finish(node=node, controller=controller, commands=call(controller), is_synced=is_synced)
-    return STEPS[known]
+        STEP_RESULTS[cache_key] = _execute(
+            node=node, controller=controller, commands=call(controller), is_synced=is_synced
+        )
+    return STEP_RESULTS[cache_key]
 
 
-def forget_steps() -> None:
-    """Forget what was noted of earlier searches: the product may have been changed since."""
-    STEPS.clear()
-    KEYS.clear()
+def clear_caches() -> None:
+    """Clears what earlier searches cached: the product may have been patched since."""
+    STEP_RESULTS.clear()
+    STATE_NUMBERS.clear()
 
 
-def _finish(*, node: Node, controller: Controller, commands: list, is_synced: bool = True) -> Stepped:
-    """Carry out the commands and close the node again; without `is_synced` its stores are never written."""
-    sent, disk, line = [], node.disk, list(commands)
-    while line:
-        command = line.pop(0)
+def _execute(*, node: Node, controller: Controller, commands: list, is_synced: bool = True) -> StepResult:
+    """Executes the commands and takes a snapshot; without `is_synced` nothing reaches the disk."""
+    sent, disk, queue = [], node.disk, list(commands)
+    while queue:
+        command = queue.pop(0)
         if isinstance(command, SendMessage):
             sent.append(command)
         elif isinstance(command, (AppendRecords, RewriteRecords)) and is_synced:
             disk = (disk if isinstance(command, AppendRecords) else ()) + tuple(command.records)
-            line = [*controller.step(now=0.0, event=RecordsSynced(seq=command.seq)), *line]
+            queue = [*controller.step(now=0.0, event=RecordsSynced(seq=command.seq)), *queue]
     finished = getattr(controller.proposer, "finished", [])
     controller.proposer.finished = []
     after = Node(
         name=node.name,
-        starts=node.starts,
-        blob=MOLDS[node.name, node.starts].dump(),
-        key=KEYS.setdefault((node.starts, fingerprint(controller=controller)), len(KEYS)),
+        incarnation=node.incarnation,
+        snapshot=SNAPSHOTTERS[node.name, node.incarnation].dump(),
+        key=STATE_NUMBERS.setdefault((node.incarnation, fingerprint(controller=controller)), len(STATE_NUMBERS)),
         facts=_facts(controller=controller),
         disk=disk,
     )
-    return Stepped(node=after, sent=sent, finished=finished)
+    return StepResult(node=after, sent=sent, finished=finished)
 
 
 def _facts(*, controller: Controller) -> Facts:
     voters = controller.voters
-    told = controller.learner.send(to="", name="voters")
+    voters_message = controller.learner.send(to="", name="voters")
     return Facts(
         identity=controller.identity,
         number=voters.number,
         members=tuple(sorted(voters.members.items())),
         is_voting=controller.is_voting,
-        live=frozenset(_work(op=op, work=work) for op, work in controller.proposer._pending.items()),
-        told=told[0].body if told else {},
+        pending=frozenset(
+            _summarize(op=op, operation=operation) for op, operation in controller.proposer._pending.items()
+        ),
+        voters_message=voters_message[0].body if voters_message else {},
     )
 
 
-def _work(*, op: str, work: Operation) -> tuple[str, str, int]:
-    return op, work.phase, majority_size(members=work.voters) - len(work.answers)
+def _summarize(*, op: str, operation: Operation) -> tuple[str, str, int]:
+    return op, operation.phase, majority_size(members=operation.voters) - len(operation.answers)
 
 
 def fingerprint(*, controller: Controller) -> str:
-    """All that later steps depend on, as a text that is equal for equal states."""
+    """A text of everything that later steps depend on, equal for equivalent states."""
     write_ahead, copying = controller.write_ahead, controller.membership.copying
     proposer = (controller.proposer._count, controller.proposer._round)
     operations = sorted(
-        (op, work.phase, work.number, work.ballot, sorted(work.answers.items()), work.value, work.attempts)
-        for op, work in controller.proposer._pending.items()
+        (
+            op,
+            operation.phase,
+            operation.number,
+            operation.ballot,
+            sorted(operation.answers.items()),
+            operation.value,
+            operation.attempts,
+        )
+        for op, operation in controller.proposer._pending.items()
     )
     slots = sorted((name, _slot(slot=slot)) for name, slot in controller.acceptor.slots.items())
-    held = sorted(
-        (name, one.ballot, one.value["number"], one.value["mark"]) for name, one in controller.learner.values.items()
+    learned = sorted(
+        (name, vote.ballot, vote.value["number"], vote.value["mark"])
+        for name, vote in controller.learner.values.items()
     )
     copied = (copying.number, sorted(copying.completed_sources), repr(sorted(copying.copied_votes.items())))
-    waiting = [(seq, len(replies)) for seq, replies in write_ahead.pending_replies]
+    unsynced = [(seq, len(replies)) for seq, replies in write_ahead.pending_replies]
     return repr(
         (
             controller.identity,
             write_ahead.has_copied,
             write_ahead.known_voters,
-            waiting,
+            unsynced,
             proposer,
             operations,
             slots,
-            held,
+            learned,
             copied,
         )
     )
--- a/simulation/real/hosted_fleet.py
+++ b/simulation/real/hosted_fleet.py
@@ -1,6 +1,6 @@
-"""A fleet of the daemons as the users' platform runs them: real processes on loopback, through the adapter's entry.
+"""A fleet of daemons as the users' platform runs them: real processes on loopback, started through the adapter.
 
-The platform's list and the workers are the caller's.
+The caller provides the platform's list and the workers.
 """
 
 from __future__ import annotations
@@ -19,30 +19,30 @@
 import yaml
 
 ROOT = Path(__file__).parent.parent.parent
-PATIENCE = 60.0
-"""s that something is waited for before it counts as never coming."""
+WAIT_TIMEOUT = 60.0
+"""s after which `wait_until` gives up."""
 ZONES = {"north-a": "north", "south-a": "south", "north-b": "north"}
 
 
 class EndpointListHandler(http.server.BaseHTTPRequestHandler):
-    """The platform's list: `rows` of its server, by zone."""
+    """Serves the platform's list: the server's `rows`, by zone."""
 
     protocol_version = "HTTP/1.1"
 
     def do_GET(self) -> None:
-        """Give the whole list on one page."""
+        """Return the complete list as one page."""
         body = json.dumps({"instances": self.server.rows, "next_token": None}).encode()
         self.send_response(200)
         self.send_header("Content-Length", str(len(body)))
         self.end_headers()
         self.wfile.write(body)
 
-    def log_message(self, *given: object) -> None:
-        """Say nothing."""
+    def log_message(self, *arguments: object) -> None:
+        """Log nothing."""
 
 
-def ask(address: str, method: str, path: str, body: bytes = b"", **headers: str) -> tuple[int, dict, bytes]:
-    """One request and its answer; code 0 if none came. An underscore in a header's name stands for a dash."""
+def send_request(address: str, method: str, path: str, body: bytes = b"", **headers: str) -> tuple[int, dict, bytes]:
+    """Send a request; code 0 if no answer came. Underscores in header names are sent as dashes."""
     connection = http.client.HTTPConnection(address, timeout=10)
     try:
         connection.request(
@@ -56,19 +56,19 @@
         connection.close()
 
 
-def until(question: Callable[[], object], *, what: str = "it") -> object:
-    """What this gives, once that is true."""
-    end = time.monotonic() + PATIENCE
+def wait_until(condition: Callable[[], object], *, what: str = "it") -> object:
+    """Poll the condition until it is true; returns its value."""
+    end = time.monotonic() + WAIT_TIMEOUT
     while time.monotonic() < end:
-        found = question()
-        if found:
-            return found
+        value = condition()
+        if value:
+            return value
         time.sleep(0.05)
-    raise AssertionError(f"{what} never came")
+    raise AssertionError(f"waited {WAIT_TIMEOUT} s for {what}")
 
 
 def list_row(*, name: str, service: str, address: str) -> dict:
-    """A worker as the platform's list gives it."""
+    """A worker's row in the platform's list."""
     return {
         "id": name,
         "service": service,
@@ -81,24 +81,24 @@
 
 
 class HostedFleet:
-    """Three controllers and two proxies, each at an address of its own. It ends only what it started."""
+    """Three controllers and two proxies, each at an address of its own. It ends only processes that it started."""
 
     def __init__(self, *, folder: Path, list_address: str) -> None:
         self.folder, self._list_address = folder, list_address
-        self.net, self.port = random.randrange(2, 250), random.randrange(20000, 30000, 16)
+        self.subnet, self.port = random.randrange(2, 250), random.randrange(20000, 30000, 16)
         self.settings = {}
         for at, zone in enumerate(ZONES):
-            self.settings[f"controller-{at}"] = self._make(role="controller", at=at, zone=zone)
+            self.settings[f"controller-{at}"] = self._make_settings(role="controller", index=at, zone=zone)
         for at, zone in enumerate(("north-a", "south-a")):
-            self.settings[f"proxy-{at}"] = self._make(role="proxy", at=10 + at, zone=zone)
+            self.settings[f"proxy-{at}"] = self._make_settings(role="proxy", index=10 + at, zone=zone)
         self.running: dict[str, subprocess.Popen] = {}
 
     def names(self, *, role: str) -> list[str]:
-        """The daemons of a role."""
-        return [name for name, one in self.settings.items() if one["role"] == role]
+        """The names of the daemons with a role."""
+        return [name for name, settings in self.settings.items() if settings["role"] == role]
 
     def start(self, name: str) -> None:
-        """Start a daemon with its settings; the first start of a controller founds the group."""
+        """Start a daemon with its settings; only its first start may found the control group."""
         file = self.folder / f"{name}.yaml"
         file.write_text(yaml.safe_dump(self.settings[name]), "utf-8")
         self.settings[name]["bootstrap"] = False
@@ -111,9 +111,9 @@
                 stderr=log,
             )
 
-    def at(self, name: str, edge: str) -> str:
+    def address_of(self, name: str, listener: str) -> str:
         """The address of one of a daemon's listeners."""
-        return self.settings[name]["listen"][edge]
+        return self.settings[name]["listen"][listener]
 
     def end(self) -> None:
         """Kill all daemons."""
@@ -121,31 +121,31 @@
             process.kill()
             process.wait()
 
-    def _make(self, *, role: str, at: int, zone: str) -> dict:
-        address = f"127.{self.net}.1.{at + 1}"
+    def _make_settings(self, *, role: str, index: int, zone: str) -> dict:
+        address = f"127.{self.subnet}.1.{index + 1}"
         names = ["control_plane"] if role == "controller" else ["front", "readiness", "directory"]
         return {
             "role": role,
-            "node_name": f"{role}-{at}",
+            "node_name": f"{role}-{index}",
             "ip": address,
             "zone": zone,
             "region": ZONES[zone],
             "zones": ZONES,
-            "listen": {name: f"{address}:{self.port + 10 + location}" for location, name in enumerate(names)},
+            "listen": {name: f"{address}:{self.port + 10 + offset}" for offset, name in enumerate(names)},
             "inner_port_range": [self.port, self.port + 8],
             "bootstrap": True,
             "fault_budget": {"machines": 1},
-            "seed_nodes": [f"127.{self.net}.1.{one + 1}:{self.port + 10}" for one in range(3)],
-            "data_dir": str(self.folder / f"{role}-{at}") if role == "controller" else "",
+            "seed_nodes": [f"127.{self.subnet}.1.{index + 1}:{self.port + 10}" for index in range(3)],
+            "data_dir": str(self.folder / f"{role}-{index}") if role == "controller" else "",
             "bounds": {"retry_slack": 60},
             "cloud_api": {"address": self._list_address, "rate_per_s": 40},
         }
 
 
 def make_config(*, label: int, sharded: bool = True, deadline: float = 8) -> dict:
-    """A configuration with a route to each of two services, `stock` divided by key unless said otherwise."""
+    """A configuration with a route to each of two services; `stock` is sharded by key unless `sharded` is false."""
 
-    def rule(name: str, path: str, kind: str, service: str) -> dict:
+    def make_rule(name: str, path: str, kind: str, service: str) -> dict:
         return {
             "name": name,
             "route_kind": kind,
@@ -171,8 +171,8 @@
             {
                 "hostname": "shop",
                 "ruleset": [
-                    rule("stock", "/stock/", "idempotent", "stock"),
-                    rule("order", "/order/", "nonidempotent", "orders"),
+                    make_rule("stock", "/stock/", "idempotent", "stock"),
+                    make_rule("order", "/order/", "nonidempotent", "orders"),
                 ],
             }
         ],
--- a/simulation/soak/judge.py
+++ b/simulation/soak/judge.py
@@ -1,4 +1,4 @@
-"""What a soak broke: by what its callers and workers saw, and by the daemons' logs."""
+"""Finds the violations of a run in the records of callers and workers and in the daemons' logs."""
 
 from __future__ import annotations
 
@@ -7,38 +7,38 @@
 
 from simulation.soak.records import Attempt, Records
 
-PROMISES = (408, 421, 429, 503)
-"""Codes that say: it has not run and never will."""
-BAD_LINES = (
+NOT_EXECUTED_CODES = (408, 421, 429, 503)
+"""Codes that promise that the request has not run and never will."""
+FORBIDDEN_LOG_TEXTS = (
     "event=invariant-violated",
     "event=fault",
     "event=command-unexpected",
     "event=event-unexpected",
     "Traceback",
 )
-"""What no log may hold."""
+"""Texts that no log may contain."""
 
 
 def judge_attempts(*, records: Records) -> Iterator[str]:
-    """Breaches by requests."""
-    for name in records.strangers:
-        yield f"UNASKED: {name} ran, which nobody sent"
+    """Violations found in the records of requests."""
+    for name in records.unknown_names:
+        yield f"UNASKED: {name} ran but was never sent"
     for attempt in records.attempts.values():
         yield from _judge_attempt(attempt=attempt)
 
 
 def _judge_attempt(*, attempt: Attempt) -> Iterator[str]:
-    if attempt.is_once and len(attempt.runs) > 1:
+    if attempt.is_nonidempotent and len(attempt.runs) > 1:
         yield f"TWICE: {attempt.name} ran {len(attempt.runs)} times"
-    if attempt.is_once and attempt.runs and attempt.code in PROMISES:
+    if attempt.is_nonidempotent and attempt.runs and attempt.code in NOT_EXECUTED_CODES:
         yield f"REFUSED: {attempt.name} got {attempt.code} and ran"
     if attempt.code == 200 and attempt.body != f"body of {attempt.name}".encode():
         yield f"MIXED: {attempt.name} got {attempt.body!r}"
 
 
 def judge_logs(*, folder: Path) -> Iterator[str]:
-    """Breaches by the daemons' own words."""
+    """Violations that the daemons logged."""
     for path in sorted(folder.glob("*.log")):
         for line in path.read_text("utf-8", "replace").splitlines():
-            if any(bad in line for bad in BAD_LINES):
+            if any(text in line for text in FORBIDDEN_LOG_TEXTS):
                 yield f"LOG: {path.stem}: {line[:300]}"
--- a/simulation/soak/records.py
+++ b/simulation/soak/records.py
@@ -1,4 +1,4 @@
-"""What callers and workers of a soak wrote down."""
+"""The records that callers and workers of a soak test keep."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 
 @dataclass(kw_only=True)
 class Attempt:
-    """One request of a caller: whether it left before the answer, and the answer; `code` 0 if none came whole."""
+    """One request of a caller: whether it disconnected early, and the answer; `code` 0 if it was incomplete."""
 
     name: str
-    is_once: bool
-    has_left: bool = False
+    is_nonidempotent: bool
+    has_disconnected: bool = False
     code: int = 0
     body: bytes = b""
     runs: list[Run] = field(default_factory=list)
@@ -37,29 +37,31 @@
 
 @dataclass(kw_only=True)
 class Records:
-    """All requests of a soak by their id, and the ids that ran though nobody sent them."""
+    """All requests by their id, and the ids that ran although no caller sent them."""
 
     attempts: dict[str, Attempt] = field(default_factory=dict)
-    strangers: list[str] = field(default_factory=list)
+    unknown_names: list[str] = field(default_factory=list)
 
-    def begin(self, *, name: str, is_once: bool) -> Attempt:
-        """Write down a request that is about to be sent."""
-        self.attempts[name] = Attempt(name=name, is_once=is_once)
+    def begin(self, *, name: str, is_nonidempotent: bool) -> Attempt:
+        """Record a request that is about to be sent."""
+        self.attempts[name] = Attempt(name=name, is_nonidempotent=is_nonidempotent)
         return self.attempts[name]
 
     def run(self, *, name: str, worker: str) -> Run:
-        """Write down that a worker begins to run a request."""
+        """Record that a worker starts to run a request."""
         run = Run(worker=worker)
         if name in self.attempts:
             self.attempts[name].runs.append(run)
         else:
-            self.strangers.append(name)
+            self.unknown_names.append(name)
         return run
 
-    def open_for_departed(self) -> list[str]:
-        """Repeatable requests whose callers have left and that are still at a worker."""
+    def running_for_departed(self) -> list[str]:
+        """Repeatable requests that still run at a worker although their callers have disconnected."""
         return [
             attempt.name
             for attempt in self.attempts.values()
-            if attempt.has_left and not attempt.is_once and any(run.end is RunEnd.OPEN for run in attempt.runs)
+            if attempt.has_disconnected
+            and not attempt.is_nonidempotent
+            and any(run.end is RunEnd.OPEN for run in attempt.runs)
         ]
