--- a/simulation/core_group.py
+++ b/simulation/core_group.py
@@ -24,11 +24,11 @@
 from sailward.storage.files import Files
 from simulation.simulated_files import SimulatedFiles
 
-LINK = 0.002
+LINK_DELAY = 0.002
 """s that a message takes: two zones of one region."""
-SYNC = 0.002
+SYNC_TIME = 0.002
 """s that a sync takes on the group's clock; the real one is not counted."""
-EMPTY_FULL = {"halls": {}, "services": {}, "pools": {}, "tenants": {}, "matches": []}
+EMPTY_EXPANSION = {"halls": {}, "services": {}, "pools": {}, "tenants": {}, "matches": []}
 """A configuration's full form without content: the group measures the register, not its expansion."""
 
 
@@ -50,7 +50,7 @@
     controller: Controller | None = None
     disk: Disk | None = None
     events: list = field(default_factory=list)
-    life: int = 0
+    incarnation: int = 0
     is_cut: bool = False
     frozen: list | None = None
     received: Counter = field(default_factory=Counter)
@@ -70,10 +70,10 @@
 
     def __init__(self, *, folder: Path | None, size: int, founders: int = 3, seed: int = 1) -> None:
         self.now = 0.0
-        self.delays: Callable[[], list[float]] = lambda: [LINK]
-        self.sync_time: Callable[[], float] = lambda: SYNC
-        self.watch: Callable[[Member], None] = lambda member: None
-        self._line: list = []
+        self.delays: Callable[[], list[float]] = lambda: [LINK_DELAY]
+        self.sync_time: Callable[[], float] = lambda: SYNC_TIME
+        self.on_start: Callable[[Member], None] = lambda member: None
+        self._queue: list = []
         self._count = 0
         self._random = random.Random(seed)
         self._folder = folder
@@ -92,13 +92,13 @@
         self.members.append(member)
         return member
 
-    def posts(self) -> tuple[str, ...]:
+    def founder_addresses(self) -> tuple[str, ...]:
         """The founders' addresses."""
         return tuple(member.post for member in self.members[: self._founders])
 
     def start(self, *, member: Member, is_first: bool = False) -> None:
         """Start a controller on what its folder holds."""
-        member.life += 1
+        member.incarnation += 1
         member.events = []
         member.disk = Disk(folder=Path(member.name), deliver=member.events.append, files=member.files)
         found = member.disk.open()
@@ -112,7 +112,7 @@
                 region="r",
                 post=member.post,
                 http=member.post,
-                seeds=self.posts(),
+                seeds=self.founder_addresses(),
             ),
             platform="10.9.9.9:1",
             nonce=nonce,
@@ -121,21 +121,21 @@
             records=found.records,
             now=self.now,
             options=ControllerOptions(
-                bootstrap=Bootstrap(is_first=is_first, posts=self.posts()),
+                bootstrap=Bootstrap(is_first=is_first, posts=self.founder_addresses()),
                 is_mesh=True,
                 publishes_proxy_list=True,
-                expand=lambda written: EMPTY_FULL,
+                expand=lambda written: EMPTY_EXPANSION,
                 replace_after=2.0,
                 repair_interval=0.25,
                 copy_retry_interval=0.25,
             ),
         )
-        self.watch(member)
-        self._tick(member=member, life=member.life)
+        self.on_start(member)
+        self._tick(member=member, incarnation=member.incarnation)
 
     def lose_power(self, *, member: Member, choose: Callable[[tuple], object]) -> None:
         """End a controller, and its simulated files lose what was not synced, as `choose` says."""
-        member.controller, member.life, member.frozen = None, member.life + 1, None
+        member.controller, member.incarnation, member.frozen = None, member.incarnation + 1, None
         member.files.lose_power(choose=choose)
 
     def wipe(self, *, member: Member) -> None:
@@ -147,7 +147,7 @@
         """End a controller at once."""
         if member.controller is not None:
             member.disk.close()
-        member.controller, member.life, member.frozen = None, member.life + 1, None
+        member.controller, member.incarnation, member.frozen = None, member.incarnation + 1, None
 
     def freeze(self, *, member: Member) -> None:
         """It stands still; what arrives waits, as far as the senders' queues go."""
@@ -155,31 +155,31 @@
 
     def thaw(self, *, member: Member) -> None:
         """It goes on with what waited."""
-        held, member.frozen = member.frozen or [], None
-        for event in held:
-            self._give(member=member, event=event)
-        self._tick(member=member, life=member.life)
+        waiting, member.frozen = member.frozen or [], None
+        for event in waiting:
+            self._deliver(member=member, event=event)
+        self._tick(member=member, incarnation=member.incarnation)
 
-    def change(self, *, text: str, at: Member, wait: float = 3.0) -> bool:
+    def change(self, *, text: str, at: Member, timeout: float = 3.0) -> bool:
         """Change the configuration's register through one member; was it accepted?"""
         expected = at.controller.learner.number(name="config")
-        self.begin_change(text=text, at=at, wait=wait)
-        self.run(seconds=wait, until=lambda: at.controller.learner.number(name="config") > expected)
+        self.begin_change(text=text, at=at, timeout=timeout)
+        self.run(seconds=timeout, until=lambda: at.controller.learner.number(name="config") > expected)
         return at.controller.learner.number(name="config") > expected
 
-    def begin_change(self, *, text: str, at: Member, wait: float = 3.0) -> None:
+    def begin_change(self, *, text: str, at: Member, timeout: float = 3.0) -> None:
         """Begin a change of the configuration's register, on top of what this member holds."""
         self._changes += 1
         operation = f"{at.controller.proposer.identity}/measure{self._changes}"
         expected = at.controller.learner.number(name="config")
-        begin = StartOperation(op=operation, register="config", expected=expected, text=text, timeout=wait)
-        self._carry_out_all(member=at, commands=at.controller.registers.begin(now=self.now, begins=[begin]))
+        start = StartOperation(op=operation, register="config", expected=expected, text=text, timeout=timeout)
+        self._carry_out_all(member=at, commands=at.controller.registers.begin(now=self.now, begins=[start]))
 
     def run(self, *, seconds: float, until: Callable[[], bool] | None = None) -> bool:
         """Let time go on, until the condition holds if there is one."""
         end = self.now + seconds
-        while self._line and self._line[0][0] <= end:
-            self.now, _, act = heapq.heappop(self._line)
+        while self._queue and self._queue[0][0] <= end:
+            self.now, _, act = heapq.heappop(self._queue)
             act()
             if until is not None and until():
                 return True
@@ -188,15 +188,15 @@
 
     def _after(self, *, delay: float, act: Callable[[], None]) -> None:
         self._count += 1
-        heapq.heappush(self._line, (self.now + delay, self._count, act))
+        heapq.heappush(self._queue, (self.now + delay, self._count, act))
 
-    def _tick(self, *, member: Member, life: int) -> None:
-        if member.life != life or member.frozen is not None:
+    def _tick(self, *, member: Member, incarnation: int) -> None:
+        if member.incarnation != incarnation or member.frozen is not None:
             return
-        self._give(member=member, event=TimerFired(wall=1000.0 + self.now))
-        self._after(delay=constants.TICK_INTERVAL, act=lambda: self._tick(member=member, life=life))
+        self._deliver(member=member, event=TimerFired(wall=1000.0 + self.now))
+        self._after(delay=constants.TICK_INTERVAL, act=lambda: self._tick(member=member, incarnation=incarnation))
 
-    def _give(self, *, member: Member, event: object) -> None:
+    def _deliver(self, *, member: Member, event: object) -> None:
         if member.controller is None:
             return
         if member.frozen is not None:
@@ -206,9 +206,9 @@
         self._carry_out_all(member=member, commands=member.controller.step(now=self.now, event=event))
 
     def _carry_out_all(self, *, member: Member, commands: list) -> None:
-        life = member.life
+        incarnation = member.incarnation
         for command in commands:
-            if member.life == life:
+            if member.incarnation == incarnation:
                 self._carry_out(member=member, command=command)
 
     def _carry_out(self, *, member: Member, command: object) -> None:
@@ -216,25 +216,37 @@
             self._send_message(member=member, command=command)
         elif isinstance(command, (AppendRecords, RewriteRecords)):
             member.disk.submit(command=command)
-            self._after(delay=self.sync_time(), act=lambda life=member.life: self._sync(member=member, life=life))
+            self._after(
+                delay=self.sync_time(),
+                act=lambda incarnation=member.incarnation: self._sync(member=member, incarnation=incarnation),
+            )
         elif isinstance(command, ExitProcess):
             self.kill(member=member)
 
     def _send_message(self, *, member: Member, command: SendMessage) -> None:
-        to = next((one for one in self.members if one.post == command.to), None)
-        if to is None or to.controller is None or (to is not member and (to.is_cut or member.is_cut)):
+        receiver = next((other for other in self.members if other.post == command.to), None)
+        if (
+            receiver is None
+            or receiver.controller is None
+            or (receiver is not member and (receiver.is_cut or member.is_cut))
+        ):
             return
-        if to is self.measured and to is not member:
-            to.received[command.body["kind"]] += 1
-            to.received_bytes[command.body["kind"]] += len(pack_message(body=command.body))
-        event, life = MessageReceived(sender=member.post, body=command.body), to.life
-        for delay in [0.0001] if to is member else self.delays():
-            self._after(delay=delay, act=lambda: self._give(member=to, event=event) if to.life == life else None)
-
-    def _sync(self, *, member: Member, life: int) -> None:
-        if member.life != life:
+        if receiver is self.measured and receiver is not member:
+            receiver.received[command.body["kind"]] += 1
+            receiver.received_bytes[command.body["kind"]] += len(pack_message(body=command.body))
+        event, incarnation = MessageReceived(sender=member.post, body=command.body), receiver.incarnation
+        for delay in [0.0001] if receiver is member else self.delays():
+            self._after(
+                delay=delay,
+                act=lambda: (
+                    self._deliver(member=receiver, event=event) if receiver.incarnation == incarnation else None
+                ),
+            )
+
+    def _sync(self, *, member: Member, incarnation: int) -> None:
+        if member.incarnation != incarnation:
             return
         member.disk.run_pending()
         events, member.events[:] = list(member.events), []
         for event in events:
-            self._give(member=member, event=event)
+            self._deliver(member=member, event=event)
--- a/simulation/hosted/judge_orders.py
+++ b/simulation/hosted/judge_orders.py
@@ -10,7 +10,7 @@
 from simulation.linearizability import Operation
 from simulation.operator_models import (
     LabelledChange,
-    LabelledLoss,
+    LabelledConflict,
     LabelledRead,
     LabelledRegister,
     Zone,
@@ -26,12 +26,12 @@
     from simulation.hosted.world import World
 
 RULE = "LINEAR"
-LOST = 412
+PRECONDITION_FAILED = 412
 
 
 def judge_orders(*, world: World) -> Iterator[Broken]:
     """LINEAR: no order of the operators' calls explains what they were answered and what they read."""
-    changes = [one for one in map(_change, world.operator.versions.values()) if one is not None]
+    changes = [operation for operation in map(_change, world.operator.versions.values()) if operation is not None]
     operations = [*changes, *_reads(world=world)]
     yield from judge_operations(rule=RULE, what="config", operations=operations, model=LabelledRegister())
     for zone, calls in _zone_operations(world=world).items():
@@ -41,9 +41,9 @@
 def _change(version: Version) -> Operation | None:
     name = f"r{version.number} on r{version.base}: {version.outcome}"
     if version.outcome == "refused":
-        if version.code != LOST or not version.is_valid:
+        if version.code != PRECONDITION_FAILED or not version.is_valid:
             return None
-        call = LabelledLoss(base=version.base)
+        call = LabelledConflict(base=version.base)
         return Operation(name=name, begun=version.sent, ended=version.ended, call=call)
     if not version.is_valid and version.outcome != "acked":
         return None
--- a/simulation/linearizability.py
+++ b/simulation/linearizability.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-MOST_STEPS = 400_000
+MAX_STATES = 400_000
 """states after which a search is given up: the longest histories of our runs take a few thousand."""
 
 
@@ -71,83 +71,86 @@
     def __init__(self, *, operations: list[Operation], model: Model) -> None:
         self._model = model
         self._operations = sorted(operations, key=lambda operation: operation.begun)
-        certain = [at for at, one in enumerate(self._operations) if one.is_certain]
-        self._by_end = sorted(certain, key=lambda at: self._operations[at].ended)
-        self._seen: set = set()
-        self._best: tuple[int, int, Hashable] = (-1, 0, model.initial)
+        certain = [at for at, operation in enumerate(self._operations) if operation.is_certain]
+        self._certain_by_end = sorted(certain, key=lambda at: self._operations[at].ended)
+        self._visited: set = set()
+        self._longest: tuple[int, int, Hashable] = (-1, 0, model.initial)
 
     def run(self) -> Violation | None:
         stack = [(0, self._model.initial)]
         while stack:
             placed, state = stack.pop()
             placed = self._place_reads(placed=placed, state=state)
-            if (placed, state) in self._seen:
+            if (placed, state) in self._visited:
                 continue
-            self._seen.add((placed, state))
-            if len(self._seen) > MOST_STEPS:
+            self._visited.add((placed, state))
+            if len(self._visited) > MAX_STATES:
                 raise Undecided(f"{len(self._operations)} operations")
-            if self._limit(placed=placed) == math.inf:
+            if self._first_unplaced_end(placed=placed) == math.inf:
                 return None
-            self._best = max(self._best, (placed.bit_count(), placed, state), key=lambda one: one[0])
+            self._longest = max(self._longest, (placed.bit_count(), placed, state), key=lambda entry: entry[0])
             # those that are certain are tried first: they are pushed last
-            following = sorted(self._changes(placed=placed, state=state), key=lambda change: change[0])
-            stack += [(placed | 1 << at, after) for _, at, after in following]
+            successors = sorted(self._successors(placed=placed, state=state), key=lambda change: change[0])
+            stack += [(placed | 1 << at, after) for _, at, after in successors]
         return self._explain()
 
-    def _limit(self, *, placed: int) -> float:
+    def _first_unplaced_end(self, *, placed: int) -> float:
         """The first answer of those not placed: what was sent after it comes later."""
-        return next((self._operations[at].ended for at in self._by_end if not placed >> at & 1), math.inf)
+        return next((self._operations[at].ended for at in self._certain_by_end if not placed >> at & 1), math.inf)
 
-    def _latest(self, *, placed: int) -> float:
+    def _last_placed_begin(self, *, placed: int) -> float:
         """The latest sending of those placed: what had ended before it comes earlier."""
         return self._operations[placed.bit_length() - 1].begun if placed else -math.inf
 
     def _candidates(self, *, placed: int) -> Iterator[tuple[int, Operation]]:
-        limit = self._limit(placed=placed)
-        for at, one in enumerate(self._operations):
-            if one.begun > limit:
+        limit = self._first_unplaced_end(placed=placed)
+        for at, operation in enumerate(self._operations):
+            if operation.begun > limit:
                 return
             if not placed >> at & 1:
-                yield at, one
+                yield at, operation
 
     def _place_reads(self, *, placed: int, state: Hashable) -> int:
-        before = -1
-        while placed != before:
-            before = placed
-            for at, one in self._candidates(placed=placed):
-                is_read = one.is_certain and self._model.is_read(call=one.call)
-                if is_read and not self._closes_out(placed=placed, read=one):
-                    placed |= (self._model.step(state=state, call=one.call) is not None) << at
+        previous = -1
+        while placed != previous:
+            previous = placed
+            for at, operation in self._candidates(placed=placed):
+                is_read = operation.is_certain and self._model.is_read(call=operation.call)
+                if is_read and not self._would_exclude_uncertain(placed=placed, read=operation):
+                    placed |= (self._model.step(state=state, call=operation.call) is not None) << at
         return placed
 
-    def _closes_out(self, *, placed: int, read: Operation) -> bool:
+    def _would_exclude_uncertain(self, *, placed: int, read: Operation) -> bool:
         """Was this sent after an uncertain call, not placed yet, had ended?
 
         Placed now, that one could not precede it.
         """
         return any(
-            not one.is_certain and one.ended < read.begun and not placed >> at & 1
-            for at, one in enumerate(self._operations)
+            not operation.is_certain and operation.ended < read.begun and not placed >> at & 1
+            for at, operation in enumerate(self._operations)
         )
 
-    def _changes(self, *, placed: int, state: Hashable) -> Iterator[tuple[bool, int, Hashable]]:
-        uncertain: set = set()
-        for at, one in self._candidates(placed=placed):
-            same = (one.call, one.ended)
-            if not one.is_certain and (self._model.is_read(call=one.call) or same in uncertain):
+    def _successors(self, *, placed: int, state: Hashable) -> Iterator[tuple[bool, int, Hashable]]:
+        uncertain_keys: set = set()
+        for at, operation in self._candidates(placed=placed):
+            key = (operation.call, operation.ended)
+            if not operation.is_certain and (self._model.is_read(call=operation.call) or key in uncertain_keys):
                 continue
-            if one.ended < self._latest(placed=placed):
+            if operation.ended < self._last_placed_begin(placed=placed):
                 continue
-            after = self._model.step(state=state, call=one.call)
-            if after is None or (not one.is_certain and after == state):
+            after = self._model.step(state=state, call=operation.call)
+            if after is None or (not operation.is_certain and after == state):
                 continue
-            if not one.is_certain:
-                uncertain.add(same)
-            yield one.is_certain, at, after
+            if not operation.is_certain:
+                uncertain_keys.add(key)
+            yield operation.is_certain, at, after
 
     def _explain(self) -> Violation:
-        count, placed, state = self._best
-        stuck = [one for _, one in self._candidates(placed=placed) if one.is_certain]
+        count, placed, state = self._longest
+        stuck = [operation for _, operation in self._candidates(placed=placed) if operation.is_certain]
         return Violation(
-            placed=count, state=state, stuck=tuple(one.name for one in stuck[:6]), t=self._limit(placed=placed)
+            placed=count,
+            state=state,
+            stuck=tuple(operation.name for operation in stuck[:6]),
+            t=self._first_unplaced_end(placed=placed),
         )
--- a/simulation/many_changes.py
+++ b/simulation/many_changes.py
@@ -31,7 +31,7 @@
 
 CATCH_UP_WAIT = 20.0
 """s that a member may take to catch up before it counts as lost for good."""
-SETTLE = 3.0
+SETTLE_TIME = 3.0
 """s of the group's clock after its founding, and before the member comes back."""
 FIRST_NUMBER = 100_000_000
 """The versions count from here, so that all texts are of one length."""
@@ -84,7 +84,7 @@
     return json.dumps({"written": written, "label": number, "history": history}, separators=(",", ":"))
 
 
-class Texts:
+class RegisterTexts:
     """Texts of growing numbers that share their routes, as making each whole would take most of the time."""
 
     def __init__(self, *, routes: int) -> None:
@@ -103,27 +103,33 @@
         group.start(member=member, is_first=True)
     if not group.run(seconds=10.0, until=lambda: all(member.controller.is_voting for member in group.members)):
         raise RuntimeError("the group was not founded")
-    texts = Texts(routes=routes)
-    group.run(seconds=SETTLE)
-    first, away = group.members[0], group.members[2]
-    _must(is_done=group.change(text=texts.make(number=1), at=first))
-    group.run(seconds=SETTLE)
-    _go_away(group=group, member=away, case=case)
+    texts = RegisterTexts(routes=routes)
+    group.run(seconds=SETTLE_TIME)
+    first, absent = group.members[0], group.members[2]
+    _require_accepted(is_accepted=group.change(text=texts.make(number=1), at=first))
+    group.run(seconds=SETTLE_TIME)
+    _take_away(group=group, member=absent, case=case)
     largest = 0
     for number in range(2, changes + 2):
-        _must(is_done=group.change(text=texts.make(number=number), at=first))
+        _require_accepted(is_accepted=group.change(text=texts.make(number=number), at=first))
         largest = max(largest, first.file_bytes())
         if number % PROGRESS_EVERY == 0:
             print(f"{case}, {routes} routes: {number} of {changes} changes", file=sys.stderr, flush=True)
-    group.run(seconds=SETTLE)
+    group.run(seconds=SETTLE_TIME)
     begun = group.now
-    back = _come_back(group=group, member=away, case=case)
+    returned = _bring_back(group=group, member=absent, case=case)
     newest = first.controller.learner.number(name="config")
-    older = _catch_up(group=group, member=back, newest=newest)
+    older = _catch_up(group=group, member=returned, newest=newest)
     catch_up = group.now - begun if older >= 0 else float("inf")
-    is_voting = group.run(seconds=CATCH_UP_WAIT, until=lambda: back.controller.is_voting) or back.controller.is_voting
+    is_voting = (
+        group.run(seconds=CATCH_UP_WAIT, until=lambda: returned.controller.is_voting) or returned.controller.is_voting
+    )
     group.measured = None
-    own_file, present_file, rewrites = back.file_bytes(), first.file_bytes(), first.controller.write_ahead.rewrite_count
+    own_file, present_file, rewrites = (
+        returned.file_bytes(),
+        first.file_bytes(),
+        first.controller.write_ahead.rewrite_count,
+    )
     start_time = _time_start(group=group, member=first)
     return Row(
         case=case,
@@ -137,17 +143,17 @@
         start_time=round(start_time, 4),
         catch_up=round(catch_up, 3),
         voting_after=round(group.now - begun, 3) if is_voting else float("inf"),
-        received_bytes=sum(back.received_bytes.values()),
+        received_bytes=sum(returned.received_bytes.values()),
         older_held=older,
     )
 
 
-def _must(*, is_done: bool) -> None:
-    if not is_done:
+def _require_accepted(*, is_accepted: bool) -> None:
+    if not is_accepted:
         raise RuntimeError("a change was not accepted")
 
 
-def _go_away(*, group: CoreGroup, member: Member, case: str) -> None:
+def _take_away(*, group: CoreGroup, member: Member, case: str) -> None:
     if case == "freeze":
         group.freeze(member=member)
     elif case == "cut":
@@ -156,18 +162,18 @@
         group.kill(member=member)
 
 
-def _come_back(*, group: CoreGroup, member: Member, case: str) -> Member:
-    back = group.add() if case == "replace" else member
-    group.measured = back
+def _bring_back(*, group: CoreGroup, member: Member, case: str) -> Member:
+    returned = group.add() if case == "replace" else member
+    group.measured = returned
     if case == "freeze":
-        group.thaw(member=back)
+        group.thaw(member=returned)
     elif case == "cut":
-        back.is_cut = False
+        returned.is_cut = False
     else:
         if case == "wipe":
-            back.files.remove(name="registers")
-        group.start(member=back)
-    return back
+            returned.files.remove(name="registers")
+        group.start(member=returned)
+    return returned
 
 
 def _time_start(*, group: CoreGroup, member: Member) -> float:
@@ -180,16 +186,16 @@
 
 def _catch_up(*, group: CoreGroup, member: Member, newest: int) -> int:
     """How many older values it took up on its way to the newest; -1 if it never got there."""
-    seen = {member.controller.learner.number(name="config")}
+    numbers = {member.controller.learner.number(name="config")}
 
-    def is_there() -> bool:
+    def has_caught_up() -> bool:
         number = member.controller.learner.number(name="config")
-        seen.add(number)
+        numbers.add(number)
         return number >= newest
 
-    if not is_there() and not group.run(seconds=CATCH_UP_WAIT, until=is_there):
+    if not has_caught_up() and not group.run(seconds=CATCH_UP_WAIT, until=has_caught_up):
         return -1
-    return len(seen - {newest, 0}) - (1 if min(seen) > 0 and min(seen) < newest else 0)
+    return len(numbers - {newest, 0}) - (1 if min(numbers) > 0 and min(numbers) < newest else 0)
 
 
 def main() -> None:
@@ -200,8 +206,8 @@
         "| received B |"
     )
     print("|---|---|---|---|---|---|---|---|---|---|")
-    for routes in [int(one) for one in flags["--routes"].split(",")]:
-        for changes in [int(one) for one in flags["--changes"].split(",")]:
+    for routes in [int(count) for count in flags["--routes"].split(",")]:
+        for changes in [int(count) for count in flags["--changes"].split(",")]:
             for case in flags["--cases"].split(","):
                 with tempfile.TemporaryDirectory(prefix="sailward-changes-") as folder:
                     row = measure(case=case, routes=routes, changes=changes, folder=Path(folder))
--- a/simulation/operator_models.py
+++ b/simulation/operator_models.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class LabelledLoss:
+class LabelledConflict:
     """A change that was refused because another one was taken on top of `base`."""
 
     base: int
@@ -45,7 +45,7 @@
         match call:
             case LabelledChange(base=base, label=label, content=content):
                 return (label, content) if state[0] == base < label else None
-            case LabelledLoss(base=base):
+            case LabelledConflict(base=base):
                 return state if state[0] > base else None
             case LabelledRead(label=label, content=content):
                 return state if state == (label, content) else None
--- a/tests/group_machine.py
+++ b/tests/group_machine.py
@@ -11,7 +11,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, precondition, rule
 
 from sailward.consensus.proposer import Accepted
-from simulation.core_group import LINK, CoreGroup, Member
+from simulation.core_group import LINK_DELAY, CoreGroup, Member
 
 MEMBERS = st.integers(0, 3)
 HEAL_TIME = 40.0
@@ -30,7 +30,7 @@
         self.acknowledged = 0
         self.floors: dict[str, int] = {}
         self.changes = 0
-        self.group.watch = self._instrument
+        self.group.on_start = self._instrument
         self.group.delays = self._delays
         self.group.sync_time = lambda: self.random.choice((0.002, 0.002, 0.03))
         for at, member in enumerate(self.group.members):
@@ -155,7 +155,7 @@
     def _instrument(self, member: Member) -> None:
         """Check every value that this incarnation of a member learns, and every change reported to it as accepted."""
         controller = member.controller
-        floor = self.acknowledged if member.life > 1 and controller.write_ahead.has_copied else 0
+        floor = self.acknowledged if member.incarnation > 1 and controller.write_ahead.has_copied else 0
         self.floors[member.name] = floor
         learn, propose = controller.learner.step, controller.proposer.step
 
@@ -207,9 +207,9 @@
 
     def _delays(self) -> list[float]:
         if self.network == "calm":
-            return [LINK]
+            return [LINK_DELAY]
         count = 1 if self.network == "late" else self.random.choice((0, 1, 1, 1, 2))
-        return [LINK + self.random.choice((0.0, 0.0, 0.05, 0.4)) for _ in range(count)]
+        return [LINK_DELAY + self.random.choice((0.0, 0.0, 0.05, 0.4)) for _ in range(count)]
 
     def _count_voting(self) -> int:
         return sum(member.controller is not None and member.controller.is_voting for member in self.group.members)
--- a/tests/orders_net.py
+++ b/tests/orders_net.py
@@ -20,7 +20,7 @@
 from simulation.linearizability import Operation, Violation, find_violation
 from simulation.operator_models import (
     LabelledChange,
-    LabelledLoss,
+    LabelledConflict,
     LabelledRead,
     LabelledRegister,
     Zone,
@@ -211,7 +211,7 @@
                 if call.code:
                     operations.append(_operation(call=call, name=name, act=_config_read(call=call)))
             elif call.code == 412:
-                operations.append(_operation(call=call, name=name, act=LabelledLoss(base=call.base)))
+                operations.append(_operation(call=call, name=name, act=LabelledConflict(base=call.base)))
             elif call.code in (0, 200):
                 act = LabelledChange(base=call.base, label=call.label, content=call.content)
                 operations.append(_operation(call=call, name=name, act=act))
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -14,7 +14,7 @@
 from sailward.discovery.peer_table import Location
 from sailward.events import MessageReceived, TimerFired
 from sailward.proxy.proxy import Proxy, ProxyOptions
-from simulation.core_group import EMPTY_FULL, CoreGroup
+from simulation.core_group import EMPTY_EXPANSION, CoreGroup
 
 CONTAINERS = (dict, list, set, frozenset, tuple, deque)
 
@@ -83,7 +83,7 @@
         records=[],
         now=0.0,
         options=ControllerOptions(
-            is_mesh=True, publishes_proxy_list=True, reader=Reader(), expand=lambda written: EMPTY_FULL
+            is_mesh=True, publishes_proxy_list=True, reader=Reader(), expand=lambda written: EMPTY_EXPANSION
         ),
     )
 
@@ -165,7 +165,7 @@
         location=location,
         start=1,
         rng=random.Random(1),
-        options=ProxyOptions(regions=(("z", "r"),), expand=lambda written: EMPTY_FULL),
+        options=ProxyOptions(regions=(("z", "r"),), expand=lambda written: EMPTY_EXPANSION),
     )
     now = run_proxy(proxy=proxy, first=1, count=100, now=0.0)
     before = count_state(owner=proxy)
--- a/tests/test_linearizability.py
+++ b/tests/test_linearizability.py
@@ -15,7 +15,7 @@
 from simulation.linearizability import Operation, Undecided, find_violation
 from simulation.operator_models import (
     LabelledChange,
-    LabelledLoss,
+    LabelledConflict,
     LabelledRead,
     LabelledRegister,
     NumberedChange,
@@ -35,8 +35,8 @@
     return Operation(name=f"r{label}", begun=begun, ended=ended, call=call, is_certain=ended != NEVER)
 
 
-def loss(begun: float, ended: float, base: int) -> Operation:
-    return Operation(name="412", begun=begun, ended=ended, call=LabelledLoss(base=base))
+def conflict(begun: float, ended: float, base: int) -> Operation:
+    return Operation(name="412", begun=begun, ended=ended, call=LabelledConflict(base=base))
 
 
 def read(begun: float, ended: float, label: int, content: str = "") -> Operation:
@@ -44,20 +44,25 @@
     return Operation(name="read", begun=begun, ended=ended, call=call)
 
 
-def order(begun: float, ended: float, is_emptied: bool) -> Operation:
+def zone_order(begun: float, ended: float, is_emptied: bool) -> Operation:
     call = ZoneOrder(is_emptied=is_emptied)
     return Operation(name="order", begun=begun, ended=ended, call=call, is_certain=ended != NEVER)
 
 
-def look(begun: float, ended: float, is_emptied: bool) -> Operation:
+def zone_read(begun: float, ended: float, is_emptied: bool) -> Operation:
     return Operation(name="look", begun=begun, ended=ended, call=ZoneRead(is_emptied=is_emptied))
 
 
-GOOD = {
+LINEARIZABLE = {
     "nothing": [],
     "a chain": [change(0, 1, 0, 1), change(2, 3, 1, 4), read(4, 5, 4)],
-    "one of two wins": [change(0, 1, 0, 1), change(2, 4, 1, 3), loss(2, 5, 1), read(6, 7, 3)],
-    "one number, the loser refused": [change(0, 1, 0, 1), change(2, 4, 1, 3, "a"), loss(2, 5, 1), read(6, 7, 3, "a")],
+    "one of two wins": [change(0, 1, 0, 1), change(2, 4, 1, 3), conflict(2, 5, 1), read(6, 7, 3)],
+    "one number, the loser refused": [
+        change(0, 1, 0, 1),
+        change(2, 4, 1, 3, "a"),
+        conflict(2, 5, 1),
+        read(6, 7, 3, "a"),
+    ],
     "unclear, and in force": [change(0, 1, 0, 1), change(2, NEVER, 1, 3), read(9, 10, 3), change(11, 12, 3, 5)],
     "unclear, and not in force": [change(0, 1, 0, 1), change(2, NEVER, 1, 3), change(4, 5, 1, 7), read(9, 10, 7)],
     "unclear, and in force late": [change(0, 1, 0, 1), change(2, NEVER, 1, 3), read(4, 5, 1), read(9, 10, 3)],
@@ -66,14 +71,19 @@
         change(0, 50, 0, 1),
         *(change(n, n + 1, n, n + 1) for n in range(1, 40)),
     ],
-    "refused by a loss that was over then": [change(0, 1, 0, 1), change(2, 3, 1, 2), change(4, 5, 2, 3), loss(6, 7, 1)],
+    "refused by a loss that was over then": [
+        change(0, 1, 0, 1),
+        change(2, 3, 1, 2),
+        change(4, 5, 2, 3),
+        conflict(6, 7, 1),
+    ],
 }
-BAD = {
+NOT_LINEARIZABLE = {
     "two confirmed on one version": [change(0, 1, 0, 1), change(2, 3, 1, 3), change(2, 4, 1, 5)],
     "two confirmed under one number": [change(0, 1, 0, 1), change(2, 4, 1, 3, "a"), change(2, 4, 1, 3, "b")],
     "a resend judged by its number alone": [change(0, 1, 0, 1), change(2, 3, 1, 3, "a"), change(4, 5, 1, 3, "b")],
-    "taken, and refused as sent again": [change(0, 1, 0, 1), loss(2, 9, 1), read(3, 4, 3), change(5, 6, 3, 5)],
-    "refused with no other change since": [change(0, 1, 0, 1), loss(2, 3, 1), read(4, 5, 1)],
+    "taken, and refused as sent again": [change(0, 1, 0, 1), conflict(2, 9, 1), read(3, 4, 3), change(5, 6, 3, 5)],
+    "refused with no other change since": [change(0, 1, 0, 1), conflict(2, 3, 1), read(4, 5, 1)],
     "put in force twice": [change(0, 1, 0, 1), change(2, 3, 1, 2), read(4, 5, 2), read(6, 7, 1)],
     "an old value is read": [change(0, 1, 0, 1), change(2, 3, 1, 2), read(4, 5, 1)],
     "a read goes back": [change(0, 1, 0, 1), change(2, NEVER, 1, 2), read(4, 5, 2), read(6, 7, 1)],
@@ -82,39 +92,51 @@
     "an acknowledged one is lost": [change(0, 1, 0, 1), change(2, 3, 1, 2), change(4, 5, 1, 3)],
     "a version that does not grow": [change(0, 1, 0, 3), change(2, 3, 3, 2)],
 }
-ZONES_GOOD = {
-    "emptied and taken back": [order(0, 1, True), look(2, 3, True), order(4, 5, False), look(6, 7, False)],
-    "a copy during the first": [order(0, 5, True), order(1, 2, False), look(6, 7, True)],
-    "unclear, in force late": [order(0, NEVER, True), look(1, 2, False), look(3, 4, True)],
-    "unclear once, two orders": [order(0, NEVER, True), order(1, 2, True), order(3, 4, False), look(5, 6, True)],
+ZONES_LINEARIZABLE = {
+    "emptied and taken back": [
+        zone_order(0, 1, True),
+        zone_read(2, 3, True),
+        zone_order(4, 5, False),
+        zone_read(6, 7, False),
+    ],
+    "a copy during the first": [zone_order(0, 5, True), zone_order(1, 2, False), zone_read(6, 7, True)],
+    "unclear, in force late": [zone_order(0, NEVER, True), zone_read(1, 2, False), zone_read(3, 4, True)],
+    "unclear once, two orders": [
+        zone_order(0, NEVER, True),
+        zone_order(1, 2, True),
+        zone_order(3, 4, False),
+        zone_read(5, 6, True),
+    ],
 }
-ZONES_BAD = {
-    "a late copy is put in force": [order(0, 1, True), order(2, 3, False), look(4, 5, True)],
-    "acknowledged and not in force": [order(0, 1, True), look(2, 3, False)],
+ZONES_NOT_LINEARIZABLE = {
+    "a late copy is put in force": [zone_order(0, 1, True), zone_order(2, 3, False), zone_read(4, 5, True)],
+    "acknowledged and not in force": [zone_order(0, 1, True), zone_read(2, 3, False)],
     "unclear once, in force twice": [
-        order(0, NEVER, True),
-        order(1, 2, False),
-        look(3, 4, True),
-        order(5, 6, False),
-        look(7, 8, True),
+        zone_order(0, NEVER, True),
+        zone_order(1, 2, False),
+        zone_read(3, 4, True),
+        zone_order(5, 6, False),
+        zone_read(7, 8, True),
     ],
 }
 
 
-@pytest.mark.parametrize("name", GOOD)
+@pytest.mark.parametrize("name", LINEARIZABLE)
 def test_a_good_history_is_explained(name: str) -> None:
-    assert find_violation(operations=GOOD[name], model=LabelledRegister()) is None
+    assert find_violation(operations=LINEARIZABLE[name], model=LabelledRegister()) is None
 
 
-@pytest.mark.parametrize("name", BAD)
+@pytest.mark.parametrize("name", NOT_LINEARIZABLE)
 def test_a_bad_history_is_found(name: str) -> None:
-    found = find_violation(operations=BAD[name], model=LabelledRegister())
+    found = find_violation(operations=NOT_LINEARIZABLE[name], model=LabelledRegister())
     assert found is not None and found.stuck
 
 
-@pytest.mark.parametrize(("name", "is_good"), [*((n, True) for n in ZONES_GOOD), *((n, False) for n in ZONES_BAD)])
+@pytest.mark.parametrize(
+    ("name", "is_good"), [*((n, True) for n in ZONES_LINEARIZABLE), *((n, False) for n in ZONES_NOT_LINEARIZABLE)]
+)
 def test_orders_on_a_zone(name: str, is_good: bool) -> None:
-    found = find_violation(operations={**ZONES_GOOD, **ZONES_BAD}[name], model=Zone())
+    found = find_violation(operations={**ZONES_LINEARIZABLE, **ZONES_NOT_LINEARIZABLE}[name], model=Zone())
     assert (found is None) == is_good
 
 
@@ -126,15 +148,15 @@
     def seen(begun: float, number: int, content: str) -> Operation:
         return Operation(name="read", begun=begun, ended=begun + 1, call=NumberedRead(number=number, content=content))
 
-    whole, patch = put(0, 1, '{"a":1}', number=1), put(2, 3, '{"b":2}', number=2, is_patch=True)
+    full, patch = put(0, 1, '{"a":1}', number=1), put(2, 3, '{"b":2}', number=2, is_patch=True)
     late = put(2, NEVER, '{"c":3}', is_patch=True)
     model = NumberedRegister()
-    assert find_violation(operations=[whole, patch, seen(4, 2, '{"a":1,"b":2}')], model=model) is None
-    assert find_violation(operations=[whole, late, seen(4, 2, '{"a":1,"c":3}')], model=model) is None
-    assert find_violation(operations=[whole, late, seen(4, 1, '{"a":1}')], model=model) is None
-    assert find_violation(operations=[whole, patch, seen(4, 2, '{"a":1}')], model=model) is not None
-    assert find_violation(operations=[whole, put(2, 3, "{}", number=1)], model=model) is not None
-    assert find_violation(operations=[whole, put(2, 3, "{}", expected=0, number=2)], model=model) is not None
+    assert find_violation(operations=[full, patch, seen(4, 2, '{"a":1,"b":2}')], model=model) is None
+    assert find_violation(operations=[full, late, seen(4, 2, '{"a":1,"c":3}')], model=model) is None
+    assert find_violation(operations=[full, late, seen(4, 1, '{"a":1}')], model=model) is None
+    assert find_violation(operations=[full, patch, seen(4, 2, '{"a":1}')], model=model) is not None
+    assert find_violation(operations=[full, put(2, 3, "{}", number=1)], model=model) is not None
+    assert find_violation(operations=[full, put(2, 3, "{}", expected=0, number=2)], model=model) is not None
 
 
 def test_histories_of_the_products_own_world_are_read() -> None:
@@ -148,26 +170,26 @@
     assert list(check_operator_orders(history=history)) == []
     history.add(t=7, k="read-back", begun=6, number=1, config={"a": 1})
     history.add(t=7, k="orders-read", begun=6, emptied=[])
-    assert [order.detail.split(":")[0] for order in check_operator_orders(history=history)] == ["config", "x"]
+    assert [zone_order.detail.split(":")[0] for zone_order in check_operator_orders(history=history)] == ["config", "x"]
 
 
 def test_a_search_that_takes_too_long_says_so(monkeypatch) -> None:
-    monkeypatch.setattr(linearizability, "MOST_STEPS", 3)
+    monkeypatch.setattr(linearizability, "MAX_STATES", 3)
     with pytest.raises(Undecided):
-        find_violation(operations=GOOD["acknowledged late, others on top of it"], model=LabelledRegister())
+        find_violation(operations=LINEARIZABLE["acknowledged late, others on top of it"], model=LabelledRegister())
 
 
-def is_explained(*, operations: list[Operation], model) -> bool:
+def is_linearizable(*, operations: list[Operation], model) -> bool:
     """By brute force: every order of every choice of the uncertain ones."""
-    certain = [one for one in operations if one.is_certain]
-    uncertain = [one for one in operations if not one.is_certain]
+    certain = [operation for operation in operations if operation.is_certain]
+    uncertain = [operation for operation in operations if not operation.is_certain]
     for count in range(len(uncertain) + 1):
         for chosen in itertools.combinations(uncertain, count):
-            for line in itertools.permutations([*certain, *chosen]):
-                if any(b.ended < a.begun for at, a in enumerate(line) for b in line[at + 1 :]):
+            for sequence in itertools.permutations([*certain, *chosen]):
+                if any(b.ended < a.begun for at, a in enumerate(sequence) for b in sequence[at + 1 :]):
                     continue
                 state = model.initial
-                for operation in line:
+                for operation in sequence:
                     state = None if state is None else model.step(state=state, call=operation.call)
                 if state is not None:
                     return True
@@ -180,14 +202,14 @@
     st.builds(
         lambda span, base, label: change(span[0], NEVER, base, label), SPAN, st.integers(0, 2), st.integers(1, 3)
     ),
-    st.builds(lambda span, base: loss(*span, base), SPAN, st.integers(0, 2)),
+    st.builds(lambda span, base: conflict(*span, base), SPAN, st.integers(0, 2)),
     st.builds(lambda span, label: read(*span, label), SPAN, st.integers(0, 3)),
 )
 ZONED = st.one_of(
-    st.builds(lambda span, kind: order(*span, kind), SPAN, st.booleans()),
-    st.builds(lambda span, kind: order(span[0], NEVER, kind), SPAN, st.booleans()),
-    st.builds(lambda span, kind: dataclasses.replace(order(*span, kind), is_certain=False), SPAN, st.booleans()),
-    st.builds(lambda span, kind: look(*span, kind), SPAN, st.booleans()),
+    st.builds(lambda span, kind: zone_order(*span, kind), SPAN, st.booleans()),
+    st.builds(lambda span, kind: zone_order(span[0], NEVER, kind), SPAN, st.booleans()),
+    st.builds(lambda span, kind: dataclasses.replace(zone_order(*span, kind), is_certain=False), SPAN, st.booleans()),
+    st.builds(lambda span, kind: zone_read(*span, kind), SPAN, st.booleans()),
 )
 
 
@@ -196,19 +218,19 @@
 def test_the_search_agrees_with_brute_force(operations: list) -> None:
     model = LabelledRegister()
     found = find_violation(operations=operations, model=model)
-    assert (found is None) == is_explained(operations=operations, model=model)
+    assert (found is None) == is_linearizable(operations=operations, model=model)
 
 
 @settings(max_examples=300, deadline=None)
 @given(st.lists(ZONED, max_size=5))
 @example(
     [
-        dataclasses.replace(order(0, 1.5, True), is_certain=False),
-        order(0, 2.5, False),
-        look(0, 2.5, True),
-        look(2, 3.5, False),
+        dataclasses.replace(zone_order(0, 1.5, True), is_certain=False),
+        zone_order(0, 2.5, False),
+        zone_read(0, 2.5, True),
+        zone_read(2, 3.5, False),
     ]
 )
 def test_the_search_agrees_with_brute_force_on_zones(operations: list) -> None:
     found = find_violation(operations=operations, model=Zone())
-    assert (found is None) == is_explained(operations=operations, model=Zone())
+    assert (found is None) == is_linearizable(operations=operations, model=Zone())
