--- a/simulation/hosted/touch.py
+++ b/simulation/hosted/contact_history.py
@@ -8,11 +8,11 @@
     from simulation.hosted.world import World
 
 
-STEP = 0.1
+STEP_S = 0.1
 """s between two looks at whether the core is settled."""
 
 
-class Touch:
+class ContactHistory:
     """Answers for any moment.
 
     Where the definition needs more than is written down, it says no: rules then bind less.
@@ -20,57 +20,59 @@
 
     def __init__(self, *, world: World) -> None:
         self._world = world
-        self._contact = world.deployment.bounds["contact_s"]
+        self._contact_window = world.deployment.bounds["contact_s"]
         self._core = [machine for machine in world.machines.values() if "controller" in machine.processes]
 
-    def finished(self, *, t: float) -> bool:
+    def is_core_settled(self, *, t: float) -> bool:
         """Has no core machine been in trouble for `contact_s`?"""
-        if any(row["core"] and row["t"] <= t and t - self._contact <= row["until"] for row in self._world.troubles):
+        if any(
+            row["core"] and row["t"] <= t and t - self._contact_window <= row["until"] for row in self._world.troubles
+        ):
             return False
         return not any(
-            self._edge_near(moment=moment, t=t) and self._is_core_cut(cut=cut)
+            self._is_within_contact_window(at=at, t=t) and self._is_core_cut(cut=cut)
             for cut in self._world.network.cuts
-            for moment in (cut.begin, cut.end)
+            for at in (cut.begin, cut.end)
         )
 
-    def is_acked_late(self, *, begun: float, ended: float, patience: float) -> bool:
+    def is_acknowledged_late(self, *, begun: float, ended: float, limit: float) -> bool:
         """Was there a stretch of so many s between these in which the core was settled and no link was in trouble?"""
-        if ended - begun <= patience:
+        if ended - begun <= limit:
             return False
-        since, t = None, begun
+        settled_since, t = None, begun
         while t < ended:
-            is_well = self.finished(t=t) and not self._is_any_link_troubled(t=t)
-            since = (t if since is None else since) if is_well else None
-            if since is not None and t - since >= patience:
+            is_settled = self.is_core_settled(t=t) and not self._is_any_link_disturbed(t=t)
+            settled_since = (t if settled_since is None else settled_since) if is_settled else None
+            if settled_since is not None and t - settled_since >= limit:
                 return True
-            t += STEP
+            t += STEP_S
         return False
 
-    def _is_any_link_troubled(self, *, t: float) -> bool:
+    def _is_any_link_disturbed(self, *, t: float) -> bool:
         if any(cut.begin <= t <= cut.end for cut in self._world.network.cuts):
             return True
         return any("operator" in row["names"] and row["t"] <= t <= row["until"] for row in self._world.troubles)
 
-    def holds(self, *, machine: str, t: float) -> bool:
+    def is_in_contact(self, *, machine: str, t: float) -> bool:
         """Was the machine in touch at this moment?"""
-        if not machine or not self.finished(t=t):
+        if not machine or not self.is_core_settled(t=t):
             return False
         spot = self._world.machines[machine].spot
         if any(
-            spot.names & row["names"] and row["t"] <= t and t - self._contact <= row["until"]
+            spot.names & row["names"] and row["t"] <= t and t - self._contact_window <= row["until"]
             for row in self._world.troubles
         ):
             return False
         for cut in self._world.network.cuts:
             if (
                 cut.begin <= t
-                and t - self._contact <= cut.end
-                and any(cut.parts(a=spot, b=one.spot) for one in self._majority(cut=cut))
+                and t - self._contact_window <= cut.end
+                and any(cut.parts(a=spot, b=member.spot) for member in self._majority_side(cut=cut))
             ):
                 return False
         return True
 
-    def is_calm(self, *, names: frozenset, begin: float, end: float) -> bool:
+    def is_undisturbed(self, *, names: frozenset, begin: float, end: float) -> bool:
         """Was there no unplanned trouble, of these or at all on links, in this span?"""
         if any(cut.begin <= end and begin <= cut.end for cut in self._world.network.cuts):
             return False
@@ -79,17 +81,17 @@
             for row in self._world.troubles
         )
 
-    def _edge_near(self, *, moment: float, t: float) -> bool:
-        return moment <= t and t - self._contact <= moment
+    def _is_within_contact_window(self, *, at: float, t: float) -> bool:
+        return at <= t and t - self._contact_window <= at
 
     def _is_core_cut(self, *, cut) -> bool:
         return any(cut.parts(a=a.spot, b=b.spot) for a in self._core for b in self._core)
 
-    def _majority(self, *, cut) -> list:
+    def _majority_side(self, *, cut) -> list:
         """The core machines that reach over half of the core in spite of this cut."""
         return [
-            one
-            for one in self._core
-            if 2 * sum(other is one or not cut.parts(a=one.spot, b=other.spot) for other in self._core)
+            member
+            for member in self._core
+            if 2 * sum(other is member or not cut.parts(a=member.spot, b=other.spot) for other in self._core)
             > len(self._core)
         ]
--- a/simulation/hosted/expect.py
+++ b/simulation/hosted/expect.py
@@ -10,9 +10,9 @@
 if TYPE_CHECKING:
     from simulation.hosted.world import World
 
-HELD = 0.25
+LATE_REFUSAL_SHARE = 0.25
 """of a request's aim after which a refusal of our own is late."""
-TRIP = 0.06
+ANSWER_DELAY = 0.06
 """s that an answer takes to its client."""
 
 
@@ -39,9 +39,9 @@
     ]
     if not rows:
         return "served: no requests", None
-    part = sum(row["good"] for row in rows) / len(rows)
-    return ("" if part >= float(words[0]) else f"served {part:.4f} of {len(rows)}, under {words[0]}"), (
-        round(part, 4),
+    share = sum(row["good"] for row in rows) / len(rows)
+    return ("" if share >= float(words[0]) else f"served {share:.4f} of {len(rows)}, under {words[0]}"), (
+        round(share, 4),
         len(rows),
     )
 
@@ -56,9 +56,9 @@
     ]
     if not rows:
         return "aim: no requests", None
-    part = sum(row["good"] and row["took"] <= row["aim"] for row in rows) / len(rows)
-    return ("" if part >= float(words[0]) else f"aim {part:.4f} of {len(rows)}, under {words[0]}"), (
-        round(part, 4),
+    share = sum(row["good"] and row["took"] <= row["aim"] for row in rows) / len(rows)
+    return ("" if share >= float(words[0]) else f"aim {share:.4f} of {len(rows)}, under {words[0]}"), (
+        round(share, 4),
         len(rows),
     )
 
@@ -80,7 +80,7 @@
         and row["id"] in reads
         and row["id"] not in offered
         and low <= row["t"] < high
-        and row["t"] - reads[row["id"]] > HELD * aims[row["kind"]] + TRIP
+        and row["t"] - reads[row["id"]] > LATE_REFUSAL_SHARE * aims[row["kind"]] + ANSWER_DELAY
     ]
     return ("" if len(late) <= int(words[0]) else f"held: {len(late)}, as {late[0]['id']} ({late[0]['reason']})"), len(
         late
@@ -103,13 +103,13 @@
 def _judge_says(*, words: list[str], world: World) -> tuple[str, object]:
     """`says EVENT LEAST MOST from A to B`: how many daemons logged so."""
     words, low, high = _window(words=words, world=world)
-    told = [
+    daemons = [
         process.name
         for machine in world.machines.values()
         for process in machine.processes.values()
         if any(event == words[0] and low <= t < high for t, event, _ in process.logs)
     ]
-    return ("" if float(words[1]) <= len(told) <= float(words[2]) else f"says {words[0]}: {told}"), len(told)
+    return ("" if float(words[1]) <= len(daemons) <= float(words[2]) else f"says {words[0]}: {daemons}"), len(daemons)
 
 
 def _judge_voters(*, words: list[str], world: World) -> tuple[str, object]:
--- a/simulation/hosted/judge_places.py
+++ b/simulation/hosted/judge_placement.py
@@ -6,39 +6,39 @@
 import collections
 from typing import TYPE_CHECKING
 
-from simulation.hosted.touch import Touch
+from simulation.hosted.contact_history import ContactHistory
 from simulation.rules import Broken
 
 if TYPE_CHECKING:
     from simulation.hosted.world import World
 
 
-KNOWN = 1.3
+COLD_KNOWN_AFTER = 1.3
 """s beyond the list's lag after which who goes cold while it is up can be known to all: a pass over the list and its
 push."""
-SENT_AGAIN = 0.2
+NO_ACK_EXTRA = 0.2
 """s added to an order that got no acknowledgement at all: it counts as late."""
 
 
-def judge_drain(*, world: World, arrivals: list, touch: Touch):
+def judge_drain(*, world: World, arrivals: list, contact: ContactHistory):
     """DRAIN: a worker is sent requests more than `drain_s` after the list shows that it leaves."""
     shown = {row["worker"]: row["shown"] for row in world.history.of(k="draining")}
-    slack = world.deployment.bounds["drain_s"]
+    drain_time = world.deployment.bounds["drain_s"]
     downs = [(row["t"], row["until"]) for row in world.history.of(k="list-down")]
     for row in arrivals:
-        since = shown.get(row["worker"], float("inf"))
+        leaving_from = shown.get(row["worker"], float("inf"))
         # the time is not counted while the list is down
-        since += sum(max(0.0, min(end, row["t"]) - max(begin, since)) for begin, end in downs)
+        leaving_from += sum(max(0.0, min(end, row["t"]) - max(begin, leaving_from)) for begin, end in downs)
         if (
             row["code"] != 421
-            and row["t"] > since + slack
-            and touch.holds(machine=row["proxy"], t=row["t"])
-            and touch.holds(machine=row["proxy"], t=since)
+            and row["t"] > leaving_from + drain_time
+            and contact.is_in_contact(machine=row["proxy"], t=row["t"])
+            and contact.is_in_contact(machine=row["proxy"], t=leaving_from)
         ):
             yield Broken(
                 rule="DRAIN",
                 t=row["t"],
-                detail=f"{row['worker']} {row['t'] - since:.2f} s after it was shown, by {row['proxy']}",
+                detail=f"{row['worker']} {row['t'] - leaving_from:.2f} s after it was shown, by {row['proxy']}",
             )
 
 
@@ -50,19 +50,20 @@
     chilled = collections.defaultdict(list)
     for row in world.history.of(k="chilled"):
         chilled[row["worker"]].append(row["t"])
-    known = KNOWN + world.deployment.list_lag
+    known = COLD_KNOWN_AFTER + world.deployment.list_lag
     for row in arrivals:
-        is_newer = any(t <= row["sent"] < t + known for t in chilled[row["worker"]])
-        if row["is_cold"] and row["code"] != 421 and not is_newer:
+        is_unknown_yet = any(t <= row["sent"] < t + known for t in chilled[row["worker"]])
+        if row["is_cold"] and row["code"] != 421 and not is_unknown_yet:
             slow_start[row["worker"]].append(row)
     for worker, rows in slow_start.items():
-        most = rates[rows[0]["service"]] * bounds["cold_excess"] + bounds["cold_slack"]
+        limit = rates[rows[0]["service"]] * bounds["cold_excess"] + bounds["cold_slack"]
         for at, row in enumerate(rows):
             count = sum(
-                row["t"] - 1.0 < one["t"] and row["t"] - 1.0 < one["sent"] for one in rows[max(0, at - 200) : at + 1]
+                row["t"] - 1.0 < earlier["t"] and row["t"] - 1.0 < earlier["sent"]
+                for earlier in rows[max(0, at - 200) : at + 1]
             )
-            if count > most:
-                yield Broken(rule="FAILBACK", t=row["t"], detail=f"{worker}: {count} in a second, {most:.0f} at most")
+            if count > limit:
+                yield Broken(rule="FAILBACK", t=row["t"], detail=f"{worker}: {count} in a second, {limit:.0f} at most")
                 break
 
 
@@ -70,26 +71,26 @@
     """HOME: a request of a route with homes arrives at a worker elsewhere."""
     homes = {kind.name: kind.homes for kind in world.deployment.kinds if kind.homes}
     for row in arrivals:
-        sent = attempts.get(row["id"])
-        if sent is not None and sent["kind"] in homes and row["region"] not in homes[sent["kind"]]:
+        attempt = attempts.get(row["id"])
+        if attempt is not None and attempt["kind"] in homes and row["region"] not in homes[attempt["kind"]]:
             yield Broken(
                 rule="HOME", t=row["t"], detail=f"{row['id']} at {row['worker']} in {row['region']}, by {row['proxy']}"
             )
 
 
-def judge_evacuations(*, world: World, arrivals: list, touch: Touch):
+def judge_evacuations(*, world: World, arrivals: list, contact: ContactHistory):
     """EVAC: an emptied zone is still sent requests after `evacuate_s`. ACK: the order isn't acknowledged in time."""
     bounds = world.deployment.bounds
     spans: dict = collections.defaultdict(list)
-    for row in sorted([*world.history.of(k="ordered"), *world.history.of(k="refilling")], key=lambda one: one["t"]):
+    for row in sorted([*world.history.of(k="ordered"), *world.history.of(k="refilling")], key=lambda row: row["t"]):
         if row["k"] == "refilling":
             for span in spans[row["zone"]]:
                 span[1] = min(span[1], row["t"])
         else:
             if row["kind"] == "empty" and row["code"] == 200:
                 spans[row["zone"]].append([row["t"], float("inf")])
-            ended = row["t"] if row["code"] == 200 else max(row["t"], row["begun"] + bounds["ack_s"] + SENT_AGAIN)
-            if touch.is_acked_late(begun=row["begun"], ended=ended, patience=bounds["ack_s"]):
+            ended = row["t"] if row["code"] == 200 else max(row["t"], row["begun"] + bounds["ack_s"] + NO_ACK_EXTRA)
+            if contact.is_acknowledged_late(begun=row["begun"], ended=ended, limit=bounds["ack_s"]):
                 yield Broken(
                     rule="ACK",
                     t=row["t"],
@@ -100,7 +101,7 @@
             if (
                 row["code"] != 421
                 and begin + bounds["evacuate_s"] < row["t"] < end
-                and touch.holds(machine=row["proxy"], t=row["t"])
+                and contact.is_in_contact(machine=row["proxy"], t=row["t"])
             ):
                 yield Broken(
                     rule="EVAC",
@@ -112,28 +113,32 @@
 
 def judge_owners(*, world: World, runs: list):
     """OWNER: two workers hold the same keys at one time, and each begins requests on them."""
-    holds = collections.defaultdict(list)
+    is_in_contact = collections.defaultdict(list)
     for row in world.history.of(k="hold"):
-        holds[row["service"]].append(row)
-    for service, rows in holds.items():
-        for at, one in enumerate(rows):
-            for other in rows[at + 1 :]:
-                if other["t"] >= one["until"]:
+        is_in_contact[row["service"]].append(row)
+    for service, rows in is_in_contact.items():
+        for at, first in enumerate(rows):
+            for second in rows[at + 1 :]:
+                if second["t"] >= first["until"]:
                     break
-                if other["worker"] == one["worker"] or one["end"] < other["start"] or other["end"] < one["start"]:
+                if (
+                    second["worker"] == first["worker"]
+                    or first["end"] < second["start"]
+                    or second["end"] < first["start"]
+                ):
                     continue
-                low, high = max(one["start"], other["start"]), min(one["end"], other["end"])
-                begin, end = max(one["t"], other["t"]), min(one["until"], other["until"])
+                low, high = max(first["start"], second["start"]), min(first["end"], second["end"])
+                begin, end = max(first["t"], second["t"]), min(first["until"], second["until"])
                 began = {
                     run["worker"]
                     for run in runs
                     if run["service"] == service and low <= run["key"] <= high and begin <= run["t"] < end
                 }
-                if {one["worker"], other["worker"]} <= began:
+                if {first["worker"], second["worker"]} <= began:
                     yield Broken(
                         rule="OWNER",
                         t=begin,
-                        detail=f"{one['worker']} and {other['worker']} held {low}-{high} for {end - begin:.2f} s",
+                        detail=f"{first['worker']} and {second['worker']} held {low}-{high} for {end - begin:.2f} s",
                     )
 
 
@@ -141,20 +146,22 @@
     """BUDGET: a service gets more retries than its share in some window."""
     bounds = world.deployment.bounds
     window = bounds["retry_window_s"]
-    seen: set = set()
-    more = collections.defaultdict(list)
+    arrived: set = set()
+    retries = collections.defaultdict(list)
     for row in arrivals:
-        if row["id"] in seen:
-            more[row["service"]].append(row["t"])
-        seen.add(row["id"])
-    asked = collections.defaultdict(list)
+        if row["id"] in arrived:
+            retries[row["service"]].append(row["t"])
+        arrived.add(row["id"])
+    requests = collections.defaultdict(list)
     for row in sorted(attempts.values(), key=lambda attempt: attempt["t"]):
-        for service in _services(world=world, kind=row["kind"]):
-            asked[service].append(row["t"])
-    for service, times in more.items():
+        for service in _services_of_kind(world=world, kind=row["kind"]):
+            requests[service].append(row["t"])
+    for service, times in retries.items():
         for at, t in enumerate(times):
             count = at + 1 - bisect.bisect_right(times, t - window)
-            most = max(_between(asked[service], t - shift - window, t - shift) for shift in (0.0, window / 2, window))
+            most = max(
+                _count_between(requests[service], t - shift - window, t - shift) for shift in (0.0, window / 2, window)
+            )
             if count > bounds["retry_ratio"] * most + bounds["retry_slack"]:
                 yield Broken(
                     rule="BUDGET", t=t, detail=f"{service}: {count} further arrivals for {most} requests in {window} s"
@@ -162,13 +169,13 @@
                 break
 
 
-def _services(*, world: World, kind: str) -> set:
+def _services_of_kind(*, world: World, kind: str) -> set:
     one = next(one for one in world.deployment.kinds if one.name == kind)
-    found = {one.service}
+    services = {one.service}
     for version in world.operator.versions.values():
-        found |= version.routes().get((one.host, one.prefix), (frozenset(), None))[0]
-    return found
+        services |= version.routes().get((one.host, one.prefix), (frozenset(), None))[0]
+    return services
 
 
-def _between(times: list, low: float, high: float) -> int:
+def _count_between(times: list, low: float, high: float) -> int:
     return bisect.bisect_right(times, high) - bisect.bisect_right(times, low)
--- a/tests/test_hosted_judge.py
+++ b/tests/test_hosted_judge.py
@@ -4,11 +4,11 @@
 
 import pytest
 
+from simulation.hosted.contact_history import ContactHistory
 from simulation.hosted.deployment import make_small, make_written
 from simulation.hosted.judge_config import judge_reads
-from simulation.hosted.judge_places import judge_evacuations
+from simulation.hosted.judge_placement import judge_evacuations
 from simulation.hosted.operators import Version
-from simulation.hosted.touch import Touch
 from simulation.hosted.world import World
 
 
@@ -47,11 +47,11 @@
         made.begin, made.end = self.world.begin + begin, self.world.begin + end
 
     def reads(self) -> list:
-        return [read.rule for read in judge_reads(world=self.world, touch=Touch(world=self.world))]
+        return [breach.rule for breach in judge_reads(world=self.world, contact=ContactHistory(world=self.world))]
 
     def evacuations(self, *, arrivals: list) -> list:
-        found = judge_evacuations(world=self.world, arrivals=arrivals, touch=Touch(world=self.world))
-        return [one.rule for one in found]
+        found = judge_evacuations(world=self.world, arrivals=arrivals, contact=ContactHistory(world=self.world))
+        return [breach.rule for breach in found]
 
 
 def test_a_change_that_was_taken_and_is_refused_when_sent_again() -> None:
