--- a/tests/test_hosted_draw.py
+++ b/tests/test_hosted_draw.py
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.parametrize("kind", sorted(ALL_KINDS))
-def test_each_kind_draws_steps_that_scenarios_can_hold(kind: str) -> None:
+def test_each_kind_draws_valid_scenario_steps(kind: str) -> None:
     steps, end = draw_day(deployment=draw_deployment(seed=3), seed=1, seconds=12.0, kinds={kind: ALL_KINDS[kind]})
     assert any(verb == "mark" and " ".join(words) == kind for _, verb, words in steps)
     assert [find_fault(verb=verb, words=words) for _, verb, words in steps if find_fault(verb=verb, words=words)] == []
@@ -85,7 +85,7 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 20))
-def test_no_more_machines_that_count_are_taken_at_once_than_the_budget(seed: int) -> None:
+def test_no_more_core_machines_are_lost_at_once_than_the_budget(seed: int) -> None:
     deployment = draw_deployment(seed=seed)
     core = {
         f"{zone}-{at}" for zone in deployment.zones for at in range(deployment.disks + (zone in deployment.more_disks))
@@ -163,7 +163,7 @@
     assert not world.network.is_severed(a=client, b=inside)
 
 
-def test_a_machine_that_replaces_another_comes_before_or_after_it_goes() -> None:
+def test_a_replacement_starts_before_or_after_the_replaced_machine_ends() -> None:
     world = World(deployment=make_small(), seed=1, end=40.0)
     verbs = Verbs(world=world)
     world.start()
--- a/tests/test_hosted_judge.py
+++ b/tests/test_hosted_judge.py
@@ -54,7 +54,7 @@
         return [breach.rule for breach in found]
 
 
-def test_a_change_that_was_taken_and_is_refused_when_sent_again() -> None:
+def test_an_accepted_change_is_refused_when_sent_again() -> None:
     day = Day()
     day.version(number=3)
     assert day.reads() == []
@@ -90,7 +90,7 @@
     assert day.reads() == rules
 
 
-def test_a_read_that_was_not_answered_in_the_middle_of_a_day_breaks_nothing_but_at_its_end_it_does() -> None:
+def test_a_failed_read_breaks_a_rule_only_at_the_end_of_the_run() -> None:
     day = Day()
     day.version(number=3)
     day.row(k="read-config", t=9.0, begun=8.0, code=503, written=None)
@@ -100,7 +100,7 @@
 
 
 @pytest.mark.parametrize(("other", "rules"), [(None, ["DUTY"]), (4, ["DUTY"]), (5, []), (9, [])])
-def test_a_sound_change_is_refused_as_invalid(other: int | None, rules: list) -> None:
+def test_a_valid_change_is_refused_as_invalid(other: int | None, rules: list) -> None:
     """It is invalid, too, if a version that may be in force has its number or a higher one."""
     day = Day()
     day.version(number=3)
@@ -145,7 +145,7 @@
     assert day.evacuations(arrivals=[_arrival(day, t)]) == rules
 
 
-def test_an_evacuation_sent_again_while_its_taking_back_is_under_way_promises_nothing() -> None:
+def test_an_evacuation_resent_while_the_zone_is_taken_back_promises_nothing() -> None:
     day = Day()
     day.row(k="refilling", t=10.0, zone="ens-cava")
     day.row(k="ordered", t=11.0, kind="empty", zone="ens-cava", code=200, begun=7.0)
--- a/tests/test_hosted_shrink.py
+++ b/tests/test_hosted_shrink.py
@@ -42,7 +42,7 @@
     assert found.rules == {"TWICE"}
 
 
-def test_a_step_that_breaks_another_rule_is_not_taken_for_it() -> None:
+def test_steps_that_break_another_rule_are_dropped() -> None:
     def run_all(candidates: list) -> list:
         return [
             frozenset({"TWICE"} if {4, 5} <= {int(step[0]) for step in candidate.steps} else {"HOME"})
--- a/tests/test_linearizability.py
+++ b/tests/test_linearizability.py
@@ -122,12 +122,12 @@
 
 
 @pytest.mark.parametrize("name", LINEARIZABLE)
-def test_a_good_history_is_explained(name: str) -> None:
+def test_a_linearizable_history_passes(name: str) -> None:
     assert find_violation(operations=LINEARIZABLE[name], model=LabelledRegister()) is None
 
 
 @pytest.mark.parametrize("name", NOT_LINEARIZABLE)
-def test_a_bad_history_is_found(name: str) -> None:
+def test_a_history_that_is_not_linearizable_is_found(name: str) -> None:
     found = find_violation(operations=NOT_LINEARIZABLE[name], model=LabelledRegister())
     assert found is not None and found.stuck
 
@@ -145,21 +145,21 @@
         call = NumberedChange(given=given, is_patch=is_patch, expected=expected, number=number)
         return Operation(name=given, begun=begun, ended=ended, call=call, is_certain=ended != NEVER)
 
-    def seen(begun: float, number: int, content: str) -> Operation:
+    def read_of(begun: float, number: int, content: str) -> Operation:
         return Operation(name="read", begun=begun, ended=begun + 1, call=NumberedRead(number=number, content=content))
 
     full, patch = put(0, 1, '{"a":1}', number=1), put(2, 3, '{"b":2}', number=2, is_patch=True)
     late = put(2, NEVER, '{"c":3}', is_patch=True)
     model = NumberedRegister()
-    assert find_violation(operations=[full, patch, seen(4, 2, '{"a":1,"b":2}')], model=model) is None
-    assert find_violation(operations=[full, late, seen(4, 2, '{"a":1,"c":3}')], model=model) is None
-    assert find_violation(operations=[full, late, seen(4, 1, '{"a":1}')], model=model) is None
-    assert find_violation(operations=[full, patch, seen(4, 2, '{"a":1}')], model=model) is not None
+    assert find_violation(operations=[full, patch, read_of(4, 2, '{"a":1,"b":2}')], model=model) is None
+    assert find_violation(operations=[full, late, read_of(4, 2, '{"a":1,"c":3}')], model=model) is None
+    assert find_violation(operations=[full, late, read_of(4, 1, '{"a":1}')], model=model) is None
+    assert find_violation(operations=[full, patch, read_of(4, 2, '{"a":1}')], model=model) is not None
     assert find_violation(operations=[full, put(2, 3, "{}", number=1)], model=model) is not None
     assert find_violation(operations=[full, put(2, 3, "{}", expected=0, number=2)], model=model) is not None
 
 
-def test_histories_of_the_products_own_world_are_read() -> None:
+def test_histories_of_the_product_simulation_are_checked() -> None:
     history = History()
     common = {"k": "put", "code": 200, "invalid": False, "patch": False, "outcome": "accepted"}
     history.add(t=1, begun=0, number=1, given={"a": 1}, **common)
@@ -173,7 +173,7 @@
     assert [zone_order.detail.split(":")[0] for zone_order in check_operator_orders(history=history)] == ["config", "x"]
 
 
-def test_a_search_that_takes_too_long_says_so(monkeypatch) -> None:
+def test_a_search_with_too_many_states_raises_undecided(monkeypatch) -> None:
     monkeypatch.setattr(linearizability, "MAX_STATES", 3)
     with pytest.raises(Undecided):
         find_violation(operations=LINEARIZABLE["acknowledged late, others on top of it"], model=LabelledRegister())
