--- a/simulation/hosted/judge_placement.py
+++ b/simulation/hosted/judge_placement.py
@@ -24,21 +24,21 @@
     """DRAIN: a worker got requests more than `drain_s` after the list showed that it drains."""
     shown = {row["worker"]: row["shown"] for row in world.history.of(k="draining")}
     drain_time = world.deployment.bounds["drain_s"]
-    downs = [(row["t"], row["until"]) for row in world.history.of(k="list-down")]
+    list_outages = [(row["t"], row["until"]) for row in world.history.of(k="list-down")]
     for row in arrivals:
-        leaving_from = shown.get(row["worker"], float("inf"))
+        shown_at = shown.get(row["worker"], float("inf"))
         # time during which the list is down does not count
-        leaving_from += sum(max(0.0, min(end, row["t"]) - max(begin, leaving_from)) for begin, end in downs)
+        shown_at += sum(max(0.0, min(end, row["t"]) - max(begin, shown_at)) for begin, end in list_outages)
         if (
             row["code"] != 421
-            and row["t"] > leaving_from + drain_time
+            and row["t"] > shown_at + drain_time
             and contact.is_in_contact(machine=row["proxy"], t=row["t"])
-            and contact.is_in_contact(machine=row["proxy"], t=leaving_from)
+            and contact.is_in_contact(machine=row["proxy"], t=shown_at)
         ):
             yield Broken(
                 rule="DRAIN",
                 t=row["t"],
-                detail=f"{row['worker']} {row['t'] - leaving_from:.2f} s after its drain was listed, by {row['proxy']}",
+                detail=f"{row['worker']} {row['t'] - shown_at:.2f} s after its drain was listed, by {row['proxy']}",
             )
 
 
@@ -50,9 +50,9 @@
     chilled = collections.defaultdict(list)
     for row in world.history.of(k="chilled"):
         chilled[row["worker"]].append(row["t"])
-    known = COLD_KNOWN_AFTER + world.deployment.list_lag
+    known_after = COLD_KNOWN_AFTER + world.deployment.list_lag
     for row in arrivals:
-        is_unknown_yet = any(t <= row["sent"] < t + known for t in chilled[row["worker"]])
+        is_unknown_yet = any(t <= row["sent"] < t + known_after for t in chilled[row["worker"]])
         if row["is_cold"] and row["code"] != 421 and not is_unknown_yet:
             slow_start[row["worker"]].append(row)
     for worker, rows in slow_start.items():
@@ -113,10 +113,10 @@
 
 def judge_owners(*, world: World, runs: list):
     """OWNER: two workers held the same keys at the same time, and both began requests on them."""
-    is_in_contact = collections.defaultdict(list)
+    holds = collections.defaultdict(list)
     for row in world.history.of(k="hold"):
-        is_in_contact[row["service"]].append(row)
-    for service, rows in is_in_contact.items():
+        holds[row["service"]].append(row)
+    for service, rows in holds.items():
         for at, first in enumerate(rows):
             for second in rows[at + 1 :]:
                 if second["t"] >= first["until"]:
@@ -159,19 +159,21 @@
     for service, times in retries.items():
         for at, t in enumerate(times):
             count = at + 1 - bisect.bisect_right(times, t - window)
-            most = max(
+            most_requests = max(
                 _count_between(requests[service], t - shift - window, t - shift) for shift in (0.0, window / 2, window)
             )
-            if count > bounds["retry_ratio"] * most + bounds["retry_slack"]:
-                yield Broken(rule="BUDGET", t=t, detail=f"{service}: {count} retries for {most} requests in {window} s")
+            if count > bounds["retry_ratio"] * most_requests + bounds["retry_slack"]:
+                yield Broken(
+                    rule="BUDGET", t=t, detail=f"{service}: {count} retries for {most_requests} requests in {window} s"
+                )
                 break
 
 
 def _services_of_kind(*, world: World, kind: str) -> set:
-    one = next(one for one in world.deployment.kinds if one.name == kind)
-    services = {one.service}
+    definition = next(definition for definition in world.deployment.kinds if definition.name == kind)
+    services = {definition.service}
     for version in world.operator.versions.values():
-        services |= version.routes().get((one.host, one.prefix), (frozenset(), None))[0]
+        services |= version.routes().get((definition.host, definition.prefix), (frozenset(), None))[0]
     return services
 
 
