--- a/simulation/hosted/draw.py
+++ b/simulation/hosted/draw.py
@@ -87,7 +87,7 @@
         return role if role and roles else self.core()
 
     def plain(self) -> str:
-        """A machine that holds no state."""
+        """A machine that holds no state, and so is not part of the core."""
         names = [
             f"{zone}-{self.deployment.disks + (zone in self.deployment.more_disks) + at}"
             for zone in self.deployment.zones
--- a/simulation/hosted/judge_contact.py
+++ b/simulation/hosted/judge_contact.py
@@ -15,7 +15,7 @@
 """s after which a controller that was cut off must know it: the validity of its contact, a timer's interval, and the
 delay of a message."""
 ANSWERED_WITHIN = 0.95
-"""s within which a controller that is being cut off must answer an operator, who then turns to another."""
+"""s within which a controller that is being cut off must answer an operator; later the operator turns to another."""
 STALE_AFTER = 3.2
 """s after a register's value first came into force anywhere, from which on no controller pushes an older one as
 current: NOTICED_WITHIN, the wait for a vote to be chosen, and a round trip between regions."""
