--- a/simulation/hosted/draw.py
+++ b/simulation/hosted/draw.py
@@ -1,7 +1,7 @@
-"""Long days drawn by seed: explicit steps of every kind of trouble, at most as many losses at once as must be borne.
+"""Long runs ("days") drawn by seed, as explicit steps of every kind of fault.
 
-A day is drawn before it runs, so that what a run does never changes what comes next: a failing one can be shrunk step
-by step.
+At most as many machines are lost at once as must be tolerated. A day is drawn before it runs, so that its later steps
+don't depend on the run itself: a failing one can be shrunk step by step.
 """
 
 from __future__ import annotations
@@ -13,80 +13,81 @@
 
 from simulation.hosted.deployment import Deployment
 
-FIRST = 8.0
-"""s at which the troubles begin: the whole system has started and serves."""
+FIRST_FAULT_AT = 8.0
+"""s at which the faults begin: by then the whole system has started and serves."""
 GAP = (0.3, 1.6)
-"""s between two troubles."""
-MARGIN = 0.5
+"""s between two faults."""
+CATCH_UP_MARGIN = 0.5
 """s beyond `catch_up_s` for which a machine that was lost still counts as lost."""
-CLOSING, LIGHT, READ, END = 1.0, 7.0, 23.0, 27.0
-"""s of the closing fault, of power for all, of the read and of the end, after the last trouble is over."""
-PATIENCE = 3
-"""turns after which what waits comes first: no other machine that counts is lost before it has had its turn."""
-WAIT = 8.0
-"""s that a trouble waits for the moment that it is tied to."""
+CLOSING_DELAY, POWER_ON_DELAY, READ_BACK_DELAY, END_DELAY = 1.0, 7.0, 23.0, 27.0
+"""s from the end of the last fault to the closing fault; from there to power for all, to the read-back and to the end
+of the day."""
+MAX_DEFERRALS = 3
+"""Number of times that a kind of fault is deferred at most; then no other kind may lose core machines before it."""
+MOMENT_WAIT = 8.0
+"""s that a fault waits for the moment that triggers it."""
 
 
 @dataclass(kw_only=True)
 class Day:
-    """What was drawn so far.
+    """A day as drawn so far.
 
-    `at` adds a step; `loses` asks whether machines that count may be lost now, and reserves them.
+    `add_step` adds a step; `reserve_losses` asks whether core machines may be lost now, and reserves their loss.
     """
 
     deployment: Deployment
     rng: random.Random
-    now: float = FIRST
+    now: float = FIRST_FAULT_AT
     steps: list = field(default_factory=list)
     emptied: str = ""
-    is_reserved: bool = False
+    is_budget_reserved: bool = False
     _number: int = 1
-    _lost: list = field(default_factory=list)
+    _lost_until: list = field(default_factory=list)
     _core: list = field(default_factory=list)
     _replaced: dict = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        given = self.deployment
-        for zone in given.zones:
-            self._core += [f"{zone}-{at}" for at in range(given.disks + (zone in given.more_disks))]
+        deployment = self.deployment
+        for zone in deployment.zones:
+            self._core += [f"{zone}-{at}" for at in range(deployment.disks + (zone in deployment.more_disks))]
 
-    def at(self, delay: float, verb: str, *words: object) -> None:
-        """Add a step, so many s from now."""
+    def add_step(self, delay: float, verb: str, *words: object) -> None:
+        """Add a step that runs so many s from now."""
         self.steps.append((round(self.now + delay, 3), verb, [str(word) for word in words]))
 
     def seconds(self, low: float, high: float) -> float:
-        """A span between these."""
+        """A random span in s between these."""
         return round(self.rng.uniform(low, high), 2)
 
-    def loses(self, *, seconds: float, count: int = 1) -> bool:
-        """May so many more machines that count be lost for so long? They count until they have caught up."""
-        lost = sum(until > self.now for until in self._lost)
-        if self.is_reserved or lost + count > self.deployment.machines:
+    def reserve_losses(self, *, seconds: float, count: int = 1) -> bool:
+        """Reserve the loss of so many core machines, until they have caught up again; False if that is too many."""
+        lost = sum(until > self.now for until in self._lost_until)
+        if self.is_budget_reserved or lost + count > self.deployment.machines:
             return False
-        self._lost += [self.now + seconds + self.deployment.bounds["catch_up_s"] + MARGIN] * count
+        self._lost_until += [self.now + seconds + self.deployment.bounds["catch_up_s"] + CATCH_UP_MARGIN] * count
         return True
 
-    def loses_all(self, *, seconds: float) -> bool:
-        """The same for a trouble that needs the whole core well: of a zone, or of all at once."""
-        if any(until > self.now for until in self._lost):
+    def reserve_whole_budget(self, *, seconds: float) -> bool:
+        """The same for a fault of a zone or of all machines, which needs that no core machine counts as lost."""
+        if any(until > self.now for until in self._lost_until):
             return False
-        return self.loses(seconds=seconds, count=self.deployment.machines)
+        return self.reserve_losses(seconds=seconds, count=self.deployment.machines)
 
-    def whole_at(self) -> float:
-        """When nothing counts as lost any more."""
-        return max([self.now, *self._lost])
+    def recovered_at(self) -> float:
+        """When no machine counts as lost any more."""
+        return max([self.now, *self._lost_until])
 
     def core(self) -> str:
         """A machine that holds state."""
         return self.rng.choice(self._core)
 
-    def some_core(self, *, roles: bool = True) -> str:
-        """A machine that holds state, by its name or by what it did last."""
+    def core_or_role(self, *, roles: bool = True) -> str:
+        """A machine that holds state, by its name or by its role at the time of the step."""
         role = self.rng.choice(("leader", "reader", "seed", ""))
         return role if role and roles else self.core()
 
     def plain(self) -> str:
-        """A machine that holds no state; of the others if there are none."""
+        """A machine that holds no state, and so is not part of the core."""
         names = [
             f"{zone}-{self.deployment.disks + (zone in self.deployment.more_disks) + at}"
             for zone in self.deployment.zones
@@ -94,8 +95,8 @@
         ]
         return self.rng.choice(names)
 
-    def replaced(self, *, machine: str) -> None:
-        """A machine was replaced: the next steps name the new one."""
+    def note_replacement(self, *, machine: str) -> None:
+        """Note that a machine was replaced: later steps name the new one."""
         base = machine.split("-new", maxsplit=1)[0]
         self._replaced[base] = self._replaced.get(base, 0) + 1
         self._core = [f"{base}-new{self._replaced[base]}" if name == machine else name for name in self._core]
@@ -113,13 +114,13 @@
         return f"{self.service()}@{self.zone()}"
 
     def number(self, *, count: int = 1) -> int:
-        """The number of the next version, the first of so many: they climb in uneven steps."""
+        """The number of the next version, the first of `count`; numbers grow in uneven steps."""
         first = self._number + self.rng.randrange(1, 5)
         self._number = first + count - 1
         return first
 
     def change(self, *, delay: float = 0.0, words: tuple = (), number: int = 0) -> None:
-        """A sound change of the configuration."""
+        """Add a valid change of the configuration."""
         number = number or self.number()
         route, services = self.rng.choice(
             (
@@ -130,46 +131,46 @@
         )
         split = [f"{name}={self.rng.randrange(0, 4)}" for name in services[1:]] + [f"{services[0]}=1"]
         if self.rng.random() < 0.6:
-            self.at(delay, "patch", number, route, *split, *words)
+            self.add_step(delay, "patch", number, route, *split, *words)
         else:
-            self.at(delay, "split", route, *split)
-            self.at(delay, "put", number, *words)
+            self.add_step(delay, "split", route, *split)
+            self.add_step(delay, "put", number, *words)
 
 
 def draw_day(
     *, deployment: Deployment, seed: int, seconds: float, kinds: dict[str, Callable], times: float = 0.3
 ) -> tuple[list, float]:
-    """(steps, end) of one day with so many s of trouble.
+    """(steps, end) of one day with so many s of faults.
 
-    Every kind comes up before one comes twice; one that would lose too many machines at once waits its turn.
+    Every kind is drawn once before any is drawn again; one that would lose too many machines at once is deferred.
     """
     day = Day(deployment=deployment, rng=random.Random(f"{seed}/day"))
-    rng, until = day.rng, FIRST + seconds
-    deck: list[str] = []
-    waiting: list[str] = []
-    waits: collections.Counter = collections.Counter()
+    rng, until = day.rng, FIRST_FAULT_AT + seconds
+    remaining: list[str] = []
+    deferred: list[str] = []
+    deferrals: collections.Counter = collections.Counter()
     while day.now < until:
-        turn = waiting + (deck if deck else rng.sample(sorted(kinds), len(kinds)))
-        first = turn[0] if waits[turn[0]] >= PATIENCE else ""
-        waiting, deck = [], []
-        for at, kind in enumerate(turn):
-            day.is_reserved = bool(first) and kind != first
+        order = deferred + (remaining if remaining else rng.sample(sorted(kinds), len(kinds)))
+        overdue = order[0] if deferrals[order[0]] >= MAX_DEFERRALS else ""
+        deferred, remaining = [], []
+        for at, kind in enumerate(order):
+            day.is_budget_reserved = bool(overdue) and kind != overdue
             day.steps.append((round(day.now, 3), "mark", kind.split()))
             if kinds[kind](day):
-                deck = turn[at + 1 :]
-                waits[kind] = 0
+                remaining = order[at + 1 :]
+                deferrals[kind] = 0
                 break
             day.steps.pop()
-            waiting.append(kind)
-            waits[kind] += 1
+            deferred.append(kind)
+            deferrals[kind] += 1
         day.now += day.seconds(*GAP)
     if day.emptied:
-        day.at(0.0, "take-back", day.emptied)
-    day.now = max(until, day.whole_at()) + CLOSING
-    _close(day=day)
-    end = day.now + END
+        day.add_step(0.0, "take-back", day.emptied)
+    day.now = max(until, day.recovered_at()) + CLOSING_DELAY
+    _add_closing_fault(day=day)
+    end = day.now + END_DELAY
     day.now = 0.0
-    day.at(FIRST, "load", end - FIRST - 2.0, times)
+    day.add_step(FIRST_FAULT_AT, "load", end - FIRST_FAULT_AT - 2.0, times)
     return sorted(day.steps, key=lambda step: step[0]), round(end, 3)
 
 
@@ -177,20 +178,20 @@
 MOMENTS = {"": "answered", "timed": "sent", "taken": "taken"}
 
 
-def _close(*, day: Day) -> None:
-    """One more change, and the closing fault.
+def _add_closing_fault(*, day: Day) -> None:
+    """Add one more change and the closing fault.
 
-    At its acknowledgement, soon after its sending, or when a client's work is taken.
+    The fault occurs at the change's acknowledgement, soon after its sending, or when a proxy takes a client's request.
     """
     kind, how = day.rng.choice(CLOSINGS), day.rng.choice(sorted(MOMENTS))
-    day.at(0.0, "mark", "closing", *kind.split(), *([how] if how else []))
-    upon = (MOMENTS[how], LIGHT - 1.0)
+    day.add_step(0.0, "mark", "closing", *kind.split(), *([how] if how else []))
+    trigger = (MOMENTS[how], POWER_ON_DELAY - 1.0)
     if kind == "kill_all":
-        day.at(0.0, "upon", *upon, "kill", "all@all")
+        day.add_step(0.0, "upon", *trigger, "kill", "all@all")
     if kind.startswith("wipe"):
-        day.at(0.0, "upon", *upon, "dark", "leader" if day.rng.random() < 0.5 else day.core(), "wipe")
+        day.add_step(0.0, "upon", *trigger, "dark", "leader" if day.rng.random() < 0.5 else day.core(), "wipe")
     if kind == "power_off_all" or "power" in kind:
-        day.at(0.0, "upon", *upon, "dark", "all")
+        day.add_step(0.0, "upon", *trigger, "dark", "all")
     day.change(delay=0.001)
-    day.at(LIGHT, "light", "all")
-    day.at(READ, "read-back")
+    day.add_step(POWER_ON_DELAY, "light", "all")
+    day.add_step(READ_BACK_DELAY, "read-back")
--- a/simulation/many_changes.py
+++ b/simulation/many_changes.py
@@ -1,4 +1,4 @@
-"""Measure what many changes of the configuration leave behind: data file, start from disk, and catching up.
+"""Measure the cost of many changes of the configuration: size of the data file, start from disk, and catch-up.
 
 Usage:
   many_changes [--routes=LIST] [--changes=LIST] [--cases=LIST] [--json=FILE]
@@ -9,10 +9,9 @@
   --cases=LIST    Of restart, wipe, freeze, cut, replace [default: restart,wipe,freeze,cut,replace].
   --json=FILE     Append each row to this file, one JSON object a line.
 
-Three controllers found a group on virtual time, with real data files; one of them is away during all the changes and
-comes back.
-Catch-up time is that of the group's clock (links of 2 ms, syncs of 2 ms); the time to start from disk is real time of
-this machine.
+Three controllers found a group in virtual time, with real data files; one of them is absent during all the changes and
+then returns.
+Catch-up time is virtual time (links and syncs of 2 ms each); the time to start from disk is real time of this machine.
 Bytes are those of uncompressed messages to the member.
 """
 
@@ -30,18 +29,18 @@
 from simulation.core_group import CoreGroup, Member
 
 CATCH_UP_WAIT = 20.0
-"""s that a member may take to catch up before it counts as lost for good."""
-SETTLE = 3.0
-"""s of the group's clock after its founding, and before the member comes back."""
+"""s that a member may take to catch up before it counts as lost."""
+SETTLE_TIME = 3.0
+"""s of virtual time after the founding of the group, and before the member returns."""
 FIRST_NUMBER = 100_000_000
-"""The versions count from here, so that all texts are of one length."""
+"""The versions count from here, so that all texts have the same length."""
 PROGRESS_EVERY = 1000
-"""changes between two lines of progress."""
+"""Number of changes between two lines of progress."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Row:
-    """What one case measured. Times in s, sizes in bytes.
+    """The measurements of one case. Times in s, sizes in bytes.
 
     The file, its rewrites and the time to start from it are those of a member that took part in all the changes.
     """
@@ -62,7 +61,7 @@
 
 
 def make_text(*, routes: int, number: int) -> str:
-    """A labelled configuration's register, of the size that so many routes take."""
+    """The register text of a labelled configuration with so many routes."""
     routing = [
         {
             "name": f"route-{at}",
@@ -84,46 +83,52 @@
     return json.dumps({"written": written, "label": number, "history": history}, separators=(",", ":"))
 
 
-class Texts:
-    """Texts of growing numbers that share their routes, as making each whole would take most of the time."""
+class RegisterTexts:
+    """Texts with increasing numbers and the same routes, as building each anew would take most of the time."""
 
     def __init__(self, *, routes: int) -> None:
         self._template = make_text(routes=routes, number=777777777)
         self.length = len(self._template)
 
     def make(self, *, number: int) -> str:
-        """The text of this number; the history is of the same length each time."""
+        """The text with this number; its history has the same length each time."""
         return self._template.replace("777777777", str(FIRST_NUMBER + number))
 
 
 def measure(*, case: str, routes: int, changes: int, folder: Path) -> Row:
-    """One case: a member is away during all the changes."""
+    """Measure one case: a member is absent during all the changes."""
     group = CoreGroup(folder=folder, size=3)
     for member in group.members:
         group.start(member=member, is_first=True)
     if not group.run(seconds=10.0, until=lambda: all(member.controller.is_voting for member in group.members)):
         raise RuntimeError("the group was not founded")
-    texts = Texts(routes=routes)
-    group.run(seconds=SETTLE)
-    first, away = group.members[0], group.members[2]
-    _must(is_done=group.change(text=texts.make(number=1), at=first))
-    group.run(seconds=SETTLE)
-    _go_away(group=group, member=away, case=case)
+    texts = RegisterTexts(routes=routes)
+    group.run(seconds=SETTLE_TIME)
+    first, absent = group.members[0], group.members[2]
+    _require_accepted(is_accepted=group.change(text=texts.make(number=1), at=first))
+    group.run(seconds=SETTLE_TIME)
+    _take_away(group=group, member=absent, case=case)
     largest = 0
     for number in range(2, changes + 2):
-        _must(is_done=group.change(text=texts.make(number=number), at=first))
+        _require_accepted(is_accepted=group.change(text=texts.make(number=number), at=first))
         largest = max(largest, first.file_bytes())
         if number % PROGRESS_EVERY == 0:
             print(f"{case}, {routes} routes: {number} of {changes} changes", file=sys.stderr, flush=True)
-    group.run(seconds=SETTLE)
+    group.run(seconds=SETTLE_TIME)
     begun = group.now
-    back = _come_back(group=group, member=away, case=case)
+    returned = _bring_back(group=group, member=absent, case=case)
     newest = first.controller.learner.number(name="config")
-    older = _catch_up(group=group, member=back, newest=newest)
+    older = _catch_up(group=group, member=returned, newest=newest)
     catch_up = group.now - begun if older >= 0 else float("inf")
-    is_voting = group.run(seconds=CATCH_UP_WAIT, until=lambda: back.controller.is_voting) or back.controller.is_voting
+    is_voting = (
+        group.run(seconds=CATCH_UP_WAIT, until=lambda: returned.controller.is_voting) or returned.controller.is_voting
+    )
     group.measured = None
-    own_file, present_file, rewrites = back.file_bytes(), first.file_bytes(), first.controller.write_ahead.rewrite_count
+    own_file, present_file, rewrites = (
+        returned.file_bytes(),
+        first.file_bytes(),
+        first.controller.write_ahead.rewrite_count,
+    )
     start_time = _time_start(group=group, member=first)
     return Row(
         case=case,
@@ -137,17 +142,17 @@
         start_time=round(start_time, 4),
         catch_up=round(catch_up, 3),
         voting_after=round(group.now - begun, 3) if is_voting else float("inf"),
-        received_bytes=sum(back.received_bytes.values()),
+        received_bytes=sum(returned.received_bytes.values()),
         older_held=older,
     )
 
 
-def _must(*, is_done: bool) -> None:
-    if not is_done:
+def _require_accepted(*, is_accepted: bool) -> None:
+    if not is_accepted:
         raise RuntimeError("a change was not accepted")
 
 
-def _go_away(*, group: CoreGroup, member: Member, case: str) -> None:
+def _take_away(*, group: CoreGroup, member: Member, case: str) -> None:
     if case == "freeze":
         group.freeze(member=member)
     elif case == "cut":
@@ -156,22 +161,22 @@
         group.kill(member=member)
 
 
-def _come_back(*, group: CoreGroup, member: Member, case: str) -> Member:
-    back = group.add() if case == "replace" else member
-    group.measured = back
+def _bring_back(*, group: CoreGroup, member: Member, case: str) -> Member:
+    returned = group.add() if case == "replace" else member
+    group.measured = returned
     if case == "freeze":
-        group.thaw(member=back)
+        group.thaw(member=returned)
     elif case == "cut":
-        back.is_cut = False
+        returned.is_cut = False
     else:
         if case == "wipe":
-            back.files.remove(name="registers")
-        group.start(member=back)
-    return back
+            returned.files.remove(name="registers")
+        group.start(member=returned)
+    return returned
 
 
 def _time_start(*, group: CoreGroup, member: Member) -> float:
-    """Real s in which a member that took part in all changes starts from its disk."""
+    """Real time in s in which a member that took part in all changes starts from its disk."""
     group.kill(member=member)
     begun = time.perf_counter()
     group.start(member=member)
@@ -179,17 +184,17 @@
 
 
 def _catch_up(*, group: CoreGroup, member: Member, newest: int) -> int:
-    """How many older values it took up on its way to the newest; -1 if it never got there."""
-    seen = {member.controller.learner.number(name="config")}
+    """How many older values it adopted before it got to the newest; -1 if it never got there."""
+    numbers = {member.controller.learner.number(name="config")}
 
-    def is_there() -> bool:
+    def has_caught_up() -> bool:
         number = member.controller.learner.number(name="config")
-        seen.add(number)
+        numbers.add(number)
         return number >= newest
 
-    if not is_there() and not group.run(seconds=CATCH_UP_WAIT, until=is_there):
+    if not has_caught_up() and not group.run(seconds=CATCH_UP_WAIT, until=has_caught_up):
         return -1
-    return len(seen - {newest, 0}) - (1 if min(seen) > 0 and min(seen) < newest else 0)
+    return len(numbers - {newest, 0}) - (1 if min(numbers) > 0 and min(numbers) < newest else 0)
 
 
 def main() -> None:
@@ -200,8 +205,8 @@
         "| received B |"
     )
     print("|---|---|---|---|---|---|---|---|---|---|")
-    for routes in [int(one) for one in flags["--routes"].split(",")]:
-        for changes in [int(one) for one in flags["--changes"].split(",")]:
+    for routes in [int(count) for count in flags["--routes"].split(",")]:
+        for changes in [int(count) for count in flags["--changes"].split(",")]:
             for case in flags["--cases"].split(","):
                 with tempfile.TemporaryDirectory(prefix="sailward-changes-") as folder:
                     row = measure(case=case, routes=routes, changes=changes, folder=Path(folder))
--- a/tests/test_hosted_judge.py
+++ b/tests/test_hosted_judge.py
@@ -1,19 +1,19 @@
-"""The judge of the simulated platform on histories written by hand: each rule broken, and kept in a case beside it."""
+"""The judge of the hosted simulation on hand-written histories: each rule is broken in one case and kept in another."""
 
 from __future__ import annotations
 
 import pytest
 
+from simulation.hosted.contact_history import ContactHistory
 from simulation.hosted.deployment import make_small, make_written
 from simulation.hosted.judge_config import judge_reads
-from simulation.hosted.judge_places import judge_evacuations
+from simulation.hosted.judge_placement import judge_evacuations
 from simulation.hosted.operators import Version
-from simulation.hosted.touch import Touch
 from simulation.hosted.world import World
 
 
 class Day:
-    """A world that never ran, and its history by hand. Times are in s from the begin of the day."""
+    """A world that never ran, with a hand-written history. Times are in s from the start of the day."""
 
     def __init__(self) -> None:
         self.world = World(deployment=make_small(), seed=1, end=60.0)
@@ -47,14 +47,14 @@
         made.begin, made.end = self.world.begin + begin, self.world.begin + end
 
     def reads(self) -> list:
-        return [read.rule for read in judge_reads(world=self.world, touch=Touch(world=self.world))]
+        return [breach.rule for breach in judge_reads(world=self.world, contact=ContactHistory(world=self.world))]
 
     def evacuations(self, *, arrivals: list) -> list:
-        found = judge_evacuations(world=self.world, arrivals=arrivals, touch=Touch(world=self.world))
-        return [one.rule for one in found]
+        found = judge_evacuations(world=self.world, arrivals=arrivals, contact=ContactHistory(world=self.world))
+        return [breach.rule for breach in found]
 
 
-def test_a_change_that_was_taken_and_is_refused_when_sent_again() -> None:
+def test_an_accepted_change_is_refused_when_sent_again() -> None:
     day = Day()
     day.version(number=3)
     assert day.reads() == []
@@ -90,7 +90,7 @@
     assert day.reads() == rules
 
 
-def test_a_read_that_was_not_answered_in_the_middle_of_a_day_breaks_nothing_but_at_its_end_it_does() -> None:
+def test_a_failed_read_breaks_a_rule_only_at_the_end_of_the_run() -> None:
     day = Day()
     day.version(number=3)
     day.row(k="read-config", t=9.0, begun=8.0, code=503, written=None)
@@ -100,8 +100,8 @@
 
 
 @pytest.mark.parametrize(("other", "rules"), [(None, ["DUTY"]), (4, ["DUTY"]), (5, []), (9, [])])
-def test_a_sound_change_is_refused_as_invalid(other: int | None, rules: list) -> None:
-    """It is invalid, too, if a version that may be in force has its number or a higher one."""
+def test_a_valid_change_is_refused_as_invalid(other: int | None, rules: list) -> None:
+    """The refusal is right if a version that may be in force has its number or a higher one."""
     day = Day()
     day.version(number=3)
     day.version(number=5, base=3, sent=3.0, outcome="refused")
@@ -124,7 +124,7 @@
 def test_an_order_waits_for_its_acknowledgement_in_one_settled_stretch(
     cut: tuple | None, ended: float, rules: list
 ) -> None:
-    """`ack_s` is 5 s; a cut between core machines unsettles for its begin and end and `contact_s` (4 s) after each."""
+    """`ack_s` is 5 s; a cut in the core unsettles it at its begin and end, and for `contact_s` (4 s) after each."""
     day = Day()
     day.version(number=3, sent=20.0, acked=ended)
     if cut:
@@ -145,7 +145,7 @@
     assert day.evacuations(arrivals=[_arrival(day, t)]) == rules
 
 
-def test_an_evacuation_sent_again_while_its_taking_back_is_under_way_promises_nothing() -> None:
+def test_an_evacuation_resent_while_the_zone_is_taken_back_promises_nothing() -> None:
     day = Day()
     day.row(k="refilling", t=10.0, zone="ens-cava")
     day.row(k="ordered", t=11.0, kind="empty", zone="ens-cava", code=200, begun=7.0)
--- a/tests/test_hosted_shrink.py
+++ b/tests/test_hosted_shrink.py
@@ -1,4 +1,4 @@
-"""Shrinking a failing run: on runs made up here, and on a planted fault in the simulated platform."""
+"""Shrinking a failing run: on made-up runs, and on a planted fault in the hosted simulation."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
     assert found.rules == {"TWICE"}
 
 
-def test_a_step_that_breaks_another_rule_is_not_taken_for_it() -> None:
+def test_steps_that_break_another_rule_are_dropped() -> None:
     def run_all(candidates: list) -> list:
         return [
             frozenset({"TWICE"} if {4, 5} <= {int(step[0]) for step in candidate.steps} else {"HOME"})
@@ -59,7 +59,7 @@
 
 
 def test_a_planted_fault_is_shrunk_to_a_small_scenario_that_shows_it_again() -> None:
-    """Evacuations that no proxy hears of: traffic and one evacuation are enough to show it."""
+    """Evacuations that reach no proxy: traffic and one evacuation are enough to show the fault."""
 
     def run_all(candidates: list) -> list:
         return [rules_broken(scenario=candidate, seed=1, without="evacuation") for candidate in candidates]
