--- a/simulation/hosted/__init__.py
+++ b/simulation/hosted/__init__.py
@@ -1,4 +1,4 @@
 """The users' platform in virtual time.
 
-The product's own owners between simulated clients, workers, list and operators.
+The product's own owners run among simulated clients, workers, operators and a simulated endpoint list.
 """
--- a/simulation/hosted/__main__.py
+++ b/simulation/hosted/__main__.py
@@ -5,16 +5,16 @@
   hosted draw [options] FILE
   hosted [options] FILE...
 
-`shrink` looks for the fewest steps of a failing run that still break one of its rules, shows its progress, and
-writes them as a scenario. `draw` writes out the steps that a seed draws.
+`shrink` reduces a failing run to the fewest steps that still break one of the same rules, shows its progress, and
+writes them as a scenario. `draw` prints the steps that a seed generates.
 
 Options:
-  --seeds RANGE        As in 1-50; by default those that the file names.
-  --without SAFEGUARD  Take a safeguard out first.
+  --seeds RANGE        For example 1-50; by default those that the file names.
+  --without SAFEGUARD  Disable a safeguard first.
   --logs               Show the daemons' logs.
   --jobs N             Seeds run at once [default: 4].
   --seed N             The seed of the run.
-  --out PATH           Where the small scenario goes; by default it is printed.
+  --out PATH           File for the reduced scenario; by default it is printed.
 """
 
 from __future__ import annotations
@@ -64,7 +64,7 @@
 
 
 def shrink_file(*, path: str, seed: int, without: str, workers: int, out: str) -> int:
-    """Shrink a failing run: the exit code."""
+    """Shrink a failing run; returns the exit code."""
     scenario = read_scenario(text=Path(path).read_text("utf-8"))
     with ProcessPoolExecutor(max_workers=workers) as pool:
         run = partial(_rules_of, seed=seed, without=without)
@@ -88,7 +88,7 @@
 
 
 def draw_file(*, path: str, seed: int) -> None:
-    """Print the steps that a seed draws, as a scenario."""
+    """Print the steps that a seed generates, as a scenario."""
     scenario = read_scenario(text=Path(path).read_text("utf-8"))
     explicit = replace(explicit_scenario(scenario=scenario, seed=seed), seeds=range(seed, seed + 1))
     print(write_scenario(scenario=explicit, title=scenario.title, rule=scenario.rule), end="")
@@ -98,7 +98,7 @@
 
 
 def main() -> None:
-    """Run all files with all their seeds, or shrink or draw one run."""
+    """Run all files with all their seeds, or shrink or print one run."""
     flags = docopt(__doc__)
     if flags["draw"]:
         draw_file(path=flags["FILE"][0], seed=int(flags["--seed"]))
--- a/simulation/hosted/calls.py
+++ b/simulation/hosted/calls.py
@@ -1,6 +1,6 @@
-"""Calls of daemons to workers and to the list, as the product's edge for them acts.
+"""Calls of daemons to workers and to the endpoint list, simulating the product's HTTP client.
 
-Kept and fresh connections, refusals, silence.
+They use pooled or new connections, and may be refused or get no response.
 """
 
 from __future__ import annotations
@@ -23,9 +23,9 @@
 
 @dataclass(kw_only=True, eq=False)
 class Connection:
-    """A connection to a worker, and the answers on it that belong to no request.
+    """A connection to a worker, with the surplus responses on it that belong to no request.
 
-    They are read where the next one is due.
+    A surplus response is read in place of the response to the next request.
     """
 
     worker: Worker
@@ -34,7 +34,7 @@
 
 
 class Line:
-    """One call under way, from one process to whoever listens at an address."""
+    """One call in flight, from a process to whatever listens at an address."""
 
     def __init__(self, *, calls: Calls, process: Process, command: StartCall) -> None:
         self.calls, self.process, self.command = calls, process, command
@@ -49,7 +49,7 @@
         self.grey = ""
 
     def answer(self, *, code: int = 0, headers: dict | None = None, body: bytes = b"", fault: str = "") -> None:
-        """The other side says this, or breaks off. What is left on the connection from an earlier call comes first."""
+        """The worker responds, or the call fails with `fault`. Surplus responses of earlier calls are read first."""
         if self.is_over or self.worker is None:
             return
         worker, surplus = self.worker, self.connection.surplus
@@ -62,7 +62,7 @@
         )
 
     def _take_answer(self, code: int, headers: dict, body: bytes, fault: str) -> None:
-        """As the product's edge does: an answer that names another request is nobody's, and ends its connection."""
+        """Take a response as the product's HTTP client does: one that names another request fails the call."""
         if self.is_over:
             return
         asked, echoed = self.headers.get("attempt-id", ""), headers.get("attempt-id", "")
@@ -76,13 +76,13 @@
         )
 
     def leave_surplus(self, *, code: int, headers: dict, body: bytes) -> None:
-        """The worker sends a further answer, which comes only after the connection is used again."""
+        """The worker sends a surplus response, which is read only when the connection is used again."""
         if self.connection is not None:
             self.calls.world.count["surplus"] += 1
             self.connection.surplus.append((code, headers, body, ""))
 
     def fail(self, *, fault: str) -> None:
-        """It ends on this side."""
+        """End the call on the caller's side."""
         self.finish(
             called=CallFinished(
                 token=self.command.token,
@@ -96,7 +96,7 @@
         )
 
     def finish(self, *, called: CallFinished | None, is_aborted: bool = False) -> None:
-        """It is over: the owner hears it, unless it gave it up itself."""
+        """End the call; `called` is passed to the owner, None if the owner itself cancelled the call."""
         if self.is_over:
             return
         self.is_over = True
@@ -111,7 +111,7 @@
 
 
 class Calls:
-    """Owner of all calls under way and of the kept connections."""
+    """Owner of all calls in flight and of the pooled connections."""
 
     def __init__(self, *, world: Environment) -> None:
         self.world = world
@@ -119,7 +119,7 @@
         self._kept: dict = {}
 
     def give(self, *, process: Process, command: StartCall) -> None:
-        """Make a call."""
+        """Start a call."""
         line = Line(calls=self, process=process, command=command)
         self.lines[(process, command.token)] = line
         clock = self.world.clock
@@ -137,30 +137,30 @@
             self._dial(line=line)
 
     def cancel(self, *, process: Process, token: str) -> None:
-        """Give a call up: no word of it follows."""
+        """Cancel a call: the owner gets no event for it."""
         line = self.lines.get((process, token))
         if line is not None:
             line.finish(called=None, is_aborted=True)
 
     def withdraw(self, *, process: Process, token: str) -> None:
-        """Give a call up if no byte of it has left."""
+        """Cancel a call if none of its bytes has been sent; the owner is told that it was withdrawn."""
         line = self.lines.get((process, token))
         if line is not None and not line.is_sent:
             line.fail(fault="withdrawn")
 
     def end(self, *, process: Process, is_dark: bool) -> None:
-        """The process is gone; its connections close, unless its machine is dark."""
+        """The process has ended: close its connections, which workers do not notice if its machine lost power."""
         self._kept = {key: worker for key, worker in self._kept.items() if key[0] is not process}
         for (owner, _), line in list(self.lines.items()):
             if owner is process:
                 line.finish(called=None, is_aborted=not is_dark)
 
     def close_connections(self, *, process: Process, owner: str) -> None:
-        """Close the kept connections of an owner."""
+        """Close the pooled connections of an owner."""
         self._kept = {key: worker for key, worker in self._kept.items() if key[0] is not process or key[1] != owner}
 
     def reset(self, *, process: Process, share: float) -> None:
-        """Connections of a process to workers are reset, of calls under way and kept ones alike."""
+        """Reset a share of a process's connections to workers, in use or pooled."""
         rng = self.world.rng
         self._kept = {key: one for key, one in self._kept.items() if key[0] is not process or rng.random() >= share}
         for (owner, _), line in list(self.lines.items()):
@@ -169,7 +169,7 @@
                 line.fail(fault="connection-lost")
 
     def sever(self) -> None:
-        """What goes across a cut that resets connections is reset."""
+        """Reset the calls that cross a cut which resets connections."""
         network = self.world.network
         for (process, _), line in list(self.lines.items()):
             if line.worker is not None and network.is_refused(a=process.machine.spot, b=line.worker.spot):
@@ -177,11 +177,11 @@
                 line.fail(fault="connection-lost")
 
     def may_keep(self, *, code: int, is_named: bool) -> bool:
-        """May the connection of a call that ended so be used again?"""
+        """May the connection of a call with this result be used again?"""
         return code > 0 and is_named
 
     def keep(self, *, line: Line) -> None:
-        """The connection of a call stays open."""
+        """Return the connection of a call to the pool."""
         worker = line.connection.worker
         if worker.is_up and not worker.is_draining:
             line.connection.rested_since = self.world.clock.now
@@ -197,7 +197,7 @@
         world, here = self.world, line.process.machine.spot
         worker = world.by_address.get(line.command.address)
         if worker is None or worker.is_silent or world.network.is_severed(a=here, b=worker.spot):
-            # nobody answers: a machine without power, a cut, or an address that nobody has
+            # no answer: the address is unassigned, its machine has no power, or a cut is in the way
             is_dead = worker is None or world.network.is_refused(a=here, b=worker.spot)
             world.clock.after(
                 0.002 if is_dead else constants.CONNECT_TIMEOUT,
@@ -235,9 +235,9 @@
             self.world.clock.after(trip, lambda: line.fail(fault="connection-lost"))
             return
         if network.is_severed(a=here, b=worker.spot) or worker.is_silent:
-            # what is not acknowledged for so long ends the connection
+            # data that stays unacknowledged for this long ends the connection
             self.world.clock.after(constants.LEASE_DURATION, lambda: line.fail(fault="connection-lost"))
-        # bytes that a cut holds are lost with a connection that is given up; those on their way arrive
+        # bytes held back by a cut are lost if the connection is closed; bytes already on their way arrive
         network.send(
             a=here,
             b=worker.spot,
--- a/simulation/hosted/clients.py
+++ b/simulation/hosted/clients.py
@@ -1,6 +1,6 @@
-"""Clients of the platform's kind.
+"""Simulated clients of the users' platform.
 
-They ask the directory, keep or rotate addresses, and retry as the protocol says.
+They resolve addresses at the directory, choose among them, and retry as the protocol says.
 """
 
 from __future__ import annotations
@@ -18,18 +18,18 @@
 from simulation.hosted.network import Spot
 
 TRIES = 2
-"""retries of a client."""
+"""Retries that a client makes."""
 FINAL = (400, 401, 404, 413, 431)
 PROMISES = (408, 421, 429, 503)
 GIVEN_UP = ("deadline", "left")
-"""Ends after which a client wants no answer any more."""
+"""Reasons of an end after which a client does not retry, as it no longer wants an answer."""
 FORGET = 3.0
-"""s that an address which failed is passed over."""
+"""s for which an address that failed is avoided."""
 
 
 @dataclass(kw_only=True)
 class Attempt:
-    """One try of a request, with its own id."""
+    """One attempt of a request, with its own id."""
 
     id: str
     request: Request
@@ -42,7 +42,7 @@
 
 @dataclass(kw_only=True)
 class Request:
-    """One request of a client over all its attempts."""
+    """One request of a client, across all its attempts."""
 
     number: int
     kind: Kind
@@ -57,7 +57,7 @@
 
 @dataclass(kw_only=True)
 class Client:
-    """Owner of one client's addresses and requests. `begin` sends one."""
+    """Owner of one client's addresses and requests. `begin` sends a request."""
 
     world: Environment
     spot: Spot
@@ -228,7 +228,7 @@
         self._plan_closes(close=close, left=left, is_once=kind.is_once)
 
     def _plan_closes(self, *, close: Callable[[str], None], left: float, is_once: bool) -> None:
-        """Close the connection of a try at its deadline, if it is not read in time, or as its client leaves."""
+        """Close an attempt's connection at its deadline, if it is not read in time, or when its client gives up."""
         clock = self.world.clock
         if self.leaves_within:
             clock.after(self.rng.uniform(0.0, self.leaves_within), lambda: close("left"))
--- a/simulation/hosted/deployment.py
+++ b/simulation/hosted/deployment.py
@@ -1,4 +1,4 @@
-"""A small deployment of the users' kind, as data: places, machines, services, routes, clients and bounds."""
+"""A small deployment as the users have it, as data: zones, machines, services, routes, clients and bounds."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
     "thaw_s": 0.3,
     "ttl_max_s": 5,
 }
-"""s, but for ratios and counts."""
+"""In s, except for ratios and counts."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Kind:
-    """One kind of request. `work`, `aim` and `deadline` in s, `rate` in requests/s over all zones."""
+    """One kind of request. `work`, `aim` (target latency) and `deadline` in s, `rate` in requests/s over all zones."""
 
     name: str
     host: str
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Served:
-    """One service and its workers a zone."""
+    """One service; `a_zone` is the number of its workers in each zone."""
 
     name: str
     a_zone: int = 2
@@ -65,9 +65,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Deployment:
-    """All of it. `disks` machines with a disk a zone, one more in the zones `more_disks`, and `plain` without.
+    """A deployment. Each zone has `disks` machines with a disk, one more if it is in `more_disks`, and `plain` without.
 
-    `machines` is how many of those with a disk may be lost at once.
+    `machines` is the number of machines with a disk that may be lost at once.
     """
 
     zones: dict = field(default_factory=lambda: dict(ZONES))
@@ -84,9 +84,9 @@
 
 
 def make_small(*, rate: float = 1.0, home: str = "ens") -> Deployment:
-    """Four zones in two regions, eight machines, four services of eight workers.
+    """Four zones in two regions, eight machines, and four services of eight workers.
 
-    One route has its home in the region `home`.
+    The home region of one route is `home`.
     """
     services = (
         Served(name="stock", is_sharded=True),
@@ -156,7 +156,7 @@
 
 
 def make_control() -> Deployment:
-    """The control machines of the small deployment and few workers, for long days of orders without traffic."""
+    """The controller machines of the small deployment and few workers, for long runs of orders without traffic."""
     small = make_small()
     return dataclasses.replace(
         small, plain=0, services=tuple(dataclasses.replace(service, a_zone=1) for service in small.services)
@@ -176,10 +176,10 @@
     deadlines: dict | None = None,
     idle: float = 15,
 ) -> dict:
-    """A whole configuration in the platform's words.
+    """A whole configuration in the platform's format.
 
-    `weights` is {route: {service: weight}} for those that are split, `deadlines` {route: s} for those that differ,
-    `idle` in s; `added` routes of a host of their own come at the end.
+    `weights` is {route: {service: weight}} for routes that are split, `deadlines` {route: s} for routes whose deadline
+    differs, `idle` the idle time-out in s; `added` further routes, under a separate host, come at the end.
     """
     listeners: dict = {}
     for kind in deployment.kinds:
--- a/simulation/hosted/drawn_deployment.py
+++ b/simulation/hosted/drawn_deployment.py
@@ -1,6 +1,6 @@
-"""Deployments that nobody has seen.
+"""Random deployments.
 
-Sizes, places, budgets and bounds drawn by seed, of the kinds that the users describe.
+Sizes, zones, fault budgets and bounds are drawn by seed, within what the users describe.
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 
 REGIONS = ("gdl", "ens", "mex")
 SIZES = {3: (3, 1, 0), 4: (4, 1, 0), 5: (3, 1, 2), 6: (3, 2, 0), 7: (4, 1, 3), 8: (4, 2, 0)}
-"""Machines that hold state: (zones, of them in each, zones with one more)."""
+"""{machines that hold state: (zones, such machines in each zone, zones with one more)}."""
 UNSHARDED = 0.5
-"""of the deployments have no service that is split by key."""
+"""Share of the deployments without a sharded service."""
 
 
 def draw_deployment(*, seed: int) -> Deployment:
-    """3 to 8 machines that hold state in 3 to 5 zones of 1 to 3 regions, of which 1 or 2 may be lost at once."""
+    """Draw 3 to 8 machines that hold state, in 3 to 5 zones of 1 to 3 regions; 1 or 2 may be lost at once."""
     rng = random.Random(f"{seed}/deployment")
     zone_count, disks, more = SIZES[rng.choice(sorted(SIZES))]
     core = zone_count * disks + more
--- a/simulation/hosted/environment.py
+++ b/simulation/hosted/environment.py
@@ -1,6 +1,6 @@
-"""What the parts of the simulated platform see of each other: the world of one day, and the two ends of a call.
+"""What the parts of the simulated platform see of each other: the state of the run, and the two ends of a call.
 
-The parts are typed by these protocols and not by each other's classes, so that no module needs the one that builds it.
+The parts are typed by these protocols and not by each other's classes, so that no module imports the one that builds it.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class Environment(Protocol):
-    """The world of one day: time, network, history, and its machines, workers and clients by address."""
+    """The state of one run: time, network, history, and the daemons and workers by address."""
 
     deployment: Deployment
     seed: int
@@ -42,35 +42,35 @@
     taker: str
 
     def exchange(self, **fields: object) -> Callable[[], None]:
-        """One exchange of somebody outside with an edge of a daemon."""
+        """Begin one exchange of a client or operator with a listener of a daemon."""
 
     def acknowledged(self) -> None:
         """A configuration was acknowledged."""
 
     def happens(self, *, moment: str) -> None:
-        """A moment that steps may wait for."""
+        """Run the steps that wait for this moment."""
 
     def wall(self) -> float:
-        """What a clock shows that is right, in s."""
+        """The true time of day, in s."""
 
     def controllers(self) -> list[Any]:
-        """The daemons that take operators' calls."""
+        """The daemons that serve the operators' API."""
 
     def directories(self) -> list[Any]:
-        """The daemons that answer who asks where to go."""
+        """The daemons that serve the directory."""
 
     def by_desk(self, *, location: str) -> Any:
-        """The controller that a redirect names."""
+        """The controller to which a redirect points."""
 
     def crash(self, **fields: Any) -> None:
-        """A worker ends."""
+        """Crash a worker."""
 
     def host(self, **fields: Any) -> Any:
-        """What a daemon is started with."""
+        """The host, with the settings that a daemon is started with."""
 
 
 class CallLine(Protocol):
-    """One call under way, as the worker at its end sees it."""
+    """One call in flight, as the worker that serves it sees it."""
 
     headers: dict[str, str]
     command: Any
@@ -81,10 +81,10 @@
     sent_at: float
 
     def leave_surplus(self, *, code: int, headers: dict, body: bytes) -> None:
-        """The worker sends a further answer, which comes only after the connection is used again."""
+        """The worker sends a surplus response, which is read only when the connection is used again."""
 
     def answer(self, *, code: int = 0, headers: dict | None = None, body: bytes = b"", fault: str = "") -> None:
-        """The worker says this, or breaks off."""
+        """The worker responds, or the call fails with `fault`."""
 
 
 class OperatorView(Protocol):
@@ -98,7 +98,7 @@
         """The controller on this machine."""
 
     def pick(self, *, avoid: Any) -> Any:
-        """Any controller but this one."""
+        """Any controller other than `avoid`."""
 
     def loses(self) -> bool:
-        """Is an acknowledgement lost now?"""
+        """Draws whether the next acknowledgement is lost."""
--- a/simulation/hosted/exchange.py
+++ b/simulation/hosted/exchange.py
@@ -1,4 +1,4 @@
-"""One exchange of somebody outside with an edge of a daemon: connecting, asking, answering and leaving."""
+"""One exchange of a client or operator with a listener of a daemon: connection, request, response and closing."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
     from simulation.hosted.process import Process
 
 CONNECT = 1.0
-"""s for a new connection, and for an answer of the directory."""
+"""Time-out in s for a new connection, and for a response of the directory."""
 BACK_WAIT = 15.0
-"""s that an answer, or an operator's order, is held behind a cut before it is lost."""
+"""s for which a response, or an operator's order, is held back by a cut before it is lost."""
 
 
 @dataclass(kw_only=True)
 class Exchange:
-    """One exchange with an edge of a daemon: a new connection, the request, its answer.
+    """One exchange with a listener of a daemon: a new connection, the request, and its response.
 
-    `done` is called once with the answer, None where the connection ended without one; `read` when the daemon has taken
-    the request; `made` with each answer as the daemon gives it, whether or not it arrives. `wait` is how long, in s, a
-    connection is tried that nobody answers.
+    `done` is called once with the response, or with None if the connection ended without one; `read` when the daemon
+    has read the request; `made` with each response as the daemon gives it, whether or not it arrives. `wait` is the
+    time-out of the connection in s.
     """
 
     world: Environment
@@ -46,7 +46,7 @@
     is_over: bool = False
 
     def begin(self) -> Callable[[], None]:
-        """Connect; gives how the client closes the connection."""
+        """Connect; returns a function by which the client closes the connection."""
         self.token = f"{self.edge} {next(self.world.numbers)}"
         clock, process = self.world.clock, self.process
         network = self.world.network
@@ -81,12 +81,12 @@
             )
 
     def _send(self) -> None:
-        # what an operator sent is still delivered long after it gave up: its connection's end comes behind it
+        # an operator's order is still delivered long after the operator gave up; the close of its connection follows it
         wait = BACK_WAIT if self.edge == "desk" else constants.LEASE_DURATION
         self.world.network.send(a=self.spot, b=self.process.machine.spot, act=self._arrive, wait=wait)
 
     def _is_void(self) -> bool:
-        # what an operator sent arrives also if it gave up meanwhile, and its connection's end right behind it
+        # an operator's order arrives even if the operator gave up meanwhile; the close of its connection follows it
         return self.is_over and self.edge != "desk"
 
     def _arrive(self) -> None:
--- a/simulation/hosted/listing.py
+++ b/simulation/hosted/listing.py
@@ -1,4 +1,4 @@
-"""The platform's list of workers: behind by its lag, in pages, bounded in calls."""
+"""The platform's endpoint list: it lags behind, is read in pages, and limits the rate of calls."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
     from simulation.hosted.workers import Worker
 
 PAGE = 12
-"""workers on a page: small, so that a pass has several."""
+"""Workers on a page: few, so that reading the whole list takes several pages."""
 CRASHED_STAYS = 4.0
-"""s that a worker which crashed is still listed."""
+"""s for which a worker that crashed is still listed."""
 
 
 @dataclass(kw_only=True)
 class SimulatedEndpointList:
-    """Owner of the list. `change` folds what a worker became, `page` gives what a caller is told."""
+    """Owner of the list. `change` records a worker's new state, `page` returns what a caller is told."""
 
     lag: float
     rate: float
@@ -28,7 +28,7 @@
     _at: float = 0.0
 
     def change(self, *, now: float, worker: Worker, state: str) -> float:
-        """`admitted`, `draining` or `gone`; gives when callers are told."""
+        """Set a worker's state: `admitted`, `draining` or `gone`; returns when callers are told of it."""
         if state == "gone":
             self.rows.pop(worker.id, None)
         else:
@@ -37,7 +37,7 @@
         return now + self.lag
 
     def page(self, *, now: float, token: str) -> tuple[int, bytes]:
-        """(code, body) of one call."""
+        """The (code, body) of the response to one call."""
         self._level, self._at = min(self.rate, self._level + self.rate * (now - self._at)), now
         if self.is_down:
             return 503, b"{}"
--- a/simulation/hosted/network.py
+++ b/simulation/hosted/network.py
@@ -1,4 +1,4 @@
-"""The platform's network: delays by zone and region, cuts that hold bytes back, order on each connection."""
+"""The simulated network: delays by zone and region, cuts that hold bytes back, and order on each connection."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from simulation.sim.clock import Clock
 
 SAME, ZONE, REGION, ABROAD, CLIENT = 0.0001, 0.0003, 0.0014, 0.055, 0.008
-"""s one way: on one machine, in a zone, between zones, between regions, and to clients on top of it."""
+"""One-way delay in s: on one machine, in a zone, between zones, between regions; and the extra delay to clients."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Spot:
-    """Where something stands; `names` are those by which cuts find it."""
+    """A place in the network; `names` are the names by which the sides of a cut select it."""
 
     name: str
     zone: str
@@ -26,9 +26,9 @@
 
 @dataclass(kw_only=True)
 class Cut:
-    """Nothing passes between the two sides from `begin` to `end`; `is_one_way`: nothing from left to right only.
+    """A partition: nothing passes between its two sides from `begin` to `end`; with `is_one_way`, only left to right.
 
-    `is_loud`: connections across it are reset at its begin, and new ones are refused at once instead of hanging.
+    With `is_loud`, connections across it are reset when it begins, and new ones are refused at once instead of hanging.
     """
 
     left: frozenset
@@ -39,15 +39,15 @@
     is_loud: bool = False
 
     def parts(self, *, a: Spot, b: Spot) -> bool:
-        """Do these two stand on its two sides?"""
+        """Are these two on different sides of the cut?"""
         return a.name != b.name and bool(
             (a.names & self.left and b.names & self.right) or (a.names & self.right and b.names & self.left)
         )
 
     def blocks(self, *, a: Spot, b: Spot, now: float) -> bool:
-        """Do bytes from `a` to `b` stay behind it?
+        """Does the cut hold back bytes from `a` to `b`?
 
-        What is never acknowledged ends a connection, so both ways end after a while.
+        A one-way cut blocks both directions after LEASE_DURATION, as data that stays unacknowledged ends a connection.
         """
         if not self.is_one_way or now > self.begin + constants.LEASE_DURATION:
             return self.parts(a=a, b=b)
@@ -56,7 +56,7 @@
 
 @dataclass(kw_only=True)
 class Network:
-    """Carries bytes. `send` lets `act` happen on the other side, later or never."""
+    """Carries bytes. `send` runs `act` on the other side after the delay, later, or never."""
 
     clock: Clock
     rng: random.Random
@@ -66,11 +66,11 @@
     _last: dict = field(default_factory=dict)
 
     def is_cut(self, *, a: Spot, b: Spot) -> bool:
-        """Do bytes from `a` to `b` meet a cut now?"""
+        """Does a cut hold back bytes from `a` to `b` now?"""
         return any(cut.blocks(a=a, b=b, now=self.clock.now) for cut in self._aggregated_health())
 
     def is_severed(self, *, a: Spot, b: Spot) -> bool:
-        """Can no new connection come up between them now?"""
+        """Is it impossible to open a new connection between them now?"""
         return any(cut.parts(a=a, b=b) for cut in self._aggregated_health())
 
     def is_refused(self, *, a: Spot, b: Spot) -> bool:
@@ -81,16 +81,16 @@
         return [cut for cut in self.cuts if cut.end == float("inf")]
 
     def delay(self, *, a: Spot, b: Spot) -> float:
-        """Seconds one way."""
+        """A one-way delay in s."""
         base = SAME if a.name == b.name else ZONE if a.zone == b.zone else REGION if a.region == b.region else ABROAD
         return self.slow * (base + CLIENT * (a.is_client or b.is_client)) * self.rng.uniform(0.95, 1.15)
 
     def send(
         self, *, a: Spot, b: Spot, act: Callable[[], None], line: object = None, wait: float = constants.LEASE_DURATION
     ) -> None:
-        """Bytes on a connection that is up. Behind a cut they are held for `wait` s, and lost if it stays longer.
+        """Send bytes on an open connection. A cut holds them back, and they are lost if it lasts longer than `wait` s.
 
-        What goes along one `line` keeps its order.
+        Bytes sent with the same `line` arrive in order.
         """
         if self.is_refused(a=a, b=b):
             return
@@ -104,13 +104,13 @@
         self.clock.at(at, act)
 
     def cut(self, *, left: frozenset, right: frozenset, is_one_way: bool = False, is_loud: bool = False) -> Cut:
-        """Let nothing pass between these."""
+        """Cut these two sides off from each other."""
         made = Cut(left=left, right=right, begin=self.clock.now, is_one_way=is_one_way, is_loud=is_loud)
         self.cuts.append(made)
         return made
 
     def heal(self, *, cut: Cut) -> None:
-        """End a cut; what is still held and meets no other goes on."""
+        """End a cut; bytes that are still held back and meet no other cut are sent on."""
         cut.end = min(cut.end, self.clock.now)
         held, self._held = self._held, []
         for until, a, b, act, line in held:
--- a/simulation/hosted/operator_call.py
+++ b/simulation/hosted/operator_call.py
@@ -1,4 +1,4 @@
-"""One call of an operator, sent to one controller after another until it has a clear answer."""
+"""One call of an operator, sent to one controller after another until it gets a definite response."""
 
 from __future__ import annotations
 
@@ -13,27 +13,28 @@
     from simulation.hosted.process import Process
 
 ENDS = (400, 409, 412, 413, 422)
-"""statuses on which an operator ends a call at once."""
+"""Statuses on which an operator ends a call at once."""
 COME_BACK = (408, 429)
-"""statuses of 4xx that ask it to come back."""
+"""Statuses of 4xx that ask for a retry."""
 ODD_ANSWERS = 3
-"""other answers of 4xx after which it ends."""
+"""Number of other 4xx responses after which the call ends."""
 MOVED, REDIRECTS = 307, 2
-"""the status that names another controller, and how often an operator follows it at once."""
+"""The status that redirects to another controller, and the number of redirects followed without a pause."""
 LARGE = 100_000
-"""bytes of a body over which it waits twice as long."""
+"""Bytes of a body above which the operator waits twice as long for a response."""
 FIRST_PAUSE, PAUSE_GROWTH, LONGEST_PAUSE = 0.1, 1.6, 1.0
-"""s before it attempts again, times what for each turn, and s at the most."""
+"""Backoff: s before the first retry, growth factor per turn, and s at most."""
 
 
 @dataclass(kw_only=True)
 class OperatorCall:
-    """What is sent, and what is done with the answer.
+    """What is sent, and what is done with the response.
 
-    `until`: when it is given up. `first`: the machine asked first; `only`: no other is asked. `pause`: s between two
-    sendings in place of the usual; `again`: s before the second, as the first acknowledgement is lost. `made` hears of
-    each answer as a controller gives it. `lost` is called for each acknowledgement that does not reach the operator,
-    `arrived` for each sending that reaches a controller before the operator has left.
+    `until`: when the call is given up. `first`: the machine asked first; `only`: no other machine is asked. `pause`: s
+    between two attempts instead of the usual backoff; `again`: s before the second attempt, as the first
+    acknowledgement is lost. `made` is called with each response as a controller gives it, `lost` for each
+    acknowledgement that does not reach the operator, `arrived` for each attempt that reaches a controller before the
+    operator has closed the connection.
     """
 
     operator: OperatorView
@@ -56,14 +57,14 @@
     moves: int = 0
 
     def begin(self) -> None:
-        """Send it to the first machine, or to any."""
+        """Send the call to the machine `first`, or to any controller."""
         self._send(process=self.operator.named(machine=self.first) or self.operator.pick(avoid=None))
 
     def _send(self, *, process: Process | None) -> None:
         _Sending(call=self, process=process).begin()
 
     def take(self, *, answer: Respond | None, process: Process | None) -> None:
-        """Judge the answer of one sending, None if none came: end, or go on to another controller."""
+        """Handle the response to one attempt, None if there was none: end the call, or retry."""
         code = answer.code if answer is not None else 0
         if code == MOVED and self.moves < REDIRECTS:
             self.moves += 1
@@ -83,11 +84,11 @@
         clock.after(after, lambda: self._send(process=process if self.only else self.operator.pick(avoid=process)))
 
     def patience(self) -> float:
-        """The s that it waits for an answer before it closes the connection."""
+        """The time in s that the operator waits for a response before it closes the connection."""
         return self.operator.patience * (2 if len(self.body) > LARGE else 1)
 
     def is_lost(self, *, answer: Respond | None) -> bool:
-        """Is this an acknowledgement that never reaches the operator?"""
+        """Is this an acknowledgement that is lost on its way to the operator?"""
         if answer is None or answer.code != 200 or self.wants_body:
             return False
         is_late = bool(self.again) and self.turn == 0
@@ -101,7 +102,7 @@
 
 @dataclass(kw_only=True)
 class _Sending:
-    """One sending on a connection of its own."""
+    """One attempt, on its own connection."""
 
     call: OperatorCall
     process: Process | None
@@ -126,7 +127,7 @@
         world.clock.after(call.patience(), self._give_up)
 
     def _note_read(self) -> None:
-        # one that comes after the operator has left is to be dropped
+        # a request read after the operator closed its connection must be dropped by the controller
         if self.call.arrived and not self.is_settled:
             self.call.arrived()
 
--- a/simulation/hosted/operators.py
+++ b/simulation/hosted/operators.py
@@ -1,4 +1,4 @@
-"""Operators of the platform's kind: configurations and evacuations with retries, and what they know of versions."""
+"""Simulated operators: they send configurations and evacuations with retries, and keep track of versions."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
     from simulation.hosted.process import Process
 
 SILENCE = 1.0
-"""s without an answer before the connection is closed and another daemon is asked."""
+"""s without a response before the operator closes the connection and asks another daemon."""
 AT_ONCE = 8
-"""orders that are under way at once at the most."""
+"""Edits that may be in flight at once."""
 ORDER_TIME = 5.0
-"""s for which an order that is no configuration is sent again."""
+"""s for which a call other than a change of the configuration is retried."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Sending:
-    """How an order is sent: to the machine `first`, with `only` to no other.
+    """How an order is sent: first to the machine `first`, with `only` to no other machine.
 
-    With `again`, its first acknowledgement is lost, and it is sent again so many s later.
+    If `again` is set, the first acknowledgement is lost, and the order is sent again `again` s later.
     """
 
     first: str = ""
@@ -40,10 +40,11 @@
 
 @dataclass(kw_only=True)
 class Version:
-    """One configuration that was sent, and what became of it: open, acked, refused or unknown.
+    """One configuration that was sent, and its outcome: open, acked, refused or unknown.
 
-    `taken` is when a controller first acknowledged it, heard or not; `ended` and `code` are those of its final answer,
-    `lost` how many acknowledgements never reached the operator.
+    `taken` is when a controller first acknowledged it, whether or not the operator received that; `ended` and `code`
+    are the time and the status of its final response; `lost` counts the acknowledgements that never reached the
+    operator.
     """
 
     number: int
@@ -75,7 +76,7 @@
 
 @dataclass(kw_only=True)
 class Operator:
-    """Owner of the orders. Each method begins one; the history shows how it ended."""
+    """Owner of the orders. Each method begins an order; the history shows how it ended."""
 
     world: Environment
     spot: Spot
@@ -95,7 +96,7 @@
         self._rng = random.Random(f"{self.world.seed}/operator")
 
     def newest(self) -> int:
-        """The newest version that was acknowledged, 0 if none."""
+        """The newest version that was acknowledged, 0 if there is none."""
         return max((version.number for version in self.versions.values() if version.outcome == "acked"), default=0)
 
     def older(self) -> int:
@@ -112,7 +113,7 @@
         spoil_body: Callable[[bytes], bytes] | None = None,
         how: Sending | None = None,
     ) -> None:
-        """Send a whole configuration as the operator now wants it; `spoil` and `spoil_body` make it invalid."""
+        """Send a whole configuration as the operator currently wants it; `spoil` and `spoil_body` make it invalid."""
         written = self._wanted(number=number)
         self._send(
             number=number,
@@ -139,7 +140,11 @@
     def patch(
         self, *, number: int, route: str, weights: dict, how: Sending | None = None, informed: bool = False
     ) -> None:
-        """Change one route by name; `informed`: on top of what was taken, acknowledged to this operator or not."""
+        """Change one route by name.
+
+        It builds on the newest version that this operator knows to be acknowledged; with `informed`, on the newest
+        that a controller acknowledged at all.
+        """
         self.weights = {**self.weights, route: weights}
         wanted = self._wanted(number=number)
         listener = next(one for one in wanted["listeners"] if any(rule["name"] == route for rule in one["ruleset"]))
@@ -152,7 +157,7 @@
             ),
             key=lambda version: version.number,
         )
-        # all that the patch does not name stays as it is in the version that it builds on
+        # whatever the patch does not name stays as it is in the version that it builds on
         written = {**copy.deepcopy(base.written), "generation": wanted["generation"]}
         for one in written["listeners"]:
             one["ruleset"] = [rule if old["name"] == route else old for old in one["ruleset"]]
@@ -163,7 +168,7 @@
         self._send(number=number, base=base.number, written=written, method="PATCH", body=body, how=how)
 
     def evacuate(self, *, zone: str, is_back: bool = False, first: str = "") -> None:
-        """Empty a zone, or take it back."""
+        """Evacuate a zone, or with `is_back` end its evacuation."""
         world, begun = self.world, self.world.clock.now
         kind = "refill" if is_back else "empty"
 
@@ -174,13 +179,13 @@
                 t=world.clock.now, k="ordered", kind=kind, zone=zone, code=code, begun=begun, arrivals=arrivals
             )
             if is_back:
-                # one of its sendings may have taken effect only now
+                # one of the attempts to send it may have taken effect only now
                 world.history.add(t=world.clock.now, k="refilling", zone=zone)
             if code == 200:
                 self.emptied = self.emptied - {zone} if is_back else self.emptied | {zone}
 
         if is_back:
-            # from the sending on nothing is promised of it any more
+            # nothing is guaranteed about the zone from the moment the order is sent
             world.history.add(t=begun, k="refilling", zone=zone)
         self._call(
             method="DELETE" if is_back else "POST",
@@ -194,7 +199,7 @@
         )
 
     def read_back(self, *, where: str = "", row: str = "read-back") -> None:
-        """Read the newest configuration; `row` is what the history calls it."""
+        """Read the newest configuration; `row` is the kind of the row in the history."""
         world, begun = self.world, self.world.clock.now
 
         def end(code: int, body: bytes = b"") -> None:
@@ -218,10 +223,10 @@
         )
 
     def edit(self, *, first: str = "", pause: float = 0.0) -> None:
-        """Read the configuration and change one route on top of it, if not too much is under way.
+        """Read the configuration and change one route on top of it, if fewer than AT_ONCE edits are in flight.
 
-        It is sent as a whole or as a patch. `pause` is how long the operator waits before it sends it again, in place
-        of the usual.
+        The change is sent as a whole configuration or as a patch. `pause` is the time in s before each retry, instead
+        of the usual backoff.
         """
         if self.under_way >= AT_ONCE:
             return
@@ -236,7 +241,7 @@
         self._read(path="/config", kind="config-read", done=take)
 
     def read_orders(self) -> None:
-        """Read which zones are emptied."""
+        """Read which zones are evacuated."""
         self._read(path="/orders", kind="orders-read", done=lambda code, body=b"": None)
 
     def _change(self, *, written: dict, first: str, pause: float) -> None:
@@ -358,16 +363,16 @@
         OperatorCall(operator=self, **fields).begin()
 
     def named(self, *, machine: str) -> Process | None:
-        """The controller of this machine, if it is listed."""
+        """The controller on this machine, if it is listed."""
         return next((row for row in self._listed() if row.machine.spot.name == machine), None)
 
     def pick(self, *, avoid: Process | None) -> Process | None:
-        """Any controller that is listed but this one."""
+        """Any listed controller other than `avoid`."""
         choice = [row for row in self._listed() if row is not avoid]
         return self.world.rng.choice(choice) if choice else None
 
     def loses(self) -> bool:
-        """Is the next acknowledgement lost?"""
+        """Draws whether the next acknowledgement is lost."""
         is_lost = self.lost_share > 0 and self._rng.random() < self.lost_share
         self.world.count["acks-lost"] += is_lost
         return is_lost
--- a/simulation/hosted/process.py
+++ b/simulation/hosted/process.py
@@ -1,6 +1,6 @@
-"""One machine, and a daemon's process on it.
+"""One machine, and the daemon processes on it.
 
-The product's owner, stepped and served as its host does on real sockets.
+Each process steps the product's owner and carries out its commands, as the host does on real sockets.
 """
 
 from __future__ import annotations
@@ -42,13 +42,13 @@
 from simulation.sim.disk import Disk
 
 RESTART = 0.4
-"""s from a process's end until it is started again: its pause and its start."""
+"""s from the end of a process until it runs again: the supervisor's pause and the start-up time."""
 CHECK_TIME = 0.02
-"""s that the check of a configuration takes beside the owner."""
+"""s that the validation of a configuration takes; it runs in parallel to the owner."""
 
 
 class Machine:
-    """A machine with its processes. Its disk outlives them unless it is wiped."""
+    """A machine with its processes. Its disk keeps its content when they end, unless it is wiped."""
 
     def __init__(self, *, world: Environment, spot: Spot, ip: str, roles: tuple) -> None:
         self.world, self.spot, self.ip = world, spot, ip
@@ -61,7 +61,7 @@
         self.processes = {role: Process(machine=self, role=role) for role in roles}
 
     def start(self) -> None:
-        """Power is there: all its processes start."""
+        """Power the machine on: all its processes start."""
         if self.is_gone:
             return
         self.is_dark = False
@@ -69,7 +69,7 @@
             process.start()
 
     def lose_power(self, *, wipe: bool = False) -> None:
-        """Dark at once; `wipe` takes the disk along."""
+        """Cut the power at once; `wipe` erases the disk as well."""
         self.is_dark = True
         for process in self.processes.values():
             process.end(is_dark=True)
@@ -79,7 +79,7 @@
 
 
 class Process:
-    """One daemon. It is up, frozen, or down; each start is a new life."""
+    """One daemon process, which is running, frozen or down. Each start is a new incarnation."""
 
     def __init__(self, *, machine: Machine, role: str) -> None:
         self.machine, self.role, self.world = machine, role, machine.world
@@ -100,15 +100,15 @@
 
     @property
     def name(self) -> str:
-        """How scenarios call it."""
+        """The name that scenarios use for it, ROLE@MACHINE."""
         return f"{self.role}@{self.machine.spot.name}"
 
     def now(self) -> float:
-        """Its steady clock."""
+        """The process's monotonic clock, in s."""
         return self.world.clock.now - self._base
 
     def start(self) -> None:
-        """Start on what the disk holds, with the settings of this moment."""
+        """Start with the records on the disk and the settings as they are now."""
         if self.owner is not None or self.machine.is_dark or self.machine.is_gone or self.is_leaving:
             return
         self.life += 1
@@ -137,13 +137,13 @@
         self._tick(life=self.life)
 
     def kill(self) -> None:
-        """The process is gone at once, and comes back after a moment."""
+        """End the process at once, as by SIGKILL; it is restarted after RESTART."""
         self.end(is_dark=False)
         self.machine.disk.kill()
         self.world.clock.after(RESTART, self.start)
 
     def stop(self) -> None:
-        """SIGTERM, and SIGKILL at the end of the grace; it comes back."""
+        """Send SIGTERM, and SIGKILL at the end of the grace period; the process is restarted afterwards."""
         life, bounds = self.life, self.world.deployment.bounds
         if self.owner is None:
             return
@@ -155,18 +155,18 @@
         )
 
     def freeze(self) -> None:
-        """It stands still; what arrives waits."""
+        """Suspend the process; what arrives meanwhile is queued."""
         if self.owner is not None and self.frozen is None:
             self.frozen = []
 
     def thaw(self) -> None:
-        """It goes on."""
+        """Resume the process and handle what was queued."""
         held, self.frozen = self.frozen or [], None
         for act in held:
             act()
 
     def end(self, *, is_dark: bool) -> None:
-        """The process ends; its connections close, or stay silent."""
+        """End the process. Its connections close; with `is_dark` (a loss of power) the peers hear nothing."""
         if self.owner is None:
             return
         self._record(k="down", stopped=self.is_stopping)
@@ -178,7 +178,7 @@
             answer(None if not is_dark else "silent")
 
     def reset(self, *, share: float) -> None:
-        """So many of its connections are reset."""
+        """Reset this share of its connections, from 0 to 1, those of callers and those to workers."""
         rng = self.world.rng
         for token, answer in list(self.waiting.items()):
             if rng.random() < share:
@@ -188,16 +188,16 @@
         self.world.calls.reset(process=self, share=share)
 
     def stall(self, *, until: float) -> None:
-        """Its disk answers nothing until then."""
+        """No sync of its disk completes before `until`."""
         self._stalled_until = until
 
     def hang_up_signal(self) -> None:
-        """SIGHUP: the settings file has changed. The proxies read the seeds again, as their host does."""
+        """SIGHUP: the settings file has changed. A proxy reloads the seeds, as its host does."""
         if self.owner is not None and self.role == "proxy":
             self.owner.control_client.seeds = self.world.host(machine=self.machine, role=self.role).location.seeds
 
     def give(self, *, event: object) -> None:
-        """Let the owner answer an event; on a slowed machine it comes late, in order."""
+        """Pass an event to the owner; on a slowed machine it is delayed, and events keep their order."""
         clock, life = self.world.clock, self.life
         if self.lag or clock.now < self._lag_end:
             self._lag_end = max(clock.now + self.machine.rng.uniform(0.2, 1.0) * self.lag, self._lag_end + 1e-6)
@@ -230,9 +230,9 @@
             self._carry_out(command=command)
 
     def ask(self, *, event: RequestReceived, answer: Callable) -> None:
-        """An exchange arrived at an edge.
+        """Take a request that arrived at one of the daemon's listeners.
 
-        `answer` gets an Answer, None when the connection closed, or "silent" when nothing comes.
+        `answer` is called with a Respond, with None when the connection closed, or with "silent" when nothing arrives.
         """
         if self.owner is None:
             answer("silent" if self.machine.is_dark else None)
@@ -249,7 +249,7 @@
         self.give(event=event if edge == "front" else self.hosted.translation.request(event))
 
     def _noted(self, *, event: RequestReceived, answer: Callable) -> Callable:
-        """An operator's exchange, written down with its answer as it leaves the controller."""
+        """For an operator's request, record it in the history together with the response that the controller sends."""
         if not event.token.startswith("desk "):
             return answer
         history, clock = self.world.history, self.world.clock
@@ -265,7 +265,7 @@
         return end
 
     def leave(self, *, token: str) -> None:
-        """A caller closed its connection."""
+        """A client closed its connection."""
         if self.waiting.pop(token, None) is not None:
             self.give(event=ClientDisconnected(token=token))
 
@@ -343,7 +343,7 @@
         self.orders.discard(command.token)
         if 200 <= command.code < 300:
             self.world.leader = self.machine.spot.name
-            # the daemon's answer leaves it before the moment comes
+            # the response leaves the daemon before the steps that wait for this moment are run
             self.world.clock.after(
                 self.world.moments.uniform(0.0, 0.004), lambda: self.world.happens(moment="answered")
             )
@@ -366,7 +366,7 @@
         )
 
     def _note_push(self, *, to: Process, body: dict) -> None:
-        """Write down what a controller hands to a proxy."""
+        """Record each push of a configuration or register from a controller to a proxy."""
         if body["kind"] != "push" or self.role != "controller" or to.role != "proxy":
             return
         self.world.history.add(
@@ -394,6 +394,6 @@
                 disk.sync(command=command)
             self.give(event=RecordsSynced(seq=command.seq))
 
-        # syncs end in order
+        # syncs complete in order
         self._sync_end = max(self._sync_end, max(clock.now, self._stalled_until) + disk.write(command=command))
         clock.at(self._sync_end, synced)
--- a/simulation/hosted/sabotage.py
+++ b/simulation/hosted/sabotage.py
@@ -1,4 +1,4 @@
-"""Safeguards taken out on purpose: a scenario must fail without the one that it tests."""
+"""Switches off safeguards on purpose: a scenario must fail without the safeguard that it tests."""
 
 from __future__ import annotations
 
@@ -212,7 +212,7 @@
         _patch(graceful_shutdown.GracefulShutdown, "begin", lambda old: lambda self, *, now: [ExitProcess(code=0)])
     ),
     "stop": _all(_patch(proxy.Proxy, "_begin_stop", _stops_at_once)),
-    # as before events were matched by type: what is not known is taken for a tick
+    # as it was before events were matched by type: an unknown event is handled as a timer tick
     "caller-left": _all(
         _patch(
             controller.Controller,
--- a/simulation/hosted/scenario.py
+++ b/simulation/hosted/scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios of the users' platform: small text files, read and run on the simulated one."""
+"""Scenarios of the users' platform: small text files that are read and run on the simulated platform."""
 
 from __future__ import annotations
 
@@ -16,30 +16,30 @@
 from simulation.scenarios import Grammar, Outcome, Scenario
 
 WARM_UP = (("start", 0.5, []), ("put", 2.0, ["1"]))
-"""What every day begins with unless its file says otherwise: (verb, s, words)."""
+"""The steps that every run begins with unless its file says otherwise: (verb, s, words)."""
 DRAWN = "drawn"
-"""The name of a fleet that is drawn by the run's seed; `drawn-N` is the one that seed N draws."""
+"""The name of a fleet that is drawn by the run's seed; `drawn-N` is the fleet that seed N draws."""
 
 
 LAST_LOOK = 1.5
-"""s before the end of a day at which operators read which zones are emptied, if they gave orders on zones."""
+"""s before the end of a run at which operators read which zones are evacuated, if they gave orders on zones."""
 GRAMMAR = Grammar(
     fleet="small", seeds=range(1, 3), comment="#!", find_fault=find_fault, safeguards=SABOTAGE, can_draw=True
 )
 
 
 def read_scenario(*, text: str) -> Scenario:
-    """The scenario in a text; a ValueError names the line and word that is wrong."""
+    """Read a scenario from text; a ValueError names the line and word that is wrong."""
     return GRAMMAR.read(text=text)
 
 
 def run_scenario(*, scenario: Scenario, seed: int, without: str = "") -> Outcome:
-    """Run once with this seed; `without` takes a safeguard out first."""
+    """Run once with this seed; `without` names a safeguard to switch off."""
     return GRAMMAR.run(scenario=scenario, seed=seed, without=without, play=_play)
 
 
 def explicit_scenario(*, scenario: Scenario, seed: int) -> Scenario:
-    """The same with the steps and the fleet that this seed draws written out."""
+    """The same scenario with the steps and the fleet that this seed draws written out."""
     if not scenario.drawn:
         return scenario
     kinds = {name: act for name, act in ALL_KINDS.items() if not scenario.kinds or name.split()[0] in scenario.kinds}
--- a/simulation/hosted/verbs.py
+++ b/simulation/hosted/verbs.py
@@ -1,4 +1,4 @@
-"""The steps of scenarios: every verb, found by its name."""
+"""The steps of scenarios: finds the method that carries out a verb by its name."""
 
 from __future__ import annotations
 
@@ -22,26 +22,26 @@
         self._chaos = Chaos(world=world, step=lambda *, verb, words: world.step(verb, words))
 
     def do_chaos(self, seconds: str) -> None:
-        """Every kind of trouble, mixed, for so long."""
+        """Every kind of trouble, mixed, for `seconds`."""
         self._chaos.deal(seconds=float(seconds))
 
     def do_closing(self) -> None:
-        """A closing fault at the very moment of an acknowledgement.
+        """A change of the configuration with a fault at the very moment of its acknowledgement.
 
-        All is back 6 s later, and is read back 24 s later.
+        All machines have power again after 6 s, and the configuration is read back after 24 s.
         """
         self._chaos.close()
 
 
 ROLES = ("proxy", "controller", "all")
-"""The processes that a step can name."""
+"""The roles of processes that a step can name."""
 PROCESS_VERBS = ("kill", "stop", "freeze")
-"""The steps whose first word names a process."""
+"""The verbs whose first word names a process."""
 PARTS = (MachineVerbs, LinkVerbs, WorkerVerbs, PeopleVerbs, ChaosVerbs)
 
 
 class Verbs:
-    """All verbs over one world. `do` carries out a step."""
+    """All verbs of one run. `do` carries out a step."""
 
     def __init__(self, *, world: World) -> None:
         self._parts = [part(world=world) for part in PARTS]
@@ -59,7 +59,7 @@
 
 
 def find_fault(*, verb: str, words: list[str]) -> str:
-    """What is wrong with a step as it is written; empty if nothing is."""
+    """What is wrong with a step as it is written, "" if nothing is."""
     method = next((getattr(part, name_of(verb=verb)) for part in PARTS if hasattr(part, name_of(verb=verb))), None)
     if method is None:
         return f"unknown verb {verb!r}"
--- a/simulation/hosted/workers.py
+++ b/simulation/hosted/workers.py
@@ -1,6 +1,6 @@
-"""Workers of the platform's kind.
+"""Simulated workers of the users' platform.
 
-Slots and a queue, keys by grants, cold and leaving, and every way of not answering.
+They have slots and a queue, hold keys by grants, go through slow start, drain, and can fail to answer in every way.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 from simulation.hosted.network import Spot
 
 SLOW_CLOCK = 1.02
-"""times a hold by a clock that runs 2% slow."""
+"""Factor by which a hold lasts longer on a worker whose clock runs 2% slow."""
 YOUNG, YOUNG_TIMES = 2.0, 1.6
-"""s after a start in which work takes so many times as long."""
+"""s after a start in which work takes longer, and the factor by which it does."""
 FALLS = 2.5
-"""times the bound of a cold worker at which it falls over."""
+"""Multiple of the slow-start bound on requests/s at which a worker in slow start crashes from overload."""
 
 
 @dataclass(kw_only=True)
 class Hold:
-    """Keys that a worker holds until a moment of its own clock."""
+    """A range of keys that a worker holds until a time on its own clock."""
 
     start: int
     end: int
@@ -36,7 +36,7 @@
 
 @dataclass(kw_only=True, eq=False)
 class Worker:
-    """One life of a worker. `arrive` takes a call whose bytes are there."""
+    """One incarnation of a worker. `arrive` takes a call whose bytes have arrived."""
 
     world: Environment
     id: str
@@ -69,7 +69,7 @@
         self.ailments = Ailments(rng=self.rng)
 
     def arrive(self, *, line: CallLine) -> None:
-        """The bytes of a call have come."""
+        """Handle a call whose bytes have arrived."""
         if self.is_silent:
             return
         if not self.is_up:
@@ -89,7 +89,7 @@
             self._take_request(line=line, headers=headers, is_meant=expect == self.id)
 
     def end(self) -> None:
-        """The process is gone."""
+        """End the process; all calls running and queued on it fail."""
         if not self.is_up:
             return
         self.is_up = False
@@ -102,12 +102,12 @@
         self.line.clear()
 
     def holds_key(self, *, key: int) -> Hold | None:
-        """The hold of a key, if it runs."""
+        """The hold on this key that has not expired, if any."""
         now = self.world.clock.now
         return next((hold for hold in self.holds if hold.start <= key <= hold.end and now < hold.until), None)
 
     def closed(self, *, line: CallLine) -> None:
-        """The connection of a call was closed: what waits is dropped, what runs is stopped."""
+        """The connection of a call was closed: a queued request is dropped, a running one is stopped."""
         if line in self.line:
             self.line.remove(line)
         if line in self.running:
@@ -252,7 +252,7 @@
             self._repeat(line=line, code=code, headers=headers, body=body)
 
     def _repeat(self, *, line: CallLine, code: int, headers: dict, body: bytes) -> None:
-        """Send a further answer: the same once more, or a refusal that names no request."""
+        """Send a surplus response: the same one again, or a refusal that names no request."""
         if self.rng.random() < 0.5:
             line.leave_surplus(code=code, headers=headers, body=body)
         else:
@@ -335,5 +335,5 @@
             )
 
     def note_end(self) -> None:
-        """The day is over: write down what is still held."""
+        """At the end of the run, record the keys that are still held."""
         self._note_holds()
--- a/simulation/hosted/world.py
+++ b/simulation/hosted/world.py
@@ -1,4 +1,4 @@
-"""The simulated platform: machines, workers, list, clients and operator, put together on one virtual clock."""
+"""The simulated platform: machines, workers, endpoint list, clients and operator on one virtual clock."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class World:
-    """All of one day."""
+    """The state of one simulated run."""
 
     def __init__(self, *, deployment: Deployment, seed: int, end: float) -> None:
         self.deployment, self.seed = deployment, seed
@@ -88,7 +88,7 @@
         ]
 
     def add_machine(self, *, name: str, zone: str, has_disk: bool) -> Machine:
-        """A machine with its roles; it has no power yet."""
+        """Add a machine with its processes; it is not started yet."""
         at = len(self.machines) + 1
         kind = "core" if has_disk else "plain"
         zones = self.deployment.zones
@@ -105,18 +105,18 @@
         return machine
 
     def start(self) -> None:
-        """The whole system starts for the first time, on empty disks."""
+        """Start the whole system for the first time, with empty disks."""
         for machine in self.machines.values():
             machine.is_first = True
             machine.start()
             machine.is_first = False
 
     def set_seeds(self, *, machines: list[Machine]) -> None:
-        """What the settings name as seeds from now on: the first three."""
+        """Set the seeds that the settings name from now on: the first three of these machines."""
         self.seeds = [f"{machine.ip}:{DESK}" for machine in machines][:3]
 
     def host(self, *, machine: Machine, role: str) -> object:
-        """What the adapter makes of a machine's settings of this moment."""
+        """The host that the adapter builds from a machine's current settings."""
         ip, bounds = machine.ip, self.deployment.bounds
         listen = {
             "front": f"{ip}:{FRONT}",
@@ -146,7 +146,7 @@
         return HOSTING.hosted_daemon_of(settings=_checked(given=given), role=role)
 
     def add_worker(self, *, service: str, zone: str, address: str = "", is_cold: bool = False) -> Worker:
-        """Start a worker and list it."""
+        """Start a worker and add it to the endpoint list."""
         served = next(one for one in self.deployment.services if one.name == service)
         name = f"i-{next(self._ids):03d}"
         address = address or f"10.128.0.{next(self._addresses)}:8080"
@@ -181,14 +181,14 @@
         return worker
 
     def crash(self, *, worker: Worker, is_silent: bool) -> None:
-        """A worker ends without a word; `is_silent` leaves its address without an answer."""
+        """Crash a worker without notice; with `is_silent` its address doesn't answer at all afterwards."""
         worker.is_silent = is_silent
         worker.end()
         self.clock.after(CRASHED_STAYS, lambda: self.listing.change(now=self.clock.now, worker=worker, state="gone"))
         self.history.add(t=self.clock.now, k="crashed", worker=worker.id)
 
     def restart(self, *, worker: Worker, seconds: float, is_silent: bool) -> None:
-        """A worker ends without a word; a new life of it comes at its address after so many s, cold."""
+        """Crash a worker without notice; after `seconds` a new incarnation starts at its address, in slow start."""
         self.crash(worker=worker, is_silent=is_silent)
 
         def come() -> None:
@@ -198,7 +198,7 @@
         self.clock.after(seconds, come)
 
     def drain(self, *, worker: Worker, then: Callable[[], None] | None = None, notice: float | None = None) -> None:
-        """A worker announces that it leaves, serves on for the announced time or a shorter `notice`, and ends."""
+        """Drain a worker: it goes on serving for the announced time, or for a shorter `notice`, and then ends."""
         worker.is_draining = True
         shown = self.listing.change(now=self.clock.now, worker=worker, state="draining")
         self.history.add(t=self.clock.now, k="draining", worker=worker.id, shown=shown)
@@ -216,14 +216,14 @@
         self.clock.after(serves if notice is None else notice, end)
 
     def begin_slow_start(self, *, worker: Worker) -> None:
-        """A worker goes cold; its health answers say so."""
+        """Put a worker back into slow start; its health responses report it."""
         served = next(service for service in self.deployment.services if service.name == worker.service)
         worker.slow_start_until = self.clock.now + served.slow_start
         if worker.spot.zone not in self.operator.emptied:
             self.history.add(t=self.clock.now, k="chilled", worker=worker.id)
 
     def load(self, *, until: float, times: float = 1.0, kinds: tuple | None = None, key: int = -1) -> None:
-        """Clients send at the deployment's rates until then."""
+        """Clients send requests until `until` at `times` the deployment's rates, of all kinds or of some."""
         for kind in kinds or self.deployment.kinds:
             self._load(kind=kind, until=until, times=times, key=key)
 
@@ -237,21 +237,21 @@
         self.clock.after(self.rng.expovariate(kind.rate * times), go)
 
     def exchange(self, **fields: object) -> Callable[[], None]:
-        """One exchange of somebody outside with an edge of a daemon."""
+        """Begin one exchange of a client or operator with a listener of a daemon; returns how to close it."""
         return Exchange(world=self, **fields).begin()
 
     def directories(self) -> list[Process]:
-        """The daemons that answer who asks where to go, as told to clients from outside."""
+        """The daemons that serve the directory, as clients know them."""
         return [machine.processes["proxy"] for machine in self.machines.values() if not machine.is_gone]
 
     def controllers(self) -> list[Process]:
-        """The daemons that take operators' calls."""
+        """The daemons that serve the operators' API."""
         return [
             machine.processes["controller"] for machine in self.machines.values() if "controller" in machine.processes
         ]
 
     def by_desk(self, *, location: str) -> Process | None:
-        """The controller that a redirect names."""
+        """The controller to which a redirect points."""
         return next(
             (
                 controller
@@ -262,22 +262,22 @@
         )
 
     def acknowledged(self) -> None:
-        """A configuration was acknowledged: what waits for that happens."""
+        """A configuration was acknowledged: run the steps that wait for it."""
         waiting, self.on_ack = self.on_ack, []
         for act in waiting:
             act()
 
     def happens(self, *, moment: str) -> None:
-        """A moment that steps may wait for: `answered`, `sent` or `taken`."""
+        """Run the steps that wait for this moment: `answered`, `sent` or `taken`."""
         waiting = self.waiting_for.pop(moment, [])
         for due, act in waiting:
             if self.clock.now <= due:
                 act()
 
     def trouble(self, *, names: set, seconds: float = 0.0, core: bool = False, planned: bool = False) -> dict:
-        """Write down that machines are in trouble from now on, for so long.
+        """Record that these machines are in trouble from now on, for `seconds`.
 
-        Gives the row, whose `until` may be set later.
+        Returns the record, whose `until` may be set later.
         """
         row = {
             "t": self.clock.now,
@@ -290,11 +290,11 @@
         return row
 
     def wall(self) -> float:
-        """What a clock shows that is right."""
+        """The true time of day, in s."""
         return 1.8e9 + self.clock.now
 
     def close(self) -> None:
-        """The day is over."""
+        """End the run: the workers record the keys that they still hold."""
         for worker in self.workers.values():
             worker.note_end()
 
