--- a/simulation/hosted/environment.py
+++ b/simulation/hosted/environment.py
@@ -1,6 +1,7 @@
 """What the parts of the simulated platform see of each other: the state of the run, and the two ends of a call.
 
-The parts are typed by these protocols and not by each other's classes, so that no module imports the one that builds it.
+The parts are typed by these protocols and not by each other's classes, so that no module imports the one that builds
+it.
 """
 
 from __future__ import annotations
--- a/simulation/hosted/link_verbs.py
+++ b/simulation/hosted/link_verbs.py
@@ -1,4 +1,4 @@
-"""Steps of scenarios on links: cuts of every kind."""
+"""Steps of scenarios on the network: cuts of every kind."""
 
 from __future__ import annotations
 
@@ -11,30 +11,32 @@
     from simulation.hosted.world import World
 
 LOUD = ("reset", "refuse")
-"""Ways of a cut that is noticed at once."""
+"""Options of a cut that resets or refuses connections, so that it is noticed at once."""
 
 
 class LinkVerbs:
-    """A SIDE is names of machines, zones, regions, kinds, `leader`, `seed`, workers (SERVICE@ZONE), joined by +.
+    """Steps on the network.
 
-    Clients stand in zones too; `in:ZONE` and `out:ZONE` are the machines and workers there and elsewhere, without them.
+    A side is the names of machines, zones, regions, kinds, `leader`, `seed`, or workers (SERVICE@ZONE), joined by +.
+    A zone includes its clients; `in:ZONE` and `out:ZONE` are the machines and workers there and elsewhere, without
+    clients.
     """
 
     def __init__(self, *, world: World) -> None:
         self._world = world
 
     def do_cut(self, left: str, right: str, seconds: str, *how: str) -> None:
-        """Nothing passes between two sides for some seconds; `one_way`: nothing from left to right.
+        """Let nothing pass between two sides for some seconds; `one_way`: nothing from left to right.
 
-        Silent unless `reset` or `refuse` is said.
+        Packets are dropped silently unless `reset` or `refuse` is given.
         """
         self._cut(left=left, right=right, seconds=seconds, how=how)
 
     def do_cut_core(self, machine: str, seconds: str, *how: str) -> None:
-        """Machines are cut off from the others that hold state; `in`: nothing gets in, `out`: nothing gets out.
+        """Cut machines off from the others that hold state; `in`: nothing gets in, `out`: nothing gets out.
 
-        `seeds`: new seeds begin with them, and some other machines are restarted. `both`: they are restarted during
-        the cut, then the others that hold state.
+        `seeds`: these machines become the first seeds, and some proxies on machines without state are restarted.
+        `both`: during the cut these machines are restarted, then the others that hold state.
         """
         world = self._world
         names = sorted(choose_spots(world=world, word=machine))
@@ -59,13 +61,13 @@
             world.clock.after(2 * part, lambda: world.step("kill", (f"all@{others}",)))
 
     def do_cut_zone(self, zone: str, seconds: str, *how: str) -> None:
-        """A zone is cut off from the others, or with `in` or `out` in one direction; clients still reach it."""
+        """Cut a zone off from the others, with `in` or `out` in one direction only; clients still reach it."""
         left, right = (f"out:{zone}", f"in:{zone}") if "in" in how else (f"in:{zone}", f"out:{zone}")
         one_way = ("one_way",) if {"in", "out"} & set(how) else ()
         self._cut(left=left, right=right, seconds=seconds, how=(*how, *one_way))
 
     def do_cut_path(self, zone: str, to_zone: str, seconds: str) -> None:
-        """Nothing passes from one zone to another; clients still reach both."""
+        """Let nothing pass from one zone to another; clients still reach both."""
         self._cut(left=f"in:{zone}", right=f"in:{to_zone}", seconds=seconds, how=("one_way",))
 
     def _cut(self, *, left: str, right: str, seconds: str, how: tuple) -> Cut:
--- a/simulation/hosted/machine_verbs.py
+++ b/simulation/hosted/machine_verbs.py
@@ -12,42 +12,42 @@
     from simulation.hosted.world import World
 
 ALL_BACK = 1.5
-"""s within which the machines and workers of a zone are back once it has power."""
+"""s within which the machines and workers of a zone are back after its power returns."""
 SLOW_EVENT = 0.002
-"""s that an event waits on a slowed machine, at most, for each time that it is slower."""
+"""Maximum delay in s of an event on a slowed machine, per unit of the slowdown factor."""
 STALL = 1e6
-"""times that a sync takes on a disk that answers nothing: what waits then ends with the stall."""
+"""Factor on the duration of a sync while a disk is stalled; pending syncs complete when the stall ends."""
 
 
 class MachineVerbs:
-    """Processes and machines.
+    """Steps on processes and machines.
 
     A PROCESS is ROLE@MACHINE; a MACHINE is a name, zone, region, kind, `all`, `leader`, `reader`, `taker` or `seed`, or
-    some of these joined by +.
+    several of these joined by +.
     """
 
     def __init__(self, *, world: World) -> None:
         self._world = world
 
     def do_start(self) -> None:
-        """The whole system starts for the first time."""
+        """Start the whole system for the first time."""
         self._world.start()
 
     def do_kill(self, process: str) -> None:
-        """Processes are killed; they come back after a moment."""
+        """Kill processes; they are restarted after RESTART."""
         for one in self._processes(process):
             self._record(machine=one.machine, seconds=RESTART + 0.1)
             one.kill()
 
     def do_stop(self, process: str) -> None:
-        """SIGTERM."""
+        """Stop processes by SIGTERM; they are restarted."""
         for one in self._processes(process):
             grace = self._world.deployment.bounds["grace_s"]
             self._record(machine=one.machine, seconds=grace + RESTART, planned=True)
             one.stop()
 
     def do_remove(self, machine: str) -> None:
-        """SIGTERM to all of a machine, which is gone for good at the end of the grace."""
+        """Send SIGTERM to all processes of a machine, which is gone for good at the end of the grace period."""
         world = self._world
         grace = world.deployment.bounds["grace_s"]
         for one in self._machines(machine):
@@ -59,14 +59,14 @@
             world.clock.after(grace + 0.05, lambda one=one: self._bury(machine=one))
 
     def do_freeze(self, process: str, seconds: str) -> None:
-        """Processes stand still for some seconds."""
+        """Suspend processes for some seconds."""
         for one in self._processes(process):
             self._record(machine=one.machine, seconds=float(seconds) + 0.1)
             one.freeze()
             self._world.clock.after(float(seconds), one.thaw)
 
     def do_slow_node(self, machine: str, times: str, seconds: str) -> None:
-        """Machines run so many times slower."""
+        """Slow machines down by the factor `times` for some seconds."""
         for one in self._machines(machine):
             self._record(machine=one, seconds=float(seconds))
             for process in one.processes.values():
@@ -74,20 +74,20 @@
                 self._world.clock.after(float(seconds), lambda process=process: setattr(process, "lag", 0.0))
 
     def do_dark(self, machine: str, *how: str) -> None:
-        """Machines lose power; `wipe` takes their disks along. They stay dark until `light`."""
+        """Cut the power of machines until `light`; `wipe` erases their disks as well."""
         for one in self._machines(machine):
             self._record(machine=one, seconds=float("inf"))
             one.lose_power(wipe="wipe" in how)
 
     def do_outage(self, machine: str, seconds: str, *how: str) -> None:
-        """Machines lose power for so long, each by itself; `wipe` takes their disks along."""
+        """Cut the power of machines for some seconds, each one separately; `wipe` erases their disks as well."""
         for one in self._machines(machine):
             row = self._record(machine=one, seconds=float("inf"))
             one.lose_power(wipe="wipe" in how)
             self._world.clock.after(float(seconds), lambda one=one, row=row: self._power(machine=one, row=row))
 
     def do_light(self, machine: str) -> None:
-        """Machines have power again."""
+        """Restore the power of machines."""
         for one in self._machines(machine):
             if one.is_dark:
                 for row in self._world.troubles:
@@ -97,7 +97,7 @@
         self._world.history.add(t=self._world.clock.now, k="back")
 
     def do_zone_loss(self, zone: str, seconds: str) -> None:
-        """A zone is without power; its machines and workers come back within a moment of it."""
+        """Cut the power of a zone for some seconds; its machines and workers are back within ALL_BACK afterwards."""
         world = self._world
         for worker in list(world.workers.values()):
             if zone in worker.spot.names and worker.is_up:
@@ -110,9 +110,9 @@
             world.clock.after(back, lambda machine=machine, row=row: self._power(machine=machine, row=row))
 
     def do_replace(self, machine: str, after: str = "1", *how: str) -> None:
-        """A machine is gone for good; another with its roles, a new address and an empty disk comes so many s later.
+        """Remove a machine for good; `after` s later another with its roles, a new address and an empty disk starts.
 
-        `planned`: the new one comes first, and the old one gets SIGTERM so many s after its start.
+        `planned`: the new machine starts first, and the old one gets SIGTERM `after` s later.
         """
         world = self._world
         for old in self._machines(machine):
@@ -126,7 +126,7 @@
                 self._add(old=old, delay=delay)
 
     def do_seeds(self, *machines: str) -> None:
-        """The settings name other seeds, these first; `hup` or a start makes daemons read them."""
+        """Change the seeds in the settings, these machines first; daemons read them at `hup` or at their next start."""
         world = self._world
         chosen = [one for word in machines for one in self._machines(word) if "controller" in one.processes]
         rest = [
@@ -138,35 +138,35 @@
         world.set_seeds(machines=[*chosen, *rest])
 
     def do_hup(self, machine: str) -> None:
-        """SIGHUP: the settings file has changed."""
+        """Send SIGHUP: the settings file has changed."""
         for one in self._machines(machine):
             self._world.count["hups"] += 1
             for process in one.processes.values():
                 process.hang_up_signal()
 
     def do_reset_conns(self, machine: str, share: str) -> None:
-        """A share of the machines' connections to workers is reset, kept ones and those of calls under way."""
+        """Reset a share of the machines' connections to workers, both pooled ones and those of calls in flight."""
         for one in self._machines(machine):
             self._record(machine=one, seconds=0.0)
             for process in one.processes.values():
                 self._world.calls.reset(process=process, share=float(share))
 
     def do_reset_connections(self, machine: str, share: str) -> None:
-        """So many of the connections of machines are reset, those of callers too."""
+        """Reset a share of the machines' connections, those of callers too."""
         for one in self._machines(machine):
             self._record(machine=one, seconds=0.0)
             for process in one.processes.values():
                 process.reset(share=float(share))
 
     def do_fill(self, machine: str, seconds: str) -> None:
-        """Disks are full for some seconds."""
+        """Fill disks for some seconds."""
         for one in self._machines(machine):
             self._record(machine=one, seconds=float(seconds))
             one.disk.is_full = True
             self._world.clock.after(float(seconds), lambda one=one: setattr(one.disk, "is_full", False))
 
     def do_slow_disk(self, machine: str, times: str, seconds: str = "") -> None:
-        """Syncs take so many times as long, for some seconds or from now on."""
+        """Slow down syncs by the factor `times`, for some seconds or from now on."""
         for one in self._machines(machine):
             one.disk.slow = float(times)
             if seconds:
@@ -174,14 +174,14 @@
                 self._world.clock.after(float(seconds), lambda one=one: setattr(one.disk, "slow", 1.0))
 
     def do_stall_disk(self, machine: str, seconds: str) -> None:
-        """Disks answer nothing for some seconds; what was written then is synced at the end."""
+        """Stall disks for some seconds; what is written meanwhile is synced at the end."""
         for one in self._machines(machine):
             self._record(machine=one, seconds=float(seconds))
             for process in one.processes.values():
                 process.stall(until=self._world.clock.now + float(seconds))
 
     def do_clock_step(self, machine: str, seconds: str, back_after: str = "") -> None:
-        """The time of day jumps on machines, and back after some seconds."""
+        """Step the time of day on machines, and back after some seconds if `back_after` is given."""
         for one in self._machines(machine):
             self._record(machine=one, seconds=0.0)
             one.skew += float(seconds)
@@ -192,23 +192,24 @@
                 )
 
     def do_mark(self, *kind: str) -> None:
-        """A kind of trouble begins: the history says so."""
+        """Record in the history that a kind of trouble begins."""
         self._world.history.add(t=self._world.clock.now, k="chaos", kind=" ".join(kind))
 
     def do_list_down(self, seconds: str) -> None:
-        """The platform's list answers 503 for some seconds."""
+        """Let the endpoint list answer 503 for some seconds."""
         self._world.listing.is_down = True
         self._world.history.add(t=self._world.clock.now, k="list-down", until=self._world.clock.now + float(seconds))
         self._world.clock.after(float(seconds), lambda: setattr(self._world.listing, "is_down", False))
 
     def do_on_ack(self, verb: str, *words: str) -> None:
-        """Do a step at the very moment of the next acknowledgement."""
+        """Carry out a step at the very moment of the next acknowledgement of a configuration."""
         self._world.on_ack.append(lambda: self._world.step(verb, words))
 
     def do_upon(self, moment: str, within: str, verb: str, *words: str) -> None:
-        """Do a step at a moment that comes within so many s.
+        """Carry out a step at the next such moment, if it comes within `within` s.
 
-        When a change is `answered` (0 to 4 ms after) or was `sent` (5 to 400 ms after), or a client's work is `taken`.
+        The moments: a change is `answered` (0 to 4 ms after), a change was `sent` (5 to 400 ms after), or a proxy has
+        `taken` a client's request.
         """
         world = self._world
 
--- a/simulation/hosted/people_verbs.py
+++ b/simulation/hosted/people_verbs.py
@@ -14,41 +14,41 @@
 
 
 class PeopleVerbs:
-    """Clients and operators."""
+    """Steps by clients and operators."""
 
     def __init__(self, *, world: World) -> None:
         self._world = world
 
     def do_load(self, seconds: str, times: str = "1", *kinds: str) -> None:
-        """Clients send at the deployment's rates, or so many times as much, of all kinds or some."""
+        """Clients send requests at `times` the deployment's rates, of all kinds or some."""
         chosen = tuple(kind for kind in self._world.deployment.kinds if not kinds or kind.name in kinds)
         self._world.load(until=self._world.clock.now + float(seconds), times=float(times), kinds=chosen)
 
     def do_hot_key(self, seconds: str, times: str, key: str) -> None:
-        """One key of the divided services gets much of the traffic."""
+        """Clients send further requests for a single key of the sharded services."""
         divided = {service.name for service in self._world.deployment.services if service.is_sharded}
         chosen = tuple(kind for kind in self._world.deployment.kinds if kind.service in divided)
         self._world.load(until=self._world.clock.now + float(seconds), times=float(times), kinds=chosen, key=int(key))
 
     def do_eager(self, share: str, seconds: str = "") -> None:
-        """So many of the clients retry at once, and often."""
+        """A share of the clients retry immediately and more often than the others."""
         for at, client in enumerate(self._world.clients):
             client.is_eager = at < float(share) * len(self._world.clients)
         if seconds:
             self._world.clock.after(float(seconds), lambda: self.do_eager("0"))
 
     def do_give_up(self, share: str, within: str, seconds: str) -> None:
-        """For some seconds such a share of the clients leave within so many s of each try, and don't come back."""
+        """For some seconds, a share of the clients close each attempt within `within` s and don't retry."""
         leaving = self._world.clients[: round(float(share) * len(self._world.clients))]
         for client in leaving:
             client.leaves_within = float(within)
             self._world.clock.after(float(seconds), lambda client=client: setattr(client, "leaves_within", 0.0))
 
     def do_put(self, number: str, *words: str) -> None:
-        """`put NUMBER [base=N] [at=MACHINE] [only] [again=S]`: the whole configuration.
+        """`put NUMBER [base=N] [at=MACHINE] [only] [again=S]`: send the whole configuration.
 
-        `only`: to this machine until it answers; `again`: the first acknowledgement is lost, and it is sent again
-        S s later.
+        `only`: send it to this machine alone until it responds; `again`: the first acknowledgement is lost, and the
+        configuration is sent again S s later.
         """
         given = _given(words=words)
         self._world.operator.put(
@@ -58,7 +58,7 @@
         )
 
     def do_patch(self, number: str, route: str, *words: str) -> None:
-        """`patch NUMBER ROUTE SERVICE=WEIGHT ... [at=MACHINE] [only] [again=S]`: one route."""
+        """`patch NUMBER ROUTE SERVICE=WEIGHT ... [at=MACHINE] [only] [again=S]`: change one route."""
         given = _given(words=words)
         how = self._how(given=given, words=words)
         given = {name: weight for name, weight in given.items() if name not in ("at", "again")}
@@ -70,18 +70,18 @@
         )
 
     def do_deadline(self, route: str, seconds: str) -> None:
-        """The next whole configuration holds requests of a route at most so long."""
+        """Set the deadline of a route in the next whole configuration."""
         self._world.operator.deadlines = {**self._world.operator.deadlines, route: float(seconds)}
 
     def do_idle(self, seconds: str) -> None:
-        """The next whole configuration lets connections rest so long."""
+        """Set the idle time-out of connections in the next whole configuration."""
         self._world.operator.idle = float(seconds)
 
     def do_storm(self, number: str, count: str, gap: str) -> None:
-        """So many changes under the next numbers, one at least every so many s, each once the one before has ended.
+        """Send `count` changes with consecutive numbers, one every `gap` s, or later if the one before hasn't ended.
 
-        They are another operator's, who reads the configuration first: it builds on what was taken, too, where its
-        acknowledgement was lost.
+        They come from another operator, who reads the configuration first: each change builds on the newest version
+        that was acknowledged, even if that acknowledgement was lost.
         """
         world, operator = self._world, self._world.operator
 
@@ -99,7 +99,7 @@
         go(0)
 
     def do_lose_acks(self, share: str, seconds: str = "") -> None:
-        """Such a share of the acknowledgements to the operator is lost, for some seconds or from now on."""
+        """Lose a share of the acknowledgements to the operator, for some seconds or from now on."""
         world = self._world
         world.operator.lost_share = float(share)
         if seconds:
@@ -107,14 +107,14 @@
             world.clock.after(float(seconds), lambda: setattr(world.operator, "lost_share", 0.0))
 
     def do_impatient(self, wait: str, seconds: str) -> None:
-        """For some seconds the operator closes its connection after waiting so long, and sends to another."""
+        """For some seconds, the operator waits only `wait` s for a response before it asks another controller."""
         world = self._world
         world.operator.patience = float(wait)
         world.trouble(names={"operator"}, seconds=float(seconds))
         world.clock.after(float(seconds), lambda: setattr(world.operator, "patience", SILENCE))
 
     def do_shift(self, zone: str, to_zone: str, share: str, seconds: str) -> None:
-        """A share of a zone's clients move to another zone, and back."""
+        """Move a share of a zone's clients to another zone, and back after some seconds."""
         world = self._world
         there = next(one.spot for one in world.clients if one.spot.zone == to_zone)
         movers = [client for client in world.clients if client.spot.zone == zone]
@@ -127,26 +127,26 @@
             world.clock.after(float(seconds), lambda mover=mover, home=home: setattr(mover, "spot", home))
 
     def do_read_config(self, at: str = "") -> None:
-        """The operator reads the newest configuration in the middle of a day."""
+        """The operator reads the newest configuration in the middle of a run."""
         self._world.operator.read_back(where=at, row="read-config")
 
     def do_drop(self, route: str) -> None:
-        """The next whole configuration lacks this route."""
+        """Omit this route from the next whole configuration."""
         self._world.operator.dropped += (route,)
 
     def do_split(self, route: str, *words: str) -> None:
-        """The next whole configuration splits a route so."""
+        """Split a route by these weights in the next whole configuration."""
         self._world.operator.weights = {
             **self._world.operator.weights,
             route: {name: float(weight) for name, weight in _given(words=words).items()},
         }
 
     def do_grow(self, routes: str) -> None:
-        """The next whole configuration has so many further routes."""
+        """Add this many further routes to the next whole configuration."""
         self._world.operator.added = int(routes)
 
     def do_put_invalid(self, number: str, way: str) -> None:
-        """An invalid configuration (the ways of bad_configs.py), or with `stale` a sound one on an older version."""
+        """Send an invalid configuration (see bad_configs.py), or with `stale` a valid one on an older version."""
         operator = self._world.operator
         if way == "stale":
             operator.put(number=int(number), base=operator.older())
@@ -155,24 +155,24 @@
         operator.put(number=int(number), spoil=SPOILS.get(way), spoil_body=SPOILT_BODIES.get(way))
 
     def do_evacuate(self, zone: str, *words: str) -> None:
-        """`evacuate ZONE [at=MACHINE]`: empty a zone."""
+        """`evacuate ZONE [at=MACHINE]`: evacuate a zone."""
         self._world.operator.evacuate(zone=zone, first=_given(words=words).get("at", ""))
 
     def do_take_back(self, zone: str, *words: str) -> None:
-        """`take-back ZONE [at=MACHINE]`: take a zone back."""
+        """`take-back ZONE [at=MACHINE]`: end the evacuation of a zone."""
         self._world.operator.evacuate(zone=zone, is_back=True, first=_given(words=words).get("at", ""))
 
     def do_edit(self, *words: str) -> None:
-        """`edit [at=MACHINE] [pause=S]`: read the configuration and change a route; `pause` till it is sent again."""
+        """`edit [at=MACHINE] [pause=S]`: read the configuration and change a route; `pause`: s before each retry."""
         given = _given(words=words)
         self._world.operator.edit(first=given.get("at", ""), pause=float(given.get("pause", 0)))
 
     def do_read_orders(self) -> None:
-        """The operator reads which zones are emptied."""
+        """The operator reads which zones are evacuated."""
         self._world.operator.read_orders()
 
     def do_hang_up(self, seconds: str) -> None:
-        """From now on the operator closes its connection after so long without an answer, and asks another daemon."""
+        """From now on, the operator waits only some seconds for a response before it asks another controller."""
         self._world.operator.patience = float(seconds)
 
     def do_read_back(self, at: str = "") -> None:
--- a/simulation/hosted/worker_verbs.py
+++ b/simulation/hosted/worker_verbs.py
@@ -1,4 +1,4 @@
-"""Steps of scenarios on workers: crashes, leaving, replacement, reuse of addresses, and what may be wrong with one."""
+"""Steps of scenarios on workers: crashes, draining, replacement, reuse of addresses, and every kind of misbehaviour."""
 
 from __future__ import annotations
 
@@ -13,30 +13,30 @@
 
 
 class WorkerVerbs:
-    """Workers. A WORKER is SERVICE@ZONE (its first there), SERVICE@all, or SERVICE@ZONE#2 (the second)."""
+    """Steps on workers. A WORKER is SERVICE@ZONE (the first there), SERVICE@all, or SERVICE@ZONE#2 (the second)."""
 
     def __init__(self, *, world: World) -> None:
         self._world = world
 
     def do_crash(self, worker: str, *how: str) -> None:
-        """Workers end without a word; `silent` leaves their addresses without an answer."""
+        """Crash workers without notice; with `silent` their addresses don't answer at all afterwards."""
         for one in self._workers(worker):
             self._world.crash(worker=one, is_silent="silent" in how)
 
     def do_drain(self, worker: str) -> None:
-        """Workers announce that they leave."""
+        """Drain workers, which end afterwards."""
         for one in self._workers(worker):
             self._world.drain(worker=one)
 
     def do_release(self, service: str, pause: str) -> None:
-        """The workers of a service are replaced one after the other: a new one first, then the old one drains."""
+        """Replace the workers of a service one after the other: each time a new one starts, then the old one drains."""
         world = self._world
         for at, old in enumerate(self._workers(f"{service}@all")):
             world.clock.after(at * float(pause), lambda old=old: world.add_worker(service=service, zone=old.spot.zone))
             world.clock.after(at * float(pause) + 0.5, lambda old=old: world.drain(worker=old))
 
     def do_reuse(self, worker: str, service: str) -> None:
-        """A worker leaves, and its address goes to a worker of another service."""
+        """Drain a worker, whose address then goes to a worker of another service."""
         world = self._world
         for old in self._workers(worker):
 
@@ -49,7 +49,10 @@
             world.drain(worker=old, then=come)
 
     def do_reuse_crashed(self, worker: str, service: str, *how: str) -> None:
-        """A worker crashes or falls `silent`; its address goes to another service while the list still names it."""
+        """Crash a worker; its address goes to another service while the endpoint list still names the old worker.
+
+        `silent`: until then the address doesn't answer at all.
+        """
         world = self._world
         for old in self._workers(worker):
             world.crash(worker=old, is_silent="silent" in how)
@@ -59,11 +62,11 @@
             )
 
     def do_add(self, service: str, zone: str) -> None:
-        """A cold worker comes."""
+        """Start a new worker, in slow start."""
         self._world.add_worker(service=service, zone=zone)
 
     def do_chill(self, where: str) -> None:
-        """Workers (SERVICE@ZONE, or all of a ZONE) go cold."""
+        """Put workers (SERVICE@ZONE, or all of a ZONE) back into slow start."""
         chosen = (
             self._workers(where)
             if "@" in where
@@ -73,57 +76,60 @@
             self._world.begin_slow_start(worker=one)
 
     def do_lose(self, worker: str, seconds: str, share: str = "1") -> None:
-        """Workers run requests and the answers of a share of them are lost."""
+        """Workers run requests, but the responses to a share of them are lost."""
         self._ail(worker=worker, name=LOSE, seconds=seconds, share=share)
 
     def do_garble(self, worker: str, seconds: str, share: str = "1") -> None:
-        """Workers hand out wrong bytes, to a share of the requests."""
+        """Workers send corrupt responses to a share of the requests."""
         self._ail(worker=worker, name=GARBLE, seconds=seconds, share=share)
 
     def do_repeat(self, worker: str, seconds: str, share: str = "0.5") -> None:
-        """Workers send further answers behind a share of whole ones, which come where the next answer is due."""
+        """Workers send surplus responses after a share of the complete ones, read in place of the next response."""
         self._ail(worker=worker, name=EXTRA, seconds=seconds, share=share)
 
     def do_grey(self, worker: str, way: str, seconds: str, share: str = "0.4", zone: str = "") -> None:
-        """A share of the requests fails, maybe of callers in one zone: `errors` or another way of ailments.GREY."""
+        """A share of the requests fails by `errors` or another way of ailments.GREY; `zone`: only of callers there."""
         if way not in GREY:
             raise ValueError(f"grey: no way {way!r}")
         self._ail(worker=worker, name=way, seconds=seconds, share=share, zone=zone)
 
     def do_lie(self, worker: str, way: str, seconds: str) -> None:
-        """Health says well and all fails (`errors`, `hang`, `reset`), or ill and nothing is wrong (`bad`)."""
+        """Health checks pass while all requests fail (`errors`, `hang`, `reset`), or fail without a cause (`bad`)."""
         if f"lie-{way}" not in LYING:
             raise ValueError(f"lie: no way {way!r}")
         self._ail(worker=worker, name=f"lie-{way}", seconds=seconds)
 
     def do_slow(self, worker: str, times: str, seconds: str) -> None:
-        """Workers take so many times as long."""
+        """Workers take `times` as long for each request."""
         self._ail(worker=worker, name="slowed", seconds=seconds, times=times)
 
     def do_forget(self, worker: str, after: str, seconds: str) -> None:
-        """Workers forget connections that rested for so many s."""
+        """For some seconds, workers drop connections that were idle for longer than `after` s."""
         for one in self._workers(worker):
             one.forgets, one.forgets_after = self._world.clock.now + float(seconds), float(after)
 
     def do_restart(self, worker: str, seconds: str, *how: str) -> None:
-        """Workers end without a word, and come back at their addresses after so many s; `silent` in between."""
+        """Crash workers without notice and restart them at their addresses after some seconds.
+
+        `silent`: in between their addresses don't answer at all.
+        """
         for one in self._workers(worker):
             self._world.restart(worker=one, seconds=float(seconds), is_silent="silent" in how)
 
     def do_flap(self, worker: str, period: str, times: str) -> None:
-        """Workers go down and up again so many times."""
+        """Crash and restart workers `times` times."""
         half = float(period) / 2
         for turn in range(int(times)):
             self._world.clock.after(turn * float(period), lambda: self.do_restart(worker, str(half)))
 
     def do_cold_return(self, zone: str, seconds: str, *how: str) -> None:
-        """All workers of a zone are down for so long and come back together, cold."""
+        """Crash all workers of a zone and restart them together after some seconds, in slow start."""
         for worker in list(self._world.workers.values()):
             if zone in worker.spot.names and worker.is_up:
                 self._world.restart(worker=worker, seconds=float(seconds), is_silent="silent" in how)
 
     def do_spot(self, worker: str, notice: str) -> None:
-        """Workers announce that they leave and are gone after a short notice; others come 4 s later."""
+        """Drain workers, which end after a notice of `notice` s; others replace them 4 s later."""
         world = self._world
         for one in self._workers(worker):
             world.drain(worker=one, notice=float(notice))
--- a/tests/test_hosted.py
+++ b/tests/test_hosted.py
@@ -1,4 +1,4 @@
-"""Each scenario of the users' platform with each of its seeds, and once without each safeguard that it tests."""
+"""Runs each scenario of the users' platform with each of its seeds, and without each safeguard that it tests."""
 
 from __future__ import annotations
 
--- a/tests/test_simulated_platform.py
+++ b/tests/test_simulated_platform.py
@@ -1,4 +1,4 @@
-"""The platform's stand-in keeps its promise: a generation names one start of a worker, and never comes again."""
+"""The simulated platform guarantees that a generation names a single start of a worker and is never reused."""
 
 from __future__ import annotations
 
