--- a/simulation/hosted/process.py
+++ b/simulation/hosted/process.py
@@ -253,8 +253,9 @@
         if not event.token.startswith("desk "):
             return answer
         history, clock = self.world.history, self.world.clock
-        row = {"t": clock.now, "k": "desk", "machine": self.machine.spot.name, "life": self.life, "path": event.path}
-        row |= {"method": event.method, "size": len(event.body or b""), "code": None, "ended": float("inf")}
+        row = {"t": clock.now, "k": "desk", "machine": self.machine.spot.name, "life": self.life}
+        row |= {"path": event.path, "method": event.method, "size": len(event.body or b"")}
+        row |= {"code": None, "ended": float("inf")}
         history.add(**row)
         row = history.rows[-1]
 
@@ -329,13 +330,8 @@
 
     def _check(self, *, command: ValidateConfig) -> None:
         life = self.life
-        verdict = check_config(config=command.config)
-        self.world.clock.after(
-            CHECK_TIME,
-            lambda: (
-                self.give(event=ConfigValidated(token=command.token, verdict=verdict)) if self.life == life else None
-            ),
-        )
+        event = ConfigValidated(token=command.token, verdict=check_config(config=command.config))
+        self.world.clock.after(CHECK_TIME, lambda: self.give(event=event) if self.life == life else None)
 
     def _note_order(self, *, command: Respond) -> None:
         if command.token not in self.orders:
@@ -357,11 +353,11 @@
             raise AssertionError(f"{self.name} sent a bad message: {body.reason} {command.body}")
         self.world.count[f"told-{body['kind']}"] += 1
         self._note_push(to=to, body=body)
-        event, life, own = MessageReceived(sender=self.hosted.location.post, body=body), to.life, self.life
+        event, life = MessageReceived(sender=self.hosted.location.post, body=body), to.life
         self.world.network.send(
             a=self.machine.spot,
             b=to.machine.spot,
-            line=(self, own, to, life),
+            line=(self, self.life, to, life),
             act=lambda: to.give(event=event) if to.life == life else None,
         )
 
