--- a/simulation/hosted/calls.py
+++ b/simulation/hosted/calls.py
@@ -39,7 +39,7 @@
     def __init__(self, *, calls: Calls, process: Process, command: StartCall) -> None:
         self.calls, self.process, self.command = calls, process, command
         self.headers = {name.lower(): value for name, value in command.headers.items()}
-        self.life = process.life
+        self.incarnation = process.incarnation
         self.is_sent = False
         self.is_over = False
         self.sent_at = 0.0
@@ -58,7 +58,7 @@
             surplus.append(told)
             told = surplus.popleft()
         self.calls.world.network.send(
-            a=worker.spot, b=self.process.machine.spot, act=lambda: self._take_answer(*told), wait=15.0
+            a=worker.node, b=self.process.machine.node, act=lambda: self._take_answer(*told), wait=15.0
         )
 
     def _take_answer(self, code: int, headers: dict, body: bytes, fault: str) -> None:
@@ -104,10 +104,10 @@
         if is_aborted and self.worker is not None:
             worker = self.worker
             self.calls.world.network.send(
-                a=self.process.machine.spot, b=worker.spot, act=lambda: worker.closed(line=self), line=self, wait=0.0
+                a=self.process.machine.node, b=worker.node, act=lambda: worker.closed(line=self), line=self, wait=0.0
             )
-        if called is not None and self.process.life == self.life:
-            self.process.give(event=called)
+        if called is not None and self.process.incarnation == self.incarnation:
+            self.process.deliver(event=called)
 
 
 class Calls:
@@ -148,12 +148,12 @@
         if line is not None and not line.is_sent:
             line.fail(fault="withdrawn")
 
-    def end(self, *, process: Process, is_dark: bool) -> None:
+    def end(self, *, process: Process, is_powered_off: bool) -> None:
         """The process has ended: close its connections, which workers do not notice if its machine lost power."""
         self._kept = {key: worker for key, worker in self._kept.items() if key[0] is not process}
         for (owner, _), line in list(self.lines.items()):
             if owner is process:
-                line.finish(called=None, is_aborted=not is_dark)
+                line.finish(called=None, is_aborted=not is_powered_off)
 
     def close_connections(self, *, process: Process, owner: str) -> None:
         """Close the pooled connections of an owner."""
@@ -172,7 +172,7 @@
         """Reset the calls that cross a cut which resets connections."""
         network = self.world.network
         for (process, _), line in list(self.lines.items()):
-            if line.worker is not None and network.is_refused(a=process.machine.spot, b=line.worker.spot):
+            if line.worker is not None and network.is_refused(a=process.machine.node, b=line.worker.node):
                 self.world.count["lines-reset"] += 1
                 line.fail(fault="connection-lost")
 
@@ -194,17 +194,17 @@
         return connection
 
     def _dial(self, *, line: Line) -> None:
-        world, here = self.world, line.process.machine.spot
+        world, here = self.world, line.process.machine.node
         worker = world.by_address.get(line.command.address)
-        if worker is None or worker.is_silent or world.network.is_severed(a=here, b=worker.spot):
+        if worker is None or worker.is_silent or world.network.is_severed(a=here, b=worker.node):
             # no answer: the address is unassigned, its machine has no power, or a cut is in the way
-            is_dead = worker is None or world.network.is_refused(a=here, b=worker.spot)
+            is_dead = worker is None or world.network.is_refused(a=here, b=worker.node)
             world.clock.after(
                 0.002 if is_dead else constants.CONNECT_TIMEOUT,
                 lambda: line.fail(fault="refused" if is_dead else "connect-timeout"),
             )
             return
-        trip = 2 * world.network.delay(a=here, b=worker.spot)
+        trip = 2 * world.network.delay(a=here, b=worker.node)
 
         def up() -> None:
             now = world.by_address.get(line.command.address)
@@ -223,24 +223,24 @@
     def _send(self, *, line: Line, connection: Connection) -> None:
         worker = line.worker = connection.worker
         line.connection, line.is_sent, line.sent_at = connection, True, self.world.clock.now
-        here, network = line.process.machine.spot, self.world.network
-        is_valid = network.is_cut(a=here, b=worker.spot)
-        if network.is_refused(a=here, b=worker.spot):
+        here, network = line.process.machine.node, self.world.network
+        is_valid = network.is_cut(a=here, b=worker.node)
+        if network.is_refused(a=here, b=worker.node):
             self.world.clock.after(0.001, lambda: line.fail(fault="connection-lost"))
             return
         now = self.world.clock.now
         if now < worker.forgets and now - connection.rested_since > worker.forgets_after:
             self.world.count["idle-races"] += 1
-            trip = 2 * network.delay(a=here, b=worker.spot)
+            trip = 2 * network.delay(a=here, b=worker.node)
             self.world.clock.after(trip, lambda: line.fail(fault="connection-lost"))
             return
-        if network.is_severed(a=here, b=worker.spot) or worker.is_silent:
+        if network.is_severed(a=here, b=worker.node) or worker.is_silent:
             # data that stays unacknowledged for this long ends the connection
             self.world.clock.after(constants.LEASE_DURATION, lambda: line.fail(fault="connection-lost"))
         # bytes held back by a cut are lost if the connection is closed; bytes already on their way arrive
         network.send(
             a=here,
-            b=worker.spot,
+            b=worker.node,
             act=lambda: None if line.is_over and is_valid else worker.arrive(line=line),
             line=line,
         )
@@ -248,8 +248,8 @@
     def _ask_list(self, *, line: Line) -> None:
         world = self.world
         world.count["list-calls"] += 1
-        world.reader = line.process.machine.spot.name
-        if world.network.is_severed(a=line.process.machine.spot, b=world.list_spot):
+        world.reader = line.process.machine.node.name
+        if world.network.is_severed(a=line.process.machine.node, b=world.list_node):
             return
         query = parse_qs(urlsplit(line.command.path).query)
         code, body = world.listing.page(now=world.clock.now, token=query.get("page_token", [""])[0])
--- a/simulation/hosted/chaos.py
+++ b/simulation/hosted/chaos.py
@@ -73,26 +73,26 @@
 
     def _core(self) -> list[str]:
         return [
-            machine.spot.name
+            machine.node.name
             for machine in self._world.machines.values()
-            if "controller" in machine.processes and not machine.is_gone
+            if "controller" in machine.processes and not machine.is_removed
         ]
 
     def _machine(self) -> str:
         return self._rng.choice(
             [
-                machine.spot.name
+                machine.node.name
                 for machine in self._world.machines.values()
-                if not machine.is_gone and not machine.is_dark
+                if not machine.is_removed and not machine.is_powered_off
             ]
         )
 
     def _plain(self) -> str:
         return self._rng.choice(
             [
-                machine.spot.name
+                machine.node.name
                 for machine in self._world.machines.values()
-                if "controller" not in machine.processes and not machine.is_dark
+                if "controller" not in machine.processes and not machine.is_powered_off
             ]
         )
 
--- a/simulation/hosted/choosing.py
+++ b/simulation/hosted/choosing.py
@@ -19,13 +19,13 @@
     return [
         machine
         for machine in world.machines.values()
-        if not machine.is_gone and ("all" in parts or machine.spot.names & parts)
+        if not machine.is_removed and ("all" in parts or machine.node.names & parts)
     ]
 
 
 def resolve_role(*, world: World, word: str) -> str:
     """The name of the machine that a role stands for now; of the first that holds state if nobody has played it yet."""
-    there = {machine.spot.name: machine for machine in world.machines.values() if not machine.is_gone}
+    there = {machine.node.name: machine for machine in world.machines.values() if not machine.is_removed}
     core = [name for name, one in there.items() if "controller" in one.processes]
     if word == "seed":
         posts = {one.ip: name for name, one in there.items()}
@@ -41,7 +41,7 @@
         if one in ROLES:
             names.add(resolve_role(world=world, word=one))
         elif "@" in one:
-            names |= {worker.spot.name for worker in choose_workers(world=world, word=one)}
+            names |= {worker.node.name for worker in choose_workers(world=world, word=one)}
         else:
             names.add(one)
     return frozenset(names)
@@ -57,6 +57,6 @@
         if worker.service == service
         and worker.is_up
         and not worker.is_draining
-        and (where == "all" or where in worker.spot.names)
+        and (where == "all" or where in worker.node.names)
     ]
     return found if where == "all" else found[int(at or 1) - 1 : int(at or 1)]
--- a/simulation/hosted/clients.py
+++ b/simulation/hosted/clients.py
@@ -15,7 +15,7 @@
 from simulation.hosted.deployment import Kind
 from simulation.hosted.environment import Environment
 from simulation.hosted.exchange import CONNECT
-from simulation.hosted.network import Spot
+from simulation.hosted.network import Node
 
 TRIES = 2
 """Retries that a client makes."""
@@ -60,7 +60,7 @@
     """Owner of one client's addresses and requests. `begin` sends a request."""
 
     world: Environment
-    spot: Spot
+    node: Node
     rng: random.Random
     keeps: float
     is_eager: bool = False
@@ -88,7 +88,7 @@
             method="POST" if kind.is_once else "GET",
         )
         self.world.history.add(
-            t=request.begun, k="request", request=number, kind=kind.name, once=kind.is_once, zone=self.spot.zone
+            t=request.begun, k="request", request=number, kind=kind.name, once=kind.is_once, zone=self.node.zone
         )
         self._go(request=request, turn=0)
 
@@ -106,8 +106,8 @@
         near = sorted(
             (one for one in self.world.directories()),
             key=lambda directory: (
-                directory.machine.spot.region != self.spot.region,
-                directory.machine.spot.zone != self.spot.zone,
+                directory.machine.node.region != self.node.region,
+                directory.machine.node.zone != self.node.zone,
                 self.rng.random(),
             ),
         )
@@ -132,14 +132,14 @@
                 self._ask(directories=directories[1:])
 
         self.world.exchange(
-            spot=self.spot,
+            node=self.node,
             process=process,
             edge="directory",
             path="/resolve",
             method="GET",
             headers={},
             body=b"",
-            query={"name": "a.example", "region": self.spot.region, "zone": self.spot.zone},
+            query={"name": "a.example", "region": self.node.region, "zone": self.node.zone},
             done=take,
         )
         self.world.clock.after(CONNECT, lambda: take(None))
@@ -191,24 +191,28 @@
             path=request.path,
             once=kind.is_once,
             turn=turn,
-            zone=self.spot.zone,
-            region=self.spot.region,
+            zone=self.node.zone,
+            region=self.node.region,
             left=left,
-            proxy=process.machine.spot.name if process else "",
-            life=process.life if process else 0,
+            proxy=process.machine.node.name if process else "",
+            life=process.incarnation if process else 0,
         )
 
         def read() -> None:
             attempt.is_read = True
             self.world.history.add(
-                t=self.world.clock.now, k="read", id=attempt.id, proxy=process.machine.spot.name, life=process.life
+                t=self.world.clock.now,
+                k="read",
+                id=attempt.id,
+                proxy=process.machine.node.name,
+                life=process.incarnation,
             )
 
         def done(answer: Respond | None) -> None:
             self._take(attempt=attempt, address=address, answer=answer)
 
         leave = self.world.exchange(
-            spot=self.spot,
+            node=self.node,
             process=process,
             edge="front",
             path=request.path,
@@ -298,7 +302,7 @@
             begun=request.begun,
             took=now - request.begun,
             aim=request.kind.aim,
-            zone=self.spot.zone,
+            zone=self.node.zone,
         )
 
 
--- a/simulation/hosted/environment.py
+++ b/simulation/hosted/environment.py
@@ -13,7 +13,7 @@
 
 from simulation.history import History
 from simulation.hosted.deployment import Deployment
-from simulation.hosted.network import Network, Spot
+from simulation.hosted.network import Network, Node
 from simulation.sim.clock import Clock
 
 
@@ -33,7 +33,7 @@
     attempts: dict
     calls: Any
     list_address: str
-    list_spot: Spot
+    list_node: Node
     listing: Any
     by_post: dict[str, Any]
     by_front: dict[str, Any]
@@ -92,7 +92,7 @@
     """An operator, as its calls see it."""
 
     world: Any
-    spot: Spot
+    node: Node
     patience: float
 
     def named(self, *, machine: str) -> Any:
--- a/simulation/hosted/exchange.py
+++ b/simulation/hosted/exchange.py
@@ -9,7 +9,7 @@
 from sailward import constants
 from sailward.events import RequestReceived, Respond
 from simulation.hosted.environment import Environment
-from simulation.hosted.network import Spot
+from simulation.hosted.network import Node
 
 if TYPE_CHECKING:
     from simulation.hosted.process import Process
@@ -30,7 +30,7 @@
     """
 
     world: Environment
-    spot: Spot
+    node: Node
     process: Process | None
     edge: str
     path: str
@@ -50,21 +50,21 @@
         self.token = f"{self.edge} {next(self.world.numbers)}"
         clock, process = self.world.clock, self.process
         network = self.world.network
-        if process is not None and network.is_refused(a=self.spot, b=process.machine.spot):
-            clock.after(network.delay(a=self.spot, b=process.machine.spot), lambda: self._end(None))
+        if process is not None and network.is_refused(a=self.node, b=process.machine.node):
+            clock.after(network.delay(a=self.node, b=process.machine.node), lambda: self._end(None))
             return self._leave
-        if process is None or process.machine.is_dark or self._is_cut():
+        if process is None or process.machine.is_powered_off or self._is_cut():
             clock.after(self.wait, lambda: self._end(None))
             return self._leave
-        round_trip = 2 * self.world.network.delay(a=self.spot, b=process.machine.spot)
-        if process.owner is None or (process.is_shut and self.edge == "front"):
+        round_trip = 2 * self.world.network.delay(a=self.node, b=process.machine.node)
+        if process.owner is None or (process.is_listener_closed and self.edge == "front"):
             clock.after(round_trip, lambda: self._end(None))
         else:
             clock.after(round_trip, self._send)
         return self._leave
 
     def _is_cut(self) -> bool:
-        return self.world.network.is_severed(a=self.spot, b=self.process.machine.spot)
+        return self.world.network.is_severed(a=self.node, b=self.process.machine.node)
 
     def _end(self, answer: object) -> None:
         if answer == "silent" or self.is_over:
@@ -77,13 +77,13 @@
             self.made(answer)
         if answer != "silent" and self.process is not None:
             self.world.network.send(
-                a=self.process.machine.spot, b=self.spot, act=lambda: self._end(answer), wait=BACK_WAIT
+                a=self.process.machine.node, b=self.node, act=lambda: self._end(answer), wait=BACK_WAIT
             )
 
     def _send(self) -> None:
         # an operator's order is still delivered long after the operator gave up; the close of its connection follows it
         wait = BACK_WAIT if self.edge == "desk" else constants.LEASE_DURATION
-        self.world.network.send(a=self.spot, b=self.process.machine.spot, act=self._arrive, wait=wait)
+        self.world.network.send(a=self.node, b=self.process.machine.node, act=self._arrive, wait=wait)
 
     def _is_void(self) -> bool:
         # an operator's order arrives even if the operator gave up meanwhile; the close of its connection follows it
@@ -92,16 +92,16 @@
     def _arrive(self) -> None:
         if self._is_void():
             return
-        process, life = self.process, self.process.life
+        process, incarnation = self.process, self.process.incarnation
         if process.frozen is not None:
-            process.frozen.append(lambda: self._take(life=life))
+            process.frozen.append(lambda: self._take(incarnation=incarnation))
         elif process.owner is None:
-            self._come_back("silent" if process.machine.is_dark else None)
+            self._come_back("silent" if process.machine.is_powered_off else None)
         else:
-            self._take(life=life)
+            self._take(incarnation=incarnation)
 
-    def _take(self, *, life: int) -> None:
-        if self._is_void() or self.process.life != life:
+    def _take(self, *, incarnation: int) -> None:
+        if self._is_void() or self.process.incarnation != incarnation:
             return
         if self.read:
             self.read()
@@ -114,14 +114,14 @@
             body=self.body,
             target=self.path,
         )
-        self.process.ask(event=event, answer=self._come_back)
+        self.process.receive_request(event=event, respond=self._come_back)
         if self.is_over:
-            self.process.leave(token=self.token)
+            self.process.disconnect_client(token=self.token)
 
     def _leave(self) -> None:
         self.is_over = True
         if self.process is not None:
             process, token = self.process, self.token
             self.world.network.send(
-                a=self.spot, b=process.machine.spot, act=lambda: process.leave(token=token), wait=0.0
+                a=self.node, b=process.machine.node, act=lambda: process.disconnect_client(token=token), wait=0.0
             )
--- a/simulation/hosted/judge.py
+++ b/simulation/hosted/judge.py
@@ -127,7 +127,7 @@
             continue
         is_long = row["id"] in arrived and row["t"] > term + bounds["grace_s"] / 2
         is_quick = row["id"] not in arrived and row["t"] - read["t"] <= bounds["loss_slack_s"]
-        names = world.machines[read["proxy"]].spot.names - {"core", "plain"}
+        names = world.machines[read["proxy"]].node.names - {"core", "plain"}
         if (
             not is_long
             and not is_quick
--- a/simulation/hosted/judge_contact.py
+++ b/simulation/hosted/judge_contact.py
@@ -82,7 +82,7 @@
         """
         ups = {row["machine"]: row["t"] for row in self._up_rows if row["t"] <= until}
         return any(
-            ups.get(voter.spot.name, float("inf")) <= since
+            ups.get(voter.node.name, float("inf")) <= since
             and self._has_majority(machine=voter, since=since, until=until)
             and not self._is_touched(a=proxy, b=voter, since=since, until=until)
             for voter in self._voters
@@ -96,14 +96,14 @@
 
     def _are_parted(self, *, a: Machine, b: Machine, since: float, until: float) -> bool:
         return any(
-            cut.begin <= since and until <= cut.end and cut.parts(a=a.spot, b=b.spot)
+            cut.begin <= since and until <= cut.end and cut.separates(a=a.node, b=b.node)
             for cut in self._world.network.cuts
         )
 
     def _is_touched(self, *, a: Machine, b: Machine, since: float, until: float) -> bool:
         """Did any cut lie between these in this span?"""
         return any(
-            cut.begin <= until and since <= cut.end and cut.parts(a=a.spot, b=b.spot)
+            cut.begin <= until and since <= cut.end and cut.separates(a=a.node, b=b.node)
             for cut in self._world.network.cuts
         )
 
--- a/simulation/hosted/judge_departures.py
+++ b/simulation/hosted/judge_departures.py
@@ -53,7 +53,7 @@
     machine = world.machines.get(row["proxy"])
     if machine is None:
         return NEVER
-    names = machine.spot.names - {"core", "plain"}
+    names = machine.node.names - {"core", "plain"}
     begin, end = t - world.deployment.bounds["contact_s"], t + SLACK
     if not touch.is_calm(names=frozenset(names), begin=begin, end=end):
         return NEVER
--- a/simulation/hosted/link_verbs.py
+++ b/simulation/hosted/link_verbs.py
@@ -10,7 +10,7 @@
     from simulation.hosted.network import Cut
     from simulation.hosted.world import World
 
-LOUD = ("reset", "refuse")
+REJECTING_OPTIONS = ("reset", "refuse")
 """Options of a cut that resets or refuses connections, so that it is noticed at once."""
 
 
@@ -42,9 +42,9 @@
         names = sorted(choose_spots(world=world, word=machine))
         apart = "+".join(names)
         others = "+".join(
-            one.spot.name
+            one.node.name
             for one in world.machines.values()
-            if "controller" in one.processes and not one.is_gone and one.spot.name not in names
+            if "controller" in one.processes and not one.is_removed and one.node.name not in names
         )
         left, right = (others, apart) if "in" in how else (apart, others)
         one_way = ("one_way",) if {"in", "out", "one_way"} & set(how) else ()
@@ -52,7 +52,7 @@
         part = float(seconds) / 3
         if "seeds" in how:
             world.step("seeds", (apart,))
-            plain = [one.spot.name for one in world.machines.values() if "controller" not in one.processes]
+            plain = [one.node.name for one in world.machines.values() if "controller" not in one.processes]
             chosen = "+".join(world.rng.sample(plain, min(2, len(plain)))) if plain else ""
             if chosen:
                 world.clock.after(part, lambda: world.step("kill", (f"proxy@{chosen}",)))
@@ -76,9 +76,9 @@
             left=choose_spots(world=world, word=left),
             right=choose_spots(world=world, word=right),
             is_one_way="one_way" in how,
-            is_loud=bool(set(LOUD) & set(how)),
+            is_rejecting=bool(set(REJECTING_OPTIONS) & set(how)),
         )
-        if made.is_loud:
+        if made.is_rejecting:
             world.calls.sever()
         world.clock.after(float(seconds), lambda: world.network.heal(cut=made))
         return made
--- a/simulation/hosted/listing.py
+++ b/simulation/hosted/listing.py
@@ -52,7 +52,7 @@
         zones: dict = {}
         for name in names[start : start + PAGE]:
             worker, state = rows[name]
-            zones.setdefault(worker.spot.zone, []).append(
+            zones.setdefault(worker.node.zone, []).append(
                 {
                     "id": worker.id,
                     "service": worker.service,
--- a/simulation/hosted/machine_verbs.py
+++ b/simulation/hosted/machine_verbs.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from simulation.hosted.choosing import choose_machines
-from simulation.hosted.process import RESTART
+from simulation.hosted.process import RESTART_DELAY
 
 if TYPE_CHECKING:
     from simulation.hosted.process import Machine, Process
@@ -36,14 +36,14 @@
     def do_kill(self, process: str) -> None:
         """Kill processes; they are restarted after RESTART."""
         for one in self._processes(process):
-            self._record(machine=one.machine, seconds=RESTART + 0.1)
+            self._record(machine=one.machine, seconds=RESTART_DELAY + 0.1)
             one.kill()
 
     def do_stop(self, process: str) -> None:
         """Stop processes by SIGTERM; they are restarted."""
         for one in self._processes(process):
             grace = self._world.deployment.bounds["grace_s"]
-            self._record(machine=one.machine, seconds=grace + RESTART, planned=True)
+            self._record(machine=one.machine, seconds=grace + RESTART_DELAY, planned=True)
             one.stop()
 
     def do_remove(self, machine: str) -> None:
@@ -54,7 +54,7 @@
             one.listed_until = world.clock.now
             self._record(machine=one, seconds=grace, planned=True)
             for process in one.processes.values():
-                process.is_leaving = True
+                process.is_retired = True
                 process.stop()
             world.clock.after(grace + 0.05, lambda one=one: self._bury(machine=one))
 
@@ -70,8 +70,8 @@
         for one in self._machines(machine):
             self._record(machine=one, seconds=float(seconds))
             for process in one.processes.values():
-                process.lag = SLOW_EVENT * float(times)
-                self._world.clock.after(float(seconds), lambda process=process: setattr(process, "lag", 0.0))
+                process.delay = SLOW_EVENT * float(times)
+                self._world.clock.after(float(seconds), lambda process=process: setattr(process, "delay", 0.0))
 
     def do_dark(self, machine: str, *how: str) -> None:
         """Cut the power of machines until `light`; `wipe` erases their disks as well."""
@@ -89,9 +89,9 @@
     def do_light(self, machine: str) -> None:
         """Restore the power of machines."""
         for one in self._machines(machine):
-            if one.is_dark:
+            if one.is_powered_off:
                 for row in self._world.troubles:
-                    if one.spot.name in row["names"]:
+                    if one.node.name in row["names"]:
                         row["until"] = min(row["until"], self._world.clock.now)
                 one.start()
         self._world.history.add(t=self._world.clock.now, k="back")
@@ -100,7 +100,7 @@
         """Cut the power of a zone for some seconds; its machines and workers are back within ALL_BACK afterwards."""
         world = self._world
         for worker in list(world.workers.values()):
-            if zone in worker.spot.names and worker.is_up:
+            if zone in worker.node.names and worker.is_up:
                 back = float(seconds) + world.rng.uniform(0.0, ALL_BACK)
                 world.restart(worker=worker, seconds=back, is_silent=True)
         for machine in self._machines(zone):
@@ -119,7 +119,7 @@
             delay = float(after)
             if "planned" in how:
                 self._add(old=old, delay=0.0)
-                world.clock.after(delay, lambda old=old: self.do_remove(old.spot.name))
+                world.clock.after(delay, lambda old=old: self.do_remove(old.node.name))
             else:
                 self._record(machine=old, seconds=float("inf"))
                 self._bury(machine=old)
@@ -132,7 +132,7 @@
         rest = [
             machine
             for machine in world.machines.values()
-            if "controller" in machine.processes and not machine.is_gone and machine not in chosen
+            if "controller" in machine.processes and not machine.is_removed and machine not in chosen
         ]
         world.rng.shuffle(rest)
         world.set_seeds(machines=[*chosen, *rest])
@@ -142,7 +142,7 @@
         for one in self._machines(machine):
             self._world.count["hups"] += 1
             for process in one.processes.values():
-                process.hang_up_signal()
+                process.reload_settings()
 
     def do_reset_conns(self, machine: str, share: str) -> None:
         """Reset a share of the machines' connections to workers, both pooled ones and those of calls in flight."""
@@ -184,9 +184,9 @@
         """Step the time of day on machines, and back after some seconds if `back_after` is given."""
         for one in self._machines(machine):
             self._record(machine=one, seconds=0.0)
-            one.skew += float(seconds)
+            one.clock_skew += float(seconds)
             if back_after:
-                name = one.spot.name
+                name = one.node.name
                 self._world.clock.after(
                     float(back_after), lambda name=name: self.do_clock_step(name, str(-float(seconds)))
                 )
@@ -227,23 +227,23 @@
     def _add(self, *, old: Machine, delay: float) -> None:
         world = self._world
         name = next(
-            name for at in range(1, 100) if (name := f"{old.spot.name.split('-new')[0]}-new{at}") not in world.machines
+            name for at in range(1, 100) if (name := f"{old.node.name.split('-new')[0]}-new{at}") not in world.machines
         )
-        fresh = world.add_machine(name=name, zone=old.spot.zone, has_disk="controller" in old.processes)
+        fresh = world.add_machine(name=name, zone=old.node.zone, has_disk="controller" in old.processes)
         fresh.listed_from = world.clock.now + delay + world.deployment.bounds["seed_lag_s"]
         self._record(machine=fresh, seconds=delay)
-        fresh.is_dark = True
+        fresh.is_powered_off = True
         world.clock.after(delay, fresh.start)
 
     def _bury(self, *, machine: Machine) -> None:
         machine.lose_power(wipe=True)
-        machine.is_gone = True
+        machine.is_removed = True
         machine.listed_until = min(machine.listed_until, self._world.clock.now)
         self._record(machine=machine, seconds=0.0)
 
     def _record(self, *, machine: Machine, seconds: float, planned: bool = False) -> dict:
         return self._world.trouble(
-            names={machine.spot.name},
+            names={machine.node.name},
             seconds=seconds,
             core="controller" in machine.processes,
             planned=planned,
--- a/simulation/hosted/operator_call.py
+++ b/simulation/hosted/operator_call.py
@@ -112,7 +112,7 @@
     def begin(self) -> None:
         call, world = self.call, self.call.operator.world
         self.leave = world.exchange(
-            spot=call.operator.spot,
+            node=call.operator.node,
             process=self.process,
             edge="desk",
             path=call.path,
--- a/simulation/hosted/operators.py
+++ b/simulation/hosted/operators.py
@@ -12,7 +12,7 @@
 from sailward.events import Respond
 from simulation.hosted.deployment import make_written
 from simulation.hosted.environment import Environment
-from simulation.hosted.network import Spot
+from simulation.hosted.network import Node
 from simulation.hosted.operator_call import ENDS, OperatorCall
 
 if TYPE_CHECKING:
@@ -79,7 +79,7 @@
     """Owner of the orders. Each method begins an order; the history shows how it ended."""
 
     world: Environment
-    spot: Spot
+    node: Node
     versions: dict = field(default_factory=dict)
     order: list = field(default_factory=list)
     weights: dict = field(default_factory=dict)
@@ -364,7 +364,7 @@
 
     def named(self, *, machine: str) -> Process | None:
         """The controller on this machine, if it is listed."""
-        return next((row for row in self._listed() if row.machine.spot.name == machine), None)
+        return next((row for row in self._listed() if row.machine.node.name == machine), None)
 
     def pick(self, *, avoid: Process | None) -> Process | None:
         """Any listed controller other than `avoid`."""
--- a/simulation/hosted/people_verbs.py
+++ b/simulation/hosted/people_verbs.py
@@ -116,15 +116,15 @@
     def do_shift(self, zone: str, to_zone: str, share: str, seconds: str) -> None:
         """Move a share of a zone's clients to another zone, and back after some seconds."""
         world = self._world
-        there = next(one.spot for one in world.clients if one.spot.zone == to_zone)
-        movers = [client for client in world.clients if client.spot.zone == zone]
+        there = next(one.node for one in world.clients if one.node.zone == to_zone)
+        movers = [client for client in world.clients if client.node.zone == zone]
         for mover in movers[: max(1, round(float(share) * len(movers)))]:
-            home = mover.spot
-            mover.spot = dataclasses.replace(
+            home = mover.node
+            mover.node = dataclasses.replace(
                 home, zone=there.zone, region=there.region, names=there.names | {home.name}
             )
             mover.until = 0.0
-            world.clock.after(float(seconds), lambda mover=mover, home=home: setattr(mover, "spot", home))
+            world.clock.after(float(seconds), lambda mover=mover, home=home: setattr(mover, "node", home))
 
     def do_read_config(self, at: str = "") -> None:
         """The operator reads the newest configuration in the middle of a run."""
--- a/simulation/hosted/process.py
+++ b/simulation/hosted/process.py
@@ -38,41 +38,41 @@
 )
 from sailward.proxy.proxy import Proxy
 from simulation.hosted.environment import Environment
-from simulation.hosted.network import Spot
+from simulation.hosted.network import Node
 from simulation.sim.disk import Disk
 
-RESTART = 0.4
+RESTART_DELAY = 0.4
 """s from the end of a process until it runs again: the supervisor's pause and the start-up time."""
-CHECK_TIME = 0.02
+VALIDATION_TIME = 0.02
 """s that the validation of a configuration takes; it runs in parallel to the owner."""
 
 
 class Machine:
     """A machine with its processes. Its disk keeps its content when they end, unless it is wiped."""
 
-    def __init__(self, *, world: Environment, spot: Spot, ip: str, roles: tuple) -> None:
-        self.world, self.spot, self.ip = world, spot, ip
-        self.rng = random.Random(f"{world.seed}/{spot.name}")
+    def __init__(self, *, world: Environment, node: Node, ip: str, roles: tuple) -> None:
+        self.world, self.node, self.ip = world, node, ip
+        self.rng = random.Random(f"{world.seed}/{node.name}")
         self.disk = Disk(rng=self.rng)
-        self.is_dark = False
-        self.is_gone = False
-        self.skew = 0.0
-        self.is_first = False
+        self.is_powered_off = False
+        self.is_removed = False
+        self.clock_skew = 0.0
+        self.is_bootstrap = False
         self.processes = {role: Process(machine=self, role=role) for role in roles}
 
     def start(self) -> None:
         """Power the machine on: all its processes start."""
-        if self.is_gone:
+        if self.is_removed:
             return
-        self.is_dark = False
+        self.is_powered_off = False
         for process in self.processes.values():
             process.start()
 
     def lose_power(self, *, wipe: bool = False) -> None:
         """Cut the power at once; `wipe` erases the disk as well."""
-        self.is_dark = True
+        self.is_powered_off = True
         for process in self.processes.values():
-            process.end(is_dark=True)
+            process.end(is_powered_off=True)
         self.disk.lose_power()
         if wipe:
             self.disk.wipe()
@@ -84,74 +84,75 @@
     def __init__(self, *, machine: Machine, role: str) -> None:
         self.machine, self.role, self.world = machine, role, machine.world
         self.owner = None
-        self.hosted = None
-        self.life = 0
+        self.host = None
+        self.incarnation = 0
         self.frozen: list | None = None
-        self.is_shut = False
+        self.is_listener_closed = False
         self.is_stopping = False
-        self.is_leaving = False
-        self.waiting: dict = {}
+        self.is_retired = False
+        self.pending_requests: dict = {}
         self.logs: list = []
-        self.orders: set = set()
-        self.lag = 0.0
-        self._sync_end = self._stalled_until = 0.0
-        self._lag_end = 0.0
-        self._base = 0.0
+        self.order_tokens: set = set()
+        self.delay = 0.0
+        self._last_sync_at = self._stalled_until = 0.0
+        self._due_at = 0.0
+        self._clock_origin = 0.0
 
     @property
     def name(self) -> str:
         """The name that scenarios use for it, ROLE@MACHINE."""
-        return f"{self.role}@{self.machine.spot.name}"
+        return f"{self.role}@{self.machine.node.name}"
 
     def now(self) -> float:
         """The process's monotonic clock, in s."""
-        return self.world.clock.now - self._base
+        return self.world.clock.now - self._clock_origin
 
     def start(self) -> None:
         """Start with the records on the disk and the settings as they are now."""
-        if self.owner is not None or self.machine.is_dark or self.machine.is_gone or self.is_leaving:
+        if self.owner is not None or self.machine.is_powered_off or self.machine.is_removed or self.is_retired:
             return
-        self.life += 1
-        self.is_shut = self.is_stopping = False
-        self.hosted = self.world.host(machine=self.machine, role=self.role)
-        self._base = self.world.clock.now - 50.0 - self.machine.rng.random()
+        self.incarnation += 1
+        self.is_listener_closed = self.is_stopping = False
+        self.host = self.world.host(machine=self.machine, role=self.role)
+        self._clock_origin = self.world.clock.now - 50.0 - self.machine.rng.random()
         nonce = f"{self.machine.rng.getrandbits(48):012x}"
-        start = int((self.world.wall() + self.machine.skew) * 1e6)
+        start = int((self.world.wall() + self.machine.clock_skew) * 1e6)
         if self.role == "controller":
-            found = self.machine.disk.read()
+            stored = self.machine.disk.read()
             self.owner = Controller(
-                location=self.hosted.location,
-                platform=self.hosted.platform,
+                location=self.host.location,
+                platform=self.host.platform,
                 nonce=nonce,
                 start=start,
                 rng=random.Random(nonce),
-                records=found.records,
+                records=stored.records,
                 now=self.now(),
-                options=self.hosted.options,
+                options=self.host.options,
             )
         else:
             self.owner = Proxy(
-                location=self.hosted.location, start=start, rng=random.Random(nonce), options=self.hosted.options
+                location=self.host.location, start=start, rng=random.Random(nonce), options=self.host.options
             )
         self._record(k="up")
-        self._tick(life=self.life)
+        self._tick(current=self.incarnation)
 
     def kill(self) -> None:
         """End the process at once, as by SIGKILL; it is restarted after RESTART."""
-        self.end(is_dark=False)
+        self.end(is_powered_off=False)
         self.machine.disk.kill()
-        self.world.clock.after(RESTART, self.start)
+        self.world.clock.after(RESTART_DELAY, self.start)
 
     def stop(self) -> None:
         """Send SIGTERM, and SIGKILL at the end of the grace period; the process is restarted afterwards."""
-        life, bounds = self.life, self.world.deployment.bounds
+        current, bounds = self.incarnation, self.world.deployment.bounds
         if self.owner is None:
             return
         self.is_stopping = True
         self._record(k="term")
-        self.give(event=ShutdownRequested())
+        self.deliver(event=ShutdownRequested())
         self.world.clock.after(
-            bounds["grace_s"], lambda: self.kill() if self.life == life and self.owner is not None else None
+            bounds["grace_s"],
+            lambda: self.kill() if self.incarnation == current and self.owner is not None else None,
         )
 
     def freeze(self) -> None:
@@ -161,99 +162,96 @@
 
     def thaw(self) -> None:
         """Resume the process and handle what was queued."""
-        held, self.frozen = self.frozen or [], None
-        for act in held:
-            act()
+        deferred, self.frozen = self.frozen or [], None
+        for action in deferred:
+            action()
 
-    def end(self, *, is_dark: bool) -> None:
-        """End the process. Its connections close; with `is_dark` (a loss of power) the peers hear nothing."""
+    def end(self, *, is_powered_off: bool) -> None:
+        """End the process. Its connections close; with `is_powered_off` (a loss of power) the peers hear nothing."""
         if self.owner is None:
             return
         self._record(k="down", stopped=self.is_stopping)
         self.owner, self.frozen = None, None
-        self.life += 1
-        self.world.calls.end(process=self, is_dark=is_dark)
-        waiting, self.waiting = self.waiting, {}
-        for answer in waiting.values():
-            answer(None if not is_dark else "silent")
+        self.incarnation += 1
+        self.world.calls.end(process=self, is_powered_off=is_powered_off)
+        pending_requests, self.pending_requests = self.pending_requests, {}
+        for respond in pending_requests.values():
+            respond(None if not is_powered_off else "silent")
 
     def reset(self, *, share: float) -> None:
         """Reset this share of its connections, from 0 to 1, those of callers and those to workers."""
         rng = self.world.rng
-        for token, answer in list(self.waiting.items()):
+        for token, respond in list(self.pending_requests.items()):
             if rng.random() < share:
                 self.world.count["callers-reset"] += 1
-                answer(None)
-                self.leave(token=token)
+                respond(None)
+                self.disconnect_client(token=token)
         self.world.calls.reset(process=self, share=share)
 
     def stall(self, *, until: float) -> None:
         """No sync of its disk completes before `until`."""
         self._stalled_until = until
 
-    def hang_up_signal(self) -> None:
+    def reload_settings(self) -> None:
         """SIGHUP: the settings file has changed. A proxy reloads the seeds, as its host does."""
         if self.owner is not None and self.role == "proxy":
             self.owner.control_client.seeds = self.world.host(machine=self.machine, role=self.role).location.seeds
 
-    def give(self, *, event: object) -> None:
+    def deliver(self, *, event: object) -> None:
         """Pass an event to the owner; on a slowed machine it is delayed, and events keep their order."""
-        clock, life = self.world.clock, self.life
-        if self.lag or clock.now < self._lag_end:
-            self._lag_end = max(clock.now + self.machine.rng.uniform(0.2, 1.0) * self.lag, self._lag_end + 1e-6)
-            clock.at(self._lag_end, lambda: self._take(event=event) if self.life == life else None)
+        clock, current = self.world.clock, self.incarnation
+        if self.delay or clock.now < self._due_at:
+            self._due_at = max(clock.now + self.machine.rng.uniform(0.2, 1.0) * self.delay, self._due_at + 1e-6)
+            clock.at(self._due_at, lambda: self._step_owner(event=event) if self.incarnation == current else None)
         else:
-            self._take(event=event)
+            self._step_owner(event=event)
 
-    def _take(self, *, event: object) -> None:
+    def _step_owner(self, *, event: object) -> None:
         if self.owner is None:
             return
         if self.frozen is not None:
             if not isinstance(event, TimerFired):
-                self.frozen.append(lambda: self.give(event=event))
+                self.frozen.append(lambda: self.deliver(event=event))
             return
-        life = self.life
+        current = self.incarnation
         try:
             commands = self.owner.step(now=self.now(), event=event)
-        except Exception as fault:  # noqa: BLE001 - a real process would end with code 70
+        except Exception as error:  # noqa: BLE001 - a real process would end with code 70
             self.world.history.add(
                 t=self.world.clock.now,
                 k="crash",
                 daemon=self.name,
-                fault="".join(traceback.format_exception(fault)[-3:]),
+                fault="".join(traceback.format_exception(error)[-3:]),
             )
             self.kill()
             return
         for command in commands:
-            if self.life != life or self.owner is None:
+            if self.incarnation != current or self.owner is None:
                 return
             self._carry_out(command=command)
 
-    def ask(self, *, event: RequestReceived, answer: Callable) -> None:
-        """Take a request that arrived at one of the daemon's listeners.
-
-        `answer` is called with a Respond, with None when the connection closed, or with "silent" when nothing arrives.
-        """
+    def receive_request(self, *, event: RequestReceived, respond: Callable) -> None:
+        """Take a request; `respond` gets a Respond, None if the connection closed, "silent" if nothing arrives."""
         if self.owner is None:
-            answer("silent" if self.machine.is_dark else None)
+            respond("silent" if self.machine.is_powered_off else None)
             return
-        self.waiting[event.token] = self._noted(event=event, answer=answer)
+        self.pending_requests[event.token] = self._recording_response(event=event, respond=respond)
         edge = event.token.split(" ", 1)[0]
         if edge == "desk" and event.method != "GET":
-            self.orders.add(event.token)
+            self.order_tokens.add(event.token)
         elif edge == "front":
-            self.world.taker = self.machine.spot.name
+            self.world.taker = self.machine.node.name
             self.world.happens(moment="taken")
             if self.owner is None:
                 return
-        self.give(event=event if edge == "front" else self.hosted.translation.request(event))
+        self.deliver(event=event if edge == "front" else self.host.translation.request(event))
 
-    def _noted(self, *, event: RequestReceived, answer: Callable) -> Callable:
+    def _recording_response(self, *, event: RequestReceived, respond: Callable) -> Callable:
         """For an operator's request, record it in the history together with the response that the controller sends."""
         if not event.token.startswith("desk "):
-            return answer
+            return respond
         history, clock = self.world.history, self.world.clock
-        row = {"t": clock.now, "k": "desk", "machine": self.machine.spot.name, "life": self.life}
+        row = {"t": clock.now, "k": "desk", "machine": self.machine.node.name, "life": self.incarnation}
         row |= {"path": event.path, "method": event.method, "size": len(event.body or b"")}
         row |= {"code": None, "ended": float("inf")}
         history.add(**row)
@@ -261,53 +259,53 @@
 
         def end(command: object) -> None:
             row["ended"], row["code"] = clock.now, getattr(command, "code", 0)
-            answer(command)
+            respond(command)
 
         return end
 
-    def leave(self, *, token: str) -> None:
+    def disconnect_client(self, *, token: str) -> None:
         """A client closed its connection."""
-        if self.waiting.pop(token, None) is not None:
-            self.give(event=ClientDisconnected(token=token))
+        if self.pending_requests.pop(token, None) is not None:
+            self.deliver(event=ClientDisconnected(token=token))
 
     def _record(self, *, k: str, **more: object) -> None:
         self.world.history.add(
             t=self.world.clock.now,
             k=k,
             daemon=self.name,
-            machine=self.machine.spot.name,
+            machine=self.machine.node.name,
             role=self.role,
-            life=self.life,
+            life=self.incarnation,
             **more,
         )
 
-    def _tick(self, *, life: int) -> None:
-        if self.life != life:
+    def _tick(self, *, current: int) -> None:
+        if self.incarnation != current:
             return
-        self.give(event=TimerFired(wall=self.world.wall() + self.machine.skew))
+        self.deliver(event=TimerFired(wall=self.world.wall() + self.machine.clock_skew))
         self.world.clock.after(
-            constants.TICK_INTERVAL * self.machine.rng.uniform(0.98, 1.1), lambda: self._tick(life=life)
+            constants.TICK_INTERVAL * self.machine.rng.uniform(0.98, 1.1), lambda: self._tick(current=current)
         )
 
     def _carry_out(self, *, command: object) -> None:
         if isinstance(command, SendMessage):
             self._send_message(command=command)
         elif isinstance(command, Respond):
-            self._answer(command=command)
+            self._respond(command=command)
         elif isinstance(command, (StartCall, CancelCall, WithdrawCall, CloseConnections)):
-            self._change_calls(command=command)
+            self._carry_out_call(command=command)
         elif isinstance(command, (AppendRecords, RewriteRecords)):
-            self._store(command=command)
+            self._write_to_disk(command=command)
         elif isinstance(command, ValidateConfig):
-            self._check(command=command)
+            self._validate_config(command=command)
         elif isinstance(command, DrainConnections):
-            self.is_shut = self.is_shut or command.shut
+            self.is_listener_closed = self.is_listener_closed or command.shut
         elif isinstance(command, LogEvent):
             self.logs.append((self.world.clock.now, command.event, command.fields))
         elif isinstance(command, ExitProcess):
-            self._stop()
+            self._exit()
 
-    def _change_calls(self, *, command: StartCall | CancelCall | WithdrawCall | CloseConnections) -> None:
+    def _carry_out_call(self, *, command: StartCall | CancelCall | WithdrawCall | CloseConnections) -> None:
         calls = self.world.calls
         if isinstance(command, StartCall):
             calls.give(process=self, command=command)
@@ -318,78 +316,80 @@
         else:
             calls.close_connections(process=self, owner=command.owner)
 
-    def _stop(self) -> None:
-        self.end(is_dark=False)
-        self.world.clock.after(RESTART, self.start)
+    def _exit(self) -> None:
+        self.end(is_powered_off=False)
+        self.world.clock.after(RESTART_DELAY, self.start)
 
-    def _answer(self, *, command: Respond) -> None:
-        answer = self.waiting.pop(command.token, None)
-        if answer is not None:
-            self._note_order(command=command)
-            answer(command if command.token.startswith("front ") else self.hosted.translation.response(command))
+    def _respond(self, *, command: Respond) -> None:
+        respond = self.pending_requests.pop(command.token, None)
+        if respond is not None:
+            self._on_order_answered(command=command)
+            respond(command if command.token.startswith("front ") else self.host.translation.response(command))
 
-    def _check(self, *, command: ValidateConfig) -> None:
-        life = self.life
+    def _validate_config(self, *, command: ValidateConfig) -> None:
+        current = self.incarnation
         event = ConfigValidated(token=command.token, verdict=check_config(config=command.config))
-        self.world.clock.after(CHECK_TIME, lambda: self.give(event=event) if self.life == life else None)
+        self.world.clock.after(
+            VALIDATION_TIME, lambda: self.deliver(event=event) if self.incarnation == current else None
+        )
 
-    def _note_order(self, *, command: Respond) -> None:
-        if command.token not in self.orders:
+    def _on_order_answered(self, *, command: Respond) -> None:
+        if command.token not in self.order_tokens:
             return
-        self.orders.discard(command.token)
+        self.order_tokens.discard(command.token)
         if 200 <= command.code < 300:
-            self.world.leader = self.machine.spot.name
+            self.world.leader = self.machine.node.name
             # the response leaves the daemon before the steps that wait for this moment are run
             self.world.clock.after(
                 self.world.moments.uniform(0.0, 0.004), lambda: self.world.happens(moment="answered")
             )
 
     def _send_message(self, *, command: SendMessage) -> None:
-        to = self.world.by_post.get(command.to)
-        if to is None:
+        receiver = self.world.by_post.get(command.to)
+        if receiver is None:
             return
         body = check_message(body=marshal.loads(marshal.dumps(command.body)))
         if isinstance(body, BadMessage):
             raise AssertionError(f"{self.name} sent a bad message: {body.reason} {command.body}")
         self.world.count[f"told-{body['kind']}"] += 1
-        self._note_push(to=to, body=body)
-        event, life = MessageReceived(sender=self.hosted.location.post, body=body), to.life
+        self._record_push(receiver=receiver, body=body)
+        event, current = MessageReceived(sender=self.host.location.post, body=body), receiver.incarnation
         self.world.network.send(
-            a=self.machine.spot,
-            b=to.machine.spot,
-            line=(self, self.life, to, life),
-            act=lambda: to.give(event=event) if to.life == life else None,
+            a=self.machine.node,
+            b=receiver.machine.node,
+            line=(self, self.incarnation, receiver, current),
+            act=lambda: receiver.deliver(event=event) if receiver.incarnation == current else None,
         )
 
-    def _note_push(self, *, to: Process, body: dict) -> None:
+    def _record_push(self, *, receiver: Process, body: dict) -> None:
         """Record each push of a configuration or register from a controller to a proxy."""
-        if body["kind"] != "push" or self.role != "controller" or to.role != "proxy":
+        if body["kind"] != "push" or self.role != "controller" or receiver.role != "proxy":
             return
         self.world.history.add(
             t=self.world.clock.now,
             k="push",
-            machine=self.machine.spot.name,
-            to=to.machine.spot.name,
-            life=to.life,
+            machine=self.machine.node.name,
+            to=receiver.machine.node.name,
+            life=receiver.incarnation,
             name=body["name"],
             number=body["number"],
             contact=body.get("contact") is not False,
         )
 
-    def _store(self, *, command: AppendRecords | RewriteRecords) -> None:
-        disk, life, clock = self.machine.disk, self.life, self.world.clock
+    def _write_to_disk(self, *, command: AppendRecords | RewriteRecords) -> None:
+        disk, current, clock = self.machine.disk, self.incarnation, self.world.clock
         if not disk.takes(command=command):
             failed = DiskWriteFailed(seq=command.seq, full=True, reason="no room")
-            clock.after(0.001, lambda: self.give(event=failed) if self.life == life else None)
+            clock.after(0.001, lambda: self.deliver(event=failed) if self.incarnation == current else None)
             return
 
         def synced() -> None:
-            if self.life != life:
+            if self.incarnation != current:
                 return
             if command in disk.pending:
                 disk.sync(command=command)
-            self.give(event=RecordsSynced(seq=command.seq))
+            self.deliver(event=RecordsSynced(seq=command.seq))
 
         # syncs complete in order
-        self._sync_end = max(self._sync_end, max(clock.now, self._stalled_until) + disk.write(command=command))
-        clock.at(self._sync_end, synced)
+        self._last_sync_at = max(self._last_sync_at, max(clock.now, self._stalled_until) + disk.write(command=command))
+        clock.at(self._last_sync_at, synced)
--- a/simulation/hosted/touch.py
+++ b/simulation/hosted/touch.py
@@ -55,9 +55,9 @@
         """Was the machine in touch at this moment?"""
         if not machine or not self.finished(t=t):
             return False
-        spot = self._world.machines[machine].spot
+        node = self._world.machines[machine].node
         if any(
-            spot.names & row["names"] and row["t"] <= t and t - self._contact <= row["until"]
+            node.names & row["names"] and row["t"] <= t and t - self._contact <= row["until"]
             for row in self._world.troubles
         ):
             return False
@@ -65,7 +65,7 @@
             if (
                 cut.begin <= t
                 and t - self._contact <= cut.end
-                and any(cut.parts(a=spot, b=one.spot) for one in self._majority(cut=cut))
+                and any(cut.separates(a=node, b=one.node) for one in self._majority(cut=cut))
             ):
                 return False
         return True
@@ -83,13 +83,13 @@
         return moment <= t and t - self._contact <= moment
 
     def _is_core_cut(self, *, cut) -> bool:
-        return any(cut.parts(a=a.spot, b=b.spot) for a in self._core for b in self._core)
+        return any(cut.separates(a=a.node, b=b.node) for a in self._core for b in self._core)
 
     def _majority(self, *, cut) -> list:
         """The core machines that reach over half of the core in spite of this cut."""
         return [
             one
             for one in self._core
-            if 2 * sum(other is one or not cut.parts(a=one.spot, b=other.spot) for other in self._core)
+            if 2 * sum(other is one or not cut.separates(a=one.node, b=other.node) for other in self._core)
             > len(self._core)
         ]
--- a/simulation/hosted/worker_verbs.py
+++ b/simulation/hosted/worker_verbs.py
@@ -32,7 +32,7 @@
         """Replace the workers of a service one after the other: each time a new one starts, then the old one drains."""
         world = self._world
         for at, old in enumerate(self._workers(f"{service}@all")):
-            world.clock.after(at * float(pause), lambda old=old: world.add_worker(service=service, zone=old.spot.zone))
+            world.clock.after(at * float(pause), lambda old=old: world.add_worker(service=service, zone=old.node.zone))
             world.clock.after(at * float(pause) + 0.5, lambda old=old: world.drain(worker=old))
 
     def do_reuse(self, worker: str, service: str) -> None:
@@ -43,7 +43,7 @@
             def come(old: Worker = old) -> None:
                 world.clock.after(
                     world.deployment.bounds["addr_reuse_s"],
-                    lambda: world.add_worker(service=service, zone=old.spot.zone, address=old.address),
+                    lambda: world.add_worker(service=service, zone=old.node.zone, address=old.address),
                 )
 
             world.drain(worker=old, then=come)
@@ -58,7 +58,7 @@
             world.crash(worker=old, is_silent="silent" in how)
             world.clock.after(
                 world.deployment.bounds["addr_reuse_s"],
-                lambda old=old: world.add_worker(service=service, zone=old.spot.zone, address=old.address),
+                lambda old=old: world.add_worker(service=service, zone=old.node.zone, address=old.address),
             )
 
     def do_add(self, service: str, zone: str) -> None:
@@ -70,7 +70,7 @@
         chosen = (
             self._workers(where)
             if "@" in where
-            else [worker for worker in self._world.workers.values() if where in worker.spot.names and worker.is_up]
+            else [worker for worker in self._world.workers.values() if where in worker.node.names and worker.is_up]
         )
         for one in chosen:
             self._world.begin_slow_start(worker=one)
@@ -125,7 +125,7 @@
     def do_cold_return(self, zone: str, seconds: str, *how: str) -> None:
         """Crash all workers of a zone and restart them together after some seconds, in slow start."""
         for worker in list(self._world.workers.values()):
-            if zone in worker.spot.names and worker.is_up:
+            if zone in worker.node.names and worker.is_up:
                 self._world.restart(worker=worker, seconds=float(seconds), is_silent="silent" in how)
 
     def do_spot(self, worker: str, notice: str) -> None:
@@ -134,7 +134,7 @@
         for one in self._workers(worker):
             world.drain(worker=one, notice=float(notice))
             world.clock.after(
-                float(notice) + 4.0, lambda one=one: world.add_worker(service=one.service, zone=one.spot.zone)
+                float(notice) + 4.0, lambda one=one: world.add_worker(service=one.service, zone=one.node.zone)
             )
 
     def _ail(self, *, worker: str, name: str, seconds: str, share: str = "1", zone: str = "", times: str = "1") -> None:
--- a/simulation/hosted/workers.py
+++ b/simulation/hosted/workers.py
@@ -13,7 +13,7 @@
 
 from simulation.hosted.ailments import EXTRA, GARBLE, LOSE, SLOW_TIMES, Ailments
 from simulation.hosted.environment import CallLine, Environment
-from simulation.hosted.network import Spot
+from simulation.hosted.network import Node
 
 SLOW_CLOCK = 1.02
 """Factor by which a hold lasts longer on a worker whose clock runs 2% slow."""
@@ -42,7 +42,7 @@
     id: str
     service: str
     address: str
-    spot: Spot
+    node: Node
     capacity: int
     queue: int
     hangs: bool
@@ -121,10 +121,10 @@
             id=line.headers.get("attempt-id", ""),
             worker=self.id,
             service=self.service,
-            zone=self.spot.zone,
-            region=self.spot.region,
-            proxy=line.process.machine.spot.name,
-            life=line.process.life,
+            zone=self.node.zone,
+            region=self.node.region,
+            proxy=line.process.machine.node.name,
+            life=line.process.incarnation,
             **more,
         )
 
@@ -153,7 +153,7 @@
             self.world.history.add(t=now, k="fell", worker=self.id)
             self.world.crash(worker=self, is_silent=False)
             return
-        grey = self.ailments.grey(now=now, zone=line.process.machine.spot.zone)
+        grey = self.ailments.grey(now=now, zone=line.process.machine.node.zone)
         if grey:
             self.world.count[f"grey-{grey}"] += 1
         if grey in ("shed", "busy"):
--- a/simulation/hosted/world.py
+++ b/simulation/hosted/world.py
@@ -18,7 +18,7 @@
 from simulation.hosted.deployment import Deployment, Kind
 from simulation.hosted.exchange import Exchange
 from simulation.hosted.listing import CRASHED_STAYS, SimulatedEndpointList
-from simulation.hosted.network import Network, Spot
+from simulation.hosted.network import Network, Node
 from simulation.hosted.operators import Operator
 from simulation.hosted.process import Machine, Process
 from simulation.hosted.workers import Worker
@@ -46,7 +46,7 @@
         self.numbers = itertools.count(1)
         self.attempts: dict = {}
         self.calls = Calls(world=self)
-        self.list_address, self.list_spot = "10.200.0.1:8642", _spot(name="list", zone="", region="", kind="list")
+        self.list_address, self.list_node = "10.200.0.1:8642", _make_node(name="list", zone="", region="", kind="list")
         self.listing = SimulatedEndpointList(lag=deployment.list_lag, rate=deployment.list_rate)
         self.machines: dict[str, Machine] = {}
         self.by_post: dict[str, Process] = {}
@@ -72,14 +72,14 @@
         names = frozenset({"operator"})
         self.operator = Operator(
             world=self,
-            spot=Spot(
+            node=Node(
                 name="operator", zone="", region=next(iter(deployment.zones.values())), names=names, is_client=True
             ),
         )
         self.clients = [
             Client(
                 world=self,
-                spot=_spot(name=f"client-{zone}-{at}", zone=zone, region=region, kind="client", is_client=True),
+                node=_make_node(name=f"client-{zone}-{at}", zone=zone, region=region, kind="client", is_client=True),
                 rng=random.Random(f"{seed}/{zone}/{at}"),
                 keeps=3.0 if at == 2 else 1.0,
             )
@@ -92,9 +92,9 @@
         at = len(self.machines) + 1
         kind = "core" if has_disk else "plain"
         zones = self.deployment.zones
-        spot = _spot(name=name, zone=zone, region=zones[zone], kind=kind, zones=zones)
+        node = _make_node(name=name, zone=zone, region=zones[zone], kind=kind, zones=zones)
         machine = Machine(
-            world=self, spot=spot, ip=f"10.0.{at}.1", roles=("controller", "proxy") if has_disk else ("proxy",)
+            world=self, node=node, ip=f"10.0.{at}.1", roles=("controller", "proxy") if has_disk else ("proxy",)
         )
         machine.listed_from, machine.listed_until = self.clock.now, float("inf")
         self.machines[name] = machine
@@ -107,9 +107,9 @@
     def start(self) -> None:
         """Start the whole system for the first time, with empty disks."""
         for machine in self.machines.values():
-            machine.is_first = True
+            machine.is_bootstrap = True
             machine.start()
-            machine.is_first = False
+            machine.is_bootstrap = False
 
     def set_seeds(self, *, machines: list[Machine]) -> None:
         """Set the seeds that the settings name from now on: the first three of these machines."""
@@ -125,15 +125,15 @@
             "directory": f"{ip}:{DIRECTORY}",
         }
         given = {
-            "node_name": machine.spot.name,
+            "node_name": machine.node.name,
             "ip": ip,
-            "zone": machine.spot.zone,
-            "region": machine.spot.region,
+            "zone": machine.node.zone,
+            "region": machine.node.region,
             "zones": dict(self.deployment.zones),
             "listen": listen,
             "inner_port_range": [INNER, INNER + 15],
             "seed_nodes": list(self.seeds),
-            "bootstrap": machine.is_first,
+            "bootstrap": machine.is_bootstrap,
             "data_dir": "/data" if role == "controller" else "",
             "fault_budget": {"machines": self.deployment.machines, "zones": 1},
             "bounds": dict(bounds),
@@ -167,7 +167,7 @@
             born=now if is_day else now - 100.0,
             speed=rng.uniform(0.8, 1.3),
             slow_start_until=now + served.slow_start if is_day or is_cold else 0.0,
-            spot=_spot(
+            node=_make_node(
                 name=name,
                 zone=zone,
                 region=self.deployment.zones[zone],
@@ -193,7 +193,7 @@
 
         def come() -> None:
             if self.by_address.get(worker.address) is worker:
-                self.add_worker(service=worker.service, zone=worker.spot.zone, address=worker.address)
+                self.add_worker(service=worker.service, zone=worker.node.zone, address=worker.address)
 
         self.clock.after(seconds, come)
 
@@ -219,7 +219,7 @@
         """Put a worker back into slow start; its health responses report it."""
         served = next(service for service in self.deployment.services if service.name == worker.service)
         worker.slow_start_until = self.clock.now + served.slow_start
-        if worker.spot.zone not in self.operator.emptied:
+        if worker.node.zone not in self.operator.emptied:
             self.history.add(t=self.clock.now, k="chilled", worker=worker.id)
 
     def load(self, *, until: float, times: float = 1.0, kinds: tuple | None = None, key: int = -1) -> None:
@@ -242,7 +242,7 @@
 
     def directories(self) -> list[Process]:
         """The daemons that serve the directory, as clients know them."""
-        return [machine.processes["proxy"] for machine in self.machines.values() if not machine.is_gone]
+        return [machine.processes["proxy"] for machine in self.machines.values() if not machine.is_removed]
 
     def controllers(self) -> list[Process]:
         """The daemons that serve the operators' API."""
@@ -299,11 +299,13 @@
             worker.note_end()
 
 
-def _spot(*, name: str, zone: str, region: str, kind: str, is_client: bool = False, zones: Iterable[str] = ()) -> Spot:
+def _make_node(
+    *, name: str, zone: str, region: str, kind: str, is_client: bool = False, zones: Iterable[str] = ()
+) -> Node:
     names = {name, zone, region, kind}
     if zone and not is_client:
         names |= {f"in:{zone}", *(f"out:{other}" for other in zones if other != zone)}
-    return Spot(name=name, zone=zone, region=region, names=frozenset(names), is_client=is_client)
+    return Node(name=name, zone=zone, region=region, names=frozenset(names), is_client=is_client)
 
 
 def _checked(*, given: dict) -> dict:
--- a/tests/test_hosted_draw.py
+++ b/tests/test_hosted_draw.py
@@ -130,7 +130,7 @@
 def test_a_one_way_cut_blocks_one_way_until_the_connections_end() -> None:
     world = World(deployment=make_small(), seed=1, end=10.0)
     verbs = Verbs(world=world)
-    here, there = (world.machines[name].spot for name in ("gdl-nave-0", "ens-cava-0"))
+    here, there = (world.machines[name].node for name in ("gdl-nave-0", "ens-cava-0"))
     verbs.do("cut-core", ["gdl-nave-0", "5", "one_way"])
     assert world.network.is_cut(a=here, b=there) and not world.network.is_cut(a=there, b=here)
     assert world.network.is_severed(a=there, b=here)
@@ -146,16 +146,16 @@
     verbs.do("cut", ["gdl-nave-0", "core", "2"])
     verbs.do("cut", ["ens-cava-0", "core", "6"])
     world.clock.run(until=world.begin + 3.0)
-    spots = {name: one.spot for name, one in world.machines.items()}
-    assert not world.network.is_cut(a=spots["gdl-nave-0"], b=spots["ens-lagar-0"])
-    assert world.network.is_cut(a=spots["ens-cava-0"], b=spots["ens-lagar-0"])
+    nodes = {name: one.node for name, one in world.machines.items()}
+    assert not world.network.is_cut(a=nodes["gdl-nave-0"], b=nodes["ens-lagar-0"])
+    assert world.network.is_cut(a=nodes["ens-cava-0"], b=nodes["ens-lagar-0"])
 
 
 def test_clients_still_reach_a_zone_that_is_cut_off_from_the_others() -> None:
     world = World(deployment=make_small(), seed=1, end=10.0)
     Verbs(world=world).do("cut-zone", ["gdl-nave", "5"])
-    inside, outside = world.machines["gdl-nave-0"].spot, world.machines["ens-cava-0"].spot
-    client = next(one.spot for one in world.clients if one.spot.zone == "ens-cava")
+    inside, outside = world.machines["gdl-nave-0"].node, world.machines["ens-cava-0"].node
+    client = next(one.node for one in world.clients if one.node.zone == "ens-cava")
     assert world.network.is_severed(a=inside, b=outside)
     assert not world.network.is_severed(a=client, b=inside)
 
@@ -170,9 +170,9 @@
     assert world.machines["gdl-nave-0-new1"].processes["controller"].owner is not None
     assert world.machines["gdl-nave-0"].processes["controller"].owner is not None
     world.clock.run(until=world.begin + 13.0)
-    assert world.machines["gdl-nave-0"].is_gone
+    assert world.machines["gdl-nave-0"].is_removed
     verbs.do("replace", ["ens-cava-0", "1"])
-    assert world.machines["ens-cava-0"].is_gone
+    assert world.machines["ens-cava-0"].is_removed
     world.clock.run(until=world.begin + 13.5)
     assert world.machines["ens-cava-0-new1"].processes["controller"].owner is None
     world.clock.run(until=world.begin + 14.5)
