--- a/simulation/hosted/clients.py
+++ b/simulation/hosted/clients.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from sailward.events import Respond
-from simulation.hosted.deployment import Kind
+from simulation.hosted.deployment import RequestKind
 from simulation.hosted.environment import Environment
 from simulation.hosted.exchange import CONNECT
 from simulation.hosted.network import Node
@@ -45,7 +45,7 @@
     """One request of a client, across all its attempts."""
 
     number: int
-    kind: Kind
+    kind: RequestKind
     begun: float
     body: bytes
     path: str
@@ -72,11 +72,11 @@
     _waiting: list = field(default_factory=list)
     _is_asking: bool = False
 
-    def begin(self, *, kind: Kind, key: int = -1, path: str = "") -> None:
+    def begin(self, *, kind: RequestKind, key: int = -1, path: str = "") -> None:
         """Send a request of this kind."""
         number = next(self.world.numbers)
         key = key if key >= 0 else self.rng.randrange(1 << 16)
-        body = f"{kind.name} {number}".encode() if kind.is_once else b""
+        body = f"{kind.name} {number}".encode() if kind.is_nonidempotent else b""
         request = Request(
             number=number,
             kind=kind,
@@ -85,10 +85,15 @@
             work=kind.work,
             key=key,
             path=path or f"{kind.prefix}{number}",
-            method="POST" if kind.is_once else "GET",
+            method="POST" if kind.is_nonidempotent else "GET",
         )
         self.world.history.add(
-            t=request.begun, k="request", request=number, kind=kind.name, once=kind.is_once, zone=self.node.zone
+            t=request.begun,
+            k="request",
+            request=number,
+            kind=kind.name,
+            once=kind.is_nonidempotent,
+            zone=self.node.zone,
         )
         self._go(request=request, turn=0)
 
@@ -173,7 +178,7 @@
             id=f"{request.number:x}.{turn}", request=request, turn=turn, work=request.work, key=request.key
         )
         self.world.attempts[attempt.id] = attempt
-        process = self.world.by_front.get(address)
+        process = self.world.by_front_address.get(address)
         kind = request.kind
         headers = {
             "host": kind.host,
@@ -189,7 +194,7 @@
             kind=kind.name,
             host=kind.host,
             path=request.path,
-            once=kind.is_once,
+            once=kind.is_nonidempotent,
             turn=turn,
             zone=self.node.zone,
             region=self.node.region,
@@ -229,7 +234,7 @@
                 leave()
                 self._take(attempt=attempt, address=address, answer=None, why=why)
 
-        self._plan_closes(close=close, left=left, is_once=kind.is_once)
+        self._plan_closes(close=close, left=left, is_once=kind.is_nonidempotent)
 
     def _plan_closes(self, *, close: Callable[[str], None], left: float, is_once: bool) -> None:
         """Close an attempt's connection at its deadline, if it is not read in time, or when its client gives up."""
@@ -258,7 +263,7 @@
             id=attempt.id,
             request=request.number,
             kind=request.kind.name,
-            once=request.kind.is_once,
+            once=request.kind.is_nonidempotent,
             code=code,
             seal=seal,
             body=body,
@@ -272,7 +277,7 @@
         if code == 0 and why not in GIVEN_UP:
             self.failed[address] = now
         is_free = code in PROMISES or (code == 0 and not attempt.is_read)
-        may_again = code not in FINAL and (not request.kind.is_once or is_free) and why not in GIVEN_UP
+        may_again = code not in FINAL and (not request.kind.is_nonidempotent or is_free) and why not in GIVEN_UP
         left = request.begun + request.kind.deadline - now
         eager = 3 if self.is_eager else 1
         if not may_again or attempt.turn >= request.attempts * eager or left < 0.05:
@@ -296,12 +301,12 @@
             k="end",
             request=request.number,
             kind=request.kind.name,
-            once=request.kind.is_once,
+            once=request.kind.is_nonidempotent,
             good=is_good,
             why=why,
             begun=request.begun,
             took=now - request.begun,
-            aim=request.kind.aim,
+            aim=request.kind.latency_target,
             zone=self.node.zone,
         )
 
--- a/simulation/hosted/deployment.py
+++ b/simulation/hosted/deployment.py
@@ -33,28 +33,28 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Kind:
-    """One kind of request. `work`, `aim` (target latency) and `deadline` in s, `rate` in requests/s over all zones."""
+class RequestKind:
+    """One kind of request. `work`, `latency_target` and `deadline` in s, `rate` in requests/s over all zones."""
 
     name: str
     host: str
     prefix: str
     service: str
-    is_once: bool
+    is_nonidempotent: bool
     rate: float
     work: float
-    aim: float
+    latency_target: float
     deadline: float
     attempts: int = 2
-    homes: tuple = ()
+    home_regions: tuple = ()
 
 
 @dataclass(frozen=True, kw_only=True)
-class Served:
-    """One service; `a_zone` is the number of its workers in each zone."""
+class Service:
+    """One service with its workers; their `slow_start` in s, `slow_start_rate` in requests/s."""
 
     name: str
-    a_zone: int = 2
+    workers_per_zone: int = 2
     capacity: int = 4
     queue: int = 16
     is_sharded: bool = False
@@ -65,22 +65,23 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Deployment:
-    """A deployment. Each zone has `disks` machines with a disk, one more if it is in `more_disks`, and `plain` without.
+    """A deployment.
 
-    `machines` is the number of machines with a disk that may be lost at once.
+    Each zone has `disks_per_zone` machines with a disk, one more if it is in `zones_with_extra_disk`, and
+    `plain_per_zone` machines without. `max_lost_machines` is how many machines with a disk may be lost at once.
     """
 
     zones: dict = field(default_factory=lambda: dict(ZONES))
     bounds: dict = field(default_factory=lambda: dict(BOUNDS))
-    disks: int = 1
-    plain: int = 1
-    more_disks: tuple = ()
-    machines: int = 1
+    disks_per_zone: int = 1
+    plain_per_zone: int = 1
+    zones_with_extra_disk: tuple = ()
+    max_lost_machines: int = 1
     services: tuple = ()
     kinds: tuple = ()
     list_rate: float = 37.0
     list_lag: float = 0.8
-    clients: int = 3
+    clients_per_zone: int = 3
 
 
 def make_small(*, rate: float = 1.0, home: str = "ens") -> Deployment:
@@ -89,66 +90,66 @@
     The home region of one route is `home`.
     """
     services = (
-        Served(name="stock", is_sharded=True),
-        Served(name="orders"),
-        Served(name="notes"),
-        Served(name="tracks", hangs=False),
+        Service(name="stock", is_sharded=True),
+        Service(name="orders"),
+        Service(name="notes"),
+        Service(name="tracks", hangs=False),
     )
     kinds = (
-        Kind(
+        RequestKind(
             name="stock-read",
             host="a.example",
             prefix="/stock/",
             service="stock",
-            is_once=False,
+            is_nonidempotent=False,
             rate=12 * rate,
             work=0.1,
-            aim=0.6,
+            latency_target=0.6,
             deadline=4.0,
         ),
-        Kind(
+        RequestKind(
             name="order-place",
             host="a.example",
             prefix="/order/",
             service="orders",
-            is_once=True,
+            is_nonidempotent=True,
             rate=12 * rate,
             work=0.12,
-            aim=0.8,
+            latency_target=0.8,
             deadline=5.0,
         ),
-        Kind(
+        RequestKind(
             name="notes-read",
             host="b.example",
             prefix="/notes/",
             service="notes",
-            is_once=False,
+            is_nonidempotent=False,
             rate=12 * rate,
             work=0.15,
-            aim=1.0,
+            latency_target=1.0,
             deadline=6.0,
         ),
-        Kind(
+        RequestKind(
             name="home-place",
             host="b.example",
             prefix="/home/",
             service="notes",
-            is_once=True,
+            is_nonidempotent=True,
             rate=6 * rate,
             work=0.12,
-            aim=0.8,
+            latency_target=0.8,
             deadline=5.0,
-            homes=(home,),
+            home_regions=(home,),
         ),
-        Kind(
+        RequestKind(
             name="track-read",
             host="b.example",
             prefix="/track/",
             service="tracks",
-            is_once=False,
+            is_nonidempotent=False,
             rate=6 * rate,
             work=0.2,
-            aim=1.2,
+            latency_target=1.2,
             deadline=6.0,
         ),
     )
@@ -159,7 +160,9 @@
     """The controller machines of the small deployment and few workers, for long runs of orders without traffic."""
     small = make_small()
     return dataclasses.replace(
-        small, plain=0, services=tuple(dataclasses.replace(service, a_zone=1) for service in small.services)
+        small,
+        plain_per_zone=0,
+        services=tuple(dataclasses.replace(service, workers_per_zone=1) for service in small.services),
     )
 
 
@@ -171,38 +174,47 @@
     deployment: Deployment,
     number: int,
     weights: dict | None = None,
-    dropped: tuple = (),
-    added: int = 0,
+    dropped_routes: tuple = (),
+    extra_routes: int = 0,
     deadlines: dict | None = None,
-    idle: float = 15,
+    idle_timeout: float = 15,
 ) -> dict:
     """A whole configuration in the platform's format.
 
     `weights` is {route: {service: weight}} for routes that are split, `deadlines` {route: s} for routes whose deadline
-    differs, `idle` the idle time-out in s; `added` further routes, under a separate host, come at the end.
+    differs, `idle_timeout` in s; `extra_routes` further routes, under a separate host, come at the end.
     """
     listeners: dict = {}
     for kind in deployment.kinds:
-        if kind.name not in dropped:
+        if kind.name not in dropped_routes:
             rule = _make_rule(kind=kind, weights=(weights or {}).get(kind.name))
             rule["verdict"]["deadline_s"] = (deadlines or {}).get(kind.name, kind.deadline)
             listeners.setdefault(kind.host, []).append(rule)
-    model = deployment.kinds[2]
+    template = deployment.kinds[2]
     extra = [
-        {**_make_rule(kind=model, weights=None), "name": f"extra-{at}", "matcher": {"path_prefix": f"/extra{at}/"}}
-        for at in range(added)
+        {
+            **_make_rule(kind=template, weights=None),
+            "name": f"extra-{index}",
+            "matcher": {"path_prefix": f"/extra{index}/"},
+        }
+        for index in range(extra_routes)
     ]
     if extra:
         listeners["extra.example"] = extra
     return {
         "generation": f"r{number}",
-        "limits": {"max_header_bytes": 16384, "max_body_bytes": 1 << 20, "header_timeout_s": 3, "idle_timeout_s": idle},
+        "limits": {
+            "max_header_bytes": 16384,
+            "max_body_bytes": 1 << 20,
+            "header_timeout_s": 3,
+            "idle_timeout_s": idle_timeout,
+        },
         "listeners": [{"hostname": host, "ruleset": rules} for host, rules in listeners.items()],
-        "pools": [_make_pool(served=service) for service in deployment.services],
+        "pools": [_make_pool(service=service) for service in deployment.services],
     }
 
 
-def _make_rule(*, kind: Kind, weights: dict | None) -> dict:
+def _make_rule(*, kind: RequestKind, weights: dict | None) -> dict:
     verdict = (
         {"split_to": [{"service": name, "weight": weight} for name, weight in weights.items()]}
         if weights
@@ -210,27 +222,27 @@
     )
     return {
         "name": kind.name,
-        "route_kind": "nonidempotent" if kind.is_once else "idempotent",
-        "target_s": kind.aim,
+        "route_kind": "nonidempotent" if kind.is_nonidempotent else "idempotent",
+        "target_s": kind.latency_target,
         "priority": 1,
         "matcher": {"path_prefix": kind.prefix},
         "verdict": {
             **verdict,
             "deadline_s": kind.deadline,
             "max_tries": kind.attempts,
-            "home_regions": list(kind.homes),
+            "home_regions": list(kind.home_regions),
         },
     }
 
 
-def _make_pool(*, served: Served) -> dict:
+def _make_pool(*, service: Service) -> dict:
     pool = {
-        "name": served.name,
+        "name": service.name,
         "health_path": "/health",
         "max_conns": 130,
         "protocol": "h1",
         "tls": False,
-        "cold_s": served.slow_start,
-        "cold_rate_s": served.slow_start_rate,
+        "cold_s": service.slow_start,
+        "cold_rate_s": service.slow_start_rate,
     }
-    return {**pool, "sharded": True, "warm_s": 3.0, "grants": "direct_call"} if served.is_sharded else pool
+    return {**pool, "sharded": True, "warm_s": 3.0, "grants": "direct_call"} if service.is_sharded else pool
--- a/simulation/hosted/draw.py
+++ b/simulation/hosted/draw.py
@@ -48,7 +48,7 @@
     def __post_init__(self) -> None:
         given = self.deployment
         for zone in given.zones:
-            self._core += [f"{zone}-{at}" for at in range(given.disks + (zone in given.more_disks))]
+            self._core += [f"{zone}-{at}" for at in range(given.disks_per_zone + (zone in given.zones_with_extra_disk))]
 
     def at(self, delay: float, verb: str, *words: object) -> None:
         """Add a step, so many s from now."""
@@ -61,7 +61,7 @@
     def loses(self, *, seconds: float, count: int = 1) -> bool:
         """May so many more machines that count be lost for so long? They count until they have caught up."""
         lost = sum(until > self.now for until in self._lost)
-        if self.is_reserved or lost + count > self.deployment.machines:
+        if self.is_reserved or lost + count > self.deployment.max_lost_machines:
             return False
         self._lost += [self.now + seconds + self.deployment.bounds["catch_up_s"] + MARGIN] * count
         return True
@@ -70,7 +70,7 @@
         """The same for a trouble that needs the whole core well: of a zone, or of all at once."""
         if any(until > self.now for until in self._lost):
             return False
-        return self.loses(seconds=seconds, count=self.deployment.machines)
+        return self.loses(seconds=seconds, count=self.deployment.max_lost_machines)
 
     def whole_at(self) -> float:
         """When nothing counts as lost any more."""
@@ -88,9 +88,9 @@
     def plain(self) -> str:
         """A machine that holds no state; of the others if there are none."""
         names = [
-            f"{zone}-{self.deployment.disks + (zone in self.deployment.more_disks) + at}"
+            f"{zone}-{self.deployment.disks_per_zone + (zone in self.deployment.zones_with_extra_disk) + at}"
             for zone in self.deployment.zones
-            for at in range(self.deployment.plain)
+            for at in range(self.deployment.plain_per_zone)
         ]
         return self.rng.choice(names)
 
--- a/simulation/hosted/environment.py
+++ b/simulation/hosted/environment.py
@@ -23,7 +23,7 @@
     deployment: Deployment
     seed: int
     rng: random.Random
-    moments: random.Random
+    moment_rng: random.Random
     clock: Clock
     end: float
     network: Network
@@ -36,7 +36,7 @@
     list_node: Node
     listing: Any
     by_post: dict[str, Any]
-    by_front: dict[str, Any]
+    by_front_address: dict[str, Any]
     by_address: dict[str, Any]
     leader: str
     reader: str
@@ -45,10 +45,10 @@
     def exchange(self, **fields: object) -> Callable[[], None]:
         """Begin one exchange of a client or operator with a listener of a daemon."""
 
-    def acknowledged(self) -> None:
+    def on_acknowledged(self) -> None:
         """A configuration was acknowledged."""
 
-    def happens(self, *, moment: str) -> None:
+    def on_moment(self, *, moment: str) -> None:
         """Run the steps that wait for this moment."""
 
     def wall(self) -> float:
@@ -60,7 +60,7 @@
     def directories(self) -> list[Any]:
         """The daemons that serve the directory."""
 
-    def by_desk(self, *, location: str) -> Any:
+    def redirect_target(self, *, location: str) -> Any:
         """The controller to which a redirect points."""
 
     def crash(self, **fields: Any) -> None:
--- a/simulation/hosted/expect.py
+++ b/simulation/hosted/expect.py
@@ -71,7 +71,7 @@
     words, low, high = _window(words=words, world=world)
     reads = {row["id"]: row["t"] for row in world.history.of(k="read")}
     offered = {row["id"] for row in world.history.of(k="arrival")}
-    aims = {kind.name: kind.aim for kind in world.deployment.kinds}
+    aims = {kind.name: kind.latency_target for kind in world.deployment.kinds}
     late = [
         row
         for row in world.history.of(k="got")
--- a/simulation/hosted/judge_contact.py
+++ b/simulation/hosted/judge_contact.py
@@ -123,4 +123,4 @@
     """The machines of the newest set of voters that any controller holds at the end of the day."""
     owners = [controller.owner for controller in world.controllers() if controller.owner is not None]
     newest = max((owner.voters for owner in owners), key=lambda voters: voters.number, default=VoterSet())
-    return [world.by_post[post].machine for post in newest.members.values()]
+    return [world.by_inner_address[post].machine for post in newest.members.values()]
--- a/simulation/hosted/judge_places.py
+++ b/simulation/hosted/judge_places.py
@@ -68,7 +68,7 @@
 
 def judge_homes(*, world: World, arrivals: list, attempts: dict):
     """HOME: a request of a route with homes arrives at a worker elsewhere."""
-    homes = {kind.name: kind.homes for kind in world.deployment.kinds if kind.homes}
+    homes = {kind.name: kind.home_regions for kind in world.deployment.kinds if kind.home_regions}
     for row in arrivals:
         sent = attempts.get(row["id"])
         if sent is not None and sent["kind"] in homes and row["region"] not in homes[sent["kind"]]:
--- a/simulation/hosted/machine_verbs.py
+++ b/simulation/hosted/machine_verbs.py
@@ -218,7 +218,7 @@
             world.count[f"upon-{moment}"] += 1
             world.clock.after(delay, lambda: world.step(verb, words))
 
-        world.waiting_for.setdefault(moment, []).append((world.clock.now + float(within), act))
+        world.steps_by_moment.setdefault(moment, []).append((world.clock.now + float(within), act))
 
     def _power(self, *, machine: Machine, row: dict) -> None:
         row["until"] = min(row["until"], self._world.clock.now)
@@ -242,7 +242,7 @@
         self._record(machine=machine, seconds=0.0)
 
     def _record(self, *, machine: Machine, seconds: float, planned: bool = False) -> dict:
-        return self._world.trouble(
+        return self._world.record_trouble(
             names={machine.node.name},
             seconds=seconds,
             core="controller" in machine.processes,
--- a/simulation/hosted/operator_call.py
+++ b/simulation/hosted/operator_call.py
@@ -68,7 +68,7 @@
         code = answer.code if answer is not None else 0
         if code == MOVED and self.moves < REDIRECTS:
             self.moves += 1
-            self._send(process=self.operator.world.by_desk(location=answer.headers["Location"]))
+            self._send(process=self.operator.world.redirect_target(location=answer.headers["Location"]))
             return
         self.odd += 400 <= code < 500 and code not in (*ENDS, *COME_BACK)
         if 200 <= code < 300 or code in ENDS or self.odd >= ODD_ANSWERS:
--- a/simulation/hosted/operators.py
+++ b/simulation/hosted/operators.py
@@ -131,10 +131,10 @@
             deployment=self.world.deployment,
             number=number,
             weights=self.weights,
-            dropped=self.dropped,
-            added=self.added,
+            dropped_routes=self.dropped,
+            extra_routes=self.added,
             deadlines=self.deadlines,
-            idle=self.idle,
+            idle_timeout=self.idle,
         )
 
     def patch(
@@ -328,7 +328,7 @@
             if then:
                 then()
             if code == 200:
-                world.acknowledged()
+                world.on_acknowledged()
 
         def lose() -> None:
             version.lost += 1
@@ -340,7 +340,7 @@
             elif answer.code in ENDS and version.taken < float("inf"):
                 world.history.add(t=now, k="refused-taken", number=number, base=base, code=answer.code)
 
-        world.happens(moment="sent")
+        world.on_moment(moment="sent")
         text = json.dumps(body).encode()
 
         headers = {"if-match": f"r{base}" if base else "0", "content-type": "application/json"}
--- a/simulation/hosted/people_verbs.py
+++ b/simulation/hosted/people_verbs.py
@@ -103,14 +103,14 @@
         world = self._world
         world.operator.lost_share = float(share)
         if seconds:
-            world.trouble(names={"operator"}, seconds=float(seconds))
+            world.record_trouble(names={"operator"}, seconds=float(seconds))
             world.clock.after(float(seconds), lambda: setattr(world.operator, "lost_share", 0.0))
 
     def do_impatient(self, wait: str, seconds: str) -> None:
         """For some seconds, the operator waits only `wait` s for a response before it asks another controller."""
         world = self._world
         world.operator.patience = float(wait)
-        world.trouble(names={"operator"}, seconds=float(seconds))
+        world.record_trouble(names={"operator"}, seconds=float(seconds))
         world.clock.after(float(seconds), lambda: setattr(world.operator, "patience", SILENCE))
 
     def do_shift(self, zone: str, to_zone: str, share: str, seconds: str) -> None:
--- a/simulation/hosted/process.py
+++ b/simulation/hosted/process.py
@@ -241,7 +241,7 @@
             self.order_tokens.add(event.token)
         elif edge == "front":
             self.world.taker = self.machine.node.name
-            self.world.happens(moment="taken")
+            self.world.on_moment(moment="taken")
             if self.owner is None:
                 return
         self.deliver(event=event if edge == "front" else self.host.translation.request(event))
@@ -341,11 +341,11 @@
             self.world.leader = self.machine.node.name
             # the response leaves the daemon before the steps that wait for this moment are run
             self.world.clock.after(
-                self.world.moments.uniform(0.0, 0.004), lambda: self.world.happens(moment="answered")
+                self.world.moment_rng.uniform(0.0, 0.004), lambda: self.world.on_moment(moment="answered")
             )
 
     def _send_message(self, *, command: SendMessage) -> None:
-        receiver = self.world.by_post.get(command.to)
+        receiver = self.world.by_inner_address.get(command.to)
         if receiver is None:
             return
         body = check_message(body=marshal.loads(marshal.dumps(command.body)))
--- a/simulation/hosted/scenario.py
+++ b/simulation/hosted/scenario.py
@@ -17,11 +17,11 @@
 
 WARM_UP = (("start", 0.5, []), ("put", 2.0, ["1"]))
 """The steps that every run begins with unless its file says otherwise: (verb, s, words)."""
-DRAWN = "drawn"
+DRAWN_FLEET = "drawn"
 """The name of a fleet that is drawn by the run's seed; `drawn-N` is the fleet that seed N draws."""
 
 
-LAST_LOOK = 1.5
+FINAL_READ_LEAD = 1.5
 """s before the end of a run at which operators read which zones are evacuated, if they gave orders on zones."""
 GRAMMAR = Grammar(
     fleet="small", seeds=range(1, 3), comment="#!", find_fault=find_fault, safeguards=SABOTAGE, can_draw=True
@@ -45,16 +45,16 @@
     kinds = {name: act for name, act in ALL_KINDS.items() if not scenario.kinds or name.split()[0] in scenario.kinds}
     deployment = _deployment_of(fleet=scenario.fleet, seed=seed)
     steps, end = draw_day(deployment=deployment, seed=seed, seconds=scenario.drawn, kinds=kinds)
-    fleet = f"{DRAWN}-{seed}" if scenario.fleet == DRAWN else scenario.fleet
+    fleet = f"{DRAWN_FLEET}-{seed}" if scenario.fleet == DRAWN_FLEET else scenario.fleet
     return replace(scenario, steps=[*scenario.steps, *steps], end=end, drawn=0.0, fleet=fleet)
 
 
 def _deployment_of(*, fleet: str, seed: int) -> Deployment:
     name, _, number = fleet.partition("-")
-    return draw_deployment(seed=int(number or seed)) if name == DRAWN else DEPLOYMENTS[fleet]()
+    return draw_deployment(seed=int(number or seed)) if name == DRAWN_FLEET else DEPLOYMENTS[fleet]()
 
 
-def _look_last(*, world: World) -> None:
+def _read_final_orders(*, world: World) -> None:
     if world.history.of(k="ordered"):
         world.operator.read_orders()
 
@@ -63,16 +63,16 @@
     scenario = explicit_scenario(scenario=scenario, seed=seed)
     world = World(deployment=_deployment_of(fleet=scenario.fleet, seed=seed), seed=seed, end=scenario.end)
     verbs = Verbs(world=world)
-    given = {verb for _, verb, _ in scenario.steps}
+    given_verbs = {verb for _, verb, _ in scenario.steps}
     steps = [
-        *((when, verb, words) for verb, when, words in WARM_UP if verb not in given or verb == "put"),
+        *((when, verb, words) for verb, when, words in WARM_UP if verb not in given_verbs or verb == "put"),
         *scenario.steps,
     ]
     for when, verb, words in steps:
         world.clock.at(world.begin + when, lambda verb=verb, words=words: verbs.do(verb, words))
-    world.clock.at(world.end - LAST_LOOK, lambda: _look_last(world=world))
+    world.clock.at(world.end - FINAL_READ_LEAD, lambda: _read_final_orders(world=world))
     world.clock.run(until=world.end)
-    world.close()
+    world.finish()
     failed, figures = [], {}
     for words in scenario.expects:
         fault, figure = judge_expectation(words=words, world=world)
--- a/simulation/hosted/verbs.py
+++ b/simulation/hosted/verbs.py
@@ -37,14 +37,14 @@
 """The roles of processes that a step can name."""
 PROCESS_VERBS = ("kill", "stop", "freeze")
 """The verbs whose first word names a process."""
-PARTS = (MachineVerbs, LinkVerbs, WorkerVerbs, PeopleVerbs, ChaosVerbs)
+VERB_CLASSES = (MachineVerbs, LinkVerbs, WorkerVerbs, PeopleVerbs, ChaosVerbs)
 
 
 class Verbs:
     """All verbs of one run. `do` carries out a step."""
 
     def __init__(self, *, world: World) -> None:
-        self._parts = [part(world=world) for part in PARTS]
+        self._parts = [part(world=world) for part in VERB_CLASSES]
         world.step = self.do
 
     def do(self, verb: str, words: tuple | list) -> None:
@@ -60,13 +60,15 @@
 
 def find_fault(*, verb: str, words: list[str]) -> str:
     """What is wrong with a step as it is written, "" if nothing is."""
-    method = next((getattr(part, name_of(verb=verb)) for part in PARTS if hasattr(part, name_of(verb=verb))), None)
+    method = next(
+        (getattr(part, name_of(verb=verb)) for part in VERB_CLASSES if hasattr(part, name_of(verb=verb))), None
+    )
     if method is None:
         return f"unknown verb {verb!r}"
     try:
         inspect.signature(method).bind(None, *words)
-    except TypeError as fault:
-        return f"{verb}: {fault}"
+    except TypeError as error:
+        return f"{verb}: {error}"
     if verb == "on-ack":
         return find_fault(verb=words[0], words=words[1:])
     role = words[0].partition("@")[0] if verb in PROCESS_VERBS else ROLES[0]
--- a/simulation/hosted/worker_verbs.py
+++ b/simulation/hosted/worker_verbs.py
@@ -46,7 +46,7 @@
                     lambda: world.add_worker(service=service, zone=old.node.zone, address=old.address),
                 )
 
-            world.drain(worker=old, then=come)
+            world.drain(worker=old, on_end=come)
 
     def do_reuse_crashed(self, worker: str, service: str, *how: str) -> None:
         """Crash a worker; its address goes to another service while the endpoint list still names the old worker.
--- a/tests/test_hosted_draw.py
+++ b/tests/test_hosted_draw.py
@@ -72,10 +72,13 @@
 
 def test_deployments_are_drawn_in_all_sizes_that_the_users_describe() -> None:
     drawn = [draw_deployment(seed=seed) for seed in range(1, 100)]
-    sizes = {one.disks * len(one.zones) + len(one.more_disks) for one in drawn}
+    sizes = {one.disks_per_zone * len(one.zones) + len(one.zones_with_extra_disk) for one in drawn}
     assert sizes == set(range(3, 9))
-    assert {one.machines for one in drawn} == {1, 2}
-    assert all(kind.machines == 1 or kind.disks * len(kind.zones) + len(kind.more_disks) >= 5 for kind in drawn)
+    assert {one.max_lost_machines for one in drawn} == {1, 2}
+    assert all(
+        kind.max_lost_machines == 1 or kind.disks_per_zone * len(kind.zones) + len(kind.zones_with_extra_disk) >= 5
+        for kind in drawn
+    )
 
 
 TAKES = {"kill", "outage", "freeze", "cut-core", "fill", "stall-disk", "replace", "slow-node", "stop"}
@@ -85,7 +88,9 @@
 def test_no_more_machines_that_count_are_taken_at_once_than_the_budget(seed: int) -> None:
     deployment = draw_deployment(seed=seed)
     core = {
-        f"{zone}-{at}" for zone in deployment.zones for at in range(deployment.disks + (zone in deployment.more_disks))
+        f"{zone}-{at}"
+        for zone in deployment.zones
+        for at in range(deployment.disks_per_zone + (zone in deployment.zones_with_extra_disk))
     }
     steps, _ = draw_day(deployment=deployment, seed=seed, seconds=100.0, kinds=ALL_KINDS)
     catch_up = deployment.bounds["catch_up_s"]
@@ -95,7 +100,7 @@
         if verb in TAKES and name in core:
             taken.append(when)
     for at, when in enumerate(taken):
-        assert sum(when - catch_up < one <= when for one in taken[: at + 1]) <= deployment.machines
+        assert sum(when - catch_up < one <= when for one in taken[: at + 1]) <= deployment.max_lost_machines
 
 
 EFFECTS = [
