--- a/simulation/hosted/clients.py
+++ b/simulation/hosted/clients.py
@@ -14,16 +14,16 @@
 from sailward.events import Respond
 from simulation.hosted.deployment import RequestKind
 from simulation.hosted.environment import Environment
-from simulation.hosted.exchange import CONNECT
+from simulation.hosted.exchange import CONNECT_TIMEOUT
 from simulation.hosted.network import Node
 
-TRIES = 2
+RETRIES = 2
 """Retries that a client makes."""
-FINAL = (400, 401, 404, 413, 431)
-PROMISES = (408, 421, 429, 503)
-GIVEN_UP = ("deadline", "left")
+FINAL_STATUSES = (400, 401, 404, 413, 431)
+NOT_RUN_STATUSES = (408, 421, 429, 503)
+GIVE_UP_REASONS = ("deadline", "left")
 """Reasons of an end after which a client does not retry, as it no longer wants an answer."""
-FORGET = 3.0
+FAILED_ADDRESS_TIME = 3.0
 """s for which an address that failed is avoided."""
 
 
@@ -46,13 +46,13 @@
 
     number: int
     kind: RequestKind
-    begun: float
+    begun_at: float
     body: bytes
     path: str
     method: str
     work: float
     key: int
-    attempts: int = TRIES
+    retries: int = RETRIES
 
 
 @dataclass(kw_only=True)
@@ -62,15 +62,15 @@
     world: Environment
     node: Node
     rng: random.Random
-    keeps: float
-    is_eager: bool = False
-    leaves_within: float = 0.0
+    ttl_factor: float
+    is_aggressive: bool = False
+    gives_up_within: float = 0.0
     addresses: list = field(default_factory=list)
-    until: float = 0.0
-    failed: dict = field(default_factory=dict)
+    addresses_until: float = 0.0
+    failed_at: dict = field(default_factory=dict)
     _numbers: itertools.count = field(default_factory=lambda: itertools.count(1))
     _waiting: list = field(default_factory=list)
-    _is_asking: bool = False
+    _is_resolving: bool = False
 
     def begin(self, *, kind: RequestKind, key: int = -1, path: str = "") -> None:
         """Send a request of this kind."""
@@ -80,7 +80,7 @@
         request = Request(
             number=number,
             kind=kind,
-            begun=self.world.clock.now,
+            begun_at=self.world.clock.now,
             body=body,
             work=kind.work,
             key=key,
@@ -88,53 +88,53 @@
             method="POST" if kind.is_nonidempotent else "GET",
         )
         self.world.history.add(
-            t=request.begun,
+            t=request.begun_at,
             k="request",
             request=number,
             kind=kind.name,
             once=kind.is_nonidempotent,
             zone=self.node.zone,
         )
-        self._go(request=request, turn=0)
+        self._send_or_resolve(request=request, turn=0)
 
-    def _go(self, *, request: Request, turn: int) -> None:
-        if self.world.clock.now >= self.until or not self.addresses:
+    def _send_or_resolve(self, *, request: Request, turn: int) -> None:
+        if self.world.clock.now >= self.addresses_until or not self.addresses:
             self._waiting.append((request, turn))
             self._resolve()
             return
         self._send(request=request, turn=turn)
 
     def _resolve(self) -> None:
-        if self._is_asking:
+        if self._is_resolving:
             return
-        self._is_asking = True
-        near = sorted(
-            (one for one in self.world.directories()),
+        self._is_resolving = True
+        nearest = sorted(
+            (directory for directory in self.world.directories()),
             key=lambda directory: (
                 directory.machine.node.region != self.node.region,
                 directory.machine.node.zone != self.node.zone,
                 self.rng.random(),
             ),
         )
-        self._ask(directories=near[:3])
+        self._ask_directory(directories=nearest[:3])
 
-    def _ask(self, *, directories: list) -> None:
+    def _ask_directory(self, *, directories: list) -> None:
         if not directories:
-            self._resolved(addresses=None, ttl=0.5)
+            self._on_resolved(addresses=None, ttl=0.5)
             return
         process, finished = directories[0], []
 
-        def take(answer: Respond | None) -> None:
+        def on_response(answer: Respond | None) -> None:
             if finished:
                 return
             finished.append(1)
-            told = json.loads(answer.body) if answer is not None and answer.code == 200 else {}
-            if told.get("addresses") and "ttl_s" in told:
-                self._resolved(
-                    addresses=told["addresses"], ttl=min(told["ttl_s"], self.world.deployment.bounds["ttl_max_s"])
+            reply = json.loads(answer.body) if answer is not None and answer.code == 200 else {}
+            if reply.get("addresses") and "ttl_s" in reply:
+                self._on_resolved(
+                    addresses=reply["addresses"], ttl=min(reply["ttl_s"], self.world.deployment.bounds["ttl_max_s"])
                 )
             else:
-                self._ask(directories=directories[1:])
+                self._ask_directory(directories=directories[1:])
 
         self.world.exchange(
             node=self.node,
@@ -145,35 +145,37 @@
             headers={},
             body=b"",
             query={"name": "a.example", "region": self.node.region, "zone": self.node.zone},
-            done=take,
+            on_done=on_response,
         )
-        self.world.clock.after(CONNECT, lambda: take(None))
+        self.world.clock.after(CONNECT_TIMEOUT, lambda: on_response(None))
 
-    def _resolved(self, *, addresses: list | None, ttl: float) -> None:
-        now, self._is_asking = self.world.clock.now, False
+    def _on_resolved(self, *, addresses: list | None, ttl: float) -> None:
+        now, self._is_resolving = self.world.clock.now, False
         self.addresses = addresses if addresses is not None else self.addresses
-        self.until = now + (ttl * self.keeps if addresses is not None else 0.5)
+        self.addresses_until = now + (ttl * self.ttl_factor if addresses is not None else 0.5)
         waiting, self._waiting = self._waiting, []
         for request, turn in waiting:
             if self.addresses:
                 self._send(request=request, turn=turn)
-            elif now - request.begun < request.kind.deadline:
+            elif now - request.begun_at < request.kind.deadline:
                 self._waiting.append((request, turn))
         if self._waiting:
             self.world.clock.after(0.3, self._resolve)
 
-    def _pick(self) -> str:
+    def _pick_address(self) -> str:
         now = self.world.clock.now
-        well = [address for address in self.addresses if now - self.failed.get(address, -1e9) > FORGET]
-        return self.rng.choice(well or self.addresses)
+        usable = [
+            address for address in self.addresses if now - self.failed_at.get(address, -1e9) > FAILED_ADDRESS_TIME
+        ]
+        return self.rng.choice(usable or self.addresses)
 
     def _send(self, *, request: Request, turn: int) -> None:
         now = self.world.clock.now
-        left = request.begun + request.kind.deadline - now
-        if left <= 0.01:
+        remaining = request.begun_at + request.kind.deadline - now
+        if remaining <= 0.01:
             self._end(request=request, is_good=False, why="late")
             return
-        address = self._pick()
+        address = self._pick_address()
         attempt = Attempt(
             id=f"{request.number:x}.{turn}", request=request, turn=turn, work=request.work, key=request.key
         )
@@ -183,7 +185,7 @@
         headers = {
             "host": kind.host,
             "attempt-id": attempt.id,
-            "time-budget": str(int(left * 1000)),
+            "time-budget": str(int(remaining * 1000)),
             "shard-key": str(request.key),
         }
         self.world.history.add(
@@ -198,12 +200,12 @@
             turn=turn,
             zone=self.node.zone,
             region=self.node.region,
-            left=left,
+            left=remaining,
             proxy=process.machine.node.name if process else "",
             life=process.incarnation if process else 0,
         )
 
-        def read() -> None:
+        def on_read() -> None:
             attempt.is_read = True
             self.world.history.add(
                 t=self.world.clock.now,
@@ -213,10 +215,10 @@
                 life=process.incarnation,
             )
 
-        def done(answer: Respond | None) -> None:
-            self._take(attempt=attempt, address=address, answer=answer)
+        def on_done(answer: Respond | None) -> None:
+            self._on_response(attempt=attempt, address=address, answer=answer)
 
-        leave = self.world.exchange(
+        close_connection = self.world.exchange(
             node=self.node,
             process=process,
             edge="front",
@@ -225,27 +227,27 @@
             headers=headers,
             body=request.body,
             query={},
-            done=done,
-            read=read,
+            on_done=on_done,
+            on_read=on_read,
         )
 
         def close(why: str) -> None:
             if not attempt.is_over and not (why == "unread" and attempt.is_read):
-                leave()
-                self._take(attempt=attempt, address=address, answer=None, why=why)
+                close_connection()
+                self._on_response(attempt=attempt, address=address, answer=None, why=why)
 
-        self._plan_closes(close=close, left=left, is_once=kind.is_nonidempotent)
+        self._schedule_closes(close=close, remaining=remaining, is_once=kind.is_nonidempotent)
 
-    def _plan_closes(self, *, close: Callable[[str], None], left: float, is_once: bool) -> None:
+    def _schedule_closes(self, *, close: Callable[[str], None], remaining: float, is_once: bool) -> None:
         """Close an attempt's connection at its deadline, if it is not read in time, or when its client gives up."""
         clock = self.world.clock
-        if self.leaves_within:
-            clock.after(self.rng.uniform(0.0, self.leaves_within), lambda: close("left"))
-        clock.after(left, lambda: close("deadline"))
+        if self.gives_up_within:
+            clock.after(self.rng.uniform(0.0, self.gives_up_within), lambda: close("left"))
+        clock.after(remaining, lambda: close("deadline"))
         if not is_once:
-            clock.after(min(1.0, left / 3) + 0.05, lambda: close("unread"))
+            clock.after(min(1.0, remaining / 3) + 0.05, lambda: close("unread"))
 
-    def _take(self, *, attempt: Attempt, address: str, answer: Respond | None, why: str = "closed") -> None:
+    def _on_response(self, *, attempt: Attempt, address: str, answer: Respond | None, why: str = "closed") -> None:
         if attempt.is_over:
             return
         attempt.is_over = True
@@ -274,25 +276,27 @@
         if 200 <= code < 300:
             self._end(request=request, is_good=True, why="")
             return
-        if code == 0 and why not in GIVEN_UP:
-            self.failed[address] = now
-        is_free = code in PROMISES or (code == 0 and not attempt.is_read)
-        may_again = code not in FINAL and (not request.kind.is_nonidempotent or is_free) and why not in GIVEN_UP
-        left = request.begun + request.kind.deadline - now
-        eager = 3 if self.is_eager else 1
-        if not may_again or attempt.turn >= request.attempts * eager or left < 0.05:
+        if code == 0 and why not in GIVE_UP_REASONS:
+            self.failed_at[address] = now
+        is_safe = code in NOT_RUN_STATUSES or (code == 0 and not attempt.is_read)
+        may_retry = (
+            code not in FINAL_STATUSES and (not request.kind.is_nonidempotent or is_safe) and why not in GIVE_UP_REASONS
+        )
+        remaining = request.begun_at + request.kind.deadline - now
+        retry_factor = 3 if self.is_aggressive else 1
+        if not may_retry or attempt.turn >= request.retries * retry_factor or remaining < 0.05:
             self._end(request=request, is_good=False, why=why if not code else str(code))
             return
-        pause = 0.0 if self.is_eager else self._pause(answer=answer, left=left)
-        self.world.clock.after(pause, lambda: self._go(request=request, turn=attempt.turn + 1))
+        pause = 0.0 if self.is_aggressive else self._retry_pause(answer=answer, remaining=remaining)
+        self.world.clock.after(pause, lambda: self._send_or_resolve(request=request, turn=attempt.turn + 1))
 
-    def _pause(self, *, answer: Respond | None, left: float) -> float:
-        told = (
+    def _retry_pause(self, *, answer: Respond | None, remaining: float) -> float:
+        retry_after = (
             next((value for name, value in answer.headers.items() if name.lower() == "retry-after"), "")
             if answer is not None
             else ""
         )
-        return min(float(told), left / 3) if told else 0.02
+        return min(float(retry_after), remaining / 3) if retry_after else 0.02
 
     def _end(self, *, request: Request, is_good: bool, why: str) -> None:
         now = self.world.clock.now
@@ -304,8 +308,8 @@
             once=request.kind.is_nonidempotent,
             good=is_good,
             why=why,
-            begun=request.begun,
-            took=now - request.begun,
+            begun=request.begun_at,
+            took=now - request.begun_at,
             aim=request.kind.latency_target,
             zone=self.node.zone,
         )
--- a/simulation/hosted/environment.py
+++ b/simulation/hosted/environment.py
@@ -70,21 +70,21 @@
         """The host, with the settings that a daemon is started with."""
 
 
-class CallLine(Protocol):
+class WorkerCall(Protocol):
     """One call in flight, as the worker that serves it sees it."""
 
     headers: dict[str, str]
     command: Any
     process: Any
     key: int
-    due: float
-    grey: str
+    deadline_at: float
+    failure_mode: str
     sent_at: float
 
-    def leave_surplus(self, *, code: int, headers: dict, body: bytes) -> None:
+    def send_surplus(self, *, code: int, headers: dict, body: bytes) -> None:
         """The worker sends a surplus response, which is read only when the connection is used again."""
 
-    def answer(self, *, code: int = 0, headers: dict | None = None, body: bytes = b"", fault: str = "") -> None:
+    def respond(self, *, code: int = 0, headers: dict | None = None, body: bytes = b"", fault: str = "") -> None:
         """The worker responds, or the call fails with `fault`."""
 
 
@@ -93,13 +93,13 @@
 
     world: Any
     node: Node
-    patience: float
+    answer_timeout: float
 
-    def named(self, *, machine: str) -> Any:
+    def controller_on(self, *, machine: str) -> Any:
         """The controller on this machine."""
 
-    def pick(self, *, avoid: Any) -> Any:
+    def pick_controller(self, *, avoid: Any) -> Any:
         """Any controller other than `avoid`."""
 
-    def loses(self) -> bool:
+    def draw_lost_ack(self) -> bool:
         """Draws whether the next acknowledgement is lost."""
--- a/simulation/hosted/exchange.py
+++ b/simulation/hosted/exchange.py
@@ -14,9 +14,9 @@
 if TYPE_CHECKING:
     from simulation.hosted.process import Process
 
-CONNECT = 1.0
+CONNECT_TIMEOUT = 1.0
 """Time-out in s for a new connection, and for a response of the directory."""
-BACK_WAIT = 15.0
+HELD_BACK_TIME = 15.0
 """s for which a response, or an operator's order, is held back by a cut before it is lost."""
 
 
@@ -24,9 +24,9 @@
 class Exchange:
     """One exchange with a listener of a daemon: a new connection, the request, and its response.
 
-    `done` is called once with the response, or with None if the connection ended without one; `read` when the daemon
-    has read the request; `made` with each response as the daemon gives it, whether or not it arrives. `wait` is the
-    time-out of the connection in s.
+    `on_done` is called once with the response, or with None if the connection ended without one; `on_read` when the
+    daemon has read the request; `on_response` with each response as the daemon gives it, whether or not it arrives.
+    `connect_timeout` in s.
     """
 
     world: Environment
@@ -38,10 +38,10 @@
     headers: dict
     body: bytes
     query: dict
-    done: Callable
-    read: Callable | None = None
-    wait: float = CONNECT
-    made: Callable | None = None
+    on_done: Callable
+    on_read: Callable | None = None
+    connect_timeout: float = CONNECT_TIMEOUT
+    on_response: Callable | None = None
     token: str = ""
     is_over: bool = False
 
@@ -52,16 +52,16 @@
         network = self.world.network
         if process is not None and network.is_refused(a=self.node, b=process.machine.node):
             clock.after(network.delay(a=self.node, b=process.machine.node), lambda: self._end(None))
-            return self._leave
+            return self._close
         if process is None or process.machine.is_powered_off or self._is_cut():
-            clock.after(self.wait, lambda: self._end(None))
-            return self._leave
+            clock.after(self.connect_timeout, lambda: self._end(None))
+            return self._close
         round_trip = 2 * self.world.network.delay(a=self.node, b=process.machine.node)
         if process.owner is None or (process.is_listener_closed and self.edge == "front"):
             clock.after(round_trip, lambda: self._end(None))
         else:
-            clock.after(round_trip, self._send)
-        return self._leave
+            clock.after(round_trip, self._send_request)
+        return self._close
 
     def _is_cut(self) -> bool:
         return self.world.network.is_severed(a=self.node, b=self.process.machine.node)
@@ -70,41 +70,41 @@
         if answer == "silent" or self.is_over:
             return
         self.is_over = True
-        self.done(answer)
+        self.on_done(answer)
 
-    def _come_back(self, answer: object) -> None:
-        if self.made is not None and isinstance(answer, Respond):
-            self.made(answer)
+    def _send_response(self, answer: object) -> None:
+        if self.on_response is not None and isinstance(answer, Respond):
+            self.on_response(answer)
         if answer != "silent" and self.process is not None:
             self.world.network.send(
-                a=self.process.machine.node, b=self.node, act=lambda: self._end(answer), wait=BACK_WAIT
+                a=self.process.machine.node, b=self.node, act=lambda: self._end(answer), wait=HELD_BACK_TIME
             )
 
-    def _send(self) -> None:
+    def _send_request(self) -> None:
         # an operator's order is still delivered long after the operator gave up; the close of its connection follows it
-        wait = BACK_WAIT if self.edge == "desk" else constants.LEASE_DURATION
+        wait = HELD_BACK_TIME if self.edge == "desk" else constants.LEASE_DURATION
         self.world.network.send(a=self.node, b=self.process.machine.node, act=self._arrive, wait=wait)
 
-    def _is_void(self) -> bool:
+    def _is_dropped(self) -> bool:
         # an operator's order arrives even if the operator gave up meanwhile; the close of its connection follows it
         return self.is_over and self.edge != "desk"
 
     def _arrive(self) -> None:
-        if self._is_void():
+        if self._is_dropped():
             return
         process, incarnation = self.process, self.process.incarnation
         if process.frozen is not None:
-            process.frozen.append(lambda: self._take(incarnation=incarnation))
+            process.frozen.append(lambda: self._hand_over(incarnation=incarnation))
         elif process.owner is None:
-            self._come_back("silent" if process.machine.is_powered_off else None)
+            self._send_response("silent" if process.machine.is_powered_off else None)
         else:
-            self._take(incarnation=incarnation)
+            self._hand_over(incarnation=incarnation)
 
-    def _take(self, *, incarnation: int) -> None:
-        if self._is_void() or self.process.incarnation != incarnation:
+    def _hand_over(self, *, incarnation: int) -> None:
+        if self._is_dropped() or self.process.incarnation != incarnation:
             return
-        if self.read:
-            self.read()
+        if self.on_read:
+            self.on_read()
         event = RequestReceived(
             token=self.token,
             method=self.method,
@@ -114,11 +114,11 @@
             body=self.body,
             target=self.path,
         )
-        self.process.receive_request(event=event, respond=self._come_back)
+        self.process.receive_request(event=event, respond=self._send_response)
         if self.is_over:
             self.process.disconnect_client(token=self.token)
 
-    def _leave(self) -> None:
+    def _close(self) -> None:
         self.is_over = True
         if self.process is not None:
             process, token = self.process, self.token
--- a/simulation/hosted/judge_config.py
+++ b/simulation/hosted/judge_config.py
@@ -33,11 +33,11 @@
 
     def may_hold(self, *, since: float, until: float) -> list[Version]:
         """The versions of which one must be in force for what is sent at `since` and handled by `until`."""
-        newest = max((one.number for one in self.all if one.acked < since), default=0)
+        newest = max((one.number for one in self.all if one.acked_at < since), default=0)
         return [
             one
             for one in self.all
-            if one.number >= newest and one.outcome != "refused" and one.sent < until and one.is_valid
+            if one.number >= newest and one.outcome != "refused" and one.sent_at < until and one.is_valid
         ]
 
     def allowing(self, *, service: str, host: str, path: str) -> list[Version]:
@@ -120,7 +120,7 @@
 def _judge_acknowledged(*, acked: list):
     for one in acked:
         if not one.is_valid:
-            yield Broken(rule="CONFIG", t=one.acked, detail=f"r{one.number} is invalid and was acknowledged")
+            yield Broken(rule="CONFIG", t=one.acked_at, detail=f"r{one.number} is invalid and was acknowledged")
     for base in {one.base for one in acked}:
         winners = sorted({one.number for one in acked if one.base == base})
         if len(winners) > 1 or sum(one.base == base for one in acked) > 1:
@@ -131,7 +131,7 @@
 
 
 def _judge_ended(*, world: World, touch: Touch):
-    patience = world.deployment.bounds["ack_s"] + LARGE * world.operator.added
+    patience = world.deployment.bounds["ack_s"] + LARGE * world.operator.extra_routes
     for row in world.history.of(k="config-ended"):
         begun = row["waits_from"]
         took = row["t"] - begun
@@ -145,14 +145,14 @@
 
 def _judge_read(*, acked: list, row: dict):
     """A read in the middle of a day may fail; what it gives is no older than what was acknowledged before it began."""
-    newest = max((version.number for version in acked if version.acked <= row["begun"]), default=0)
+    newest = max((version.number for version in acked if version.acked_at <= row["begun"]), default=0)
     if row["code"] == 200 and int(row["written"]["generation"][1:]) < newest:
         told = f"{row['written']['generation']} was read after r{newest} had been acknowledged"
         yield Broken(rule="LOST", t=row["t"], detail=told)
 
 
 def _judge_read_back(*, world: World, acked: list, row: dict):
-    newest = max((one for one in acked if one.acked <= row["begun"]), key=lambda one: one.number, default=None)
+    newest = max((one for one in acked if one.acked_at <= row["begun"]), key=lambda one: one.number, default=None)
     if row["code"] != 200:
         if newest is not None:
             yield Broken(rule="CONFIG", t=row["t"], detail=f"the configuration did not come: {row['code']}")
@@ -178,11 +178,11 @@
     """
     return any(
         version.number >= row["number"]
-        and version.sent < row["t"]
+        and version.sent_at < row["t"]
         and version.outcome != "refused"
         and version.is_valid
         for version in world.operator.versions.values()
-        if (version.number, version.sent) != (row["number"], row["begun"])
+        if (version.number, version.sent_at) != (row["number"], row["begun"])
     )
 
 
--- a/simulation/hosted/judge_orders.py
+++ b/simulation/hosted/judge_orders.py
@@ -44,15 +44,15 @@
         if version.code != LOST or not version.is_valid:
             return None
         call = LabelledLoss(base=version.base)
-        return Operation(name=name, begun=version.sent, ended=version.ended, call=call)
+        return Operation(name=name, begun=version.sent_at, ended=version.ended_at, call=call)
     if not version.is_valid and version.outcome != "acked":
         return None
     is_certain = version.outcome == "acked"
     content = digest(content=normal_form(written=version.written))
     return Operation(
         name=name,
-        begun=version.sent,
-        ended=version.ended if is_certain else math.inf,
+        begun=version.sent_at,
+        ended=version.ended_at if is_certain else math.inf,
         call=LabelledChange(base=version.base, label=version.number, content=content),
         is_certain=is_certain,
     )
--- a/simulation/hosted/link_verbs.py
+++ b/simulation/hosted/link_verbs.py
@@ -79,6 +79,6 @@
             is_rejecting=bool(set(REJECTING_OPTIONS) & set(how)),
         )
         if made.is_rejecting:
-            world.calls.sever()
+            world.calls.reset_across_cuts()
         world.clock.after(float(seconds), lambda: world.network.heal(cut=made))
         return made
--- a/simulation/hosted/network.py
+++ b/simulation/hosted/network.py
@@ -94,21 +94,27 @@
         return self.delay_factor * (base + CLIENT_DELAY * (a.is_client or b.is_client)) * self.rng.uniform(0.95, 1.15)
 
     def send(
-        self, *, a: Node, b: Node, act: Callable[[], None], line: object = None, wait: float = constants.LEASE_DURATION
+        self,
+        *,
+        a: Node,
+        b: Node,
+        act: Callable[[], None],
+        stream: object = None,
+        wait: float = constants.LEASE_DURATION,
     ) -> None:
         """Send bytes on an open connection. A cut holds them back, and they are lost if it lasts longer than `wait` s.
 
-        Bytes sent with the same `line` arrive in order.
+        Bytes sent with the same `stream` arrive in order.
         """
         if self.is_refused(a=a, b=b):
             return
         if self.is_cut(a=a, b=b):
-            self._delayed.append((self.clock.now + wait, a, b, act, line))
+            self._delayed.append((self.clock.now + wait, a, b, act, stream))
             return
         arrival_at = self.clock.now + self.delay(a=a, b=b)
-        if line is not None:
-            arrival_at = max(arrival_at, self._last_arrival_at.get(line, 0.0) + 1e-6)
-            self._last_arrival_at[line] = arrival_at
+        if stream is not None:
+            arrival_at = max(arrival_at, self._last_arrival_at.get(stream, 0.0) + 1e-6)
+            self._last_arrival_at[stream] = arrival_at
         self.clock.at(arrival_at, act)
 
     def cut(self, *, left: frozenset, right: frozenset, is_one_way: bool = False, is_rejecting: bool = False) -> Cut:
@@ -121,6 +127,6 @@
         """End a cut; bytes that are still held back and meet no other cut are sent on."""
         cut.end = min(cut.end, self.clock.now)
         delayed, self._delayed = self._delayed, []
-        for until, a, b, act, line in delayed:
+        for until, a, b, act, stream in delayed:
             if self.clock.now <= until:
-                self.send(a=a, b=b, act=act, line=line)
+                self.send(a=a, b=b, act=act, stream=stream)
--- a/simulation/hosted/operators.py
+++ b/simulation/hosted/operators.py
@@ -13,65 +13,65 @@
 from simulation.hosted.deployment import make_written
 from simulation.hosted.environment import Environment
 from simulation.hosted.network import Node
-from simulation.hosted.operator_call import ENDS, OperatorCall
+from simulation.hosted.operator_call import FINAL_STATUSES, OperatorCall
 
 if TYPE_CHECKING:
     from simulation.hosted.process import Process
 
-SILENCE = 1.0
+ANSWER_TIMEOUT = 1.0
 """s without a response before the operator closes the connection and asks another daemon."""
-AT_ONCE = 8
+MAX_EDITS_IN_FLIGHT = 8
 """Edits that may be in flight at once."""
-ORDER_TIME = 5.0
+RETRY_TIME = 5.0
 """s for which a call other than a change of the configuration is retried."""
 
 
 @dataclass(frozen=True, kw_only=True)
-class Sending:
-    """How an order is sent: first to the machine `first`, with `only` to no other machine.
+class SendOptions:
+    """How an order is sent: first to `first_machine`; if `is_pinned`, to no other machine.
 
-    If `again` is set, the first acknowledgement is lost, and the order is sent again `again` s later.
+    If `resend_after` is set, the first acknowledgement is lost, and the order is sent again this many s later.
     """
 
-    first: str = ""
-    only: bool = False
-    again: float = 0.0
+    first_machine: str = ""
+    is_pinned: bool = False
+    resend_after: float = 0.0
 
 
 @dataclass(kw_only=True)
 class Version:
     """One configuration that was sent, and its outcome: open, acked, refused or unknown.
 
-    `taken` is when a controller first acknowledged it, whether or not the operator received that; `ended` and `code`
-    are the time and the status of its final response; `lost` counts the acknowledgements that never reached the
-    operator.
+    `accepted_at` is when a controller first acknowledged it, whether or not the operator received that; `ended_at` and
+    `code` are the time and the status of its final response; `lost_acks` counts the acknowledgements that never reached
+    the operator.
     """
 
     number: int
     base: int
     written: dict
-    sent: float
+    sent_at: float
     is_valid: bool = True
     outcome: str = "open"
-    acked: float = float("inf")
-    taken: float = float("inf")
-    ended: float = float("inf")
+    acked_at: float = float("inf")
+    accepted_at: float = float("inf")
+    ended_at: float = float("inf")
     code: int = 0
-    lost: int = 0
+    lost_acks: int = 0
 
     def routes(self) -> dict:
         """{(host, prefix): (services that may run it, homes)}."""
-        found = {}
+        routes = {}
         for listener in self.written["listeners"]:
             for rule in listener["ruleset"]:
                 verdict = rule["verdict"]
                 split = verdict.get("split_to") or [{"service": verdict.get("service"), "weight": 1}]
-                services = frozenset(one["service"] for one in split if one["weight"] > 0)
-                found[(listener["hostname"], rule["matcher"]["path_prefix"])] = (
+                services = frozenset(part["service"] for part in split if part["weight"] > 0)
+                routes[(listener["hostname"], rule["matcher"]["path_prefix"])] = (
                     services,
                     frozenset(verdict.get("home_regions", ())),
                 )
-        return found
+        return routes
 
 
 @dataclass(kw_only=True)
@@ -83,14 +83,14 @@
     versions: dict = field(default_factory=dict)
     order: list = field(default_factory=list)
     weights: dict = field(default_factory=dict)
-    dropped: tuple = ()
-    added: int = 0
+    dropped_routes: tuple = ()
+    extra_routes: int = 0
     deadlines: dict = field(default_factory=dict)
-    idle: float = 15
-    emptied: set = field(default_factory=set)
-    patience: float = SILENCE
-    lost_share: float = 0.0
-    under_way: int = 0
+    idle_timeout: float = 15
+    evacuated_zones: set = field(default_factory=set)
+    answer_timeout: float = ANSWER_TIMEOUT
+    lost_ack_share: float = 0.0
+    edits_in_flight: int = 0
 
     def __post_init__(self) -> None:
         self._rng = random.Random(f"{self.world.seed}/operator")
@@ -111,10 +111,10 @@
         base: int | None = None,
         spoil: Callable[[dict], None] | None = None,
         spoil_body: Callable[[bytes], bytes] | None = None,
-        how: Sending | None = None,
+        options: SendOptions | None = None,
     ) -> None:
         """Send a whole configuration as the operator currently wants it; `spoil` and `spoil_body` make it invalid."""
-        written = self._wanted(number=number)
+        written = self._wanted_config(number=number)
         self._send(
             number=number,
             base=base,
@@ -123,37 +123,37 @@
             body=written,
             spoil=spoil,
             spoil_body=spoil_body,
-            how=how,
+            options=options,
         )
 
-    def _wanted(self, *, number: int) -> dict:
+    def _wanted_config(self, *, number: int) -> dict:
         return make_written(
             deployment=self.world.deployment,
             number=number,
             weights=self.weights,
-            dropped_routes=self.dropped,
-            extra_routes=self.added,
+            dropped_routes=self.dropped_routes,
+            extra_routes=self.extra_routes,
             deadlines=self.deadlines,
-            idle_timeout=self.idle,
+            idle_timeout=self.idle_timeout,
         )
 
     def patch(
-        self, *, number: int, route: str, weights: dict, how: Sending | None = None, informed: bool = False
+        self, *, number: int, route: str, weights: dict, options: SendOptions | None = None, is_informed: bool = False
     ) -> None:
         """Change one route by name.
 
-        It builds on the newest version that this operator knows to be acknowledged; with `informed`, on the newest
+        It builds on the newest version that this operator knows to be acknowledged; with `is_informed`, on the newest
         that a controller acknowledged at all.
         """
         self.weights = {**self.weights, route: weights}
-        wanted = self._wanted(number=number)
+        wanted = self._wanted_config(number=number)
         listener = next(one for one in wanted["listeners"] if any(rule["name"] == route for rule in one["ruleset"]))
         rule = next(rule for rule in listener["ruleset"] if rule["name"] == route)
         base = max(
             (
                 one
                 for one in self.versions.values()
-                if one.outcome == "acked" or (informed and one.taken < float("inf"))
+                if one.outcome == "acked" or (is_informed and one.accepted_at < float("inf"))
             ),
             key=lambda version: version.number,
         )
@@ -165,49 +165,49 @@
             "generation": written["generation"],
             "upsert": {"listeners": [{"hostname": listener["hostname"], "ruleset": [rule]}]},
         }
-        self._send(number=number, base=base.number, written=written, method="PATCH", body=body, how=how)
+        self._send(number=number, base=base.number, written=written, method="PATCH", body=body, options=options)
 
-    def evacuate(self, *, zone: str, is_back: bool = False, first: str = "") -> None:
-        """Evacuate a zone, or with `is_back` end its evacuation."""
-        world, begun = self.world, self.world.clock.now
-        kind = "refill" if is_back else "empty"
+    def evacuate(self, *, zone: str, is_refill: bool = False, first_machine: str = "") -> None:
+        """Evacuate a zone, or with `is_refill` end its evacuation."""
+        world, started_at = self.world, self.world.clock.now
+        kind = "refill" if is_refill else "empty"
 
         arrivals: list[float] = []
 
         def end(code: int) -> None:
             world.history.add(
-                t=world.clock.now, k="ordered", kind=kind, zone=zone, code=code, begun=begun, arrivals=arrivals
+                t=world.clock.now, k="ordered", kind=kind, zone=zone, code=code, begun=started_at, arrivals=arrivals
             )
-            if is_back:
+            if is_refill:
                 # one of the attempts to send it may have taken effect only now
                 world.history.add(t=world.clock.now, k="refilling", zone=zone)
             if code == 200:
-                self.emptied = self.emptied - {zone} if is_back else self.emptied | {zone}
+                self.evacuated_zones = self.evacuated_zones - {zone} if is_refill else self.evacuated_zones | {zone}
 
-        if is_back:
+        if is_refill:
             # nothing is guaranteed about the zone from the moment the order is sent
-            world.history.add(t=begun, k="refilling", zone=zone)
+            world.history.add(t=started_at, k="refilling", zone=zone)
         self._call(
-            method="DELETE" if is_back else "POST",
+            method="DELETE" if is_refill else "POST",
             path=f"/evacuation/{zone}",
             headers={},
             body=b"",
-            until=begun + ORDER_TIME,
-            done=end,
-            first=first,
-            arrived=lambda: arrivals.append(world.clock.now),
+            until=started_at + RETRY_TIME,
+            on_done=end,
+            first_machine=first_machine,
+            on_arrived=lambda: arrivals.append(world.clock.now),
         )
 
-    def read_back(self, *, where: str = "", row: str = "read-back") -> None:
-        """Read the newest configuration; `row` is the kind of the row in the history."""
-        world, begun = self.world, self.world.clock.now
+    def read_back(self, *, machine: str = "", row_kind: str = "read-back") -> None:
+        """Read the newest configuration; `row_kind` is the kind of the row in the history."""
+        world, started_at = self.world, self.world.clock.now
 
         def end(code: int, body: bytes = b"") -> None:
             world.history.add(
                 t=world.clock.now,
-                k=row,
+                k=row_kind,
                 code=code,
-                begun=begun,
+                begun=started_at,
                 written=json.loads(body) if code == 200 else None,
             )
 
@@ -216,35 +216,35 @@
             path="/config",
             headers={},
             body=b"",
-            until=begun + world.deployment.bounds["contact_s"] + 2.0,
-            done=end,
-            first=where,
+            until=started_at + world.deployment.bounds["contact_s"] + 2.0,
+            on_done=end,
+            first_machine=machine,
             wants_body=True,
         )
 
-    def edit(self, *, first: str = "", pause: float = 0.0) -> None:
-        """Read the configuration and change one route on top of it, if fewer than AT_ONCE edits are in flight.
+    def edit(self, *, first_machine: str = "", retry_pause: float = 0.0) -> None:
+        """Read the configuration and change one route on top of it, if fewer than MAX_EDITS_IN_FLIGHT are in flight.
 
-        The change is sent as a whole configuration or as a patch. `pause` is the time in s before each retry, instead
-        of the usual backoff.
+        The change is sent as a whole configuration or as a patch. `retry_pause` is the time in s before each retry,
+        instead of the usual backoff.
         """
-        if self.under_way >= AT_ONCE:
+        if self.edits_in_flight >= MAX_EDITS_IN_FLIGHT:
             return
-        self.under_way += 1
+        self.edits_in_flight += 1
 
-        def take(code: int, body: bytes = b"") -> None:
+        def on_read(code: int, body: bytes = b"") -> None:
             if code != 200:
-                self.under_way -= 1
+                self.edits_in_flight -= 1
                 return
-            self._change(written=json.loads(body), first=first, pause=pause)
+            self._send_edit(written=json.loads(body), first_machine=first_machine, retry_pause=retry_pause)
 
-        self._read(path="/config", kind="config-read", done=take)
+        self._read(path="/config", kind="config-read", on_done=on_read)
 
     def read_orders(self) -> None:
         """Read which zones are evacuated."""
-        self._read(path="/orders", kind="orders-read", done=lambda code, body=b"": None)
+        self._read(path="/orders", kind="orders-read", on_done=lambda code, body=b"": None)
 
-    def _change(self, *, written: dict, first: str, pause: float) -> None:
+    def _send_edit(self, *, written: dict, first_machine: str, retry_pause: float) -> None:
         base = int(written["generation"][1:])
         number = max([base, *(version.number for version in self.versions.values())]) + self._rng.randrange(0, 3)
         if number <= base:
@@ -264,24 +264,31 @@
             written=changed,
             method=method,
             body=body,
-            how=Sending(first=first),
-            pause=pause,
-            then=self._edited,
+            options=SendOptions(first_machine=first_machine),
+            retry_pause=retry_pause,
+            on_ended=self._on_edit_ended,
         )
 
-    def _edited(self) -> None:
-        self.under_way -= 1
+    def _on_edit_ended(self) -> None:
+        self.edits_in_flight -= 1
 
-    def _read(self, *, path: str, kind: str, done: Callable) -> None:
-        world, begun = self.world, self.world.clock.now
+    def _read(self, *, path: str, kind: str, on_done: Callable) -> None:
+        world, started_at = self.world, self.world.clock.now
 
         def end(code: int, body: bytes = b"") -> None:
             if code == 200:
-                world.history.add(t=world.clock.now, k=kind, begun=begun, body=json.loads(body))
-            done(code, body)
+                world.history.add(t=world.clock.now, k=kind, begun=started_at, body=json.loads(body))
+            on_done(code, body)
 
         self._call(
-            method="GET", path=path, headers={}, body=b"", until=begun + ORDER_TIME, done=end, first="", wants_body=True
+            method="GET",
+            path=path,
+            headers={},
+            body=b"",
+            until=started_at + RETRY_TIME,
+            on_done=end,
+            first_machine="",
+            wants_body=True,
         )
 
     def _send(
@@ -294,11 +301,11 @@
         body: dict,
         spoil: Callable | None = None,
         spoil_body: Callable | None = None,
-        how: Sending | None = None,
-        pause: float = 0.0,
-        then: Callable[[], None] | None = None,
+        options: SendOptions | None = None,
+        retry_pause: float = 0.0,
+        on_ended: Callable[[], None] | None = None,
     ) -> None:
-        world, how = self.world, how or Sending()
+        world, options = self.world, options or SendOptions()
         base = self.newest() if base is None else base
         if spoil:
             written = copy.deepcopy(written)
@@ -306,14 +313,14 @@
             body = written
         key = (number, len(self.versions))
         version = self.versions[key] = Version(
-            number=number, base=base, written=written, sent=world.clock.now, is_valid=spoil is spoil_body is None
+            number=number, base=base, written=written, sent_at=world.clock.now, is_valid=spoil is spoil_body is None
         )
         world.history.add(t=world.clock.now, k="config-sent", number=number, base=base, valid=version.is_valid)
 
         def end(code: int) -> None:
-            version.outcome = "acked" if code == 200 else "refused" if code in ENDS else "unknown"
-            version.acked = world.clock.now if code == 200 else float("inf")
-            version.ended, version.code = world.clock.now, code
+            version.outcome = "acked" if code == 200 else "refused" if code in FINAL_STATUSES else "unknown"
+            version.acked_at = world.clock.now if code == 200 else float("inf")
+            version.ended_at, version.code = world.clock.now, code
             world.history.add(
                 t=world.clock.now,
                 k="config-ended",
@@ -321,23 +328,23 @@
                 base=base,
                 code=code,
                 valid=version.is_valid,
-                begun=version.sent,
-                lost=version.lost,
-                waits_from=version.sent + (how.again + SILENCE if how.again else 0.0),
+                begun=version.sent_at,
+                lost=version.lost_acks,
+                waits_from=version.sent_at + (options.resend_after + ANSWER_TIMEOUT if options.resend_after else 0.0),
             )
-            if then:
-                then()
+            if on_ended:
+                on_ended()
             if code == 200:
                 world.on_acknowledged()
 
-        def lose() -> None:
-            version.lost += 1
+        def on_lost() -> None:
+            version.lost_acks += 1
 
-        def made(answer: Respond) -> None:
+        def on_response(answer: Respond) -> None:
             now = world.clock.now
             if answer.code == 200:
-                version.taken = min(version.taken, now)
-            elif answer.code in ENDS and version.taken < float("inf"):
+                version.accepted_at = min(version.accepted_at, now)
+            elif answer.code in FINAL_STATUSES and version.accepted_at < float("inf"):
                 world.history.add(t=now, k="refused-taken", number=number, base=base, code=answer.code)
 
         world.on_moment(moment="sent")
@@ -350,34 +357,36 @@
             headers=headers,
             body=spoil_body(text) if spoil_body else text,
             until=float("inf"),
-            done=end,
-            first=how.first,
-            only=how.only,
-            again=how.again,
-            made=made,
-            pause=pause,
-            lost=lose,
+            on_done=end,
+            first_machine=options.first_machine,
+            is_pinned=options.is_pinned,
+            resend_after=options.resend_after,
+            on_response=on_response,
+            retry_pause=retry_pause,
+            on_lost=on_lost,
         )
 
     def _call(self, **fields: object) -> None:
         OperatorCall(operator=self, **fields).begin()
 
-    def named(self, *, machine: str) -> Process | None:
+    def controller_on(self, *, machine: str) -> Process | None:
         """The controller on this machine, if it is listed."""
-        return next((row for row in self._listed() if row.machine.node.name == machine), None)
+        return next(
+            (controller for controller in self._listed_controllers() if controller.machine.node.name == machine), None
+        )
 
-    def pick(self, *, avoid: Process | None) -> Process | None:
+    def pick_controller(self, *, avoid: Process | None) -> Process | None:
         """Any listed controller other than `avoid`."""
-        choice = [row for row in self._listed() if row is not avoid]
-        return self.world.rng.choice(choice) if choice else None
+        candidates = [controller for controller in self._listed_controllers() if controller is not avoid]
+        return self.world.rng.choice(candidates) if candidates else None
 
-    def loses(self) -> bool:
+    def draw_lost_ack(self) -> bool:
         """Draws whether the next acknowledgement is lost."""
-        is_lost = self.lost_share > 0 and self._rng.random() < self.lost_share
+        is_lost = self.lost_ack_share > 0 and self._rng.random() < self.lost_ack_share
         self.world.count["acks-lost"] += is_lost
         return is_lost
 
-    def _listed(self) -> list:
+    def _listed_controllers(self) -> list:
         now, lag = self.world.clock.now, self.world.deployment.bounds["seed_lag_s"]
         return [
             controller
--- a/simulation/hosted/people_verbs.py
+++ b/simulation/hosted/people_verbs.py
@@ -7,7 +7,7 @@
 
 from simulation.hosted.bad_configs import SPOILS, SPOILT_BODIES
 from simulation.hosted.choosing import ROLES, resolve_role
-from simulation.hosted.operators import SILENCE, Sending
+from simulation.hosted.operators import ANSWER_TIMEOUT, SendOptions
 
 if TYPE_CHECKING:
     from simulation.hosted.world import World
@@ -26,14 +26,14 @@
 
     def do_hot_key(self, seconds: str, times: str, key: str) -> None:
         """Clients send further requests for a single key of the sharded services."""
-        divided = {service.name for service in self._world.deployment.services if service.is_sharded}
-        chosen = tuple(kind for kind in self._world.deployment.kinds if kind.service in divided)
+        sharded = {service.name for service in self._world.deployment.services if service.is_sharded}
+        chosen = tuple(kind for kind in self._world.deployment.kinds if kind.service in sharded)
         self._world.load(until=self._world.clock.now + float(seconds), times=float(times), kinds=chosen, key=int(key))
 
     def do_eager(self, share: str, seconds: str = "") -> None:
         """A share of the clients retry immediately and more often than the others."""
-        for at, client in enumerate(self._world.clients):
-            client.is_eager = at < float(share) * len(self._world.clients)
+        for index, client in enumerate(self._world.clients):
+            client.is_aggressive = index < float(share) * len(self._world.clients)
         if seconds:
             self._world.clock.after(float(seconds), lambda: self.do_eager("0"))
 
@@ -41,8 +41,8 @@
         """For some seconds, a share of the clients close each attempt within `within` s and don't retry."""
         leaving = self._world.clients[: round(float(share) * len(self._world.clients))]
         for client in leaving:
-            client.leaves_within = float(within)
-            self._world.clock.after(float(seconds), lambda client=client: setattr(client, "leaves_within", 0.0))
+            client.gives_up_within = float(within)
+            self._world.clock.after(float(seconds), lambda client=client: setattr(client, "gives_up_within", 0.0))
 
     def do_put(self, number: str, *words: str) -> None:
         """`put NUMBER [base=N] [at=MACHINE] [only] [again=S]`: send the whole configuration.
@@ -50,23 +50,23 @@
         `only`: send it to this machine alone until it responds; `again`: the first acknowledgement is lost, and the
         configuration is sent again S s later.
         """
-        given = _given(words=words)
+        named = _named_words(words=words)
         self._world.operator.put(
             number=int(number),
-            base=int(given["base"]) if "base" in given else None,
-            how=self._how(given=given, words=words),
+            base=int(named["base"]) if "base" in named else None,
+            options=self._send_options(named=named, words=words),
         )
 
     def do_patch(self, number: str, route: str, *words: str) -> None:
         """`patch NUMBER ROUTE SERVICE=WEIGHT ... [at=MACHINE] [only] [again=S]`: change one route."""
-        given = _given(words=words)
-        how = self._how(given=given, words=words)
-        given = {name: weight for name, weight in given.items() if name not in ("at", "again")}
+        named = _named_words(words=words)
+        options = self._send_options(named=named, words=words)
+        named = {name: weight for name, weight in named.items() if name not in ("at", "again")}
         self._world.operator.patch(
             number=int(number),
             route=route,
-            weights={name: float(weight) for name, weight in given.items()},
-            how=how,
+            weights={name: float(weight) for name, weight in named.items()},
+            options=options,
         )
 
     def do_deadline(self, route: str, seconds: str) -> None:
@@ -75,7 +75,7 @@
 
     def do_idle(self, seconds: str) -> None:
         """Set the idle time-out of connections in the next whole configuration."""
-        self._world.operator.idle = float(seconds)
+        self._world.operator.idle_timeout = float(seconds)
 
     def do_storm(self, number: str, count: str, gap: str) -> None:
         """Send `count` changes with consecutive numbers, one every `gap` s, or later if the one before hasn't ended.
@@ -85,65 +85,65 @@
         """
         world, operator = self._world, self._world.operator
 
-        def go(turn: int) -> None:
-            last = int(number) + turn - 1
+        def send_next(turn: int) -> None:
+            previous = int(number) + turn - 1
             if turn and any(
-                version.number == last and version.outcome == "open" for version in operator.versions.values()
+                version.number == previous and version.outcome == "open" for version in operator.versions.values()
             ):
-                world.clock.after(float(gap), lambda: go(turn))
+                world.clock.after(float(gap), lambda: send_next(turn))
             elif turn < int(count):
                 weights = {"notes": 1.0, "tracks": float(turn % 4)}
-                operator.patch(number=last + 1, route="notes-read", weights=weights, informed=True)
-                world.clock.after(float(gap), lambda: go(turn + 1))
+                operator.patch(number=previous + 1, route="notes-read", weights=weights, is_informed=True)
+                world.clock.after(float(gap), lambda: send_next(turn + 1))
 
-        go(0)
+        send_next(0)
 
     def do_lose_acks(self, share: str, seconds: str = "") -> None:
         """Lose a share of the acknowledgements to the operator, for some seconds or from now on."""
         world = self._world
-        world.operator.lost_share = float(share)
+        world.operator.lost_ack_share = float(share)
         if seconds:
             world.record_trouble(names={"operator"}, seconds=float(seconds))
-            world.clock.after(float(seconds), lambda: setattr(world.operator, "lost_share", 0.0))
+            world.clock.after(float(seconds), lambda: setattr(world.operator, "lost_ack_share", 0.0))
 
     def do_impatient(self, wait: str, seconds: str) -> None:
         """For some seconds, the operator waits only `wait` s for a response before it asks another controller."""
         world = self._world
-        world.operator.patience = float(wait)
+        world.operator.answer_timeout = float(wait)
         world.record_trouble(names={"operator"}, seconds=float(seconds))
-        world.clock.after(float(seconds), lambda: setattr(world.operator, "patience", SILENCE))
+        world.clock.after(float(seconds), lambda: setattr(world.operator, "answer_timeout", ANSWER_TIMEOUT))
 
     def do_shift(self, zone: str, to_zone: str, share: str, seconds: str) -> None:
         """Move a share of a zone's clients to another zone, and back after some seconds."""
         world = self._world
-        there = next(one.node for one in world.clients if one.node.zone == to_zone)
+        target = next(client.node for client in world.clients if client.node.zone == to_zone)
         movers = [client for client in world.clients if client.node.zone == zone]
         for mover in movers[: max(1, round(float(share) * len(movers)))]:
-            home = mover.node
+            origin = mover.node
             mover.node = dataclasses.replace(
-                home, zone=there.zone, region=there.region, names=there.names | {home.name}
+                origin, zone=target.zone, region=target.region, names=target.names | {origin.name}
             )
-            mover.until = 0.0
-            world.clock.after(float(seconds), lambda mover=mover, home=home: setattr(mover, "node", home))
+            mover.addresses_until = 0.0
+            world.clock.after(float(seconds), lambda mover=mover, origin=origin: setattr(mover, "node", origin))
 
     def do_read_config(self, at: str = "") -> None:
         """The operator reads the newest configuration in the middle of a run."""
-        self._world.operator.read_back(where=at, row="read-config")
+        self._world.operator.read_back(machine=at, row_kind="read-config")
 
     def do_drop(self, route: str) -> None:
         """Omit this route from the next whole configuration."""
-        self._world.operator.dropped += (route,)
+        self._world.operator.dropped_routes += (route,)
 
     def do_split(self, route: str, *words: str) -> None:
         """Split a route by these weights in the next whole configuration."""
         self._world.operator.weights = {
             **self._world.operator.weights,
-            route: {name: float(weight) for name, weight in _given(words=words).items()},
+            route: {name: float(weight) for name, weight in _named_words(words=words).items()},
         }
 
     def do_grow(self, routes: str) -> None:
         """Add this many further routes to the next whole configuration."""
-        self._world.operator.added = int(routes)
+        self._world.operator.extra_routes = int(routes)
 
     def do_put_invalid(self, number: str, way: str) -> None:
         """Send an invalid configuration (see bad_configs.py), or with `stale` a valid one on an older version."""
@@ -156,16 +156,16 @@
 
     def do_evacuate(self, zone: str, *words: str) -> None:
         """`evacuate ZONE [at=MACHINE]`: evacuate a zone."""
-        self._world.operator.evacuate(zone=zone, first=_given(words=words).get("at", ""))
+        self._world.operator.evacuate(zone=zone, first_machine=_named_words(words=words).get("at", ""))
 
     def do_take_back(self, zone: str, *words: str) -> None:
         """`take-back ZONE [at=MACHINE]`: end the evacuation of a zone."""
-        self._world.operator.evacuate(zone=zone, is_back=True, first=_given(words=words).get("at", ""))
+        self._world.operator.evacuate(zone=zone, is_refill=True, first_machine=_named_words(words=words).get("at", ""))
 
     def do_edit(self, *words: str) -> None:
         """`edit [at=MACHINE] [pause=S]`: read the configuration and change a route; `pause`: s before each retry."""
-        given = _given(words=words)
-        self._world.operator.edit(first=given.get("at", ""), pause=float(given.get("pause", 0)))
+        named = _named_words(words=words)
+        self._world.operator.edit(first_machine=named.get("at", ""), retry_pause=float(named.get("pause", 0)))
 
     def do_read_orders(self) -> None:
         """The operator reads which zones are evacuated."""
@@ -173,20 +173,20 @@
 
     def do_hang_up(self, seconds: str) -> None:
         """From now on, the operator waits only some seconds for a response before it asks another controller."""
-        self._world.operator.patience = float(seconds)
+        self._world.operator.answer_timeout = float(seconds)
 
     def do_read_back(self, at: str = "") -> None:
         """The operator reads the newest configuration."""
-        self._world.operator.read_back(where=at)
-
-    def _how(self, *, given: dict, words: tuple) -> Sending:
-        where = given.get("at", "")
-        return Sending(
-            first=resolve_role(world=self._world, word=where) if where in ROLES else where,
-            only="only" in words,
-            again=float(given.get("again", 0.0)),
+        self._world.operator.read_back(machine=at)
+
+    def _send_options(self, *, named: dict, words: tuple) -> SendOptions:
+        machine = named.get("at", "")
+        return SendOptions(
+            first_machine=resolve_role(world=self._world, word=machine) if machine in ROLES else machine,
+            is_pinned="only" in words,
+            resend_after=float(named.get("again", 0.0)),
         )
 
 
-def _given(*, words: tuple) -> dict:
+def _named_words(*, words: tuple) -> dict:
     return dict(word.split("=", 1) for word in words if "=" in word)
--- a/simulation/hosted/process.py
+++ b/simulation/hosted/process.py
@@ -308,7 +308,7 @@
     def _carry_out_call(self, *, command: StartCall | CancelCall | WithdrawCall | CloseConnections) -> None:
         calls = self.world.calls
         if isinstance(command, StartCall):
-            calls.give(process=self, command=command)
+            calls.start(process=self, command=command)
         elif isinstance(command, CancelCall):
             calls.cancel(process=self, token=command.token)
         elif isinstance(command, WithdrawCall):
@@ -357,7 +357,7 @@
         self.world.network.send(
             a=self.machine.node,
             b=receiver.machine.node,
-            line=(self, self.incarnation, receiver, current),
+            stream=(self, self.incarnation, receiver, current),
             act=lambda: receiver.deliver(event=event) if receiver.incarnation == current else None,
         )
 
--- a/simulation/hosted/worker_verbs.py
+++ b/simulation/hosted/worker_verbs.py
@@ -40,13 +40,13 @@
         world = self._world
         for old in self._workers(worker):
 
-            def come(old: Worker = old) -> None:
+            def start_successor(old: Worker = old) -> None:
                 world.clock.after(
                     world.deployment.bounds["addr_reuse_s"],
                     lambda: world.add_worker(service=service, zone=old.node.zone, address=old.address),
                 )
 
-            world.drain(worker=old, on_end=come)
+            world.drain(worker=old, on_end=start_successor)
 
     def do_reuse_crashed(self, worker: str, service: str, *how: str) -> None:
         """Crash a worker; its address goes to another service while the endpoint list still names the old worker.
@@ -77,36 +77,36 @@
 
     def do_lose(self, worker: str, seconds: str, share: str = "1") -> None:
         """Workers run requests, but the responses to a share of them are lost."""
-        self._ail(worker=worker, name=LOSE, seconds=seconds, share=share)
+        self._set_ailment(worker=worker, name=LOSE, seconds=seconds, share=share)
 
     def do_garble(self, worker: str, seconds: str, share: str = "1") -> None:
         """Workers send corrupt responses to a share of the requests."""
-        self._ail(worker=worker, name=GARBLE, seconds=seconds, share=share)
+        self._set_ailment(worker=worker, name=GARBLE, seconds=seconds, share=share)
 
     def do_repeat(self, worker: str, seconds: str, share: str = "0.5") -> None:
         """Workers send surplus responses after a share of the complete ones, read in place of the next response."""
-        self._ail(worker=worker, name=EXTRA, seconds=seconds, share=share)
+        self._set_ailment(worker=worker, name=EXTRA, seconds=seconds, share=share)
 
     def do_grey(self, worker: str, way: str, seconds: str, share: str = "0.4", zone: str = "") -> None:
         """A share of the requests fails by `errors` or another way of ailments.GREY; `zone`: only of callers there."""
         if way not in GREY:
             raise ValueError(f"grey: no way {way!r}")
-        self._ail(worker=worker, name=way, seconds=seconds, share=share, zone=zone)
+        self._set_ailment(worker=worker, name=way, seconds=seconds, share=share, zone=zone)
 
     def do_lie(self, worker: str, way: str, seconds: str) -> None:
         """Health checks pass while all requests fail (`errors`, `hang`, `reset`), or fail without a cause (`bad`)."""
         if f"lie-{way}" not in LYING:
             raise ValueError(f"lie: no way {way!r}")
-        self._ail(worker=worker, name=f"lie-{way}", seconds=seconds)
+        self._set_ailment(worker=worker, name=f"lie-{way}", seconds=seconds)
 
     def do_slow(self, worker: str, times: str, seconds: str) -> None:
         """Workers take `times` as long for each request."""
-        self._ail(worker=worker, name="slowed", seconds=seconds, times=times)
+        self._set_ailment(worker=worker, name="slowed", seconds=seconds, times=times)
 
     def do_forget(self, worker: str, after: str, seconds: str) -> None:
         """For some seconds, workers drop connections that were idle for longer than `after` s."""
         for one in self._workers(worker):
-            one.forgets, one.forgets_after = self._world.clock.now + float(seconds), float(after)
+            one.drops_idle_until, one.idle_limit = self._world.clock.now + float(seconds), float(after)
 
     def do_restart(self, worker: str, seconds: str, *how: str) -> None:
         """Crash workers without notice and restart them at their addresses after some seconds.
@@ -137,7 +137,9 @@
                 float(notice) + 4.0, lambda one=one: world.add_worker(service=one.service, zone=one.node.zone)
             )
 
-    def _ail(self, *, worker: str, name: str, seconds: str, share: str = "1", zone: str = "", times: str = "1") -> None:
+    def _set_ailment(
+        self, *, worker: str, name: str, seconds: str, share: str = "1", zone: str = "", times: str = "1"
+    ) -> None:
         until = self._world.clock.now + float(seconds)
         ailment = Ailment(until=until, share=float(share), zone=zone, times=float(times))
         for one in self._workers(worker):
--- a/simulation/hosted/world.py
+++ b/simulation/hosted/world.py
@@ -81,7 +81,7 @@
                 world=self,
                 node=_make_node(name=f"client-{zone}-{index}", zone=zone, region=region, kind="client", is_client=True),
                 rng=random.Random(f"{seed}/{zone}/{index}"),
-                keeps=3.0 if index == 2 else 1.0,
+                ttl_factor=3.0 if index == 2 else 1.0,
             )
             for zone, region in deployment.zones.items()
             for index in range(deployment.clients_per_zone)
@@ -159,13 +159,13 @@
             service=service,
             address=address,
             capacity=spec.capacity,
-            queue=spec.queue,
-            hangs=spec.hangs,
+            queue_limit=spec.queue,
+            hangs_when_full=spec.hangs,
             is_sharded=spec.is_sharded,
             slow_start_rate=spec.slow_start_rate,
             rng=rng,
-            born=now if has_begun else now - 100.0,
-            speed=rng.uniform(0.8, 1.3),
+            started_at=now if has_begun else now - 100.0,
+            work_factor=rng.uniform(0.8, 1.3),
             slow_start_until=now + spec.slow_start if has_begun or is_cold else 0.0,
             node=_make_node(
                 name=worker_id,
@@ -221,7 +221,7 @@
         """Put a worker back into slow start; its health responses report it."""
         spec = next(service for service in self.deployment.services if service.name == worker.service)
         worker.slow_start_until = self.clock.now + spec.slow_start
-        if worker.node.zone not in self.operator.emptied:
+        if worker.node.zone not in self.operator.evacuated_zones:
             self.history.add(t=self.clock.now, k="chilled", worker=worker.id)
 
     def load(self, *, until: float, times: float = 1.0, kinds: tuple | None = None, key: int = -1) -> None:
@@ -298,7 +298,7 @@
     def finish(self) -> None:
         """End the run: the workers record the keys that they still hold."""
         for worker in self.workers.values():
-            worker.note_end()
+            worker.record_end()
 
 
 def _make_node(
--- a/tests/test_hosted_judge.py
+++ b/tests/test_hosted_judge.py
@@ -27,9 +27,9 @@
             number=number,
             base=base,
             written=written,
-            sent=begin + sent,
+            sent_at=begin + sent,
             outcome=outcome,
-            acked=begin + acked if outcome == "acked" else float("inf"),
+            acked_at=begin + acked if outcome == "acked" else float("inf"),
         )
 
     def row(self, *, k: str, t: float, **fields: object) -> None:
