--- a/simulation/hosted/link_verbs.py
+++ b/simulation/hosted/link_verbs.py
@@ -40,25 +40,27 @@
         """
         world = self._world
         names = sorted(choose_spots(world=world, word=machine))
-        apart = "+".join(names)
+        isolated = "+".join(names)
         others = "+".join(
-            one.node.name
-            for one in world.machines.values()
-            if "controller" in one.processes and not one.is_removed and one.node.name not in names
+            candidate.node.name
+            for candidate in world.machines.values()
+            if "controller" in candidate.processes and not candidate.is_removed and candidate.node.name not in names
         )
-        left, right = (others, apart) if "in" in how else (apart, others)
+        left, right = (others, isolated) if "in" in how else (isolated, others)
         one_way = ("one_way",) if {"in", "out", "one_way"} & set(how) else ()
         self._cut(left=left, right=right, seconds=seconds, how=(*how, *one_way))
-        part = float(seconds) / 3
+        third = float(seconds) / 3
         if "seeds" in how:
-            world.step("seeds", (apart,))
-            plain = [one.node.name for one in world.machines.values() if "controller" not in one.processes]
+            world.step("seeds", (isolated,))
+            plain = [
+                candidate.node.name for candidate in world.machines.values() if "controller" not in candidate.processes
+            ]
             chosen = "+".join(world.rng.sample(plain, min(2, len(plain)))) if plain else ""
             if chosen:
-                world.clock.after(part, lambda: world.step("kill", (f"proxy@{chosen}",)))
+                world.clock.after(third, lambda: world.step("kill", (f"proxy@{chosen}",)))
         if "both" in how:
-            world.clock.after(part, lambda: world.step("kill", (f"all@{apart}",)))
-            world.clock.after(2 * part, lambda: world.step("kill", (f"all@{others}",)))
+            world.clock.after(third, lambda: world.step("kill", (f"all@{isolated}",)))
+            world.clock.after(2 * third, lambda: world.step("kill", (f"all@{others}",)))
 
     def do_cut_zone(self, zone: str, seconds: str, *how: str) -> None:
         """Cut a zone off from the others, with `in` or `out` in one direction only; clients still reach it."""
@@ -72,13 +74,13 @@
 
     def _cut(self, *, left: str, right: str, seconds: str, how: tuple) -> Cut:
         world = self._world
-        made = world.network.cut(
+        cut = world.network.cut(
             left=choose_spots(world=world, word=left),
             right=choose_spots(world=world, word=right),
             is_one_way="one_way" in how,
             is_rejecting=bool(set(REJECTING_OPTIONS) & set(how)),
         )
-        if made.is_rejecting:
+        if cut.is_rejecting:
             world.calls.reset_across_cuts()
-        world.clock.after(float(seconds), lambda: world.network.heal(cut=made))
-        return made
+        world.clock.after(float(seconds), lambda: world.network.heal(cut=cut))
+        return cut
--- a/simulation/hosted/machine_verbs.py
+++ b/simulation/hosted/machine_verbs.py
@@ -11,9 +11,9 @@
     from simulation.hosted.process import Machine, Process
     from simulation.hosted.world import World
 
-ALL_BACK = 1.5
+ZONE_RECOVERY_TIME = 1.5
 """s within which the machines and workers of a zone are back after its power returns."""
-SLOW_EVENT = 0.002
+EVENT_DELAY = 0.002
 """Maximum delay in s of an event on a slowed machine, per unit of the slowdown factor."""
 STALL = 1e6
 """Factor on the duration of a sync while a disk is stalled; pending syncs complete when the stall ends."""
@@ -34,80 +34,82 @@
         self._world.start()
 
     def do_kill(self, process: str) -> None:
-        """Kill processes; they are restarted after RESTART."""
-        for one in self._processes(process):
-            self._record(machine=one.machine, seconds=RESTART_DELAY + 0.1)
-            one.kill()
+        """Kill processes; they are restarted after RESTART_DELAY."""
+        for target in self._processes(process):
+            self._record_trouble(machine=target.machine, seconds=RESTART_DELAY + 0.1)
+            target.kill()
 
     def do_stop(self, process: str) -> None:
         """Stop processes by SIGTERM; they are restarted."""
-        for one in self._processes(process):
+        for target in self._processes(process):
             grace = self._world.deployment.bounds["grace_s"]
-            self._record(machine=one.machine, seconds=grace + RESTART_DELAY, planned=True)
-            one.stop()
+            self._record_trouble(machine=target.machine, seconds=grace + RESTART_DELAY, planned=True)
+            target.stop()
 
     def do_remove(self, machine: str) -> None:
         """Send SIGTERM to all processes of a machine, which is gone for good at the end of the grace period."""
         world = self._world
         grace = world.deployment.bounds["grace_s"]
-        for one in self._machines(machine):
-            one.listed_until = world.clock.now
-            self._record(machine=one, seconds=grace, planned=True)
-            for process in one.processes.values():
+        for target in self._machines(machine):
+            target.listed_until = world.clock.now
+            self._record_trouble(machine=target, seconds=grace, planned=True)
+            for process in target.processes.values():
                 process.is_retired = True
                 process.stop()
-            world.clock.after(grace + 0.05, lambda one=one: self._bury(machine=one))
+            world.clock.after(grace + 0.05, lambda target=target: self._remove_for_good(machine=target))
 
     def do_freeze(self, process: str, seconds: str) -> None:
         """Suspend processes for some seconds."""
-        for one in self._processes(process):
-            self._record(machine=one.machine, seconds=float(seconds) + 0.1)
-            one.freeze()
-            self._world.clock.after(float(seconds), one.thaw)
+        for target in self._processes(process):
+            self._record_trouble(machine=target.machine, seconds=float(seconds) + 0.1)
+            target.freeze()
+            self._world.clock.after(float(seconds), target.thaw)
 
     def do_slow_node(self, machine: str, times: str, seconds: str) -> None:
         """Slow machines down by the factor `times` for some seconds."""
-        for one in self._machines(machine):
-            self._record(machine=one, seconds=float(seconds))
-            for process in one.processes.values():
-                process.delay = SLOW_EVENT * float(times)
+        for target in self._machines(machine):
+            self._record_trouble(machine=target, seconds=float(seconds))
+            for process in target.processes.values():
+                process.delay = EVENT_DELAY * float(times)
                 self._world.clock.after(float(seconds), lambda process=process: setattr(process, "delay", 0.0))
 
     def do_dark(self, machine: str, *how: str) -> None:
         """Cut the power of machines until `light`; `wipe` erases their disks as well."""
-        for one in self._machines(machine):
-            self._record(machine=one, seconds=float("inf"))
-            one.lose_power(wipe="wipe" in how)
+        for target in self._machines(machine):
+            self._record_trouble(machine=target, seconds=float("inf"))
+            target.lose_power(wipe="wipe" in how)
 
     def do_outage(self, machine: str, seconds: str, *how: str) -> None:
         """Cut the power of machines for some seconds, each one separately; `wipe` erases their disks as well."""
-        for one in self._machines(machine):
-            row = self._record(machine=one, seconds=float("inf"))
-            one.lose_power(wipe="wipe" in how)
-            self._world.clock.after(float(seconds), lambda one=one, row=row: self._power(machine=one, row=row))
+        for target in self._machines(machine):
+            row = self._record_trouble(machine=target, seconds=float("inf"))
+            target.lose_power(wipe="wipe" in how)
+            self._world.clock.after(
+                float(seconds), lambda target=target, row=row: self._restore_power(machine=target, row=row)
+            )
 
     def do_light(self, machine: str) -> None:
         """Restore the power of machines."""
-        for one in self._machines(machine):
-            if one.is_powered_off:
+        for target in self._machines(machine):
+            if target.is_powered_off:
                 for row in self._world.troubles:
-                    if one.node.name in row["names"]:
+                    if target.node.name in row["names"]:
                         row["until"] = min(row["until"], self._world.clock.now)
-                one.start()
+                target.start()
         self._world.history.add(t=self._world.clock.now, k="back")
 
     def do_zone_loss(self, zone: str, seconds: str) -> None:
-        """Cut the power of a zone for some seconds; its machines and workers are back within ALL_BACK afterwards."""
+        """Cut the power of a zone for some seconds; its machines and workers are back within ZONE_RECOVERY_TIME afterwards."""
         world = self._world
         for worker in list(world.workers.values()):
             if zone in worker.node.names and worker.is_up:
-                back = float(seconds) + world.rng.uniform(0.0, ALL_BACK)
-                world.restart(worker=worker, seconds=back, is_silent=True)
+                delay = float(seconds) + world.rng.uniform(0.0, ZONE_RECOVERY_TIME)
+                world.restart(worker=worker, seconds=delay, is_silent=True)
         for machine in self._machines(zone):
-            row = self._record(machine=machine, seconds=float("inf"))
+            row = self._record_trouble(machine=machine, seconds=float("inf"))
             machine.lose_power()
-            back = float(seconds) + world.rng.uniform(0.0, ALL_BACK)
-            world.clock.after(back, lambda machine=machine, row=row: self._power(machine=machine, row=row))
+            delay = float(seconds) + world.rng.uniform(0.0, ZONE_RECOVERY_TIME)
+            world.clock.after(delay, lambda machine=machine, row=row: self._restore_power(machine=machine, row=row))
 
     def do_replace(self, machine: str, after: str = "1", *how: str) -> None:
         """Remove a machine for good; `after` s later another with its roles, a new address and an empty disk starts.
@@ -118,17 +120,19 @@
         for old in self._machines(machine):
             delay = float(after)
             if "planned" in how:
-                self._add(old=old, delay=0.0)
+                self._add_successor(old=old, delay=0.0)
                 world.clock.after(delay, lambda old=old: self.do_remove(old.node.name))
             else:
-                self._record(machine=old, seconds=float("inf"))
-                self._bury(machine=old)
-                self._add(old=old, delay=delay)
+                self._record_trouble(machine=old, seconds=float("inf"))
+                self._remove_for_good(machine=old)
+                self._add_successor(old=old, delay=delay)
 
     def do_seeds(self, *machines: str) -> None:
         """Change the seeds in the settings, these machines first; daemons read them at `hup` or at their next start."""
         world = self._world
-        chosen = [one for word in machines for one in self._machines(word) if "controller" in one.processes]
+        chosen = [
+            candidate for word in machines for candidate in self._machines(word) if "controller" in candidate.processes
+        ]
         rest = [
             machine
             for machine in world.machines.values()
@@ -139,54 +143,54 @@
 
     def do_hup(self, machine: str) -> None:
         """Send SIGHUP: the settings file has changed."""
-        for one in self._machines(machine):
+        for target in self._machines(machine):
             self._world.count["hups"] += 1
-            for process in one.processes.values():
+            for process in target.processes.values():
                 process.reload_settings()
 
     def do_reset_conns(self, machine: str, share: str) -> None:
         """Reset a share of the machines' connections to workers, both pooled ones and those of calls in flight."""
-        for one in self._machines(machine):
-            self._record(machine=one, seconds=0.0)
-            for process in one.processes.values():
+        for target in self._machines(machine):
+            self._record_trouble(machine=target, seconds=0.0)
+            for process in target.processes.values():
                 self._world.calls.reset(process=process, share=float(share))
 
     def do_reset_connections(self, machine: str, share: str) -> None:
         """Reset a share of the machines' connections, those of callers too."""
-        for one in self._machines(machine):
-            self._record(machine=one, seconds=0.0)
-            for process in one.processes.values():
+        for target in self._machines(machine):
+            self._record_trouble(machine=target, seconds=0.0)
+            for process in target.processes.values():
                 process.reset(share=float(share))
 
     def do_fill(self, machine: str, seconds: str) -> None:
         """Fill disks for some seconds."""
-        for one in self._machines(machine):
-            self._record(machine=one, seconds=float(seconds))
-            one.disk.is_full = True
-            self._world.clock.after(float(seconds), lambda one=one: setattr(one.disk, "is_full", False))
+        for target in self._machines(machine):
+            self._record_trouble(machine=target, seconds=float(seconds))
+            target.disk.is_full = True
+            self._world.clock.after(float(seconds), lambda target=target: setattr(target.disk, "is_full", False))
 
     def do_slow_disk(self, machine: str, times: str, seconds: str = "") -> None:
         """Slow down syncs by the factor `times`, for some seconds or from now on."""
-        for one in self._machines(machine):
-            one.disk.slow = float(times)
+        for target in self._machines(machine):
+            target.disk.slow = float(times)
             if seconds:
-                self._record(machine=one, seconds=float(seconds))
-                self._world.clock.after(float(seconds), lambda one=one: setattr(one.disk, "slow", 1.0))
+                self._record_trouble(machine=target, seconds=float(seconds))
+                self._world.clock.after(float(seconds), lambda target=target: setattr(target.disk, "slow", 1.0))
 
     def do_stall_disk(self, machine: str, seconds: str) -> None:
         """Stall disks for some seconds; what is written meanwhile is synced at the end."""
-        for one in self._machines(machine):
-            self._record(machine=one, seconds=float(seconds))
-            for process in one.processes.values():
+        for target in self._machines(machine):
+            self._record_trouble(machine=target, seconds=float(seconds))
+            for process in target.processes.values():
                 process.stall(until=self._world.clock.now + float(seconds))
 
     def do_clock_step(self, machine: str, seconds: str, back_after: str = "") -> None:
         """Step the time of day on machines, and back after some seconds if `back_after` is given."""
-        for one in self._machines(machine):
-            self._record(machine=one, seconds=0.0)
-            one.clock_skew += float(seconds)
+        for target in self._machines(machine):
+            self._record_trouble(machine=target, seconds=0.0)
+            target.clock_skew += float(seconds)
             if back_after:
-                name = one.node.name
+                name = target.node.name
                 self._world.clock.after(
                     float(back_after), lambda name=name: self.do_clock_step(name, str(-float(seconds)))
                 )
@@ -213,35 +217,37 @@
         """
         world = self._world
 
-        def act() -> None:
+        def run_step() -> None:
             delay = world.rng.uniform(0.005, 0.4) if moment == "sent" else 0.0
             world.count[f"upon-{moment}"] += 1
             world.clock.after(delay, lambda: world.step(verb, words))
 
-        world.steps_by_moment.setdefault(moment, []).append((world.clock.now + float(within), act))
+        world.steps_by_moment.setdefault(moment, []).append((world.clock.now + float(within), run_step))
 
-    def _power(self, *, machine: Machine, row: dict) -> None:
+    def _restore_power(self, *, machine: Machine, row: dict) -> None:
         row["until"] = min(row["until"], self._world.clock.now)
         machine.start()
 
-    def _add(self, *, old: Machine, delay: float) -> None:
+    def _add_successor(self, *, old: Machine, delay: float) -> None:
         world = self._world
         name = next(
-            name for at in range(1, 100) if (name := f"{old.node.name.split('-new')[0]}-new{at}") not in world.machines
+            name
+            for index in range(1, 100)
+            if (name := f"{old.node.name.split('-new')[0]}-new{index}") not in world.machines
         )
-        fresh = world.add_machine(name=name, zone=old.node.zone, has_disk="controller" in old.processes)
-        fresh.listed_from = world.clock.now + delay + world.deployment.bounds["seed_lag_s"]
-        self._record(machine=fresh, seconds=delay)
-        fresh.is_powered_off = True
-        world.clock.after(delay, fresh.start)
+        successor = world.add_machine(name=name, zone=old.node.zone, has_disk="controller" in old.processes)
+        successor.listed_from = world.clock.now + delay + world.deployment.bounds["seed_lag_s"]
+        self._record_trouble(machine=successor, seconds=delay)
+        successor.is_powered_off = True
+        world.clock.after(delay, successor.start)
 
-    def _bury(self, *, machine: Machine) -> None:
+    def _remove_for_good(self, *, machine: Machine) -> None:
         machine.lose_power(wipe=True)
         machine.is_removed = True
         machine.listed_until = min(machine.listed_until, self._world.clock.now)
-        self._record(machine=machine, seconds=0.0)
+        self._record_trouble(machine=machine, seconds=0.0)
 
-    def _record(self, *, machine: Machine, seconds: float, planned: bool = False) -> dict:
+    def _record_trouble(self, *, machine: Machine, seconds: float, planned: bool = False) -> dict:
         return self._world.record_trouble(
             names={machine.node.name},
             seconds=seconds,
@@ -253,6 +259,6 @@
         return choose_machines(world=self._world, word=word)
 
     def _processes(self, word: str) -> list[Process]:
-        role, _, where = word.partition("@")
-        found = self._machines(where)
-        return [one.processes[name] for one in found for name in one.processes if role in (name, "all")]
+        role, _, machine_word = word.partition("@")
+        machines = self._machines(machine_word)
+        return [machine.processes[name] for machine in machines for name in machine.processes if role in (name, "all")]
--- a/simulation/hosted/operators.py
+++ b/simulation/hosted/operators.py
@@ -147,20 +147,22 @@
         """
         self.weights = {**self.weights, route: weights}
         wanted = self._wanted_config(number=number)
-        listener = next(one for one in wanted["listeners"] if any(rule["name"] == route for rule in one["ruleset"]))
+        listener = next(
+            entry for entry in wanted["listeners"] if any(rule["name"] == route for rule in entry["ruleset"])
+        )
         rule = next(rule for rule in listener["ruleset"] if rule["name"] == route)
         base = max(
             (
-                one
-                for one in self.versions.values()
-                if one.outcome == "acked" or (is_informed and one.accepted_at < float("inf"))
+                entry
+                for entry in self.versions.values()
+                if entry.outcome == "acked" or (is_informed and entry.accepted_at < float("inf"))
             ),
             key=lambda version: version.number,
         )
         # whatever the patch does not name stays as it is in the version that it builds on
         written = {**copy.deepcopy(base.written), "generation": wanted["generation"]}
-        for one in written["listeners"]:
-            one["ruleset"] = [rule if old["name"] == route else old for old in one["ruleset"]]
+        for entry in written["listeners"]:
+            entry["ruleset"] = [rule if old["name"] == route else old for old in entry["ruleset"]]
         body = {
             "generation": written["generation"],
             "upsert": {"listeners": [{"hostname": listener["hostname"], "ruleset": [rule]}]},
--- a/simulation/hosted/process.py
+++ b/simulation/hosted/process.py
@@ -137,7 +137,7 @@
         self._tick(current=self.incarnation)
 
     def kill(self) -> None:
-        """End the process at once, as by SIGKILL; it is restarted after RESTART."""
+        """End the process at once, as by SIGKILL; it is restarted after RESTART_DELAY."""
         self.end(is_powered_off=False)
         self.machine.disk.kill()
         self.world.clock.after(RESTART_DELAY, self.start)
--- a/simulation/hosted/sabotage.py
+++ b/simulation/hosted/sabotage.py
@@ -24,8 +24,8 @@
     return mock.patch.object(owner, name, make(getattr(owner, name)))
 
 
-def _all(*made: Callable) -> Callable:
-    return lambda: [one() if callable(one) else one for one in made]
+def _combined(*patches: Callable) -> Callable:
+    return lambda: [patch() if callable(patch) else patch for patch in patches]
 
 
 def _constant(name: str, value: float) -> Callable:
@@ -36,14 +36,14 @@
     return lambda: _method(owner, name, make)
 
 
-def _told_unsynced(old):
+def _replies_before_sync(old):
     def step(self, *, records, replies):
         return [*old(self, records=records, replies=[]), *replies]
 
     return step
 
 
-def _promises_all(old):
+def _reports_not_run_always(old):
     def give_up(self, *, now, request, refusal):
         request.may_have_run = False
         return old(self, now=now, request=request, refusal=forwarding.Refusal(code=503, reason=refusal.reason))
@@ -53,21 +53,21 @@
 
 def _without_expect(old):
     def headers(*, request, worker, time_left, names):
-        found = old(request=request, worker=worker, time_left=time_left, names=names)
-        del found[names.expected_worker]
-        return found
+        headers = old(request=request, worker=worker, time_left=time_left, names=names)
+        del headers[names.expected_worker]
+        return headers
 
     return headers
 
 
-def _never_leaving(old):
+def _ignores_draining(old):
     def replace(self, *, now, workers):
         return old(self, now=now, workers=[{**row, "leaving": False} for row in workers])
 
     return replace
 
 
-def _believes_all(old):
+def _accepts_any_response(old):
     def judge_reply(*, request, worker, event, names):
         if event.code == 0 or names.not_run in event.headers:
             return old(request=request, worker=worker, event=event, names=names)
@@ -78,7 +78,7 @@
     return judge_reply
 
 
-def _takes_unmarked(old):
+def _accepts_unmarked_refusals(old):
     def judge_reply(*, request, worker, event, names):
         if event.code in worker_response.NOT_RUN_CODES:
             return worker_response.WorkerRejected(code=event.code, why="full")
@@ -87,7 +87,7 @@
     return judge_reply
 
 
-def _by_order_alone(old):
+def _matches_by_order_only(old):
     def judge_reply(*, request, worker, event, names):
         named = replace(event, headers={**event.headers, names.exchange_id: request.exchange_id})
         return old(request=request, worker=worker, event=named, names=names)
@@ -95,21 +95,21 @@
     return judge_reply
 
 
-def _on_kept_connections(old):
+def _reuses_connections(old):
     def call(self, *, now, request, worker):
         return [replace(command, fresh=False) for command in old(self, now=now, request=request, worker=worker)]
 
     return call
 
 
-def _no_zone_emptied(old):
+def _ignores_evacuations(old):
     def read_orders(*, value):
         return frozenset()
 
     return read_orders
 
 
-def _stops_at_once(old):
+def _stops_immediately(old):
     def begin_stop(self, *, now):
         return [*old(self, now=now), ExitProcess(code=0)]
 
@@ -135,35 +135,37 @@
     return lambda self, *, now: bool(self._voter.voters.members)
 
 
-def _judged_by(*, change):
+def _with_verdict(*, change):
     def make(old):
         return lambda self, **fields: change(old(self, **fields))
 
     return make
 
 
-def _forgotten_is_lost(verdict):
+def _forgotten_as_lost(verdict):
     return history.Verdict.LOST if verdict is history.Verdict.FORGOTTEN else verdict
 
 
-def _lost_is_taken(verdict):
+def _lost_as_taken(verdict):
     return history.Verdict.TAKEN if verdict is history.Verdict.LOST else verdict
 
 
 SABOTAGE: dict[str, Callable] = {
-    "fence-wait": _all(
+    "fence-wait": _combined(
         _patch(granting.Granting, "_is_relinquished", lambda old: lambda self, *, now, shard: True),
         _patch(granting.Granting, "_release", lambda old: lambda self, *, now, context: []),
     ),
-    "lease": _all(_patch(shard_leases.Freshness, "lease_until", lambda old: lambda self, *, now, **fields: now + 9.0)),
-    "once-only": _all(lambda: mock.patch.object(plan.Match, "is_repeatable", property(lambda self: True))),
-    "promise": _all(_patch(forwarding.Forwarder, "_give_up", _promises_all)),
-    "promise-mark": _all(_patch(forwarding, "judge_reply", _takes_unmarked)),
-    "drain-mark": _all(_patch(endpoint_table.EndpointTable, "replace", _never_leaving)),
-    "departures": _all(
+    "lease": _combined(
+        _patch(shard_leases.Freshness, "lease_until", lambda old: lambda self, *, now, **fields: now + 9.0)
+    ),
+    "once-only": _combined(lambda: mock.patch.object(plan.Match, "is_repeatable", property(lambda self: True))),
+    "promise": _combined(_patch(forwarding.Forwarder, "_give_up", _reports_not_run_always)),
+    "promise-mark": _combined(_patch(forwarding, "judge_reply", _accepts_unmarked_refusals)),
+    "drain-mark": _combined(_patch(endpoint_table.EndpointTable, "replace", _ignores_draining)),
+    "departures": _combined(
         _patch(forwarding.Forwarder, "_on_client_disconnected", lambda old: lambda self, *, now, token: [])
     ),
-    "homes": _all(
+    "homes": _combined(
         _patch(
             endpoint_selection.EndpointSelector,
             "_may_serve",
@@ -175,50 +177,54 @@
             lambda old: lambda self, *, pool, homes: old(self, pool=pool, homes=frozenset()),
         ),
     ),
-    "cold-bound": _all(
+    "cold-bound": _combined(
         _patch(endpoint_selection.EndpointSelector, "_take_slow_start_token", lambda old: lambda self, **fields: True)
     ),
-    "cold-news": _all(
+    "cold-news": _combined(
         _patch(passive_health.PassiveHealth, "begin_slow_start", lambda old: lambda self, **fields: None)
     ),
-    "evacuation": _all(_patch(proxy, "read_orders", _no_zone_emptied)),
-    "late-orders": _all(_patch(admin_api.AdminApi, "on_client_disconnected", lambda old: lambda self, *, token: None)),
-    "zone-counts": _all(_patch(zone_orders.ZoneOrders, "count", lambda old: lambda self, *, kind, zone: 0)),
-    "history": _all(
+    "evacuation": _combined(_patch(proxy, "read_orders", _ignores_evacuations)),
+    "late-orders": _combined(
+        _patch(admin_api.AdminApi, "on_client_disconnected", lambda old: lambda self, *, token: None)
+    ),
+    "zone-counts": _combined(_patch(zone_orders.ZoneOrders, "count", lambda old: lambda self, *, kind, zone: 0)),
+    "history": _combined(
         _constant("HISTORY_SEGMENT_CHANGES", 16),
-        _patch(history.LabelledConfig, "classify", _judged_by(change=_forgotten_is_lost)),
+        _patch(history.LabelledConfig, "classify", _with_verdict(change=_forgotten_as_lost)),
+    ),
+    "one-winner": _combined(_patch(history.LabelledConfig, "classify", _with_verdict(change=_lost_as_taken))),
+    "resent": _combined(_patch(history.LabelledConfig, "contains", lambda old: lambda self, *, digest: False)),
+    "expect": _combined(_patch(forwarding, "headers_to_worker", _without_expect)),
+    "budget": _combined(_patch(retry_budget.RetryBudget, "step", lambda old: lambda self, **fields: True)),
+    "contact": _combined(_patch(contact_watch.ContactWatch, "may_serve", _always_serves)),
+    "contact-word": _combined(
+        _patch(control_client.ControlClient, "is_last_resort", lambda old: lambda self, *, now: True)
     ),
-    "one-winner": _all(_patch(history.LabelledConfig, "classify", _judged_by(change=_lost_is_taken))),
-    "resent": _all(_patch(history.LabelledConfig, "contains", lambda old: lambda self, *, digest: False)),
-    "expect": _all(_patch(forwarding, "headers_to_worker", _without_expect)),
-    "budget": _all(_patch(retry_budget.RetryBudget, "step", lambda old: lambda self, **fields: True)),
-    "contact": _all(_patch(contact_watch.ContactWatch, "may_serve", _always_serves)),
-    "contact-word": _all(_patch(control_client.ControlClient, "is_last_resort", lambda old: lambda self, *, now: True)),
-    "contact-read": _all(
+    "contact-read": _combined(
         _patch(quorum_contact.QuorumContact, "_on_contact_lost", _forgets_to_read),
         _patch(catch_up.CatchUp, "step", _reads_once),
     ),
-    "patience": _all(_patch(admin_api.AdminApi, "give_up", lambda old: lambda self, *, now, is_lost: [])),
-    "seal": _all(_patch(forwarding, "judge_reply", _believes_all)),
-    "answer-name": _all(
+    "patience": _combined(_patch(admin_api.AdminApi, "give_up", lambda old: lambda self, *, now, is_lost: [])),
+    "seal": _combined(_patch(forwarding, "judge_reply", _accepts_any_response)),
+    "answer-name": _combined(
         lambda: mock.patch.object(hosted_calls, "has_other_exchange_id", lambda *, request_id, response_id: False),
-        _patch(forwarding, "judge_reply", _by_order_alone),
+        _patch(forwarding, "judge_reply", _matches_by_order_only),
     ),
-    "fresh": _all(_patch(forwarding.Forwarder, "_start_attempt", _on_kept_connections)),
-    "hang-up": _all(_patch(hosted_calls.Calls, "may_keep", lambda old: lambda self, *, code, is_named: True)),
-    "sync": _all(_patch(write_ahead.WriteAhead, "step", _told_unsynced)),
-    "majority": _all(_patch(proposer, "majority_size", lambda old: lambda *, members: 1)),
-    "hand-over": _all(
+    "fresh": _combined(_patch(forwarding.Forwarder, "_start_attempt", _reuses_connections)),
+    "hang-up": _combined(_patch(hosted_calls.Calls, "may_keep", lambda old: lambda self, *, code, has_own_id: True)),
+    "sync": _combined(_patch(write_ahead.WriteAhead, "step", _replies_before_sync)),
+    "majority": _combined(_patch(proposer, "majority_size", lambda old: lambda *, members: 1)),
+    "hand-over": _combined(
         _patch(graceful_shutdown.GracefulShutdown, "begin", lambda old: lambda self, *, now: [ExitProcess(code=0)])
     ),
-    "stop": _all(_patch(proxy.Proxy, "_begin_stop", _stops_at_once)),
+    "stop": _combined(_patch(proxy.Proxy, "_begin_stop", _stops_immediately)),
     # as it was before events were matched by type: an unknown event is handled as a timer tick
-    "caller-left": _all(
+    "caller-left": _combined(
         _patch(
             controller.Controller,
             "_drop_order",
             lambda old: lambda self, *, now, event: self._tick(now=now, event=event),
         )
     ),
-    "repair": _all(_patch(membership.Membership, "step", lambda old: lambda self, *, now: ([], []))),
+    "repair": _combined(_patch(membership.Membership, "step", lambda old: lambda self, *, now: ([], []))),
 }
--- a/simulation/hosted/scenario.py
+++ b/simulation/hosted/scenario.py
@@ -42,7 +42,7 @@
     """The same scenario with the steps and the fleet that this seed draws written out."""
     if not scenario.drawn:
         return scenario
-    kinds = {name: act for name, act in ALL_KINDS.items() if not scenario.kinds or name.split()[0] in scenario.kinds}
+    kinds = {name: draw for name, draw in ALL_KINDS.items() if not scenario.kinds or name.split()[0] in scenario.kinds}
     deployment = _deployment_of(fleet=scenario.fleet, seed=seed)
     steps, end = draw_day(deployment=deployment, seed=seed, seconds=scenario.drawn, kinds=kinds)
     fleet = f"{DRAWN_FLEET}-{seed}" if scenario.fleet == DRAWN_FLEET else scenario.fleet
--- a/simulation/hosted/worker_verbs.py
+++ b/simulation/hosted/worker_verbs.py
@@ -20,20 +20,22 @@
 
     def do_crash(self, worker: str, *how: str) -> None:
         """Crash workers without notice; with `silent` their addresses don't answer at all afterwards."""
-        for one in self._workers(worker):
-            self._world.crash(worker=one, is_silent="silent" in how)
+        for target in self._workers(worker):
+            self._world.crash(worker=target, is_silent="silent" in how)
 
     def do_drain(self, worker: str) -> None:
         """Drain workers, which end afterwards."""
-        for one in self._workers(worker):
-            self._world.drain(worker=one)
+        for target in self._workers(worker):
+            self._world.drain(worker=target)
 
     def do_release(self, service: str, pause: str) -> None:
         """Replace the workers of a service one after the other: each time a new one starts, then the old one drains."""
         world = self._world
-        for at, old in enumerate(self._workers(f"{service}@all")):
-            world.clock.after(at * float(pause), lambda old=old: world.add_worker(service=service, zone=old.node.zone))
-            world.clock.after(at * float(pause) + 0.5, lambda old=old: world.drain(worker=old))
+        for index, old in enumerate(self._workers(f"{service}@all")):
+            world.clock.after(
+                index * float(pause), lambda old=old: world.add_worker(service=service, zone=old.node.zone)
+            )
+            world.clock.after(index * float(pause) + 0.5, lambda old=old: world.drain(worker=old))
 
     def do_reuse(self, worker: str, service: str) -> None:
         """Drain a worker, whose address then goes to a worker of another service."""
@@ -72,8 +74,8 @@
             if "@" in where
             else [worker for worker in self._world.workers.values() if where in worker.node.names and worker.is_up]
         )
-        for one in chosen:
-            self._world.begin_slow_start(worker=one)
+        for target in chosen:
+            self._world.begin_slow_start(worker=target)
 
     def do_lose(self, worker: str, seconds: str, share: str = "1") -> None:
         """Workers run requests, but the responses to a share of them are lost."""
@@ -105,22 +107,22 @@
 
     def do_forget(self, worker: str, after: str, seconds: str) -> None:
         """For some seconds, workers drop connections that were idle for longer than `after` s."""
-        for one in self._workers(worker):
-            one.drops_idle_until, one.idle_limit = self._world.clock.now + float(seconds), float(after)
+        for target in self._workers(worker):
+            target.drops_idle_until, target.idle_limit = self._world.clock.now + float(seconds), float(after)
 
     def do_restart(self, worker: str, seconds: str, *how: str) -> None:
         """Crash workers without notice and restart them at their addresses after some seconds.
 
         `silent`: in between their addresses don't answer at all.
         """
-        for one in self._workers(worker):
-            self._world.restart(worker=one, seconds=float(seconds), is_silent="silent" in how)
+        for target in self._workers(worker):
+            self._world.restart(worker=target, seconds=float(seconds), is_silent="silent" in how)
 
     def do_flap(self, worker: str, period: str, times: str) -> None:
         """Crash and restart workers `times` times."""
-        half = float(period) / 2
+        downtime = float(period) / 2
         for turn in range(int(times)):
-            self._world.clock.after(turn * float(period), lambda: self.do_restart(worker, str(half)))
+            self._world.clock.after(turn * float(period), lambda: self.do_restart(worker, str(downtime)))
 
     def do_cold_return(self, zone: str, seconds: str, *how: str) -> None:
         """Crash all workers of a zone and restart them together after some seconds, in slow start."""
@@ -131,10 +133,11 @@
     def do_spot(self, worker: str, notice: str) -> None:
         """Drain workers, which end after a notice of `notice` s; others replace them 4 s later."""
         world = self._world
-        for one in self._workers(worker):
-            world.drain(worker=one, notice=float(notice))
+        for target in self._workers(worker):
+            world.drain(worker=target, notice=float(notice))
             world.clock.after(
-                float(notice) + 4.0, lambda one=one: world.add_worker(service=one.service, zone=one.node.zone)
+                float(notice) + 4.0,
+                lambda target=target: world.add_worker(service=target.service, zone=target.node.zone),
             )
 
     def _set_ailment(
@@ -142,8 +145,8 @@
     ) -> None:
         until = self._world.clock.now + float(seconds)
         ailment = Ailment(until=until, share=float(share), zone=zone, times=float(times))
-        for one in self._workers(worker):
-            one.ailments.set(name=name, ailment=ailment)
+        for target in self._workers(worker):
+            target.ailments.set(name=name, ailment=ailment)
 
     def _workers(self, word: str) -> list[Worker]:
         return choose_workers(world=self._world, word=word)
--- a/tests/test_hosted.py
+++ b/tests/test_hosted.py
@@ -12,7 +12,9 @@
 SCENARIOS = {path.stem: read_scenario(text=path.read_text("utf-8")) for path in FILES}
 
 
-@pytest.mark.parametrize(("name", "seed"), [(name, seed) for name, one in SCENARIOS.items() for seed in one.seeds])
+@pytest.mark.parametrize(
+    ("name", "seed"), [(name, seed) for name, scenario in SCENARIOS.items() for seed in scenario.seeds]
+)
 def test_no_rule_is_broken(name: str, seed: int) -> None:
     outcome = run_scenario(scenario=SCENARIOS[name], seed=seed)
     assert not outcome.broken, outcome.broken[:5]
@@ -21,16 +23,16 @@
 
 @pytest.mark.plants_faults
 @pytest.mark.parametrize(
-    ("name", "safeguard", "rule"), [(name, *fail) for name, one in SCENARIOS.items() for fail in one.fails]
+    ("name", "safeguard", "rule"), [(name, *fail) for name, scenario in SCENARIOS.items() for fail in scenario.fails]
 )
 def test_fails_without_its_safeguard(name: str, safeguard: str, rule: str) -> None:
-    seen = set()
+    found_rules = set()
     for seed in SCENARIOS[name].seeds:
         outcome = run_scenario(scenario=SCENARIOS[name], seed=seed, without=safeguard)
-        seen |= {breach.rule for breach in outcome.broken} | {fault.split()[0] for fault in outcome.failed}
-        if rule in seen:
+        found_rules |= {breach.rule for breach in outcome.broken} | {fault.split()[0] for fault in outcome.failed}
+        if rule in found_rules:
             return
-    raise AssertionError(f"without {safeguard} the scenario shows {sorted(seen)}, not {rule}")
+    raise AssertionError(f"without {safeguard} the scenario shows {sorted(found_rules)}, not {rule}")
 
 
 @pytest.mark.parametrize(
