--- a/simulation/hosted/__main__.py
+++ b/simulation/hosted/__main__.py
@@ -68,22 +68,22 @@
     scenario = read_scenario(text=Path(path).read_text("utf-8"))
     with ProcessPoolExecutor(max_workers=workers) as pool:
         run = partial(_rules_of, seed=seed, without=without)
-        found = shrink(
+        reduced = shrink(
             scenario=scenario,
             seed=seed,
             run_all=lambda candidates: list(pool.map(run, candidates)),
             say=lambda text: print(text, file=sys.stderr, flush=True),
         )
-    if found is None:
+    if reduced is None:
         print(f"{path} seed {seed}: no rule is broken")
         return 1
-    rule = " ".join(sorted(found.rules))
-    text = write_scenario(scenario=found.scenario, title=f"Shrunk from seed {seed} of {Path(path).stem}", rule=rule)
+    rule = " ".join(sorted(reduced.rules))
+    text = write_scenario(scenario=reduced.scenario, title=f"Shrunk from seed {seed} of {Path(path).stem}", rule=rule)
     if out:
         Path(out).write_text(text, "utf-8")
     else:
         print(text, end="")
-    print(f"{len(found.scenario.steps)} steps, {found.runs} runs", file=sys.stderr)
+    print(f"{len(reduced.scenario.steps)} steps, {reduced.runs} runs", file=sys.stderr)
     return 0
 
 
--- a/simulation/hosted/machine_verbs.py
+++ b/simulation/hosted/machine_verbs.py
@@ -73,17 +73,17 @@
                 process.delay = EVENT_DELAY * float(times)
                 self._world.clock.after(float(seconds), lambda process=process: setattr(process, "delay", 0.0))
 
-    def do_dark(self, machine: str, *how: str) -> None:
+    def do_dark(self, machine: str, *options: str) -> None:
         """Cut the power of machines until `light`; `wipe` erases their disks as well."""
         for target in self._machines(machine):
             self._record_trouble(machine=target, seconds=float("inf"))
-            target.lose_power(wipe="wipe" in how)
+            target.lose_power(wipe="wipe" in options)
 
-    def do_outage(self, machine: str, seconds: str, *how: str) -> None:
+    def do_outage(self, machine: str, seconds: str, *options: str) -> None:
         """Cut the power of machines for some seconds, each one separately; `wipe` erases their disks as well."""
         for target in self._machines(machine):
             row = self._record_trouble(machine=target, seconds=float("inf"))
-            target.lose_power(wipe="wipe" in how)
+            target.lose_power(wipe="wipe" in options)
             self._world.clock.after(
                 float(seconds), lambda target=target, row=row: self._restore_power(machine=target, row=row)
             )
@@ -111,7 +111,7 @@
             delay = float(seconds) + world.rng.uniform(0.0, ZONE_RECOVERY_TIME)
             world.clock.after(delay, lambda machine=machine, row=row: self._restore_power(machine=machine, row=row))
 
-    def do_replace(self, machine: str, after: str = "1", *how: str) -> None:
+    def do_replace(self, machine: str, after: str = "1", *options: str) -> None:
         """Remove a machine for good; `after` s later another with its roles, a new address and an empty disk starts.
 
         `planned`: the new machine starts first, and the old one gets SIGTERM `after` s later.
@@ -119,7 +119,7 @@
         world = self._world
         for old in self._machines(machine):
             delay = float(after)
-            if "planned" in how:
+            if "planned" in options:
                 self._add_successor(old=old, delay=0.0)
                 world.clock.after(delay, lambda old=old: self.do_remove(old.node.name))
             else:
--- a/simulation/hosted/people_verbs.py
+++ b/simulation/hosted/user_verbs.py
@@ -13,7 +13,7 @@
     from simulation.hosted.world import World
 
 
-class PeopleVerbs:
+class UserVerbs:
     """Steps by clients and operators."""
 
     def __init__(self, *, world: World) -> None:
@@ -126,9 +126,9 @@
             mover.addresses_until = 0.0
             world.clock.after(float(seconds), lambda mover=mover, origin=origin: setattr(mover, "node", origin))
 
-    def do_read_config(self, at: str = "") -> None:
+    def do_read_config(self, machine: str = "") -> None:
         """The operator reads the newest configuration in the middle of a run."""
-        self._world.operator.read_back(machine=at, row_kind="read-config")
+        self._world.operator.read_back(machine=machine, row_kind="read-config")
 
     def do_drop(self, route: str) -> None:
         """Omit this route from the next whole configuration."""
@@ -145,14 +145,14 @@
         """Add this many further routes to the next whole configuration."""
         self._world.operator.extra_routes = int(routes)
 
-    def do_put_invalid(self, number: str, way: str) -> None:
+    def do_put_invalid(self, number: str, mode: str) -> None:
         """Send an invalid configuration (see bad_configs.py), or with `stale` a valid one on an older version."""
         operator = self._world.operator
-        if way == "stale":
+        if mode == "stale":
             operator.put(number=int(number), base=operator.older())
             return
-        number = str(operator.newest()) if way == "same" else number
-        operator.put(number=int(number), spoil=SPOILS.get(way), spoil_body=SPOILT_BODIES.get(way))
+        number = str(operator.newest()) if mode == "same" else number
+        operator.put(number=int(number), spoil=SPOILS.get(mode), spoil_body=SPOILT_BODIES.get(mode))
 
     def do_evacuate(self, zone: str, *words: str) -> None:
         """`evacuate ZONE [at=MACHINE]`: evacuate a zone."""
@@ -175,9 +175,9 @@
         """From now on, the operator waits only some seconds for a response before it asks another controller."""
         self._world.operator.answer_timeout = float(seconds)
 
-    def do_read_back(self, at: str = "") -> None:
+    def do_read_back(self, machine: str = "") -> None:
         """The operator reads the newest configuration."""
-        self._world.operator.read_back(machine=at)
+        self._world.operator.read_back(machine=machine)
 
     def _send_options(self, *, named: dict, words: tuple) -> SendOptions:
         machine = named.get("at", "")
--- a/simulation/hosted/verbs.py
+++ b/simulation/hosted/verbs.py
@@ -8,7 +8,7 @@
 from simulation.hosted.chaos import Chaos
 from simulation.hosted.link_verbs import LinkVerbs
 from simulation.hosted.machine_verbs import MachineVerbs
-from simulation.hosted.people_verbs import PeopleVerbs
+from simulation.hosted.user_verbs import UserVerbs
 from simulation.hosted.worker_verbs import WorkerVerbs
 
 if TYPE_CHECKING:
@@ -37,7 +37,7 @@
 """The roles of processes that a step can name."""
 PROCESS_VERBS = ("kill", "stop", "freeze")
 """The verbs whose first word names a process."""
-VERB_CLASSES = (MachineVerbs, LinkVerbs, WorkerVerbs, PeopleVerbs, ChaosVerbs)
+VERB_CLASSES = (MachineVerbs, LinkVerbs, WorkerVerbs, UserVerbs, ChaosVerbs)
 
 
 class Verbs:
--- a/simulation/hosted/worker_verbs.py
+++ b/simulation/hosted/worker_verbs.py
@@ -18,10 +18,10 @@
     def __init__(self, *, world: World) -> None:
         self._world = world
 
-    def do_crash(self, worker: str, *how: str) -> None:
+    def do_crash(self, worker: str, *options: str) -> None:
         """Crash workers without notice; with `silent` their addresses don't answer at all afterwards."""
         for target in self._workers(worker):
-            self._world.crash(worker=target, is_silent="silent" in how)
+            self._world.crash(worker=target, is_silent="silent" in options)
 
     def do_drain(self, worker: str) -> None:
         """Drain workers, which end afterwards."""
@@ -50,14 +50,14 @@
 
             world.drain(worker=old, on_end=start_successor)
 
-    def do_reuse_crashed(self, worker: str, service: str, *how: str) -> None:
+    def do_reuse_crashed(self, worker: str, service: str, *options: str) -> None:
         """Crash a worker; its address goes to another service while the endpoint list still names the old worker.
 
         `silent`: until then the address doesn't answer at all.
         """
         world = self._world
         for old in self._workers(worker):
-            world.crash(worker=old, is_silent="silent" in how)
+            world.crash(worker=old, is_silent="silent" in options)
             world.clock.after(
                 world.deployment.bounds["addr_reuse_s"],
                 lambda old=old: world.add_worker(service=service, zone=old.node.zone, address=old.address),
@@ -89,17 +89,17 @@
         """Workers send surplus responses after a share of the complete ones, read in place of the next response."""
         self._set_ailment(worker=worker, name=EXTRA, seconds=seconds, share=share)
 
-    def do_grey(self, worker: str, way: str, seconds: str, share: str = "0.4", zone: str = "") -> None:
+    def do_grey(self, worker: str, mode: str, seconds: str, share: str = "0.4", zone: str = "") -> None:
         """A share of the requests fails by `errors` or another way of ailments.GREY; `zone`: only of callers there."""
-        if way not in GREY:
-            raise ValueError(f"grey: no way {way!r}")
-        self._set_ailment(worker=worker, name=way, seconds=seconds, share=share, zone=zone)
+        if mode not in GREY:
+            raise ValueError(f"grey: no way {mode!r}")
+        self._set_ailment(worker=worker, name=mode, seconds=seconds, share=share, zone=zone)
 
-    def do_lie(self, worker: str, way: str, seconds: str) -> None:
+    def do_lie(self, worker: str, mode: str, seconds: str) -> None:
         """Health checks pass while all requests fail (`errors`, `hang`, `reset`), or fail without a cause (`bad`)."""
-        if f"lie-{way}" not in LYING:
-            raise ValueError(f"lie: no way {way!r}")
-        self._set_ailment(worker=worker, name=f"lie-{way}", seconds=seconds)
+        if f"lie-{mode}" not in LYING:
+            raise ValueError(f"lie: no way {mode!r}")
+        self._set_ailment(worker=worker, name=f"lie-{mode}", seconds=seconds)
 
     def do_slow(self, worker: str, times: str, seconds: str) -> None:
         """Workers take `times` as long for each request."""
@@ -110,13 +110,13 @@
         for target in self._workers(worker):
             target.drops_idle_until, target.idle_limit = self._world.clock.now + float(seconds), float(after)
 
-    def do_restart(self, worker: str, seconds: str, *how: str) -> None:
+    def do_restart(self, worker: str, seconds: str, *options: str) -> None:
         """Crash workers without notice and restart them at their addresses after some seconds.
 
         `silent`: in between their addresses don't answer at all.
         """
         for target in self._workers(worker):
-            self._world.restart(worker=target, seconds=float(seconds), is_silent="silent" in how)
+            self._world.restart(worker=target, seconds=float(seconds), is_silent="silent" in options)
 
     def do_flap(self, worker: str, period: str, times: str) -> None:
         """Crash and restart workers `times` times."""
@@ -124,11 +124,11 @@
         for turn in range(int(times)):
             self._world.clock.after(turn * float(period), lambda: self.do_restart(worker, str(downtime)))
 
-    def do_cold_return(self, zone: str, seconds: str, *how: str) -> None:
+    def do_cold_return(self, zone: str, seconds: str, *options: str) -> None:
         """Crash all workers of a zone and restart them together after some seconds, in slow start."""
         for worker in list(self._world.workers.values()):
             if zone in worker.node.names and worker.is_up:
-                self._world.restart(worker=worker, seconds=float(seconds), is_silent="silent" in how)
+                self._world.restart(worker=worker, seconds=float(seconds), is_silent="silent" in options)
 
     def do_spot(self, worker: str, notice: str) -> None:
         """Drain workers, which end after a notice of `notice` s; others replace them 4 s later."""
