--- a/simulation/hosted/exchange.py
+++ b/simulation/hosted/exchange.py
@@ -93,8 +93,8 @@
         if self._is_dropped():
             return
         process, incarnation = self.process, self.process.incarnation
-        if process.frozen is not None:
-            process.frozen.append(lambda: self._hand_over(incarnation=incarnation))
+        if process.held_events is not None:
+            process.held_events.append(lambda: self._hand_over(incarnation=incarnation))
         elif process.owner is None:
             self._send_response("silent" if process.machine.is_powered_off else None)
         else:
--- a/simulation/hosted/process.py
+++ b/simulation/hosted/process.py
@@ -86,7 +86,7 @@
         self.owner = None
         self.host = None
         self.incarnation = 0
-        self.frozen: list | None = None
+        self.held_events: list | None = None
         self.is_listener_closed = False
         self.is_stopping = False
         self.is_retired = False
@@ -157,12 +157,12 @@
 
     def freeze(self) -> None:
         """Suspend the process; what arrives meanwhile is queued."""
-        if self.owner is not None and self.frozen is None:
-            self.frozen = []
+        if self.owner is not None and self.held_events is None:
+            self.held_events = []
 
     def thaw(self) -> None:
         """Resume the process and handle what was queued."""
-        deferred, self.frozen = self.frozen or [], None
+        deferred, self.held_events = self.held_events or [], None
         for action in deferred:
             action()
 
@@ -171,7 +171,7 @@
         if self.owner is None:
             return
         self._record(k="down", stopped=self.is_stopping)
-        self.owner, self.frozen = None, None
+        self.owner, self.held_events = None, None
         self.incarnation += 1
         self.world.calls.end(process=self, is_powered_off=is_powered_off)
         pending_requests, self.pending_requests = self.pending_requests, {}
@@ -209,9 +209,9 @@
     def _step_owner(self, *, event: object) -> None:
         if self.owner is None:
             return
-        if self.frozen is not None:
+        if self.held_events is not None:
             if not isinstance(event, TimerFired):
-                self.frozen.append(lambda: self.deliver(event=event))
+                self.held_events.append(lambda: self.deliver(event=event))
             return
         current = self.incarnation
         try:
--- a/simulation/hosted/sabotage.py
+++ b/simulation/hosted/sabotage.py
@@ -150,7 +150,7 @@
     return history.Verdict.TAKEN if verdict is history.Verdict.LOST else verdict
 
 
-SABOTAGE: dict[str, Callable] = {
+SAFEGUARD_PATCHES: dict[str, Callable] = {
     "fence-wait": _combined(
         _patch(granting.Granting, "_is_relinquished", lambda old: lambda self, *, now, shard: True),
         _patch(granting.Granting, "_release", lambda old: lambda self, *, now, context: []),
--- a/simulation/hosted/scenario.py
+++ b/simulation/hosted/scenario.py
@@ -10,7 +10,7 @@
 from simulation.hosted.drawn_deployment import draw_deployment
 from simulation.hosted.expect import judge_expectation
 from simulation.hosted.judge import judge
-from simulation.hosted.sabotage import SABOTAGE
+from simulation.hosted.sabotage import SAFEGUARD_PATCHES
 from simulation.hosted.verbs import Verbs, find_fault
 from simulation.hosted.world import World
 from simulation.scenarios import Grammar, Outcome, Scenario
@@ -21,10 +21,10 @@
 """The name of a fleet that is drawn by the run's seed; `drawn-N` is the fleet that seed N draws."""
 
 
-FINAL_READ_LEAD = 1.5
+FINAL_READ_BEFORE_END = 1.5
 """s before the end of a run at which operators read which zones are evacuated, if they gave orders on zones."""
 GRAMMAR = Grammar(
-    fleet="small", seeds=range(1, 3), comment="#!", find_fault=find_fault, safeguards=SABOTAGE, can_draw=True
+    fleet="small", seeds=range(1, 3), comment="#!", find_fault=find_fault, safeguards=SAFEGUARD_PATCHES, can_draw=True
 )
 
 
@@ -54,7 +54,7 @@
     return draw_deployment(seed=int(number or seed)) if name == DRAWN_FLEET else DEPLOYMENTS[fleet]()
 
 
-def _read_final_orders(*, world: World) -> None:
+def _read_orders_at_end(*, world: World) -> None:
     if world.history.of(k="ordered"):
         world.operator.read_orders()
 
@@ -70,7 +70,7 @@
     ]
     for when, verb, words in steps:
         world.clock.at(world.begin + when, lambda verb=verb, words=words: verbs.do(verb, words))
-    world.clock.at(world.end - FINAL_READ_LEAD, lambda: _read_final_orders(world=world))
+    world.clock.at(world.end - FINAL_READ_BEFORE_END, lambda: _read_orders_at_end(world=world))
     world.clock.run(until=world.end)
     world.finish()
     failed, figures = [], {}
--- a/simulation/hosted/verbs.py
+++ b/simulation/hosted/verbs.py
@@ -49,11 +49,11 @@
 
     def do(self, verb: str, words: tuple | list) -> None:
         """Carry out one step."""
-        name = name_of(verb=verb)
+        name = method_name(verb=verb)
         next(getattr(part, name) for part in self._parts if hasattr(part, name))(*words)
 
 
-def name_of(*, verb: str) -> str:
+def method_name(*, verb: str) -> str:
     """The method that carries out a verb."""
     return "do_" + verb.replace("-", "_")
 
@@ -61,7 +61,7 @@
 def find_fault(*, verb: str, words: list[str]) -> str:
     """What is wrong with a step as it is written, "" if nothing is."""
     method = next(
-        (getattr(part, name_of(verb=verb)) for part in VERB_CLASSES if hasattr(part, name_of(verb=verb))), None
+        (getattr(part, method_name(verb=verb)) for part in VERB_CLASSES if hasattr(part, method_name(verb=verb))), None
     )
     if method is None:
         return f"unknown verb {verb!r}"
