--- a/simulation/hosted/environment.py
+++ b/simulation/hosted/environment.py
@@ -35,7 +35,7 @@
     list_address: str
     list_node: Node
     listing: Any
-    by_post: dict[str, Any]
+    by_inner_address: dict[str, Any]
     by_front_address: dict[str, Any]
     by_address: dict[str, Any]
     leader: str
--- a/simulation/hosted/operator_call.py
+++ b/simulation/hosted/operator_call.py
@@ -23,7 +23,7 @@
 LARGE_BODY = 100_000
 """Bytes of a body above which the operator waits twice as long for a response."""
 FIRST_BACKOFF, BACKOFF_GROWTH, MAX_BACKOFF = 0.1, 1.6, 1.0
-"""Backoff: s before the first retry, growth factor per turn, and s at most."""
+"""Backoff: s before the first retry, growth factor per attempt, and s at most."""
 
 
 @dataclass(kw_only=True)
--- a/simulation/hosted/operators.py
+++ b/simulation/hosted/operators.py
@@ -153,9 +153,9 @@
         rule = next(rule for rule in listener["ruleset"] if rule["name"] == route)
         base = max(
             (
-                entry
-                for entry in self.versions.values()
-                if entry.outcome == "acked" or (is_informed and entry.accepted_at < float("inf"))
+                version
+                for version in self.versions.values()
+                if version.outcome == "acked" or (is_informed and version.accepted_at < float("inf"))
             ),
             key=lambda version: version.number,
         )
