--- a/simulation/hosted/machine_verbs.py
+++ b/simulation/hosted/machine_verbs.py
@@ -99,7 +99,10 @@
         self._world.history.add(t=self._world.clock.now, k="back")
 
     def do_zone_loss(self, zone: str, seconds: str) -> None:
-        """Cut the power of a zone for some seconds; its members are back within ZONE_RECOVERY_TIME."""
+        """Cut the power of a zone for some seconds.
+
+        Its machines and workers are back within ZONE_RECOVERY_TIME after the power returns.
+        """
         world = self._world
         for worker in list(world.workers.values()):
             if zone in worker.node.names and worker.is_up:
