--- a/simulation/hosted/clients.py
+++ b/simulation/hosted/clients.py
@@ -236,15 +236,15 @@
                 close_connection()
                 self._on_response(attempt=attempt, address=address, answer=None, why=why)
 
-        self._schedule_closes(close=close, remaining=remaining, is_once=kind.is_nonidempotent)
+        self._schedule_closes(close=close, remaining=remaining, is_nonidempotent=kind.is_nonidempotent)
 
-    def _schedule_closes(self, *, close: Callable[[str], None], remaining: float, is_once: bool) -> None:
+    def _schedule_closes(self, *, close: Callable[[str], None], remaining: float, is_nonidempotent: bool) -> None:
         """Close an attempt's connection at its deadline, if it is not read in time, or when its client gives up."""
         clock = self.world.clock
         if self.gives_up_within:
             clock.after(self.rng.uniform(0.0, self.gives_up_within), lambda: close("left"))
         clock.after(remaining, lambda: close("deadline"))
-        if not is_once:
+        if not is_nonidempotent:
             clock.after(min(1.0, remaining / 3) + 0.05, lambda: close("unread"))
 
     def _on_response(self, *, attempt: Attempt, address: str, answer: Respond | None, why: str = "closed") -> None:
