--- a/simulation/hosted/choosing.py
+++ b/simulation/hosted/choosing.py
@@ -19,13 +19,13 @@
     return [
         machine
         for machine in world.machines.values()
-        if not machine.is_gone and ("all" in parts or machine.spot.names & parts)
+        if not machine.is_removed and ("all" in parts or machine.node.names & parts)
     ]
 
 
 def resolve_role(*, world: World, word: str) -> str:
     """The name of the machine that has this role now; of the first machine that holds state if none has it yet."""
-    present = {machine.spot.name: machine for machine in world.machines.values() if not machine.is_gone}
+    present = {machine.node.name: machine for machine in world.machines.values() if not machine.is_removed}
     core = [name for name, machine in present.items() if "controller" in machine.processes]
     if word == "seed":
         names_by_ip = {machine.ip: name for name, machine in present.items()}
@@ -43,7 +43,7 @@
         if part in ROLES:
             names.add(resolve_role(world=world, word=part))
         elif "@" in part:
-            names |= {worker.spot.name for worker in choose_workers(world=world, word=part)}
+            names |= {worker.node.name for worker in choose_workers(world=world, word=part)}
         else:
             names.add(part)
     return frozenset(names)
@@ -59,6 +59,6 @@
         if worker.service == service
         and worker.is_up
         and not worker.is_draining
-        and (where == "all" or where in worker.spot.names)
+        and (where == "all" or where in worker.node.names)
     ]
     return found if where == "all" else found[int(at or 1) - 1 : int(at or 1)]
--- a/simulation/hosted/contact_history.py
+++ b/simulation/hosted/contact_history.py
@@ -57,9 +57,9 @@
         """Whether the machine was in contact at this moment."""
         if not machine or not self.is_core_settled(t=t):
             return False
-        spot = self._world.machines[machine].spot
+        node = self._world.machines[machine].node
         if any(
-            spot.names & row["names"] and row["t"] <= t and t - self._contact_window <= row["until"]
+            node.names & row["names"] and row["t"] <= t and t - self._contact_window <= row["until"]
             for row in self._world.troubles
         ):
             return False
@@ -67,7 +67,7 @@
             if (
                 cut.begin <= t
                 and t - self._contact_window <= cut.end
-                and any(cut.parts(a=spot, b=member.spot) for member in self._majority_side(cut=cut))
+                and any(cut.separates(a=node, b=member.node) for member in self._majority_side(cut=cut))
             ):
                 return False
         return True
@@ -85,13 +85,13 @@
         return at <= t and t - self._contact_window <= at
 
     def _is_core_cut(self, *, cut) -> bool:
-        return any(cut.parts(a=a.spot, b=b.spot) for a in self._core for b in self._core)
+        return any(cut.separates(a=a.node, b=b.node) for a in self._core for b in self._core)
 
     def _majority_side(self, *, cut) -> list:
         """The core machines that still reach more than half of the core during this partition."""
         return [
             member
             for member in self._core
-            if 2 * sum(other is member or not cut.parts(a=member.spot, b=other.spot) for other in self._core)
+            if 2 * sum(other is member or not cut.separates(a=member.node, b=other.node) for other in self._core)
             > len(self._core)
         ]
--- a/simulation/hosted/draw.py
+++ b/simulation/hosted/draw.py
@@ -49,7 +49,9 @@
     def __post_init__(self) -> None:
         deployment = self.deployment
         for zone in deployment.zones:
-            self._core += [f"{zone}-{at}" for at in range(deployment.disks + (zone in deployment.more_disks))]
+            self._core += [
+                f"{zone}-{at}" for at in range(deployment.disks_per_zone + (zone in deployment.zones_with_extra_disk))
+            ]
 
     def add_step(self, delay: float, verb: str, *words: object) -> None:
         """Add a step that runs so many s from now."""
@@ -62,7 +64,7 @@
     def reserve_losses(self, *, seconds: float, count: int = 1) -> bool:
         """Reserve the loss of so many core machines, until they have caught up again; False if that is too many."""
         lost = sum(until > self.now for until in self._lost_until)
-        if self.is_budget_reserved or lost + count > self.deployment.machines:
+        if self.is_budget_reserved or lost + count > self.deployment.max_lost_machines:
             return False
         self._lost_until += [self.now + seconds + self.deployment.bounds["catch_up_s"] + CATCH_UP_MARGIN] * count
         return True
@@ -71,7 +73,7 @@
         """The same for a fault of a zone or of all machines, which needs that no core machine counts as lost."""
         if any(until > self.now for until in self._lost_until):
             return False
-        return self.reserve_losses(seconds=seconds, count=self.deployment.machines)
+        return self.reserve_losses(seconds=seconds, count=self.deployment.max_lost_machines)
 
     def recovered_at(self) -> float:
         """When no machine counts as lost any more."""
@@ -89,9 +91,9 @@
     def plain(self) -> str:
         """A machine that holds no state, and so is not part of the core."""
         names = [
-            f"{zone}-{self.deployment.disks + (zone in self.deployment.more_disks) + at}"
+            f"{zone}-{self.deployment.disks_per_zone + (zone in self.deployment.zones_with_extra_disk) + at}"
             for zone in self.deployment.zones
-            for at in range(self.deployment.plain)
+            for at in range(self.deployment.plain_per_zone)
         ]
         return self.rng.choice(names)
 
--- a/simulation/hosted/environment.py
+++ b/simulation/hosted/environment.py
@@ -1,6 +1,7 @@
-"""What the parts of the simulated platform see of each other: the world of one day, and the two ends of a call.
+"""What the parts of the simulated platform see of each other: the state of the run, and the two ends of a call.
 
-The parts are typed by these protocols and not by each other's classes, so that no module needs the one that builds it.
+The parts are typed by these protocols and not by each other's classes, so that no module imports the one that builds
+it.
 """
 
 from __future__ import annotations
@@ -12,17 +13,17 @@
 
 from simulation.history import History
 from simulation.hosted.deployment import Deployment
-from simulation.hosted.network import Network, Spot
+from simulation.hosted.network import Network, Node
 from simulation.sim.clock import Clock
 
 
 class Environment(Protocol):
-    """The world of one day: time, network, history, and its machines, workers and clients by address."""
+    """The state of one run: time, network, history, and the daemons and workers by address."""
 
     deployment: Deployment
     seed: int
     rng: random.Random
-    moments: random.Random
+    moment_rng: random.Random
     clock: Clock
     end: float
     network: Network
@@ -32,73 +33,73 @@
     attempts: dict
     calls: Any
     list_address: str
-    list_spot: Spot
+    list_node: Node
     listing: Any
-    by_post: dict[str, Any]
-    by_front: dict[str, Any]
+    by_inner_address: dict[str, Any]
+    by_front_address: dict[str, Any]
     by_address: dict[str, Any]
     leader: str
     reader: str
     taker: str
 
     def exchange(self, **fields: object) -> Callable[[], None]:
-        """One exchange of somebody outside with an edge of a daemon."""
+        """Begin one exchange of a client or operator with a listener of a daemon."""
 
-    def acknowledged(self) -> None:
+    def on_acknowledged(self) -> None:
         """A configuration was acknowledged."""
 
-    def happens(self, *, moment: str) -> None:
-        """A moment that steps may wait for."""
+    def on_moment(self, *, moment: str) -> None:
+        """Run the steps that wait for this moment."""
 
     def wall(self) -> float:
-        """What a clock shows that is right, in s."""
+        """The true time of day, in s."""
 
     def controllers(self) -> list[Any]:
-        """The daemons that take operators' calls."""
+        """The daemons that serve the operators' API."""
 
     def directories(self) -> list[Any]:
-        """The daemons that answer who asks where to go."""
+        """The daemons that serve the directory."""
 
-    def by_desk(self, *, location: str) -> Any:
-        """The controller that a redirect names."""
+    def redirect_target(self, *, location: str) -> Any:
+        """The controller to which a redirect points."""
 
     def crash(self, **fields: Any) -> None:
-        """A worker ends."""
+        """Crash a worker."""
 
     def host(self, **fields: Any) -> Any:
-        """What a daemon is started with."""
+        """The host, with the settings that a daemon is started with."""
 
 
-class CallLine(Protocol):
-    """One call under way, as the worker at its end sees it."""
+class WorkerCall(Protocol):
+    """One call in flight, as the worker that serves it sees it."""
 
     headers: dict[str, str]
     command: Any
     process: Any
     key: int
-    due: float
-    grey: str
+    deadline_at: float
+    failure_mode: str
     sent_at: float
 
-    def leave_surplus(self, *, code: int, headers: dict, body: bytes) -> None:
-        """The worker sends a further answer, which comes only after the connection is used again."""
+    def send_surplus(self, *, code: int, headers: dict, body: bytes) -> None:
+        """The worker sends a surplus response, which is read only when the connection is used again."""
 
-    def answer(self, *, code: int = 0, headers: dict | None = None, body: bytes = b"", fault: str = "") -> None:
-        """The worker says this, or breaks off."""
+    def respond(self, *, code: int = 0, headers: dict | None = None, body: bytes = b"", fault: str = "") -> None:
+        """The worker responds, or the call fails with `fault`."""
 
 
 class OperatorView(Protocol):
     """An operator, as its calls see it."""
 
     world: Any
-    spot: Spot
-    patience: float
+    node: Node
+    answer_timeout: float
 
-    def named(self, *, machine: str) -> Any:
+    def controller_on(self, *, machine: str) -> Any:
         """The controller on this machine."""
 
-    def pick(self, *, avoid: Any) -> Any:
-        """Any controller but this one."""
+    def pick_controller(self, *, avoid: Any) -> Any:
+        """Any controller other than `avoid`."""
 
-    def loses(self) -> bool:
-        """Is an acknowledgement lost now?"""
+    def draw_lost_ack(self) -> bool:
+        """Draws whether the next acknowledgement is lost."""
--- a/simulation/hosted/judge_config.py
+++ b/simulation/hosted/judge_config.py
@@ -37,13 +37,13 @@
 
     def may_be_in_force(self, *, sent_at: float, handled_at: float) -> list[Version]:
         """The versions of which one must be in force for a request sent at `sent_at` and handled at `handled_at`."""
-        newest = max((version.number for version in self.versions if version.acked < sent_at), default=0)
+        newest = max((version.number for version in self.versions if version.acked_at < sent_at), default=0)
         return [
             version
             for version in self.versions
             if version.number >= newest
             and version.outcome != "refused"
-            and version.sent < handled_at
+            and version.sent_at < handled_at
             and version.is_valid
         ]
 
@@ -141,7 +141,7 @@
 def _judge_acknowledged(*, acked: list):
     for version in acked:
         if not version.is_valid:
-            yield Broken(rule="CONFIG", t=version.acked, detail=f"r{version.number} is invalid and was acknowledged")
+            yield Broken(rule="CONFIG", t=version.acked_at, detail=f"r{version.number} is invalid and was acknowledged")
     for base in {version.base for version in acked}:
         winners = sorted({version.number for version in acked if version.base == base})
         if len(winners) > 1 or sum(version.base == base for version in acked) > 1:
@@ -152,7 +152,7 @@
 
 
 def _judge_ended(*, world: World, contact: ContactHistory):
-    limit = world.deployment.bounds["ack_s"] + ACK_EXTRA_PER_ROUTE * world.operator.added
+    limit = world.deployment.bounds["ack_s"] + ACK_EXTRA_PER_ROUTE * world.operator.extra_routes
     for row in world.history.of(k="config-ended"):
         begun = row["waits_from"]
         elapsed = row["t"] - begun
@@ -166,7 +166,7 @@
 
 def _judge_read(*, acked: list, row: dict):
     """A read during the run may fail, but must not return a version older than one acknowledged before it began."""
-    newest = max((version.number for version in acked if version.acked <= row["begun"]), default=0)
+    newest = max((version.number for version in acked if version.acked_at <= row["begun"]), default=0)
     if row["code"] == 200 and int(row["written"]["generation"][1:]) < newest:
         detail = f"{row['written']['generation']} was read after r{newest} had been acknowledged"
         yield Broken(rule="LOST", t=row["t"], detail=detail)
@@ -174,7 +174,7 @@
 
 def _judge_read_back(*, world: World, acked: list, row: dict):
     newest = max(
-        (version for version in acked if version.acked <= row["begun"]),
+        (version for version in acked if version.acked_at <= row["begun"]),
         key=lambda version: version.number,
         default=None,
     )
@@ -203,11 +203,11 @@
     """
     return any(
         version.number >= row["number"]
-        and version.sent < row["t"]
+        and version.sent_at < row["t"]
         and version.outcome != "refused"
         and version.is_valid
         for version in world.operator.versions.values()
-        if (version.number, version.sent) != (row["number"], row["begun"])
+        if (version.number, version.sent_at) != (row["number"], row["begun"])
     )
 
 
--- a/simulation/hosted/judge_contact.py
+++ b/simulation/hosted/judge_contact.py
@@ -100,7 +100,7 @@
         """
         started_at = {row["machine"]: row["t"] for row in self._up_rows if row["t"] <= until}
         return any(
-            started_at.get(voter.spot.name, float("inf")) <= since
+            started_at.get(voter.node.name, float("inf")) <= since
             and self._has_majority(machine=voter, since=since, until=until)
             and not self._is_cut_at_times(a=proxy, b=voter, since=since, until=until)
             for voter in self._voters
@@ -116,14 +116,14 @@
 
     def _are_cut_throughout(self, *, a: Machine, b: Machine, since: float, until: float) -> bool:
         return any(
-            cut.begin <= since and until <= cut.end and cut.parts(a=a.spot, b=b.spot)
+            cut.begin <= since and until <= cut.end and cut.separates(a=a.node, b=b.node)
             for cut in self._world.network.cuts
         )
 
     def _is_cut_at_times(self, *, a: Machine, b: Machine, since: float, until: float) -> bool:
         """Whether a partition separated these at any time in this span."""
         return any(
-            cut.begin <= until and since <= cut.end and cut.parts(a=a.spot, b=b.spot)
+            cut.begin <= until and since <= cut.end and cut.separates(a=a.node, b=b.node)
             for cut in self._world.network.cuts
         )
 
@@ -143,4 +143,4 @@
     """The machines of the newest voter set that any controller holds at the end of the run."""
     owners = [controller.owner for controller in world.controllers() if controller.owner is not None]
     newest = max((owner.voters for owner in owners), key=lambda voters: voters.number, default=VoterSet())
-    return [world.by_post[post].machine for post in newest.members.values()]
+    return [world.by_inner_address[post].machine for post in newest.members.values()]
--- a/simulation/hosted/judge_departures.py
+++ b/simulation/hosted/judge_departures.py
@@ -55,7 +55,7 @@
     machine = world.machines.get(row["proxy"])
     if machine is None:
         return NEVER
-    names = machine.spot.names - {"core", "plain"}
+    names = machine.node.names - {"core", "plain"}
     begin, end = t - world.deployment.bounds["contact_s"], t + CLOSE_SLACK
     if not contact.is_undisturbed(names=frozenset(names), begin=begin, end=end):
         return NEVER
--- a/simulation/hosted/judge_placement.py
+++ b/simulation/hosted/judge_placement.py
@@ -69,7 +69,7 @@
 
 def judge_homes(*, world: World, arrivals: list, attempts: dict):
     """HOME: a request of a route with home regions arrived at a worker in another region."""
-    homes = {kind.name: kind.homes for kind in world.deployment.kinds if kind.homes}
+    homes = {kind.name: kind.home_regions for kind in world.deployment.kinds if kind.home_regions}
     for row in arrivals:
         attempt = attempts.get(row["id"])
         if attempt is not None and attempt["kind"] in homes and row["region"] not in homes[attempt["kind"]]:
--- a/simulation/hosted/verbs.py
+++ b/simulation/hosted/verbs.py
@@ -1,4 +1,4 @@
-"""The steps of scenarios: every verb, found by its name."""
+"""The steps of scenarios: finds the method that carries out a verb by its name."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from simulation.hosted.chaos import Chaos
 from simulation.hosted.link_verbs import LinkVerbs
 from simulation.hosted.machine_verbs import MachineVerbs
-from simulation.hosted.people_verbs import PeopleVerbs
+from simulation.hosted.user_verbs import UserVerbs
 from simulation.hosted.worker_verbs import WorkerVerbs
 
 if TYPE_CHECKING:
@@ -22,51 +22,53 @@
         self._chaos = Chaos(world=world, step=lambda *, verb, words: world.step(verb, words))
 
     def do_chaos(self, seconds: str) -> None:
-        """Every kind of trouble, mixed, for so long."""
+        """Every kind of trouble, mixed, for `seconds`."""
         self._chaos.begin(seconds=float(seconds))
 
     def do_closing(self) -> None:
-        """A closing fault at the very moment of an acknowledgement.
+        """A change of the configuration with a fault at the very moment of its acknowledgement.
 
-        All is back 6 s later, and is read back 24 s later.
+        All machines have power again after 6 s, and the configuration is read back after 24 s.
         """
         self._chaos.add_closing_fault()
 
 
 ROLES = ("proxy", "controller", "all")
-"""The processes that a step can name."""
+"""The roles of processes that a step can name."""
 PROCESS_VERBS = ("kill", "stop", "freeze")
-"""The steps whose first word names a process."""
-PARTS = (MachineVerbs, LinkVerbs, WorkerVerbs, PeopleVerbs, ChaosVerbs)
+"""The verbs whose first word names a process."""
+VERB_CLASSES = (MachineVerbs, LinkVerbs, WorkerVerbs, UserVerbs, ChaosVerbs)
 
 
 class Verbs:
-    """All verbs over one world. `do` carries out a step."""
+    """All verbs of one run. `do` carries out a step."""
 
     def __init__(self, *, world: World) -> None:
-        self._parts = [part(world=world) for part in PARTS]
+        self._parts = [part(world=world) for part in VERB_CLASSES]
         world.step = self.do
 
     def do(self, verb: str, words: tuple | list) -> None:
         """Carry out one step."""
-        name = name_of(verb=verb)
+        name = method_name(verb=verb)
         next(getattr(part, name) for part in self._parts if hasattr(part, name))(*words)
 
 
-def name_of(*, verb: str) -> str:
+def method_name(*, verb: str) -> str:
     """The method that carries out a verb."""
     return "do_" + verb.replace("-", "_")
 
 
 def find_fault(*, verb: str, words: list[str]) -> str:
-    """What is wrong with a step as it is written; empty if nothing is."""
-    method = next((getattr(part, name_of(verb=verb)) for part in PARTS if hasattr(part, name_of(verb=verb))), None)
+    """What is wrong with a step as it is written, "" if nothing is."""
+    method = next(
+        (getattr(part, method_name(verb=verb)) for part in VERB_CLASSES if hasattr(part, method_name(verb=verb))), None
+    )
     if method is None:
         return f"unknown verb {verb!r}"
     try:
         inspect.signature(method).bind(None, *words)
-    except TypeError as fault:
-        return f"{verb}: {fault}"
+    except TypeError as error:
+        return f"{verb}: {error}"
     if verb == "on-ack":
         return find_fault(verb=words[0], words=words[1:])
     role = words[0].partition("@")[0] if verb in PROCESS_VERBS else ROLES[0]
--- a/tests/test_hosted_draw.py
+++ b/tests/test_hosted_draw.py
@@ -72,11 +72,15 @@
 
 def test_deployments_are_drawn_in_all_sizes_that_the_users_describe() -> None:
     drawn = [draw_deployment(seed=seed) for seed in range(1, 100)]
-    sizes = {deployment.disks * len(deployment.zones) + len(deployment.more_disks) for deployment in drawn}
+    sizes = {
+        deployment.disks_per_zone * len(deployment.zones) + len(deployment.zones_with_extra_disk)
+        for deployment in drawn
+    }
     assert sizes == set(range(3, 9))
-    assert {deployment.machines for deployment in drawn} == {1, 2}
+    assert {deployment.max_lost_machines for deployment in drawn} == {1, 2}
     assert all(
-        deployment.machines == 1 or deployment.disks * len(deployment.zones) + len(deployment.more_disks) >= 5
+        deployment.max_lost_machines == 1
+        or deployment.disks_per_zone * len(deployment.zones) + len(deployment.zones_with_extra_disk) >= 5
         for deployment in drawn
     )
 
@@ -88,7 +92,9 @@
 def test_no_more_core_machines_are_lost_at_once_than_the_budget(seed: int) -> None:
     deployment = draw_deployment(seed=seed)
     core = {
-        f"{zone}-{at}" for zone in deployment.zones for at in range(deployment.disks + (zone in deployment.more_disks))
+        f"{zone}-{at}"
+        for zone in deployment.zones
+        for at in range(deployment.disks_per_zone + (zone in deployment.zones_with_extra_disk))
     }
     steps, _ = draw_day(deployment=deployment, seed=seed, seconds=100.0, kinds=ALL_KINDS)
     catch_up = deployment.bounds["catch_up_s"]
@@ -98,7 +104,7 @@
         if verb in LOSS_VERBS and name in core:
             taken.append(when)
     for at, when in enumerate(taken):
-        assert sum(when - catch_up < earlier <= when for earlier in taken[: at + 1]) <= deployment.machines
+        assert sum(when - catch_up < earlier <= when for earlier in taken[: at + 1]) <= deployment.max_lost_machines
 
 
 EFFECTS = [
@@ -133,7 +139,7 @@
 def test_a_one_way_cut_blocks_one_way_until_the_connections_end() -> None:
     world = World(deployment=make_small(), seed=1, end=10.0)
     verbs = Verbs(world=world)
-    here, there = (world.machines[name].spot for name in ("gdl-nave-0", "ens-cava-0"))
+    here, there = (world.machines[name].node for name in ("gdl-nave-0", "ens-cava-0"))
     verbs.do("cut-core", ["gdl-nave-0", "5", "one_way"])
     assert world.network.is_cut(a=here, b=there) and not world.network.is_cut(a=there, b=here)
     assert world.network.is_severed(a=there, b=here)
@@ -149,16 +155,16 @@
     verbs.do("cut", ["gdl-nave-0", "core", "2"])
     verbs.do("cut", ["ens-cava-0", "core", "6"])
     world.clock.run(until=world.begin + 3.0)
-    spots = {name: machine.spot for name, machine in world.machines.items()}
-    assert not world.network.is_cut(a=spots["gdl-nave-0"], b=spots["ens-lagar-0"])
-    assert world.network.is_cut(a=spots["ens-cava-0"], b=spots["ens-lagar-0"])
+    nodes = {name: machine.node for name, machine in world.machines.items()}
+    assert not world.network.is_cut(a=nodes["gdl-nave-0"], b=nodes["ens-lagar-0"])
+    assert world.network.is_cut(a=nodes["ens-cava-0"], b=nodes["ens-lagar-0"])
 
 
 def test_clients_still_reach_a_zone_that_is_cut_off_from_the_others() -> None:
     world = World(deployment=make_small(), seed=1, end=10.0)
     Verbs(world=world).do("cut-zone", ["gdl-nave", "5"])
-    inside, outside = world.machines["gdl-nave-0"].spot, world.machines["ens-cava-0"].spot
-    client = next(client.spot for client in world.clients if client.spot.zone == "ens-cava")
+    inside, outside = world.machines["gdl-nave-0"].node, world.machines["ens-cava-0"].node
+    client = next(client.node for client in world.clients if client.node.zone == "ens-cava")
     assert world.network.is_severed(a=inside, b=outside)
     assert not world.network.is_severed(a=client, b=inside)
 
@@ -173,9 +179,9 @@
     assert world.machines["gdl-nave-0-new1"].processes["controller"].owner is not None
     assert world.machines["gdl-nave-0"].processes["controller"].owner is not None
     world.clock.run(until=world.begin + 13.0)
-    assert world.machines["gdl-nave-0"].is_gone
+    assert world.machines["gdl-nave-0"].is_removed
     verbs.do("replace", ["ens-cava-0", "1"])
-    assert world.machines["ens-cava-0"].is_gone
+    assert world.machines["ens-cava-0"].is_removed
     world.clock.run(until=world.begin + 13.5)
     assert world.machines["ens-cava-0-new1"].processes["controller"].owner is None
     world.clock.run(until=world.begin + 14.5)
