--- a/simulation/rules/control.py
+++ b/simulation/rules/control.py
@@ -51,7 +51,7 @@
     for _, number in floors:
         newest_by.append(max(number, newest_by[-1] if newest_by else 0))
     begun = {row["number"]: row["begun"] for row in changes.accepted}
-    seen: dict = collections.defaultdict(list)
+    acted_numbers: dict = collections.defaultdict(list)
     for run in runs:
         numbers = _matching_numbers(changes=changes, begun=begun, run=run)
         if numbers is None:
@@ -66,14 +66,14 @@
             )
         if not run["proxy"] or not numbers:
             continue
-        before = seen[run["proxy"]]
-        newest = max((number for t, number in before if t <= run["t"] - OLD_CONFIG_IN_FLIGHT), default=0)
+        acted_before = acted_numbers[run["proxy"]]
+        newest = max((number for t, number in acted_before if t <= run["t"] - OLD_CONFIG_IN_FLIGHT), default=0)
         if max(numbers) < newest:
             yield Violation(
                 rule="slipped-back", t=run["t"], detail=f"{run['proxy']} had acted on number {newest}, now on {numbers}"
             )
-        if not before or min(numbers) > before[-1][1]:
-            before.append((run["t"], min(numbers)))
+        if not acted_before or min(numbers) > acted_before[-1][1]:
+            acted_before.append((run["t"], min(numbers)))
 
 
 def _matching_numbers(*, changes: ConfigChanges, begun: dict, run: dict) -> list | None:
@@ -98,11 +98,11 @@
     starts = [row["t"] for row in [*history.of(k="worker-started"), *history.of(k="refilled")]]
     orders = [row["t"] for row in history.of(k="emptied")]
     end = max((run["t"] for run in runs), default=0.0)
-    for row, following in itertools.zip_longest(changes.accepted, changes.accepted[1:]):
+    for row, next_row in itertools.zip_longest(changes.accepted, changes.accepted[1:]):
         meaning = changes.meanings.get(row["number"])
         begin = row["t"] + 2.5 + TRANSIT_SLACK
         until = min(
-            [following["begun"] if following else end, *[t for t in troubles if t > begin - UNTROUBLED_BEFORE], *orders]
+            [next_row["begun"] if next_row else end, *[t for t in troubles if t > begin - UNTROUBLED_BEFORE], *orders]
         )
         begin = max([begin, *[t + 12.0 for t in starts if t < until]])
         if meaning is None or any(begun_at < until for begun_at, _ in changes.uncertain):
@@ -168,14 +168,14 @@
     reads = history.of(k="read-back")
     for read in reads:
         newest = max((row["number"] for row in changes.accepted if row["t"] <= read["begun"]), default=0)
-        seen = max((other["number"] for other in reads if other["t"] <= read["begun"]), default=0)
+        newest_read = max((other["number"] for other in reads if other["t"] <= read["begun"]), default=0)
         if read["number"] < newest:
             yield Violation(
                 rule="accepted-missing", t=read["t"], detail=f"read {read['number']} after {newest} was accepted"
             )
-        if read["number"] < seen:
+        if read["number"] < newest_read:
             yield Violation(
-                rule="slipped-back", t=read["t"], detail=f"read {read['number']} after {seen} had been read"
+                rule="slipped-back", t=read["t"], detail=f"read {read['number']} after {newest_read} had been read"
             )
         if read["digest"] in refused_only and not has_patches:
             yield Violation(rule="loser-in-force", t=read["t"], detail=f"number {read['number']} had been refused")
--- a/simulation/rules/exchanges.py
+++ b/simulation/rules/exchanges.py
@@ -17,49 +17,56 @@
 
 def check_runs_once(*, runs: list):
     """An order, booking or cancellation runs twice."""
-    seen: dict = {}
+    first_runs: dict = {}
     for run in runs:
         if not run["unsafe"]:
             continue
         request = (run["tenant"], run["key"])
-        if request in seen:
+        if request in first_runs:
             yield Violation(
                 rule="runs-twice",
                 t=run["t"],
-                detail=f"{request} at {seen[request]['worker']} "
-                f"(try {seen[request]['turn']}) and {run['worker']} (try {run['turn']})",
+                detail=f"{request} at {first_runs[request]['worker']} "
+                f"(try {first_runs[request]['turn']}) and {run['worker']} (try {run['turn']})",
             )
-        seen[request] = run
+        first_runs[request] = run
 
 
 def check_promises(*, history: History, runs: list):
     """A refusal that promised `not run` turns out to have run, now or later."""
-    ran: dict = {}
+    first_try_run: dict = {}
     for run in runs:
         request = (run["tenant"], run["key"] if run["unsafe"] else run["nonce"])
-        ran[request] = min(run["turn"], ran.get(request, run["turn"]))
+        first_try_run[request] = min(run["turn"], first_try_run.get(request, run["turn"]))
     safe = {(run["tenant"], run["nonce"], run["turn"]) for run in runs if not run["unsafe"]}
-    for got in history.of(k="got"):
-        if got["ran"] != "not-run":
+    for answer in history.of(k="got"):
+        if answer["ran"] != "not-run":
             continue
-        request = (got["tenant"], got["key"] if got["unsafe"] else got["nonce"])
-        has_run = request in ran and ran[request] <= got["turn"] if got["unsafe"] else (*request, got["turn"]) in safe
+        request = (answer["tenant"], answer["key"] if answer["unsafe"] else answer["nonce"])
+        has_run = (
+            request in first_try_run and first_try_run[request] <= answer["turn"]
+            if answer["unsafe"]
+            else (*request, answer["turn"]) in safe
+        )
         if has_run:
             yield Violation(
                 rule="not-run-ran",
-                t=got["t"],
-                detail=f"{request}: try {got['turn']} was refused with {got['reason']}, try {ran[request]} ran",
+                t=answer["t"],
+                detail=f"{request}: try {answer['turn']} was refused with {answer['reason']}, "
+                f"try {first_try_run[request]} ran",
             )
 
 
 def check_results(*, history: History):
     """A result that is not the worker's own, not whole or another's; a refusal without its word or its time."""
-    for got in history.of(k="got"):
-        if got["verdict"] in ("not-json", "not-mine"):
-            yield Violation(rule="wrong-result", t=got["t"], detail=f"{got['nonce']} got {got['verdict']}")
-        if got["code"] in REFUSALS and (got["ran"] not in ("not-run", "unknown") or not got["retry_after"]):
+    for answer in history.of(k="got"):
+        if answer["verdict"] in ("not-json", "not-mine"):
+            yield Violation(rule="wrong-result", t=answer["t"], detail=f"{answer['nonce']} got {answer['verdict']}")
+        if answer["code"] in REFUSALS and (answer["ran"] not in ("not-run", "unknown") or not answer["retry_after"]):
             yield Violation(
-                rule="refusal-without-word", t=got["t"], detail=f"{got['nonce']} {got['code']} {got['reason']}"
+                rule="refusal-without-word",
+                t=answer["t"],
+                detail=f"{answer['nonce']} {answer['code']} {answer['reason']}",
             )
 
 
@@ -72,31 +79,32 @@
     begun = {(row["nonce"], row["turn"], row["proxy"]): row["t"] for row in history.of(k="sent")}
     ended = set()
     last = max((row["t"] for row in history.rows), default=0.0)
-    for got in history.of(k="got"):
-        request = (got["nonce"], got["turn"], got["proxy"])
+    for answer in history.of(k="got"):
+        request = (answer["nonce"], answer["turn"], answer["proxy"])
         ended.add(request)
-        sent_at = begun.get(request, got["t"])
-        is_excused = any(sent_at - 8.0 <= t <= got["t"] for t in interruptions[got["proxy"]])
+        sent_at = begun.get(request, answer["t"])
+        is_excused = any(sent_at - 8.0 <= t <= answer["t"] for t in interruptions[answer["proxy"]])
         if not is_excused:
-            yield from _judge_ending(got=got, sent_at=sent_at)
+            yield from _judge_ending(answer=answer, sent_at=sent_at)
     for request, t in begun.items():
         if request not in ended and t < last - 9.0:
             yield Violation(rule="unanswered", t=t, detail=f"{request[0]} try {request[1]} at {request[2]}")
 
 
-def _judge_ending(*, got: dict, sent_at: float):
-    if got["held"]:
-        yield Violation(rule="held", t=got["t"], detail=f"{got['nonce']} at {got['proxy']} was never answered")
-    elif got["code"] == 0:
-        if got.get("taken", True):
+def _judge_ending(*, answer: dict, sent_at: float):
+    if answer["held"]:
+        yield Violation(rule="held", t=answer["t"], detail=f"{answer['nonce']} at {answer['proxy']} was never answered")
+    elif answer["code"] == 0:
+        if answer.get("taken", True):
             yield Violation(
-                rule="unanswered", t=got["t"], detail=f"{got['nonce']} at {got['proxy']}, which was not lost"
+                rule="unanswered", t=answer["t"], detail=f"{answer['nonce']} at {answer['proxy']}, which was not lost"
             )
-    elif got["t"] - sent_at > ANSWER_LIMIT:
+    elif answer["t"] - sent_at > ANSWER_LIMIT:
         yield Violation(
             rule="held",
-            t=got["t"],
-            detail=f"{got['nonce']} at {got['proxy']} for {got['t'] - sent_at:.2f} s: {got['code']} {got['reason']}",
+            t=answer["t"],
+            detail=f"{answer['nonce']} at {answer['proxy']} for {answer['t'] - sent_at:.2f} s: "
+            f"{answer['code']} {answer['reason']}",
         )
 
 
@@ -105,12 +113,12 @@
 
     In small traffic one more for each proxy, which must be able to retry at all.
     """
-    seen, times, retries = set(), [], []
+    reached_nonces, times, retries = set(), [], []
     for row in sorted([*runs, *history.of(k="reached")], key=lambda run: run["t"]):
         times.append(row["t"])
-        if row["nonce"] in seen:
+        if row["nonce"] in reached_nonces:
             retries.append(row["t"])
-        seen.add(row["nonce"])
+        reached_nonces.add(row["nonce"])
     for index, end in enumerate(retries):
         count = index + 1 - bisect.bisect_right(retries, end - 10.0)
         total = bisect.bisect_right(times, end) - bisect.bisect_right(times, end - 10.0)
@@ -136,18 +144,18 @@
                 t=last,
                 detail=f"{stop['daemon']} took {last - stop['t']:.2f} s{'' if ended else ' and more'}",
             )
-        for got in history.of(k="got"):
-            begun = sent.get((got["nonce"], got["turn"]))
+        for answer in history.of(k="got"):
+            begun = sent.get((answer["nonce"], answer["turn"]))
             if (
-                got["proxy"] == stop["daemon"]
-                and got["code"] == 0
-                and not got["held"]
-                and got.get("taken", True)
-                and stop["t"] <= got["t"] <= stop["t"] + STOP_GRACE + 0.5
+                answer["proxy"] == stop["daemon"]
+                and answer["code"] == 0
+                and not answer["held"]
+                and answer.get("taken", True)
+                and stop["t"] <= answer["t"] <= stop["t"] + STOP_GRACE + 0.5
                 and begun is not None
-                and (ended is None or begun < ended - (0.02 if "took" in got else 0.0))
+                and (ended is None or begun < ended - (0.02 if "took" in answer else 0.0))
             ):
-                yield Violation(rule="stop-dropped", t=got["t"], detail=f"{got['nonce']} at {got['proxy']}")
+                yield Violation(rule="stop-dropped", t=answer["t"], detail=f"{answer['nonce']} at {answer['proxy']}")
 
 
 def check_crashes(*, history: History):
--- a/simulation/rules/places.py
+++ b/simulation/rules/places.py
@@ -119,8 +119,8 @@
     rows = bounds.get(service, [])
     in_force = [
         row
-        for row, following in itertools.zip_longest(rows, rows[1:])
-        if row["begun"] <= t and (following is None or t <= following["t"] + 2.5 + TRANSIT_SLACK)
+        for row, next_row in itertools.zip_longest(rows, rows[1:])
+        if row["begun"] <= t and (next_row is None or t <= next_row["t"] + 2.5 + TRANSIT_SLACK)
     ]
     if not in_force:
         return None
--- a/simulation/rules/service.py
+++ b/simulation/rules/service.py
@@ -32,7 +32,7 @@
     for returned_at in _find_returns(history=history, daemons=daemons):
         low = returned_at + RECOVERY_LIMIT
         high = min([low + OBSERVED_SPAN, *[t for t in troubles if t > returned_at + 0.6]])
-        good, total, reasons = _count(history=history, low=low, high=high)
+        good, total, reasons = _count_first_attempts(history=history, low=low, high=high)
         if total >= MIN_ATTEMPTS and good < MIN_GOOD_AFTER_RECOVERY * total:
             yield Violation(
                 rule="slow-recovery",
@@ -48,7 +48,7 @@
     proxies = {name for name, kind in kinds.items() if kind == "proxy"}
     down: set = set()
     returns, is_major_loss = [], False
-    wiped = [row for row in history.of(k="trouble") if row["verb"] == "wipe"]
+    wipes = [row for row in history.of(k="trouble") if row["verb"] == "wipe"]
     changes = sorted([*history.of(k="daemon-down"), *history.of(k="daemon-up")], key=lambda row: row["t"])
     for row in changes:
         name = row.get("name", row["daemon"])
@@ -59,7 +59,7 @@
         if is_major_loss and len(down & controllers) <= 1 and not down & proxies:
             is_major_loss = False
             # a majority of the disks gone for good is for an operators' order, judged from there
-            if sum(row["t"] - 60 < wipe["t"] <= row["t"] for wipe in wiped) < 2:
+            if sum(row["t"] - 60 < wipe["t"] <= row["t"] for wipe in wipes) < 2:
                 returns.append(row["t"])
     returns += [row["t"] for row in history.of(k="trouble") if row["verb"] == "heal"]
     returns += [row["t"] for row in history.of(k="founded-anew")]
@@ -88,7 +88,7 @@
             if kinds == {"controller"} and len(lost) == 1
             else 0.0
         )
-        good, total, reasons = _count(history=history, low=row["t"], high=high)
+        good, total, reasons = _count_first_attempts(history=history, low=row["t"], high=high)
         if total >= MIN_ATTEMPTS and good < min_good * total:
             yield Violation(
                 rule="not-borne",
@@ -97,7 +97,7 @@
             )
 
 
-def _count(*, history: History, low: float, high: float) -> tuple[int, int, dict]:
+def _count_first_attempts(*, history: History, low: float, high: float) -> tuple[int, int, dict]:
     """Good ones and all of the first attempts sent in that time by tenants who have a place.
 
     And what became of the others.
@@ -112,9 +112,9 @@
         and row["tenant"] not in excluded
         and row.get("stream", "n") == "n"
     ]
-    bad = [row for row in rows if row["verdict"] != "good"]
-    reasons = collections.Counter(f"{row['code']}-{row['reason']}" for row in bad)
-    return len(rows) - len(bad), len(rows), dict(reasons.most_common(6))
+    failed = [row for row in rows if row["verdict"] != "good"]
+    reasons = collections.Counter(f"{row['code']}-{row['reason']}" for row in failed)
+    return len(rows) - len(failed), len(rows), dict(reasons.most_common(6))
 
 
 def _tenants_without_place(*, history: History, low: float, high: float) -> set:
@@ -127,10 +127,10 @@
 
 def check_fairness(*, history: History):
     """A rival of a flooding brand fares worse than the brand that floods."""
-    bins: dict = collections.defaultdict(lambda: collections.defaultdict(lambda: [0, 0]))
+    windows: dict = collections.defaultdict(lambda: collections.defaultdict(lambda: [0, 0]))
     for row in history.of(k="got"):
         if row["turn"] == 1:
-            count = bins[(row["path"], int(row["t"] // 5))][row["tenant"]]
+            count = windows[(row["path"], int(row["t"] // 5))][row["tenant"]]
             count[0] += row["verdict"] == "good"
             count[1] += 1
     homes = (history.of(k="homes") or [{"homes": {}}])[-1]["homes"]
@@ -141,7 +141,7 @@
         if row["verb"] not in ("flood", "flood-key", "service-time", "storm")
     }
     regions = {(row["tenant"], row["path"]): row["region"] for row in history.of(k="sent")}
-    for (path, window), tenants in bins.items():
+    for (path, window), tenants in windows.items():
         for rival, (good, total) in tenants.items():
             for other, (other_good, other_total) in tenants.items():
                 # what is lost of a region is felt by those who are bound to it or call from it
--- a/simulation/sim/chaos_context.py
+++ b/simulation/sim/chaos_context.py
@@ -65,8 +65,8 @@
 
     def pick_service(self) -> str:
         """One that is not divided."""
-        divided = {name for name, settings in self.world.deployment.config["services"].items() if settings.get("slots")}
-        return self.rng.choice(sorted(set(self.world.deployment.config["services"]) - divided))
+        sharded = {name for name, settings in self.world.deployment.config["services"].items() if settings.get("slots")}
+        return self.rng.choice(sorted(set(self.world.deployment.config["services"]) - sharded))
 
     def may_lose_controller(self, *, seconds: float) -> bool:
         """One controller at a time, as many as must be borne; taken for so long."""
--- a/simulation/sim/chaos_workers.py
+++ b/simulation/sim/chaos_workers.py
@@ -128,10 +128,12 @@
         [(caller.tenant, caller.path) for caller in context.world.deployment.callers if caller.unsafe]
     )
     name = context.pick_daemon("proxy")
-    for turn in range(1, 5):
+    for try_number in range(1, 5):
         if name:
             # a first sending is made once: those after it say that they are repeats
-            context.do_later(2.5 * (turn - 1), 2.5 * turn - 0.1, "order", tenant, path, key, name, str(turn - 1))
+            context.do_later(
+                2.5 * (try_number - 1), 2.5 * try_number - 0.1, "order", tenant, path, key, name, str(try_number - 1)
+            )
         name = context.pick_daemon("proxy")
     return True
 
--- a/simulation/sim/clock.py
+++ b/simulation/sim/clock.py
@@ -19,9 +19,9 @@
         """Run `act` after `delay` seconds."""
         heapq.heappush(self._heap, (self.now + delay, next(self._count), callback))
 
-    def at(self, when: float, callback: Callable[[], None]) -> None:
+    def at(self, time: float, callback: Callable[[], None]) -> None:
         """Run `act` at this time."""
-        heapq.heappush(self._heap, (max(when, self.now), next(self._count), callback))
+        heapq.heappush(self._heap, (max(time, self.now), next(self._count), callback))
 
     def run(self, *, until: float) -> None:
         """Run all that is due until then."""
--- a/simulation/sim/scenario.py
+++ b/simulation/sim/scenario.py
@@ -42,8 +42,8 @@
 def _play(*, scenario: Scenario, seed: int) -> Outcome:
     world = World(deployment=DEPLOYMENTS[scenario.fleet](), seed=seed)
     injector = FaultInjector(world=world)
-    for when, verb, words in scenario.steps:
-        world.clock.at(BEGIN + when, lambda verb=verb, words=words: injector.step(verb=verb, words=words))
+    for second, verb, words in scenario.steps:
+        world.clock.at(BEGIN + second, lambda verb=verb, words=words: injector.step(verb=verb, words=words))
     world.clock.at(
         BEGIN + scenario.end - FINAL_READ_BEFORE_END, lambda: _read_orders_at_end(world=world, injector=injector)
     )
@@ -52,8 +52,8 @@
     violations: list[Violation] = check_history(history=world.history, deployment=world.deployment)
     failed, figures = [], {}
     for words in scenario.expects:
-        fault, figure = judge_expectation(words=words, world=world, begin=BEGIN)
+        failure, figure = judge_expectation(words=words, world=world, begin=BEGIN)
         figures[" ".join(words)] = figure
-        if fault:
-            failed.append(fault)
+        if failure:
+            failed.append(failure)
     return Outcome(violations=violations, failed=failed, figures=figures, world=world)
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -295,7 +295,7 @@
 
 
 @pytest.mark.parametrize("name", PAIRS)
-def test_the_judge_tells_a_sound_history_from_a_broken_one(name: str) -> None:
+def test_checker_tells_a_sound_history_from_a_broken_one(name: str) -> None:
     sound, broken = PAIRS[name]
     rule = name.split(":", maxsplit=1)[0]
     assert rule not in judge(sound)
