--- a/simulation/checker.py
+++ b/simulation/checker.py
@@ -1,4 +1,4 @@
-"""Reads histories and names each broken rule. It never asks the product."""
+"""Finds rule violations in histories, without using any code of the product."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def check_history(*, history: History, deployment: Deployment) -> list[Violation]:
-    """Every breach of what must never happen."""
+    """All violations of the rules."""
     runs, zones, daemons = history.of(k="run"), deployment.zones, list(deployment.daemons)
     proxies = sum(kind == "proxy" for kind, _, _ in daemons)
     changes = ConfigChanges(history=history)
--- a/simulation/deployments.py
+++ b/simulation/deployments.py
@@ -1,4 +1,4 @@
-"""The two deployments of the users, as data: machines, workers, configuration, callers."""
+"""Deployments as data, two of users and one of the source: machines, workers, configuration, callers."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Deployment:
-    """One user's fleet."""
+    """One user's fleet; `rate` is the load in requests per second."""
 
     name: str
     zones: dict
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class CallerKind:
-    """One kind of caller: what it asks for, and its part of all the traffic."""
+    """One kind of caller and its share of all traffic; `shard_keys` is the number of its shard keys."""
 
     tenant: str
     path: str
@@ -83,7 +83,7 @@
 
 
 def make_arriaga() -> Deployment:
-    """Wine: 11 machines, 4 zones in 2 regions, 32 workers in 4 services, 155 exchanges/s."""
+    """Wine trade: 11 machines, 4 zones in 2 regions, 32 workers in 4 services, 155 requests/s."""
     zones = _zones(("guadalajara", "gdl"), ("ensenada", "ens"))
     services = ("stock", "orders", "notes", "deliveries")
     tenants = {"restaurants": {}, "hotels": {}, "shops": {}, "tapatia": {"homes": ["guadalajara"]}}
@@ -115,7 +115,7 @@
 
 
 def make_peachtree() -> Deployment:
-    """Desks: 12 machines, 4 zones in 2 regions, 33 workers in 4 services, 225 exchanges/s."""
+    """Desk booking: 12 machines, 4 zones in 2 regions, 33 workers in 4 services, 225 requests/s."""
     zones = _zones(("atlanta", "atl"), ("savannah", "sav"))
     services = ("lookup", "booking", "usage", "occupancy")
     tenants = {"brand-a": {"share": 1}, "brand-b": {"share": 1}, "brand-c": {"share": 1, "homes": ["savannah"]}}
@@ -141,7 +141,7 @@
 
 
 def make_source() -> Deployment:
-    """The source's laboratory: three zones in each of two regions, one service, 70/30."""
+    """The source's test bed: three zones in each of two regions, one service, weights 70/30."""
     zones = {f"{region}-{letter}": region for region in ("south", "east") for letter in "abc"}
     callers = (CallerKind(tenant="lab", path="/lab", unsafe=False, traffic_share=1.0, region="south"),)
     daemons = [("controller", f"controller-{i}", list(zones)[i]) for i in range(4)]
--- a/simulation/fake_worker.py
+++ b/simulation/fake_worker.py
@@ -1,4 +1,4 @@
-"""The worker stand-in's mind: what it does with one exchange. Shared by the simulator and the real process."""
+"""The behaviour of a fake worker, shared by the simulator and by the worker process of real fleets."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Reply:
-    """What goes back. `cut` bytes are sent of the body; `lost` means that the connection just closes."""
+    """The answer. `sent_bytes`: the body is truncated to so many; `did_run`: the request was executed."""
 
     code: int = 200
     headers: dict = field(default_factory=dict)
@@ -23,7 +23,10 @@
 
 @dataclass(kw_only=True)
 class FakeWorker:
-    """One worker. `mode` is its trouble of the moment, met by each exchange with `chance`."""
+    """One worker. `mode` is its current fault, which affects each request with probability `chance`.
+
+    `terms` are the newest terms seen, by slot.
+    """
 
     name: str
     generation: int
@@ -39,11 +42,11 @@
 
     @property
     def key(self) -> str:
-        """Its identity."""
+        """The identity of this start of the worker."""
         return f"{self.name}/{self.generation}"
 
     def step(self, *, method: str, path: str, headers: dict) -> Reply:
-        """Judge one exchange."""
+        """Answer one request."""
         answer_headers = {"sailward-worker": self.key}
         if path == "/status":
             return Reply(code=503 if self.mode == "unwell" else 200, headers=answer_headers, body=b"{}")
@@ -62,7 +65,7 @@
         )
 
     def _accepts_term(self, *, headers: dict) -> bool:
-        """Is the request of no slot, or of no older term than one that was seen before?"""
+        """Whether the request has no slot, or a term at least as new as any seen for its slot."""
         if "sailward-slot" not in headers:
             return True
         slot, term = headers["sailward-slot"], int(headers["sailward-term"])
@@ -72,7 +75,7 @@
         return True
 
     def _answer(self, *, method: str, headers: dict, answer_headers: dict, mode: str) -> Reply:
-        """The answer to a request that was run; `own` are the headers that every answer has."""
+        """The answer to an executed request; `answer_headers` are those of every answer."""
         if mode == "lose":
             return Reply(is_connection_closed=True, did_run=True)
         body = json.dumps(
@@ -102,7 +105,7 @@
 
 
 def judge_body(*, code: int, body: bytes, nonce: str, path: str) -> str:
-    """What a caller makes of a result: good, or what is wrong with it."""
+    """A caller's verdict on a result: "good" or the error; "" for a refusal."""
     if code >= 400:
         return ""
     try:
--- a/simulation/history.py
+++ b/simulation/history.py
@@ -1,4 +1,4 @@
-"""What callers, workers, operators and the platform saw. The checker reads nothing else."""
+"""The history of a run: what callers, workers, operators and the platform observed. The checker reads nothing else."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 @dataclass(kw_only=True)
 class History:
-    """Rows in the order of their making; each has `t` (s, monotonic) and `k`."""
+    """Rows in the order in which they were added; each has `t` (s, monotonic) and `k` (its kind)."""
 
     rows: list = field(default_factory=list)
 
     def add(self, *, t: float, k: str, **fields: object) -> None:
-        """Add one row."""
+        """Add one row of kind `k`."""
         self.rows.append({"t": t, "k": k, **fields})
 
     def of(self, *, k: str) -> list[dict]:
@@ -21,14 +21,14 @@
         return sorted((row for row in self.rows if row["k"] == k), key=lambda row: row["t"])
 
     def write(self, *, path: str) -> None:
-        """Keep the rows in a file of JSON lines."""
+        """Write the rows to a file of JSON lines."""
         with open(path, "w", encoding="utf-8") as file:
             for row in self.rows:
                 file.write(json.dumps(row) + "\n")
 
 
 def read_history(*, paths: list) -> History:
-    """The rows of several files; a last line that a kill cut short is left out."""
+    """Read the rows of several files; an unfinished last line, left by a kill, is ignored."""
     history = History()
     for path in paths:
         with open(path, encoding="utf-8") as file:
--- a/simulation/real/worker.py
+++ b/simulation/real/worker.py
@@ -20,7 +20,7 @@
 
 
 class Server(ThreadingHTTPServer):
-    """Holds the worker's mind."""
+    """Holds the fake worker."""
 
     daemon_threads = True
     request_queue_size = 128
--- a/simulation/rules/__init__.py
+++ b/simulation/rules/__init__.py
@@ -1,16 +1,16 @@
-"""What must never happen, judged from histories: one module for each part of the brief."""
+"""Rules that no run may break, judged from histories: one module for each part of the requirements."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
 TRANSIT_SLACK = 0.15
-"""s beyond a bound of the brief: the way of a message and of a sending-on."""
+"""s allowed beyond a required bound, for the transit of a message and the forwarding of a request."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Violation:
-    """One breach of one rule."""
+    """One violation of one rule, at time `t`."""
 
     rule: str
     t: float
--- a/simulation/rules/control.py
+++ b/simulation/rules/control.py
@@ -1,4 +1,4 @@
-"""Configurations and orders: accepted once, in force in time, kept, never slipped back."""
+"""Rules on configurations and orders: accepted once, in force in time, never lost, never reverted."""
 
 from __future__ import annotations
 
@@ -12,13 +12,16 @@
 from simulation.rules.meaning import find_match, interpret, merge_patch, permits
 
 OLD_CONFIG_IN_FLIGHT = 2.5 + TRANSIT_SLACK
-"""s: the longest that what was sent on under one configuration may reach a worker after another's (an expiry)."""
+"""s for which a request forwarded under an older configuration may still reach a worker, until it expires."""
 UNTROUBLED_BEFORE = 65.0
-"""s without trouble before weights are judged: a zone's hold, and its workers' ramps."""
+"""s without faults before weights are judged: a zone's hold-down and the slow start of its workers."""
 
 
 class ConfigChanges:
-    """The changes of the configuration as their operators saw them end, and what each number held."""
+    """The changes of the configuration with the outcomes that operators saw, and the content of each number.
+
+    `uncertain` are the changes of unknown outcome: (begin, meaning, or None for a patch).
+    """
 
     def __init__(self, *, history: History) -> None:
         self.rows = history.of(k="put")
@@ -27,7 +30,7 @@
         )
         self.contents = self._apply_accepted()
         self.meanings = {number: interpret(config=config) for number, config in self.contents.items()}
-        # what may have become in force though nobody was told: whole ones by content, small ones may be anything
+        # these may be in force although no operator learned it; the result of a patch is not known
         self.uncertain = [
             (row["begun"], None if row["patch"] else interpret(config=row["given"]))
             for row in self.rows
@@ -45,7 +48,7 @@
 
 
 def check_in_force(*, changes: ConfigChanges, runs: list):
-    """A configuration is not in force 2.5 s after it was accepted, or a machine slips back to an older one."""
+    """A configuration is not in force 2.5 s after its acceptance, or a proxy reverts to an older one."""
     floors = sorted((row["t"] + 2.5 + TRANSIT_SLACK, row["number"]) for row in changes.accepted)
     times, newest_by = [t for t, _ in floors], []
     for _, number in floors:
@@ -77,7 +80,7 @@
 
 
 def _matching_numbers(*, changes: ConfigChanges, begun: dict, run: dict) -> list | None:
-    """The numbers under which a run may be; None if something unknown may explain it."""
+    """The configuration numbers that permit a run; None if a change of uncertain outcome may explain it."""
     for begun_at, meaning in changes.uncertain:
         if begun_at <= run["t"] and (meaning is None or permits(meaning=meaning, run=run)):
             return None
@@ -93,7 +96,7 @@
 
 
 def check_weights(*, history: History, changes: ConfigChanges, runs: list, zones: dict):
-    """The split of a configuration in force is not that of its weights, while nothing troubles the fleet."""
+    """The split of the traffic differs from the configured weights while no fault is present."""
     troubles = [row["t"] for row in history.of(k="trouble")]
     starts = [row["t"] for row in [*history.of(k="worker-started"), *history.of(k="refilled")]]
     orders = [row["t"] for row in history.of(k="emptied")]
@@ -116,7 +119,7 @@
             )
             if match and not meaning["slots"].get(match["service"]) and run["tenant"] not in meaning["homes"]:
                 counts[(match["path"], tuple(match["tenants"]))][run["hall"]] += 1
-        # where workers are at their bounds, these move the split, as they must
+        # workers at their rate bounds shift the split, as intended
         overloaded_paths = {
             row["path"]
             for row in history.of(k="got")
@@ -140,7 +143,7 @@
             for weight, preferred, _ in match["weights"]
         )
         count_in_region = sum(number for zone, number in count.items() if zones.get(zone) == region)
-        # five deviations of so many draws: one false alarm in a million; at least 3 for shares next to 0 or 1
+        # five standard deviations: one false alarm in a million; at least 3 requests for shares near 0 or 1
         if total >= 50 and abs(count_in_region - expected_share * total) > max(
             3.0, 5 * math.sqrt(total * expected_share * (1 - expected_share))
         ):
@@ -153,7 +156,7 @@
 
 
 def check_config_register(*, history: History, changes: ConfigChanges):
-    """An invalid or losing configuration is accepted, a change is lost, or the newest is missing on reading back."""
+    """An invalid change is accepted, two get one number, a refused one is in force, one is lost, or a read is stale."""
     for row in changes.accepted:
         if row["invalid"]:
             yield Violation(rule="invalid-accepted", t=row["t"], detail=f"number {row['number']}")
@@ -189,7 +192,7 @@
 
 
 def check_emptied_zones(*, history: History, runs: list):
-    """An emptied zone still gets exchanges 5 s after the order."""
+    """An emptied zone still receives requests 5 s after the order."""
     spans: dict = {}
     for row in sorted([*history.of(k="emptied"), *history.of(k="refilled")], key=lambda row: row["t"]):
         if row["k"] == "emptied":
--- a/simulation/rules/exchanges.py
+++ b/simulation/rules/exchanges.py
@@ -1,4 +1,4 @@
-"""Callers' exchanges: run once, promises kept, results whole, answered at once, retries bounded, stops clean."""
+"""Rules on requests: run at most once, `not-run` true, results intact, answers prompt, retries bounded, stops clean."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from simulation.rules import Violation
 
 ANSWER_LIMIT = 4.0
-"""s: longest wait of a line (0.5), longest expiry of the deployments (2), a claim (1), and the way."""
+"""s: the longest wait in a queue (0.5), the longest `expiry_s` of the deployments (2), a claim (1), and transit."""
 STOP_GRACE = 6.0
-"""s of the platform's grace for a planned stop."""
+"""s that the platform allows for a graceful shutdown."""
 REFUSALS = (409, 429, 502, 503, 504)
 
 
 def check_runs_once(*, runs: list):
-    """An order, booking or cancellation runs twice."""
+    """An unsafe request (an order, booking or cancellation) runs twice."""
     first_runs: dict = {}
     for run in runs:
         if not run["unsafe"]:
@@ -33,7 +33,7 @@
 
 
 def check_promises(*, history: History, runs: list):
-    """A refusal that promised `not run` turns out to have run, now or later."""
+    """A request that was refused with `not-run` ran, before or after the refusal."""
     first_try_run: dict = {}
     for run in runs:
         request = (run["tenant"], run["key"] if run["unsafe"] else run["nonce"])
@@ -58,7 +58,7 @@
 
 
 def check_results(*, history: History):
-    """A result that is not the worker's own, not whole or another's; a refusal without its word or its time."""
+    """A result is altered, truncated or another request's, or a refusal lacks `Sailward-Ran` or `Retry-After`."""
     for answer in history.of(k="got"):
         if answer["verdict"] in ("not-json", "not-mine"):
             yield Violation(rule="wrong-result", t=answer["t"], detail=f"{answer['nonce']} got {answer['verdict']}")
@@ -71,7 +71,7 @@
 
 
 def check_answered(*, history: History):
-    """A caller is left without a final answer, or is held, by a proxy that was not lost or frozen meanwhile."""
+    """A caller gets no final answer, or a late one, from a proxy that was neither lost nor frozen meanwhile."""
     interruptions: dict = collections.defaultdict(list)
     for kind in ("daemon-down", "daemon-frozen", "daemon-thawed"):
         for row in history.of(k=kind):
@@ -109,9 +109,9 @@
 
 
 def check_retries(*, history: History, runs: list, proxies: int):
-    """Retries swell past a fifth of the traffic over any 10 s: what reaches workers of what had reached one before.
+    """Retries exceed a fifth of the traffic over any 10 s, counted by what reaches workers a second time.
 
-    In small traffic one more for each proxy, which must be able to retry at all.
+    In light traffic one more per proxy is allowed, so that each is able to retry at all.
     """
     reached_nonces, times, retries = set(), [], []
     for row in sorted([*runs, *history.of(k="reached")], key=lambda run: run["t"]):
@@ -130,7 +130,7 @@
 
 
 def check_stops(*, history: History):
-    """A planned stop drops exchanges that were taken, or lasts over its grace."""
+    """A graceful shutdown drops accepted requests, or exceeds its grace period."""
     sent = {(row["nonce"], row["turn"]): row["t"] for row in history.of(k="sent")}
     for stop in history.of(k="planned-stop"):
         ended = next(
@@ -159,6 +159,6 @@
 
 
 def check_crashes(*, history: History):
-    """A daemon ends by a fault of its own."""
+    """A daemon crashes."""
     for row in history.of(k="crash"):
         yield Violation(rule="crash", t=row["t"], detail=f"{row['daemon']}: {row['fault']}")
--- a/simulation/rules/meaning.py
+++ b/simulation/rules/meaning.py
@@ -1,4 +1,4 @@
-"""What a configuration means, read from what the operator wrote; written apart from the product's own reading."""
+"""The meaning of a configuration as the operator wrote it, independent of the product's own implementation."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def merge_patch(*, target: object, patch: object) -> object:
-    """RFC 7396: the target with the patch laid over it."""
+    """Apply a JSON merge patch (RFC 7396)."""
     if not isinstance(patch, dict):
         return copy.deepcopy(patch)
     merged = dict(target) if isinstance(target, dict) else {}
@@ -20,7 +20,7 @@
 
 
 def interpret(*, config: object) -> dict | None:
-    """{matches, homes, rates} of a configuration; None if it can't be read."""
+    """{matches, homes, tenants, rates, slots} of a configuration; None if it is malformed."""
     try:
         full = _expand_templates(config=config)
         matches = []
@@ -55,7 +55,7 @@
 
 
 def find_match(*, meaning: dict, tenant: str, path: str) -> dict | None:
-    """The match that an exchange of this tenant falls under."""
+    """The match that applies to a request of this tenant."""
     if tenant not in meaning["tenants"]:
         return None
     for match in meaning["matches"]:
@@ -67,7 +67,7 @@
 
 
 def permits(*, meaning: dict, run: dict) -> bool:
-    """May this run be, under this configuration?"""
+    """Whether this configuration permits the run."""
     match = find_match(meaning=meaning, tenant=run["tenant"], path=run["path"].split("?")[0])
     return match is not None and match["service"] == run["asked"] and run["hall"] in match["halls"]
 
--- a/simulation/rules/operator_orders.py
+++ b/simulation/rules/operator_orders.py
@@ -1,4 +1,4 @@
-"""Operators' orders in the product's own words, checked as one history: linearizable, or a breach."""
+"""Linearizability of operators' calls, judged on their whole history."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def check_operator_orders(*, history: History) -> Iterator[Violation]:
-    """The answers that operators got of configurations and of orders on zones have no order that explains them."""
+    """No sequential order explains the answers on configurations or on zone orders."""
     yield from judge_operations(
         rule=RULE, what="config", operations=list(_config_operations(history=history)), model=NumberedRegister()
     )
@@ -31,7 +31,7 @@
 
 
 def judge_operations(*, rule: str, what: str, operations: list[Operation], model: Model) -> Iterator[Violation]:
-    """A breach if the history of one object is not linearizable."""
+    """A violation if the history of one object is not linearizable."""
     found = find_violation(operations=operations, model=model)
     if found is not None:
         detail = (
@@ -76,7 +76,7 @@
                 )
             )
     for row in history.of(k="order-refused"):
-        # a refusal by 4xx is for good; all else may be in force, or come to be
+        # a 4xx refusal is final; after any other answer the order may be in force, now or later
         if not 400 <= row["code"] < 500 and "begun" in row:
             zones.setdefault(row["hall"], []).append(
                 Operation(
--- a/simulation/rules/places.py
+++ b/simulation/rules/places.py
@@ -1,4 +1,4 @@
-"""Workers, zones and keys: who may be sent what, where, and how much."""
+"""Rules on workers, zones and keys: who may receive which requests, where, and at what rate."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from simulation.rules import TRANSIT_SLACK, Violation
 
 MIN_ABSENCE = 2.5
-"""s that a worker which keeps its process must have been out of reach before it counts as come back."""
+"""s for which a worker that keeps its process must be unreachable before its return counts as a cold start."""
 
 
 def check_departed_workers(*, history: History, runs: list):
-    """A worker that is leaving or gone still receives exchanges 2.5 s after a controller learned of it."""
+    """A worker that is leaving or gone still receives requests 2.5 s after a controller learned of it."""
     reads = history.of(k="list-read")
     departed_at: dict = {}
     for row in [*history.of(k="leaving"), *history.of(k="gone")]:
@@ -33,7 +33,7 @@
 
 
 def check_home_regions(*, history: History, runs: list, zones: dict):
-    """A bound tenant is served, or stored, outside its home regions."""
+    """A tenant with home regions is served, or its results are stored, outside them."""
     rows = history.of(k="homes")
     homes = rows[-1]["homes"] if rows else {}
     for run in runs:
@@ -49,7 +49,7 @@
 
 
 def check_slow_start(*, history: History, runs: list, proxies: int):
-    """A worker that came back cold gets more than its bound in some second: each proxy may let one through at once."""
+    """A cold worker exceeds its slow-start rate within a second; one more per proxy is allowed."""
     bounds = _find_bounds(history=history)
     starts = _find_cold_starts(history=history)
     by_worker: dict = collections.defaultdict(list)
@@ -79,7 +79,7 @@
 
 
 def _find_cold_starts(*, history: History) -> dict:
-    """{worker: when it came back cold}: a new process, or one out of all proxies' reach for long enough."""
+    """{worker: times of its cold starts}: a new process, or one that no proxy could reach for long enough."""
     starts: dict = collections.defaultdict(list)
     for row in history.of(k="worker-started"):
         starts[row["worker"]].append(row["t"])
@@ -90,7 +90,7 @@
 
 
 def check_rate_bounds(*, history: History, runs: list, proxies: int):
-    """A worker gets more than its service's bound in 2 s: a quarter of a second's worth may come at once."""
+    """A worker exceeds the rate bound of its service over 2 s; 0.25 s of that rate and one per proxy may be added."""
     bounds = _find_bounds(history=history)
     by_worker: dict = collections.defaultdict(list)
     for run in runs:
@@ -115,7 +115,10 @@
 
 
 def _bound_at(*, bounds: dict, service: str, t: float) -> dict | None:
-    """The most that may be in force then: a new bound from its sending on, the one before until 2.5 s after."""
+    """The loosest bound that may be in force at `t`.
+
+    A new bound counts from when it was sent, the previous one until 2.5 s after the new one was accepted.
+    """
     rows = bounds.get(service, [])
     in_force = [
         row
@@ -132,7 +135,7 @@
 
 
 def check_shard_keys(*, history: History, runs: list):
-    """Two workers act on the same key of a divided service at once; tenants of other homes have other keys."""
+    """Two workers act on one key of a sharded service at once; tenants with other home regions have other keys."""
     open_runs: dict = {}
     homes = (history.of(k="homes") or [{"homes": {}}])[-1]["homes"]
     for run in runs:
--- a/simulation/rules/service.py
+++ b/simulation/rules/service.py
@@ -1,4 +1,4 @@
-"""Service: losses borne at once, back in time after a major one, fair to rivals."""
+"""Rules on service: tolerable losses have no effect, recovery from a major loss is quick, tenants are isolated."""
 
 from __future__ import annotations
 
@@ -8,26 +8,26 @@
 from simulation.rules import Violation
 
 RECOVERY_LIMIT = 15.0
-"""s from the return of the machines until service must be back."""
+"""s from the return of the machines until service must have recovered."""
 OBSERVED_SPAN = 8.0
-"""s that are looked at, from then on or from a loss that must be borne."""
+"""s of traffic judged, from the end of RECOVERY_LIMIT or from a loss that must be tolerated."""
 MIN_GOOD_AFTER_RECOVERY = 0.90
-"""of first attempts: workers are still within their cold ramps, and callers' backlog is being served."""
+"""Share of first attempts: workers are still in slow start, and the callers' backlog is being served."""
 MIN_GOOD_WITHOUT_CONTROLLER = 0.97
-"""of first attempts from the loss of a disk machine on: only claims under way wait for a round more."""
+"""Share of first attempts after the loss of a controller: only claims in flight wait for one more round."""
 MIN_GOOD_WITHOUT_ZONE = 0.90
-"""of first attempts from the loss of a zone on:
+"""Share of first attempts after the loss of a zone.
 
-a quarter of proxies and workers are gone; what was open there is lost.
+A quarter of the proxies and workers is gone, and requests in flight there are lost.
 """
 MIN_ATTEMPTS = 40
-"""first attempts from which a share means something."""
+"""First attempts below which a share is not judged."""
 FLOOD_RATIO = 4.0
-"""times a rival's load from which a tenant counts as flooding."""
+"""Multiple of another tenant's load from which a tenant counts as flooding."""
 
 
 def check_recovery(*, history: History, daemons: list):
-    """After a major loss, service is not back 15 s after the machines returned."""
+    """Service has not recovered 15 s after the machines returned from a major loss."""
     troubles = [row["t"] for row in history.of(k="trouble")]
     for returned_at in _find_returns(history=history, daemons=daemons):
         low = returned_at + RECOVERY_LIMIT
@@ -42,7 +42,10 @@
 
 
 def _find_returns(*, history: History, daemons: list) -> list[float]:
-    """When the machines of each major loss were back: two controllers, half the proxies, a region, or a cut of many."""
+    """When the machines of each major loss were back.
+
+    A major loss is two controllers or half of the proxies; a healed cut and a group founded anew count as returns too.
+    """
     kinds = {name: kind for kind, name, _ in daemons}
     controllers = {name for name, kind in kinds.items() if kind == "controller"}
     proxies = {name for name, kind in kinds.items() if kind == "proxy"}
@@ -58,7 +61,7 @@
         is_major_loss = is_major_loss or len(down & controllers) >= 2 or 2 * len(down & proxies) >= len(proxies)
         if is_major_loss and len(down & controllers) <= 1 and not down & proxies:
             is_major_loss = False
-            # a majority of the disks gone for good is for an operators' order, judged from there
+            # after the permanent loss of a majority of disks, recovery is judged from the operators' order instead
             if sum(row["t"] - 60 < wipe["t"] <= row["t"] for wipe in wipes) < 2:
                 returns.append(row["t"])
     returns += [row["t"] for row in history.of(k="trouble") if row["verb"] == "heal"]
@@ -67,7 +70,7 @@
 
 
 def check_tolerated_losses(*, history: History, daemons: list, zones: dict):
-    """The loss of one disk machine, or of one zone, with nothing else wrong, is not borne at once."""
+    """The loss of one controller or one zone, without any other fault, is not tolerated."""
     troubles = history.of(k="trouble")
     downs = history.of(k="daemon-down")
     for row in troubles:
@@ -98,10 +101,7 @@
 
 
 def _count_first_attempts(*, history: History, low: float, high: float) -> tuple[int, int, dict]:
-    """Good ones and all of the first attempts sent in that time by tenants who have a place.
-
-    And what became of the others.
-    """
+    """(good, total, reasons of failures) of the first attempts sent in the span by tenants that can be placed."""
     begun = {(row["nonce"], row["turn"]): row["t"] for row in history.of(k="sent") if row["turn"] == 1}
     excluded = _tenants_without_place(history=history, low=low, high=high)
     rows = [
@@ -118,7 +118,7 @@
 
 
 def _tenants_without_place(*, history: History, low: float, high: float) -> set:
-    """Bound tenants while some zone is emptied by an operators' order: they may have no place."""
+    """Tenants with home regions while an order keeps a zone empty: no zone may be left for them."""
     orders = [row["t"] for row in history.of(k="emptied") if row["t"] < high]
     ends = [row["t"] for row in history.of(k="refilled") if row["t"] < low]
     homes = (history.of(k="homes") or [{"homes": {}}])[-1]["homes"]
@@ -126,7 +126,7 @@
 
 
 def check_fairness(*, history: History):
-    """A rival of a flooding brand fares worse than the brand that floods."""
+    """A tenant gets a worse service than another tenant that floods."""
     windows: dict = collections.defaultdict(lambda: collections.defaultdict(lambda: [0, 0]))
     for row in history.of(k="got"):
         if row["turn"] == 1:
@@ -144,7 +144,7 @@
     for (path, window), tenants in windows.items():
         for rival, (good, total) in tenants.items():
             for other, (other_good, other_total) in tenants.items():
-                # what is lost of a region is felt by those who are bound to it or call from it
+                # a regional loss affects tenants bound to the region and callers within it
                 has_same_regions = homes.get(rival) == homes.get(other) and regions.get((rival, path)) == regions.get(
                     (other, path)
                 )
@@ -155,7 +155,7 @@
                 ):
                     continue
                 share, other_share = good / total, other_good / other_total
-                # three deviations of so many draws
+                # three standard deviations
                 if share < other_share - 0.02 - 3 * (max(other_share * (1 - other_share), 0.01) / total) ** 0.5:
                     yield Violation(
                         rule="unfair",
--- a/simulation/scenarios.py
+++ b/simulation/scenarios.py
@@ -1,4 +1,4 @@
-"""Scenario files: their form, how one is read, and sweeps over many seeds. What steps do is a simulator's own."""
+"""Scenario files: their grammar, parsing, and sweeps over many seeds. Each simulator implements the steps itself."""
 
 from __future__ import annotations
 
@@ -21,7 +21,8 @@
 class Scenario:
     """One scenario as its file describes it; `steps` are (s from the begin, verb, words).
 
-    `drawn`: for so many s further steps are drawn by the run's seed, of these `kinds`, or of all.
+    For `drawn` s, further steps are drawn from the seed, of these `kinds` or of all. `must_fail_without` are pairs of a
+    safeguard and the rule that must be broken without it.
     """
 
     title: str = ""
@@ -39,7 +40,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Outcome:
-    """What a run showed: broken rules, failed expectations, the figures of all expectations, the world at its end."""
+    """The result of a run: rule violations, failed expectations, values of all expectations, the world at its end."""
 
     violations: list
     failed: list
@@ -49,10 +50,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Grammar:
-    """What a simulator's scenario files may say.
+    """The grammar of a simulator's scenario files.
 
-    `fleet` and `seeds` are those of files that name none. What follows `comment` in a line is not read. `find_fault`
-    gives what is wrong with a verb and its words, or "". `safeguards` makes the patches that take a safeguard out.
+    `fleet` and `seeds` are the defaults. Text after `comment` in a line is ignored. `find_fault` returns the error in a
+    verb and its words, or "". `safeguards` makes the patches that disable a safeguard.
     """
 
     fleet: str
@@ -63,7 +64,7 @@
     can_draw: bool = False
 
     def read(self, *, text: str) -> Scenario:
-        """The scenario in a text; a ValueError names the line and word that is wrong."""
+        """Parse a scenario; a ValueError names the line and the error."""
         scenario = Scenario(fleet=self.fleet, seeds=self.seeds)
         readers = {
             "title": self._read_text,
@@ -102,7 +103,7 @@
         self._add(scenario=scenario, times=[float(words[1])], verb=words[2], words=words[3:])
 
     def _read_every(self, *, scenario: Scenario, words: list[str]) -> None:
-        """`every SECONDS from BEGIN to END VERB ...`: a step again and again."""
+        """`every SECONDS from BEGIN to END VERB ...`: a repeated step."""
         step, begin, end = float(words[1]), float(words[3]), float(words[5])
         times = [begin + step * count for count in range(round((end - begin) / step))]
         self._add(scenario=scenario, times=times, verb=words[6], words=words[7:])
@@ -114,13 +115,13 @@
         scenario.steps += [(second, verb, words) for second in times]
 
     def _read_constant(self, *, scenario: Scenario, words: list[str]) -> None:
-        """`with CONSTANT VALUE`: another value for this run, as of a life too long to simulate."""
+        """`with CONSTANT VALUE`: override a constant, for example a lifetime too long to simulate."""
         if not hasattr(constants, words[1]):
             raise ValueError(f"no constant {words[1]!r}")
         scenario.constants[words[1]] = float(words[2])
 
     def _read_draw(self, *, scenario: Scenario, words: list[str]) -> None:
-        """`draw SECONDS [KIND ...]`: so many s of troubles drawn by the run's seed."""
+        """`draw SECONDS [KIND ...]`: for so many s, faults are drawn from the seed."""
         scenario.drawn, scenario.kinds = float(words[1]), tuple(words[2:])
 
     def _read_end(self, *, scenario: Scenario, words: list[str]) -> None:
@@ -136,7 +137,7 @@
         scenario.must_fail_without.append((words[2], words[4]))
 
     def run(self, *, scenario: Scenario, seed: int, without: str, play: Callable[..., Outcome]) -> Outcome:
-        """Play the scenario with this seed under its constants; `without` takes a safeguard out first."""
+        """Run the scenario with this seed and its constants; `without` names a safeguard to disable."""
         with contextlib.ExitStack() as stack:
             for name, value in scenario.constants.items():
                 stack.enter_context(mock.patch.object(constants, name, value))
@@ -146,7 +147,7 @@
 
 
 def read_range(*, text: str) -> range:
-    """The numbers that `FIRST-LAST` or a single number names."""
+    """Parse `FIRST-LAST` or a single number."""
     first, _, last = text.partition("-")
     return range(int(first), int(last or first) + 1)
 
@@ -155,7 +156,7 @@
 class Sweep:
     """Runs of scenario files with many seeds, several at once.
 
-    `begin_of` gives the moment of a world's clock from which seconds are counted, `logs_of` the lines of its logs.
+    `begin_of` returns the time on a world's clock at which a run begins, `logs_of` the lines of its logs.
     """
 
     read: Callable[..., Scenario]
@@ -165,13 +166,13 @@
     kinds_of: Callable[[Any], collections.Counter] | None = None
 
     def run_one(self, *, path: str, seed: int, without: str, logs: bool) -> tuple[bool, str, collections.Counter]:
-        """Run one seed of one file: (is it sound, what to print, how often each kind of trouble was drawn)."""
+        """Run one seed of one file: (whether it passed, text to print, how often each kind of fault was drawn)."""
         scenario = self.read(text=Path(path).read_text("utf-8"))
         name = f"{Path(path).stem} seed {seed}"
         started_at = time.perf_counter()
         try:
             outcome = self.run(scenario=scenario, seed=seed, without=without)
-        except Exception:  # noqa: BLE001 - a fault of the stand-ins is no sound run, and must not end the sweep
+        except Exception:  # noqa: BLE001 - an exception in the simulator fails this run but must not end the sweep
             return False, f"{name}: fault\n{traceback.format_exc()}", collections.Counter()
         speed = scenario.end / (time.perf_counter() - started_at)
         begin = self.begin_of(outcome.world)
@@ -189,7 +190,7 @@
         return not outcome.violations and not outcome.failed, "\n".join(lines), kinds
 
     def run_all(self, *, flags: dict) -> None:
-        """Run all files with all their seeds, print what they showed, and end the process: 1 if a run was not sound."""
+        """Run all files with all their seeds, print the results, and exit with 1 if a run failed."""
         jobs = []
         for path in flags["FILE"]:
             seeds = self.read(text=Path(path).read_text("utf-8")).seeds
@@ -213,6 +214,6 @@
 
 
 def show_logs(*, rows: list, begin: float) -> list[str]:
-    """Lines of logs in their order; `rows` are (moment, name of the process, event, fields)."""
+    """Log lines by time; `rows` are (time, process name, event, fields)."""
     ordered = sorted(rows, key=lambda row: row[0])
     return [f"  {moment - begin:8.3f} {name} {event} {fields}" for moment, name, event, fields in ordered]
--- a/simulation/sim/__init__.py
+++ b/simulation/sim/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator: the product's own owners on virtual time, a seeded network and seeded disks."""
+"""The simulator: runs the product's own daemon state machines on virtual time, a seeded network and seeded disks."""
--- a/simulation/sim/callers.py
+++ b/simulation/sim/callers.py
@@ -1,4 +1,4 @@
-"""The callers' stand-in: asks a directory for proxies, sends, judges the result, comes back when told."""
+"""Simulated callers: ask a directory for proxies, send requests, check the results and retry after `Retry-After`."""
 
 from __future__ import annotations
 
@@ -16,12 +16,14 @@
     from simulation.sim.world import World
 
 ANSWER_TIMEOUT = 8.0
+"""s that a caller waits for an answer."""
 MAX_TRIES = 6
+"""Tries of one order, the first included."""
 
 
 @dataclass(kw_only=True)
 class Order:
-    """What one caller wants once."""
+    """One logical request of a caller, over all of its tries; `try_number` is that of the last try sent."""
 
     kind: CallerKind
     nonce: str
@@ -31,7 +33,7 @@
 
 
 class Callers:
-    """All callers of one fleet."""
+    """All callers of one fleet, with open-loop arrivals."""
 
     def __init__(self, *, world: World) -> None:
         self._world = world
@@ -45,7 +47,7 @@
         self.flood_rates: dict = {}
 
     def set_rate(self, *, rate: float) -> None:
-        """From now on this many orders a second; 0 for none."""
+        """Set the rate of new orders per second; 0 stops them."""
         is_starting, self.rate = self.rate == 0 and rate > 0, rate
         if is_starting:
             self._send_next()
@@ -60,7 +62,7 @@
         nonce: str = "",
         max_tries: int | None = None,
     ) -> Order:
-        """One order, at once."""
+        """Send one order at once; the order is retried up to `max_tries`."""
         number = next(self._count)
         order = Order(
             kind=kind,
@@ -73,7 +75,7 @@
         return order
 
     def flood(self, *, kind: CallerKind, shard_key: str, rate: float) -> None:
-        """From now on one more stream of orders, none of them repeated; 0 ends it."""
+        """Add a stream of orders that are never retried, at `rate` per second; a rate of 0 ends it."""
         name = (kind.tenant, kind.path)
         is_starting, self.flood_rates[name] = not self.flood_rates.get(name) and rate > 0, rate
         if is_starting:
@@ -92,7 +94,7 @@
     def _choose_shard_key(self, *, kind: CallerKind, key: str) -> str:
         if not kind.shard_keys:
             return ""
-        # repeats of one order are for one key
+        # retries of one order use the same shard key
         return f"part{(sum(key.encode()) if key else self._rng.randrange(10**6)) % kind.shard_keys}"
 
     def _send_next(self) -> None:
@@ -130,14 +132,14 @@
         return known
 
     def _choose(self, *, order: Order) -> str:
-        """The address of the proxy that the order goes to next, "" if none is known."""
+        """The address of the proxy for the order's next try, "" if no proxy is known."""
         known = self._proxies(region=order.kind.region)
         if not known:
             return ""
         proxy = self._rng.choice(known[:3]) if order.try_number == 0 else self._rng.choice(known)
         if self._world.by_http[proxy].owner is not None:
             return proxy
-        # nobody listens there: the next address on the list, at once
+        # connection refused: use the next address on the list at once
         return next((address for address in known if self._world.by_http[address].owner is not None), proxy)
 
     def _send(self, *, order: Order, proxy: str, max_tries: int) -> None:
--- a/simulation/sim/chaos.py
+++ b/simulation/sim/chaos.py
@@ -1,4 +1,4 @@
-"""Long trouble: seeded faults of every kind the users name, dealt from a deck, then a closing major loss."""
+"""Chaos runs: seeded faults of every kind that the users name, drawn without replacement, then a major loss."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Chaos:
-    """Deals faults. `step` brings the next one about; `close` the last one of a long run."""
+    """Injects faults: `step` the next one, `inject_major_loss` the last one of a long run."""
 
     def __init__(self, *, world: World, step: Callable) -> None:
         self._world = world
@@ -27,12 +27,12 @@
         self._undrawn_kinds: list = []
 
     def step(self, *, until: float) -> None:
-        """One fault now, the next a little later, until the time is over."""
+        """Inject one fault now and schedule the next, until `until`."""
         now = self._world.clock.now
         if now >= until:
             return
         kind = self._draw_kind()
-        # some kinds have to wait until what was lost before is repaired
+        # a kind that is impossible until an earlier loss is repaired is tried again at the end of the round
         try:
             did_happen = KINDS[kind](self._context)
         except NoDaemonUp:
@@ -44,7 +44,7 @@
         self._world.clock.after(self._rng.uniform(0.8, 3.0), lambda: self.step(until=until))
 
     def inject_major_loss(self) -> None:
-        """A major loss, another for each seed, and ten seconds later the return of the machines."""
+        """Inject a major loss, chosen by the seed, and start the machines again ten seconds later."""
         kind = MAJOR_LOSSES[self._world.seed % len(MAJOR_LOSSES)]
         self._world.history.add(t=self._world.clock.now, k="closing", kind=kind)
         context, regions = self._context, sorted(set(self._world.deployment.zones.values()))
@@ -66,7 +66,7 @@
 
     def _draw_kind(self) -> str:
         if not self._undrawn_kinds:
-            # two seeds in a row deal every kind: each begins with another half
+            # two consecutive seeds cover every kind, because each begins with a different half
             kinds = sorted(KINDS)
             halves = [kinds[0::2], kinds[1::2]]
             for half in halves:
--- a/simulation/sim/chaos_context.py
+++ b/simulation/sim/chaos_context.py
@@ -1,4 +1,4 @@
-"""What the kinds of trouble share: who is up, what may be lost now, and how to bring a step about."""
+"""Context shared by all kinds of faults: what is up, what may be lost now, and how to run a scenario step."""
 
 from __future__ import annotations
 
@@ -11,7 +11,10 @@
     from simulation.sim.world import World
 
 DISK_REPAIR_TIME = 45.0
-"""s after a disk was lost in which no other may be: lost for 20 s, then copied, among other trouble all the while."""
+"""s after the loss of a disk during which no other disk may be lost.
+
+The disk is missing for 20 s and is then copied, while other faults go on.
+"""
 
 
 class NoDaemonUp(LookupError):
@@ -20,7 +23,7 @@
 
 @dataclass(kw_only=True)
 class ChaosContext:
-    """The fleet as the trouble finds it. `do` brings one step about."""
+    """The state of the fleet that decides which faults are possible. `do` runs one scenario step."""
 
     world: World
     rng: random.Random
@@ -31,15 +34,15 @@
     emptied_zone: str = ""
 
     def do(self, verb: str, *words: str) -> None:
-        """One step, now."""
+        """Run one step now."""
         self.step(verb=verb, words=list(words))
 
     def do_later(self, low: float, high: float, verb: str, *words: str) -> None:
-        """One step after a while."""
+        """Run one step after a random delay of `low` to `high` seconds."""
         self.world.clock.after(self.rng.uniform(low, high), lambda: self.do(verb, *words))
 
     def pick_daemon(self, *kinds: str) -> str:
-        """One that is up; if none is, this trouble can't happen now."""
+        """A random running daemon of these kinds; raises NoDaemonUp if there is none."""
         names = [name for name, node in self.world.nodes.items() if node.location.kind in kinds and node.is_up]
         if not names:
             raise NoDaemonUp
@@ -50,7 +53,7 @@
         return [name for name, node in self.world.nodes.items() if node.location.kind == "controller" and node.is_up]
 
     def pick_worker(self) -> str:
-        """One that runs."""
+        """A random running worker."""
         return self.rng.choice(
             sorted(
                 machine.worker.name
@@ -60,16 +63,19 @@
         )
 
     def pick_zone(self) -> str:
-        """Any zone."""
+        """A random zone."""
         return self.rng.choice(sorted(self.world.deployment.zones))
 
     def pick_service(self) -> str:
-        """One that is not divided."""
+        """A random service that is not sharded."""
         sharded = {name for name, settings in self.world.deployment.config["services"].items() if settings.get("slots")}
         return self.rng.choice(sorted(set(self.world.deployment.config["services"]) - sharded))
 
     def may_lose_controller(self, *, seconds: float) -> bool:
-        """One controller at a time, as many as must be borne; taken for so long."""
+        """Whether a controller may be lost now; if so, no other may be for `seconds`.
+
+        One at a time is what the group must tolerate.
+        """
         now = self.world.clock.now
         if now < max(self.controller_loss_allowed_at, self.disk_loss_allowed_at) or len(self.running_controllers()) < 4:
             return False
@@ -77,13 +83,13 @@
         return True
 
     def may_lose_disk(self) -> bool:
-        """A disk may be lost for good if every other is well, and none follows before the repair."""
+        """Whether a disk may be lost for good: every other is healthy, and none follows before the repair."""
         if not self.may_lose_controller(seconds=DISK_REPAIR_TIME):
             return False
         self.disk_loss_allowed_at = self.world.clock.now + DISK_REPAIR_TIME
         return True
 
     def next_index(self) -> str:
-        """A number for a machine's address."""
+        """A new number for the address of a machine."""
         self.index += 1
         return str(self.index)
--- a/simulation/sim/chaos_machines.py
+++ b/simulation/sim/chaos_machines.py
@@ -1,4 +1,7 @@
-"""Kinds of trouble of our own machines and of their network. Each says whether it could happen now."""
+"""Faults of the daemons' machines and network. Each function returns whether the fault was possible now.
+
+The name of a function, with hyphens, is the name of its kind in histories and scenarios.
+"""
 
 from __future__ import annotations
 
@@ -92,7 +95,7 @@
 
 
 def _confirmed_then_dark(context: ChaosContext) -> bool:
-    """Power, or a disk, is lost at the very moment of a confirmation."""
+    """Power or a disk is lost at the moment when a change is acknowledged."""
     is_wiped = context.rng.random() < 0.3
     if not (context.may_lose_disk() if is_wiped else context.may_lose_controller(seconds=8.0)):
         return False
@@ -164,7 +167,7 @@
 
 
 def _rolled(context: ChaosContext) -> bool:
-    """Three machines are stopped and started, one after the other."""
+    """Rolling restart of three machines."""
     names = [name for name, node in context.world.nodes.items() if node.is_up and node.location.kind != "controller"]
     context.rng.shuffle(names)
     for index, name in enumerate(names[:3]):
--- a/simulation/sim/chaos_workers.py
+++ b/simulation/sim/chaos_workers.py
@@ -1,4 +1,7 @@
-"""Kinds of trouble of workers, callers and operators. Each says whether it could happen now."""
+"""Faults of workers, callers and operators. Each function returns whether the fault was possible now.
+
+The name of a function, with hyphens, is the name of its kind in histories and scenarios.
+"""
 
 from __future__ import annotations
 
@@ -29,7 +32,7 @@
 
 
 def _release(context: ChaosContext) -> bool:
-    """The workers of one service are replaced, one by one."""
+    """Rolling release: the workers of one service are replaced one by one."""
     service = context.rng.choice(sorted(context.world.deployment.config["services"]))
     names = sorted(
         machine.worker.name
@@ -50,7 +53,7 @@
 
 
 def _find_spare(context: ChaosContext) -> str:
-    """A listed worker of the deployment's own that the fleet can do without, or nothing."""
+    """A listed worker of the original deployment that may be removed, or "" while fewer than 30 are listed."""
     name = context.pick_worker()
     listed = context.world.platform.names()
     return "" if name not in listed or len(listed) < 30 or name.count("-") > 3 else name
@@ -66,7 +69,7 @@
 
 
 def _worker_gone(context: ChaosContext) -> bool:
-    """Off the list at once, though it still answers."""
+    """A worker is removed from the list at once, though it still answers."""
     name = _find_spare(context)
     if not name:
         return False
@@ -130,7 +133,7 @@
     name = context.pick_daemon("proxy")
     for try_number in range(1, 5):
         if name:
-            # a first sending is made once: those after it say that they are repeats
+            # only the first request has try number 1; the repeats carry higher try numbers
             context.do_later(
                 2.5 * (try_number - 1), 2.5 * try_number - 0.1, "order", tenant, path, key, name, str(try_number - 1)
             )
--- a/simulation/sim/clock.py
+++ b/simulation/sim/clock.py
@@ -1,4 +1,4 @@
-"""Virtual time."""
+"""Virtual time: a queue of scheduled events."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Clock:
-    """Runs what is due in the order of its time."""
+    """Runs scheduled callbacks in order of time; `now` is monotonic, in s."""
 
     def __init__(self) -> None:
         self.now = 1000.0
@@ -16,15 +16,15 @@
         self._count = itertools.count()
 
     def after(self, delay: float, callback: Callable[[], None]) -> None:
-        """Run `act` after `delay` seconds."""
+        """Run `callback` after `delay` seconds."""
         heapq.heappush(self._heap, (self.now + delay, next(self._count), callback))
 
     def at(self, time: float, callback: Callable[[], None]) -> None:
-        """Run `act` at this time."""
+        """Run `callback` at this time, or at once if the time has passed."""
         heapq.heappush(self._heap, (max(time, self.now), next(self._count), callback))
 
     def run(self, *, until: float) -> None:
-        """Run all that is due until then."""
+        """Run all callbacks that are due by `until`."""
         while self._heap and self._heap[0][0] <= until:
             self.now, _, callback = heapq.heappop(self._heap)
             callback()
--- a/simulation/sim/disk.py
+++ b/simulation/sim/disk.py
@@ -1,4 +1,4 @@
-"""The seeded disk: what is not synced may be lost or torn; it may be full, wiped or damaged."""
+"""The simulated disk, seeded: unsynced writes may be lost or torn, and the disk may be full, wiped or damaged."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(kw_only=True)
 class Disk:
-    """The bytes of one controller's file, in the product's own form."""
+    """The data file of one controller, in the product's own format."""
 
     rng: random.Random
     synced: bytes = b""
@@ -23,7 +23,7 @@
     has_reserve: bool = True
 
     def claim_room(self, *, command: AppendRecords | RewriteRecords) -> bool:
-        """Is there room? The reserve makes some for one rewrite, and a little beside it."""
+        """Whether the command's bytes fit. On a full disk the reserve admits one rewrite and 40 appends."""
         if not self.is_full:
             self.has_reserve = self.has_reserve or isinstance(command, RewriteRecords)
             return True
@@ -35,18 +35,18 @@
         return self.room >= 0
 
     def write(self, *, command: AppendRecords | RewriteRecords) -> float:
-        """Take the command; gives how long its sync takes."""
+        """Queue the command; returns how long its sync takes, in s."""
         self.pending.append(command)
         return self.delay_factor * self.rng.uniform(0.001, 0.006)
 
     def sync(self, *, command: AppendRecords | RewriteRecords) -> None:
-        """The command's bytes last from now on."""
+        """Make the command's bytes durable."""
         self.pending.remove(command)
         frame = pack_frame(records=command.records)
         self.synced = frame if isinstance(command, RewriteRecords) else self.synced + frame
 
     def lose_power(self) -> None:
-        """A part of what was not synced is there, maybe torn."""
+        """Keep a random prefix of the unsynced appends, the last one perhaps torn."""
         for command in self.pending:
             if isinstance(command, RewriteRecords):
                 continue
@@ -58,7 +58,7 @@
         self.pending.clear()
 
     def kill(self) -> None:
-        """The process is gone; what it had written is there."""
+        """End the process: its written appends are kept with probability 0.7 each, up to the first that is not."""
         for command in self.pending:
             if isinstance(command, AppendRecords) and self.rng.random() < 0.7:
                 self.synced += pack_frame(records=command.records)
@@ -67,17 +67,17 @@
         self.pending.clear()
 
     def wipe(self) -> None:
-        """Everything is gone."""
+        """Remove all data."""
         self.synced = b""
         self.pending.clear()
 
     def damage(self) -> None:
-        """One byte in the middle is wrong."""
+        """Corrupt one byte inside the file."""
         index = len(self.synced) // 3
         self.synced = self.synced[:index] + bytes([self.synced[index] ^ 0x5A]) + self.synced[index + 1 :]
 
     def read(self) -> FileContents | DamagedFile:
-        """What a start finds; a torn end is cut off."""
+        """Read the file as at a start; a torn end is truncated."""
         found = read_frames(data=self.synced)
         if isinstance(found, FileContents):
             self.synced = self.synced[: found.length]
--- a/simulation/sim/environment.py
+++ b/simulation/sim/environment.py
@@ -1,4 +1,4 @@
-"""What a simulated process and the platform's stand-in use of the world that they run in."""
+"""The part of the simulated world that nodes and the simulated platform use."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Environment(Protocol):
-    """The world of one run, as its parts see it: time, network, history, and the other processes by address."""
+    """The world of one run as its parts see it: time, network, history, and the other nodes by address."""
 
     seed: int
     clock: Clock
@@ -22,10 +22,10 @@
     by_post: dict[str, Any]
 
     def wall(self) -> float:
-        """What a clock shows that is right, in s."""
+        """The true wall-clock time, in s."""
 
     def count_message(self, *, kind: str) -> None:
         """Count a message between daemons."""
 
     def call(self, *, caller: Any, command: StartCall, done: Callable[..., None]) -> None:
-        """Carry out an HTTP call of a daemon to a worker or the platform."""
+        """Perform an HTTP call of a daemon to a worker or the platform."""
--- a/simulation/sim/expect.py
+++ b/simulation/sim/expect.py
@@ -1,4 +1,4 @@
-"""What a scenario expects beyond that no rule is broken: judged by histories."""
+"""Judges the `expect` lines of a scenario, which go beyond the rules, from the history of its run."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def judge_expectation(*, words: list[str], world: World, begin: float) -> tuple[str, object]:
-    """(what is wrong or nothing, the figure) of one expectation."""
+    """(failure or "", measured value) of one expectation; `begin` is the start of the run on the clock."""
     name, arguments = words[0], words[1:]
     judge = {
         "share": _judge_share,
@@ -44,7 +44,7 @@
 
 
 def _judge_share(*, words: list[str], world: World, begin: float) -> tuple[str, object]:
-    """`share PLACE LOW HIGH [field=value ...] from A to B`: the part of the runs in a region, zone or worker."""
+    """`share PLACE LOW HIGH [field=value ...] from A to B`: the share of the runs in a region, zone or worker."""
     words, low, high = _window(words=words, begin=begin)
     location, minimum, maximum = words[0], float(words[1]), float(words[2])
     runs = _rows_between(rows=world.history.of(k="run"), low=low, high=high)
@@ -61,7 +61,7 @@
 
 
 def _judge_split(*, words: list[str], world: World, begin: float) -> tuple[str, object]:
-    """`split SERVICE from A to B`: shows the part of each zone; judges nothing by itself."""
+    """`split SERVICE from A to B`: reports the share of each zone; fails only without runs."""
     words, low, high = _window(words=words, begin=begin)
     runs = [
         run for run in _rows_between(rows=world.history.of(k="run"), low=low, high=high) if run["service"] == words[0]
@@ -73,7 +73,7 @@
 
 
 def _judge_good(*, words: list[str], world: World, begin: float) -> tuple[str, object]:
-    """`good LEAST [field=value ...] from A to B`: the part of attempts with a good result."""
+    """`good LEAST [field=value ...] from A to B`: the share of attempts with a good result."""
     words, low, high = _window(words=words, begin=begin)
     rows = _rows_between(rows=world.history.of(k="got"), low=low, high=high)
     for name, value in _read_filters(words=words).items():
@@ -93,7 +93,7 @@
 
 
 def _judge_rows(*, words: list[str], world: World, begin: float) -> tuple[str, object]:
-    """`rows KIND LEAST MOST [field=value ...] from A to B`: how many rows of the history."""
+    """`rows KIND LEAST MOST [field=value ...] from A to B`: the number of history rows."""
     words, low, high = _window(words=words, begin=begin)
     rows = _rows_between(rows=world.history.of(k=words[0]), low=low, high=high)
     for name, value in _read_filters(words=words).items():
@@ -107,14 +107,14 @@
 
 
 def _judge_runs(*, words: list[str], world: World, begin: float) -> tuple[str, object]:
-    """`runs LEAST MOST [field=value ...] from A to B`."""
+    """`runs LEAST MOST [field=value ...] from A to B`: the number of requests that workers ran."""
     return _judge_rows(words=["run", *words], world=world, begin=begin)
 
 
 def _judge_unresolved(*, words: list[str], world: World, begin: float) -> tuple[str, object]:
     """`unresolved MOST from A to B`.
 
-    The part of orders whose caller lost the answer and never learned what became of them.
+    The share of orders whose caller lost the first answer and never learned the outcome.
     """
     words, low, high = _window(words=words, begin=begin)
     orders: dict = {}
@@ -134,7 +134,7 @@
 def _judge_kinds(*, words: list[str], world: World, begin: float) -> tuple[str, object]:
     """`kinds LEAST`.
 
-    How many kinds of trouble did happen, and were followed by an answer within 3 s; `all` for every one.
+    The number of kinds of faults that occurred and were followed by an answer within 3 s; `all` for every kind.
     """
     rows = world.history.of(k="chaos")
     times = [row["t"] for row in world.history.of(k="got")]
@@ -148,7 +148,7 @@
 
 
 def _judge_says(*, words: list[str], world: World, begin: float) -> tuple[str, object]:
-    """`says EVENT LEAST MOST from A to B`: how many daemons told their operators so in their logs."""
+    """`says EVENT LEAST MOST from A to B`: the number of daemons that logged the event."""
     words, low, high = _window(words=words, begin=begin)
     daemons = [
         node.location.name
@@ -159,7 +159,7 @@
 
 
 def _judge_moving(*, words: list[str], world: World, begin: float) -> tuple[str, object]:
-    """`moving MEDIAN_MOST from A to B`: s from a key's first refusal as moving to its last before a good result."""
+    """`moving MEDIAN_MOST from A to B`: median s from a key's first refusal as moving to its next good result."""
     words, low, high = _window(words=words, begin=begin)
     began: dict = {}
     spans = []
@@ -182,5 +182,5 @@
 
 
 def _judge_answers(*, words: list[str], world: World, begin: float) -> tuple[str, object]:
-    """`answers LEAST MOST [field=value ...] from A to B`."""
+    """`answers LEAST MOST [field=value ...] from A to B`: the number of attempts that ended."""
     return _judge_rows(words=["got", *words], world=world, begin=begin)
--- a/simulation/sim/faults.py
+++ b/simulation/sim/faults.py
@@ -1,4 +1,4 @@
-"""Carries out a scenario's steps on the simulated fleet, and writes down which of them are trouble."""
+"""Runs the steps of a scenario on the simulated fleet and records which of them are faults."""
 
 from __future__ import annotations
 
@@ -52,11 +52,11 @@
         "workers-careless",
     }
 )
-"""Verbs that trouble nothing by themselves, or end a trouble."""
+"""Verbs that are no fault by themselves, or that end one."""
 
 
 class FaultInjector:
-    """Carries out the steps. `step` takes a verb and its words."""
+    """Runs scenario steps."""
 
     def __init__(self, *, world: World) -> None:
         self._world = world
@@ -71,7 +71,7 @@
         self._chaos = Chaos(world=world, step=self.step)
 
     def step(self, *, verb: str, words: list[str]) -> None:
-        """Carry out one step."""
+        """Run one step: a verb and its words."""
         if verb not in HARMLESS_VERBS:
             self._world.history.add(t=self._world.clock.now, k="trouble", verb=verb, words=words)
         if verb == "chaos":
@@ -84,7 +84,7 @@
         getattr(group, method_name(verb=verb))(*words)
 
     def record_stored_results(self) -> None:
-        """Write down which tenants' results each proxy keeps."""
+        """Record which tenants' results each proxy stores."""
         world = self._world
         tenants = {row["nonce"]: row["tenant"] for row in world.history.of(k="sent")}
         for node in world.nodes.values():
@@ -111,12 +111,12 @@
 
 
 def method_name(*, verb: str) -> str:
-    """The method that carries out a verb."""
+    """The name of the method that implements a verb."""
     return "do_" + verb.replace("-", "_")
 
 
 def find_fault(*, verb: str, words: list[str]) -> str:
-    """What is wrong with a step as it is written; empty if nothing is."""
+    """The error in a step as written, or ""."""
     if verb == "chaos":
         return "" if len(words) == 1 and words[0].replace(".", "", 1).isdigit() else "chaos takes a number of seconds"
     if verb == "closing":
--- a/simulation/sim/network.py
+++ b/simulation/sim/network.py
@@ -1,4 +1,4 @@
-"""The seeded network: delay, loss, duplication, cuts."""
+"""The simulated network, seeded: delay, loss, duplication and partitions."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from sailward import constants
 
 BUFFERED_SHARE = 0.5
-"""of what is sent into a cut stays in a socket and may arrive after it heals."""
+"""Share of the data sent into a partition that a socket buffers and may deliver after the partition heals."""
 
 
 @dataclass(kw_only=True)
 class Network:
-    """Says how long a message takes between two places, or that it is lost."""
+    """Decides the delay or loss of each message. `cuts` are pairs of label sets that can't reach each other."""
 
     rng: random.Random
     loss: float = 0.0
@@ -23,7 +23,7 @@
     buffered: list = field(default_factory=list)
 
     def is_cut(self, *, a: frozenset, b: frozenset) -> bool:
-        """Does a cut stand between these two (each a set of its names: own, zone, region, kind)?"""
+        """Whether a cut separates two endpoints, each given as its labels (name, zone, region, kind)."""
         for left, right in self.cuts:
             does_cross = (a & left and b & right) or (a & right and b & left)
             if does_cross:
@@ -31,12 +31,12 @@
         return False
 
     def buffer_or_drop(self, *, now: float, deliver) -> None:
-        """A cut swallows what is sent across it, or a socket holds it."""
+        """Handle data sent across a cut: drop it, or buffer it in a socket."""
         if self.rng.random() < BUFFERED_SHARE:
             self.buffered.append((now, deliver))
 
     def heal(self, *, now: float) -> None:
-        """The cuts are over: what sockets held for less than their timeout arrives."""
+        """Remove all cuts and deliver what sockets buffered for less than their time-out."""
         self.cuts.clear()
         buffered, self.buffered = self.buffered, []
         for sent_at, deliver in buffered:
@@ -44,15 +44,15 @@
                 deliver()
 
     def is_within_socket_timeout(self, *, elapsed: float) -> bool:
-        """Does a socket still send again after so long? Ours have a user timeout."""
+        """Whether a socket still retransmits after `elapsed` s: the product sets TCP_USER_TIMEOUT."""
         return elapsed <= constants.LEASE_DURATION
 
     def delivers(self, *, is_abandoned: bool) -> bool:
-        """Do the bytes of a call still arrive? Not those of one that was given up: its socket is reset."""
+        """Whether the bytes of a call still arrive: those of an abandoned call don't, because its socket is reset."""
         return not is_abandoned
 
     def delays(self, *, a: frozenset, b: frozenset, is_same_region: bool) -> list[float]:
-        """The delays of each copy that arrives: none if it is lost."""
+        """The delay in s of each copy that arrives; empty if the message is lost."""
         if self.is_cut(a=a, b=b) or self.rng.random() < self.loss:
             return []
         copies = 2 if self.rng.random() < self.duplication else 1
--- a/simulation/sim/node.py
+++ b/simulation/sim/node.py
@@ -1,4 +1,4 @@
-"""One simulated process: an owner, its alarms, and its commands carried out on the simulated world."""
+"""One simulated process: an owner (the daemon's state machine), its timer, and the execution of its commands."""
 
 from __future__ import annotations
 
@@ -37,7 +37,10 @@
 
 
 class Node:
-    """A daemon's machine: it can be up, down or frozen; its disk outlives its process."""
+    """A daemon's machine: up, down or frozen. Its disk outlives its process.
+
+    `incarnation` changes at each start and end of the process; `held_events` is a list while the process is frozen.
+    """
 
     def __init__(
         self, *, world: Environment, name: str, kind: str, zone: str, region: str, index: int, seeds: tuple
@@ -66,11 +69,11 @@
 
     @property
     def is_up(self) -> bool:
-        """Is its process there and running?"""
+        """Whether the process is running and not frozen."""
         return self.owner is not None and self.held_events is None
 
     def start(self) -> None:
-        """Start the process on what the disk holds."""
+        """Start the process from the contents of the disk."""
         if self.owner is not None:
             return
         self.incarnation += 1
@@ -97,28 +100,28 @@
         self._tick(incarnation=self.incarnation)
 
     def stop(self) -> None:
-        """A planned stop."""
+        """Request a graceful shutdown."""
         if self.is_up:
             self.deliver(event=ShutdownRequested())
 
     def kill(self) -> None:
-        """The process is gone at once."""
+        """Kill the process at once."""
         self.disk.kill()
         self._end()
 
     def lose_power(self) -> None:
-        """The machine is dark at once."""
+        """Cut the machine's power."""
         self.disk.lose_power()
         self._end()
 
     def freeze(self) -> None:
-        """The process stands still; what arrives waits."""
+        """Suspend the process; events that arrive are held."""
         if self.is_up:
             self.held_events = []
             self._record(k="daemon-frozen")
 
     def thaw(self) -> None:
-        """The process goes on."""
+        """Resume the process and deliver the held events."""
         if self.held_events is not None:
             self._record(k="daemon-thawed")
         held_events, self.held_events = self.held_events or [], None
@@ -126,11 +129,11 @@
             self.deliver(event=event)
 
     def now(self) -> float:
-        """Its monotonic clock: of its own beginning, but of the same rate."""
+        """The node's monotonic clock: its own origin, the common rate."""
         return self.world.clock.now - 900.0 + self.location.post.__len__()
 
     def deliver(self, *, event: object) -> None:
-        """Let the owner answer an event."""
+        """Pass an event to the owner and execute the commands it returns."""
         if self.owner is None:
             return
         if self.held_events is not None:
@@ -139,7 +142,7 @@
         incarnation = self.incarnation
         try:
             commands = self.owner.step(now=self.now(), event=event)
-        except Exception as fault:  # noqa: BLE001 - a real process would end with code 70
+        except Exception as fault:  # noqa: BLE001 - a real process would exit with code 70
             self.world.history.add(
                 t=self.world.clock.now,
                 k="crash",
@@ -155,7 +158,7 @@
             self._carry_out(command=command)
 
     def receive_request(self, *, event: RequestReceived, answer) -> None:
-        """An HTTP exchange arrives; `answer` is called with the Answer, or None if the process is gone."""
+        """Handle an HTTP request; `answer` is called with the response, or None if the process ends first."""
         if self.owner is None:
             answer(None)
             return
@@ -272,7 +275,7 @@
             self.deliver(event=RecordsSynced(seq=command.seq))
 
         delay = disk.write(command=command)
-        # syncs end in order
+        # syncs complete in order
         delay = max(delay, getattr(self, "_sync_end", 0.0) - self.world.clock.now)
         self._sync_end = self.world.clock.now + delay
         self.world.clock.after(delay, synced)
--- a/simulation/sim/operators.py
+++ b/simulation/sim/operators.py
@@ -1,4 +1,4 @@
-"""The operators' stand-in: sends configurations and orders, reads back, keeps what it was told."""
+"""Simulated operators: send configurations and orders, read them back, and record the answers."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Operators:
-    """All operators of one fleet."""
+    """All operators of one fleet. `on_accept` holds actions to run when a change is acknowledged, the last first."""
 
     def __init__(self, *, world: World) -> None:
         self._world = world
@@ -34,7 +34,7 @@
         query: dict | None = None,
         on_answer=None,
     ) -> None:
-        """One exchange with a controller: the named one, or the first that is up."""
+        """Send one request to the named controller, or to the first that is up; `on_answer` gets None after 9 s."""
         world = self._world
         nodes = [
             node
@@ -67,14 +67,14 @@
         world.clock.after(9.0, lambda: receive_answer(None))
 
     def found_group(self, *, controllers: list[str]) -> None:
-        """Join the controllers into a core."""
+        """Found the controller group."""
         nodes = [self._world.nodes[name] for name in controllers]
         members = {node.owner.identity: node.location.post for node in nodes}
         for node in nodes:
             self.send_request(method="POST", path="/found", body={"members": members}, controller=node.location.name)
 
     def record_rate_bounds(self, *, config: dict, begun: float) -> None:
-        """Write down what each service's workers bear, as the operator wrote it."""
+        """Record the rate bounds of each service's workers, as the operator wrote them."""
         for name, settings in (config.get("services") or {}).items():
             if isinstance(settings, dict) and "rate" in settings:
                 self._world.history.add(
@@ -90,7 +90,7 @@
     def put(
         self, *, config: object, controller: str = "", if_match: str = "", invalid: bool = False, is_patch: bool = False
     ) -> None:
-        """Send a configuration, whole or as a patch."""
+        """Send a full configuration or a patch."""
         world, begun = self._world, self._world.clock.now
         headers = {"if-match": f'"{if_match}"'} if if_match else {}
 
@@ -149,7 +149,7 @@
         self.send_request(method="GET", path="/config", controller=controller, on_answer=on_answer)
 
     def read_orders(self) -> None:
-        """Read which zones are emptied."""
+        """Read which zones are emptied by an order."""
         world, begun = self._world, self._world.clock.now
 
         def on_answer(answer: Respond | None) -> None:
@@ -160,7 +160,7 @@
         self.send_request(method="GET", path="/orders", on_answer=on_answer)
 
     def order(self, *, zone: str, empty: bool, confirm: bool = False, controller: str = "") -> None:
-        """Empty a zone, or take it back."""
+        """Order a zone to be emptied or refilled."""
         world, begun = self._world, self._world.clock.now
 
         def on_answer(answer: Respond | None) -> None:
@@ -188,5 +188,5 @@
 
 
 def content_digest(*, config: object) -> str:
-    """The same for the same content."""
+    """A digest of the content, independent of key order."""
     return hashlib.blake2b(json.dumps(config, sort_keys=True, default=repr).encode(), digest_size=8).hexdigest()
--- a/simulation/sim/platform.py
+++ b/simulation/sim/platform.py
@@ -1,4 +1,4 @@
-"""The platform's stand-in: the list of workers, in pages, with a revision."""
+"""The simulated platform: the paged list of workers, with a revision."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Platform:
-    """Keeps the list. Each change makes a new revision."""
+    """Keeps the list of workers; each change increments the revision."""
 
     address = "10.2.0.1:80"
 
@@ -20,9 +20,9 @@
         self.is_up = True
 
     def list_worker(self, *, worker: FakeWorker, address: str) -> None:
-        """Put a worker on the list, or a new generation of it: the one before is gone.
+        """Add a worker to the list, or a new generation that replaces the earlier one.
 
-        A generation names one start of a worker for good: a ValueError if it was listed before.
+        A generation identifies one start of a worker and is never reused: a ValueError if it was listed before.
         """
         if worker.generation < self.next_generation(name=worker.name):
             raise ValueError(f"generation {worker.generation} of {worker.name} was listed before")
@@ -41,11 +41,11 @@
             self._record(row=before, k="gone")
 
     def next_generation(self, *, name: str) -> int:
-        """The first generation of a worker that was never listed."""
+        """The lowest generation of a worker that was never listed."""
         return self._last_generations.get(name, 0) + 1
 
     def names(self) -> set:
-        """Who is on the list."""
+        """The names of the listed workers."""
         return set(self._rows)
 
     def mark_leaving(self, *, name: str) -> None:
@@ -56,13 +56,13 @@
         self._record(row=row, k="leaving")
 
     def unlist(self, *, name: str) -> None:
-        """Take a worker off the list."""
+        """Remove a worker from the list."""
         row = self._rows.pop(name)
         self.revision += 1
         self._record(row=row, k="gone")
 
     def page(self, *, after: str, limit: int) -> dict:
-        """One page of the list."""
+        """One page of the list: at most `limit` workers whose names follow `after`."""
         names = sorted(name for name in self._rows if name > after)
         rows = [self._rows[name] for name in names[:limit]]
         return {
--- a/simulation/sim/sabotage.py
+++ b/simulation/sim/sabotage.py
@@ -1,4 +1,4 @@
-"""Safeguards taken out on purpose: a scenario must fail without the one that it tests."""
+"""Patches that disable one safeguard each: a scenario must fail without the safeguard that it tests."""
 
 from __future__ import annotations
 
--- a/simulation/sim/scenario.py
+++ b/simulation/sim/scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios: small text files, read and run on the simulator."""
+"""Reads scenario files and runs them on the simulator."""
 
 from __future__ import annotations
 
@@ -11,10 +11,9 @@
 from simulation.sim.world import World
 
 BEGIN = 1000.0
-
-
+"""s on the virtual clock at which a run begins."""
 FINAL_READ_BEFORE_END = 1.5
-"""s before the end of a run at which operators read which zones are emptied, if they gave orders on zones."""
+"""s before the end of a run at which operators read which zones are emptied, if any zone order was given."""
 GRAMMAR = Grammar(
     fleet="arriaga",
     seeds=range(1, 4),
@@ -25,12 +24,12 @@
 
 
 def read_scenario(*, text: str) -> Scenario:
-    """The scenario in a text; a ValueError names the line and word that is wrong."""
+    """Parse a scenario; a ValueError names the line and the error."""
     return GRAMMAR.read(text=text)
 
 
 def run_scenario(*, scenario: Scenario, seed: int, without: str = "") -> Outcome:
-    """Run once with this seed; `without` takes a safeguard out first."""
+    """Run once with this seed; `without` names a safeguard to disable."""
     return GRAMMAR.run(scenario=scenario, seed=seed, without=without, play=_play)
 
 
--- a/simulation/sim/verbs/daemons.py
+++ b/simulation/sim/verbs/daemons.py
@@ -1,4 +1,4 @@
-"""What a scenario's steps do to the daemons, their machines, disks, clocks and network."""
+"""Scenario steps that act on the daemons, their machines, disks, clocks and network."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class DaemonVerbs:
-    """Steps that trouble our own machines."""
+    """Steps that inject or end faults of the daemons' machines."""
 
     def __init__(self, *, world: World) -> None:
         self._world = world
@@ -28,7 +28,7 @@
             node.start()
 
     def do_kill(self, *names: str) -> None:
-        """Kill the processes; their disks keep what was synced or written."""
+        """Kill the processes; their disks keep all that was synced and part of what was only written."""
         for node in self._nodes(names):
             node.kill()
 
@@ -38,17 +38,17 @@
             node.lose_power()
 
     def do_freeze(self, *names: str) -> None:
-        """Stop the processes without ending them."""
+        """Suspend the processes."""
         for node in self._nodes(names):
             node.freeze()
 
     def do_thaw(self, *names: str) -> None:
-        """Let frozen processes go on."""
+        """Resume frozen processes."""
         for node in self._nodes(names):
             node.thaw()
 
     def do_stop(self, *names: str) -> None:
-        """Ask the processes to stop, as a planned stop does."""
+        """Request a graceful shutdown of the processes."""
         world = self._world
         for node in self._nodes(names):
             world.history.add(t=world.clock.now, k="planned-stop", daemon=node.location.name)
@@ -62,61 +62,61 @@
             self._world.clock.after(0.01, lambda: self._watch_stop(node=node))
 
     def do_wipe(self, *names: str) -> None:
-        """Empty the disks."""
+        """Cut the power and wipe the disks."""
         for node in self._nodes(names):
             node.lose_power()
             node.disk.wipe()
 
     def do_damage(self, *names: str) -> None:
-        """Damage what is on the disks."""
+        """Kill the processes and corrupt one byte on each disk."""
         for node in self._nodes(names):
             node.kill()
             node.disk.damage()
 
     def do_fill_disk(self, *names: str) -> None:
-        """Fill the disks: nothing more can be written."""
+        """Fill the disks: only the reserve remains for writes."""
         for node in self._nodes(names):
             node.disk.is_full = True
 
     def do_free_disk(self, *names: str) -> None:
-        """Give full disks room again."""
+        """End the shortage of space on full disks."""
         for node in self._nodes(names):
             node.disk.is_full = False
 
     def do_machine_new(self, name: str, kind: str, zone: str, index: str) -> None:
-        """A new, empty machine at an address of its own."""
+        """Start a new machine with an empty disk at a new address."""
         seeds = next(iter(self._world.nodes.values())).location.seeds
         self._world.add_node(name=name, kind=kind, zone=zone, index=int(index), seeds=seeds).start()
 
     def do_clock_jump(self, seconds: str, *names: str) -> None:
-        """The wall clocks jump; monotonic ones never do."""
+        """Shift the wall clocks; monotonic clocks are not affected."""
         for node in self._nodes(names):
             node.clock_skew += float(seconds)
 
     def do_slow_disk(self, factor: str, *names: str) -> None:
-        """Slow the disks down by a factor."""
+        """Set the factor by which syncs of the disks are slower."""
         for node in self._nodes(names):
             node.disk.delay_factor = float(factor)
 
     def do_fail_sync(self, *names: str) -> None:
-        """Let each sync of the disks fail."""
+        """Make every sync of the disks fail."""
         for node in self._nodes(names):
             node.disk.sync_fails = True
 
     def do_mend_sync(self, *names: str) -> None:
-        """Let syncs succeed again."""
+        """End the failure of syncs."""
         for node in self._nodes(names):
             node.disk.sync_fails = False
 
     def do_cut(self, *words: str) -> None:
-        """`cut A B / C D`: no message between the two sides."""
+        """`cut A B / C D`: block all traffic between the two sides."""
         separator = words.index("/")
         cut = (frozenset(words[:separator]), frozenset(words[separator + 1 :]))
         self._world.network.cuts.append(cut)
         self._cut_since = self._cut_since or self._world.clock.now
 
     def do_heal(self) -> None:
-        """End all cuts of the network."""
+        """Remove all network cuts."""
         world = self._world
         for machine in world.machines.values():
             cut = [
@@ -125,7 +125,7 @@
                 if node.location.kind == "proxy" and world.network.is_cut(a=node.names, b=machine.names)
             ]
             if cut:
-                # judged as come back only if no proxy could reach it
+                # it counts as absent only if no proxy could reach it
                 proxies = [node for node in world.nodes.values() if node.location.kind == "proxy"]
                 absence_s = world.clock.now - self._cut_since if len(cut) == len(proxies) else 0.0
                 world.history.add(t=world.clock.now, k="worker-back", worker=machine.worker.key, away=absence_s)
@@ -133,9 +133,9 @@
         self._cut_since = 0.0
 
     def do_lossy(self, loss: str, duplication: str = "0") -> None:
-        """Lose and double this part of the messages."""
+        """Lose and duplicate these shares of the messages."""
         self._world.network.loss, self._world.network.duplication = float(loss), float(duplication)
 
     def do_slow(self, factor: str) -> None:
-        """Slow all messages down by a factor."""
+        """Set the factor by which all messages are delayed."""
         self._world.network.delay_factor = float(factor)
--- a/simulation/sim/verbs/operators.py
+++ b/simulation/sim/verbs/operators.py
@@ -1,4 +1,4 @@
-"""What a scenario's operators do."""
+"""Scenario steps of operators."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 
 
 class OperatorVerbs:
-    """Steps of operators: configurations, orders, the core's members. `step` carries out another step."""
+    """Steps on configurations, orders and voters. `step` runs another scenario step."""
 
     def __init__(self, *, world: World, operators: Operators, step: Callable) -> None:
         self._world, self.operators, self.step = world, operators, step
 
     def do_on_accept(self, verb: str, *words: str) -> None:
-        """The step is carried out at the very moment that a configuration is told to be accepted."""
+        """Run a step at the moment when the operator learns that a configuration was accepted."""
         self.operators.on_accept.append(lambda: self.step(verb=verb, words=list(words)))
 
     def do_on_accept_soon(self, verb: str, *words: str) -> None:
-        """The same, if one is told within 4 s."""
+        """The same, if a configuration is accepted within 4 s."""
         until = self._world.clock.now + 4.0
         self.operators.on_accept.append(
             lambda: self.step(verb=verb, words=list(words)) if self._world.clock.now < until else None
         )
 
     def do_ready(self, rate: str = "0") -> None:
-        """Start all, found, configure; callers from 8 s later."""
+        """Start all daemons, found the controller group, send the configuration; callers start 8 s later."""
         world = self._world
         for node in world.nodes.values():
             world.clock.after(world.rng.uniform(0.0, 0.5), node.start)
@@ -48,18 +48,21 @@
         world.history.add(t=world.clock.now, k="homes", homes=homes)
 
     def do_put(self, controller: str = "", if_match: str = "") -> None:
-        """Send the whole configuration."""
+        """Send the full configuration."""
         self.operators.put(config=copy.deepcopy(self.operators.config), controller=controller, if_match=if_match)
 
     def do_split(self, service: str, first: str, second: str, controller: str = "", if_match: str = "") -> None:
-        """Change a service's weights and send the whole."""
+        """Change the weights of a service and send the full configuration."""
         for match in self.operators.config["matches"]:
             if match["path"] == f"/{service}":
                 match["pools"][0]["weight"], match["pools"][1]["weight"] = int(first), int(second)
         self.do_put(controller, if_match)
 
     def do_pin(self, service: str, region: str, controller: str = "", if_match: str = "") -> None:
-        """Let a service run in one region only and send the whole: what ran elsewhere shows an older number."""
+        """Restrict a service to one region and send the full configuration.
+
+        A request that runs elsewhere later was routed by an older configuration.
+        """
         config, zones = copy.deepcopy(self.operators.config), self._world.deployment.zones
         places = [zone for zone, zone_region in zones.items() if zone_region == region]
         homed = [name for name, tenant in config["tenants"].items() if tenant.get("homes")]
@@ -75,7 +78,7 @@
         self.operators.put(config=config, controller=controller, if_match=if_match)
 
     def do_patch(self, path: str, value: str, controller: str = "", if_match: str = "") -> None:
-        """Send a small change: one field, by its path with dots, to a number, a word, a,list or null."""
+        """Send a patch of one field, given by its dotted path; the value is a number, a word, a,list or null."""
         patch: dict = {}
         target = patch
         *names, last = path.split(".")
@@ -85,7 +88,7 @@
         self.operators.put(config=patch, controller=controller, if_match=if_match, is_patch=True)
 
     def do_put_stamped(self, *zones: str) -> None:
-        """Send the configuration with one tenant's route made from a template, with these zones as its parameter."""
+        """Send the configuration with one tenant's route made from a template whose parameter is these zones."""
         config = copy.deepcopy(self.operators.config)
         shape = {
             "pools": {"${stamp}": {"service": "notes", "preferred": "${halls}"}},
@@ -96,7 +99,7 @@
         self.operators.put(config=config)
 
     def do_put_large(self, tenants: str, controller: str = "") -> None:
-        """Send the configuration with so many tenants more, each stamped out of one template."""
+        """Send the configuration with `tenants` more tenants, each made from one template."""
         config = copy.deepcopy(self.operators.config)
         config["templates"] = {
             "guest": {
@@ -111,7 +114,7 @@
         self.operators.put(config=config, controller=controller)
 
     def do_put_invalid(self, kind: str, controller: str = "") -> None:
-        """Send a configuration that is wrong in the way named."""
+        """Send an invalid configuration; `kind` names the error."""
         config: object = copy.deepcopy(self.operators.config)
         if kind == "weights":
             for share in config["matches"][0]["pools"]:
@@ -129,7 +132,7 @@
         self.operators.read_back(controller=controller)
 
     def do_read_orders(self) -> None:
-        """Read which zones are emptied."""
+        """Read which zones are emptied by an order."""
         self.operators.read_orders()
 
     def do_empty(self, zone: str, confirm: str = "") -> None:
@@ -137,11 +140,11 @@
         self.operators.order(zone=zone, empty=True, confirm=confirm == "confirm")
 
     def do_refill(self, zone: str) -> None:
-        """Order a zone to be filled again."""
+        """End the order that empties a zone."""
         self.operators.order(zone=zone, empty=False)
 
     def do_found_anew(self, *words: str) -> None:
-        """`found-anew CONTROLLER SURVIVOR ... [confirm]`: the order is given to that controller."""
+        """`found-anew CONTROLLER SURVIVOR ... [confirm]`: order that controller to found the group anew."""
         controller, *names = [word for word in words if word != "confirm"]
 
         def on_answer(answer) -> None:
@@ -167,11 +170,11 @@
         )
 
     def do_part(self, name: str) -> None:
-        """Take a voter out of the core."""
+        """Remove a voter from the controller group."""
         self._change_voters(name=name, verb="part")
 
     def do_join(self, name: str) -> None:
-        """Take a voter into the core."""
+        """Add a voter to the controller group."""
         self._change_voters(name=name, verb="join")
 
     def _change_voters(self, *, name: str, verb: str) -> None:
--- a/simulation/sim/verbs/workers.py
+++ b/simulation/sim/verbs/workers.py
@@ -1,4 +1,4 @@
-"""What a scenario's steps do to the workers and the platform."""
+"""Scenario steps that act on the workers and the platform."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class WorkerVerbs:
-    """Steps that trouble workers and their list."""
+    """Steps that inject or end faults of workers and of their list."""
 
     def __init__(self, *, world: World) -> None:
         self._world = world
 
     def do_service_time(self, low: str, high: str) -> None:
-        """Workers take from `low` to `high` seconds for a request."""
+        """Set the service time of workers, drawn between `low` and `high` seconds."""
         self._world.service_time = (float(low), float(high))
 
     def _machines(self, names: tuple) -> list:
@@ -29,7 +29,7 @@
         return machines
 
     def _end_runs(self, *, key: str) -> None:
-        """What a dead process was running has ended."""
+        """End the requests that a dead process was running."""
         now = self._world.clock.now
         for row in reversed(self._world.history.rows):
             if row["t"] < now - 10:
@@ -38,7 +38,7 @@
                 row["until"] = min(row["until"], now)
 
     def do_worker_down(self, *names: str) -> None:
-        """The workers' processes die."""
+        """Kill the workers' processes."""
         for machine in self._machines(names):
             machine.is_up = False
             self._end_runs(key=machine.worker.key)
@@ -54,18 +54,18 @@
         )
 
     def do_worker_up(self, *names: str) -> None:
-        """The process is back, of the same generation: cold all the same."""
+        """Start the process again, with the same generation but cold."""
         for machine in self._machines(names):
             machine.is_up, machine.worker.started_at = True, self._world.clock.now
             self._record(machine=machine, k="worker-started")
 
     def do_worker_freeze(self, *names: str) -> None:
-        """Stop the workers' processes without ending them."""
+        """Suspend the workers' processes."""
         for machine in self._machines(names):
             machine.is_frozen, machine.frozen_at = True, self._world.clock.now
 
     def do_worker_thaw(self, *names: str) -> None:
-        """Let frozen workers go on."""
+        """Resume frozen workers."""
         for machine in self._machines(names):
             if machine.is_frozen:
                 self._world.history.add(
@@ -80,12 +80,12 @@
                 arrival()
 
     def do_worker_mode(self, mode: str, chance: str, *names: str) -> None:
-        """Workers answer in this mode with this chance."""
+        """Set the fault mode of workers and the probability that a request meets it."""
         for machine in self._machines(names):
             machine.worker.mode, machine.worker.chance = mode, float(chance)
 
     def do_worker_replace(self, *names: str) -> None:
-        """The worker stops and a new generation of it starts at the same address, cold."""
+        """Stop the worker and start a new generation at the same address, cold."""
         world = self._world
         for address, machine in list(world.machines.items()):
             if machine in self._machines(names):
@@ -101,50 +101,50 @@
                 )
 
     def do_worker_replace_if(self, name: str) -> None:
-        """Replaced if it is still there."""
+        """Replace the worker if it is still running."""
         if any(machine.worker.name == name and machine.is_up for machine in self._world.machines.values()):
             self._world.history.add(t=self._world.clock.now, k="trouble", verb="worker-replace", words=[name])
             self.do_worker_replace(name)
 
     def do_workers_careless(self) -> None:
-        """Workers that come from now on do not look whom an exchange is meant for."""
+        """Workers added from now on don't check which worker a request is addressed to."""
         self._world.ignores_identity = True
 
     def do_worker_leave(self, *names: str) -> None:
-        """The list says that the workers are leaving."""
+        """Mark the workers as leaving on the list."""
         for name in {machine.worker.name for machine in self._machines(names)} & self._world.platform.names():
             self._world.platform.mark_leaving(name=name)
 
     def do_worker_gone(self, *names: str) -> None:
-        """Off the list, though it still answers: only the list can keep exchanges away."""
+        """Remove workers from the list though they still answer: only the list keeps requests away."""
         for name in {machine.worker.name for machine in self._machines(names)} & self._world.platform.names():
             self._world.platform.unlist(name=name)
 
     def do_worker_gone_if(self, name: str) -> None:
-        """Off the list, if it is still on it."""
+        """Remove the worker from the list if it is still listed."""
         if name in self._world.platform.names():
             self.do_worker_gone(name)
 
     def do_worker_add(self, name: str, service: str, zone: str, index: str) -> None:
-        """A new worker at an address of its own."""
+        """Add a new worker at a new address."""
         self._world.add_worker(name=name, service=service, zone=zone, address=f"10.1.9.{index}:80")
 
     def do_readdress(self, name: str, service: str, zone: str) -> None:
-        """A worker is taken off, and its address passes to a new one of another service."""
+        """Remove a worker and give its address to a new worker of another service."""
         address, _ = self._world.find_machine(name=name)
         self._world.platform.unlist(name=name)
         self._world.add_worker(name=f"{name}-heir", service=service, zone=zone, address=address)
 
     def do_platform_down(self) -> None:
-        """The platform's list no longer answers."""
+        """Make the platform's list unavailable."""
         self._world.platform.is_up = False
 
     def do_platform_up(self) -> None:
-        """The platform's list answers again."""
+        """Make the platform's list available again."""
         self._world.platform.is_up = True
 
     def do_worker_move(self, name: str, index: str) -> None:
-        """A new generation at a new address; the old process goes on answering at the old one."""
+        """Start a new generation at a new address; the old process keeps answering at the old one."""
         _, machine = self._world.find_machine(name=name)
         worker = machine.worker
         self._world.add_worker(
--- a/simulation/sim/world.py
+++ b/simulation/sim/world.py
@@ -1,4 +1,4 @@
-"""The simulated world: daemons, workers, the platform, and the calls between them."""
+"""The simulated world: daemons, workers, the platform, and the HTTP calls between them."""
 
 from __future__ import annotations
 
@@ -18,7 +18,10 @@
 
 
 class Machine:
-    """A worker's address: whoever answers there now."""
+    """The process that listens on a worker address.
+
+    `held_arrivals` are requests that reached it while it was frozen; `names` are its labels for network cuts.
+    """
 
     def __init__(self, *, worker: FakeWorker, region: str) -> None:
         self.worker = worker
@@ -31,7 +34,7 @@
 
 
 class World:
-    """All of one simulated fleet."""
+    """The environment of one run: clock, network, nodes, workers, platform, and the history of what they saw."""
 
     def __init__(self, *, deployment: Deployment, seed: int) -> None:
         self.seed = seed
@@ -55,7 +58,7 @@
             self.add_worker(name=name, service=service, zone=zone, address=f"10.1.0.{index}:80")
 
     def add_node(self, *, name: str, kind: str, zone: str, index: int, seeds: tuple) -> Node:
-        """Add a daemon's machine."""
+        """Add the machine of a daemon."""
         node = Node(
             world=self, name=name, kind=kind, zone=zone, region=self.deployment.zones[zone], index=index, seeds=seeds
         )
@@ -63,7 +66,7 @@
         return node
 
     def add_worker(self, *, name: str, service: str, zone: str, address: str, generation: int = 1) -> Machine:
-        """Start a worker and list it."""
+        """Start a worker and add it to the platform's list."""
         worker = FakeWorker(
             name=name,
             generation=generation,
@@ -80,11 +83,11 @@
         return machine
 
     def wall(self) -> float:
-        """What a clock shows that is right."""
+        """The true wall-clock time, in s."""
         return 1.8e9 + self.clock.now
 
     def find_machine(self, *, name: str) -> tuple[str, Machine]:
-        """The address and machine of a worker by its name."""
+        """The newest address and machine of a worker."""
         matches = [(address, machine) for address, machine in self.machines.items() if machine.worker.name == name]
         return matches[-1]
 
@@ -93,7 +96,7 @@
         self.messages[kind] += 1
 
     def call(self, *, caller: Node, command: StartCall, done) -> None:
-        """Carry out an HTTP call of a daemon to a worker or the platform."""
+        """Perform an HTTP call of a daemon to a worker or the platform."""
         finished = []
 
         def finish(*, delay: float, called: CallFinished) -> None:
@@ -120,7 +123,7 @@
             and (not command.fresh or self.rng.random() < 0.2)
         )
         if is_on_open_connection:
-            # its connection was open when the cut fell: the bytes are in its socket, and nothing comes back
+            # the connection was open before the cut: the bytes are in its socket, and no answer returns
             self.network.buffer_or_drop(
                 now=self.clock.now,
                 deliver=lambda: (
@@ -164,7 +167,7 @@
         self, *, caller: Node, machine: Machine, command: StartCall, finish, fail, return_s: float, finished: list
     ) -> None:
         if machine.is_frozen:
-            # a worker begins nothing whose connection was closed meanwhile
+            # a thawed worker does not start a request whose connection was closed meanwhile
             machine.held_arrivals.append(
                 lambda: (
                     None
--- a/simulation/simulate.py
+++ b/simulation/simulate.py
@@ -5,7 +5,7 @@
 
 Options:
   --seeds RANGE        As in 1-50; by default those that the file names.
-  --without SAFEGUARD  Take a safeguard out first.
+  --without SAFEGUARD  Disable a safeguard first.
   --logs               Show the daemons' logs.
   --jobs N             Seeds run at once [default: 4].
 """
--- a/simulation/simulated_files.py
+++ b/simulation/simulated_files.py
@@ -1,4 +1,4 @@
-"""A data folder in memory that forgets at a loss of power what was not synced, each write and each name by itself."""
+"""An in-memory data folder; a loss of power may drop each unsynced write and each unsynced name independently."""
 
 from __future__ import annotations
 
@@ -7,23 +7,26 @@
 from dataclasses import dataclass, field
 
 LOST, TORN, COMPLETE = "lost", "torn", "whole"
-"""What becomes of a write that was not synced, when power is lost."""
+"""Outcomes of an unsynced write when power is lost."""
 
 
 class PowerLost(BaseException):
-    """Power is lost in the middle of what the process does."""
+    """Raised by the call before which power is lost."""
 
 
 @dataclass(kw_only=True)
 class Inode:
-    """A file's bytes: what lasts, and the writes and cuts since."""
+    """The bytes of a file: durable content, current content, and the unsynced writes and truncations.
+
+    An unsynced entry is (offset, data), or (length, None) for a truncation.
+    """
 
     durable: bytes = b""
     current: bytearray = field(default_factory=bytearray)
     unsynced: list[tuple[int, bytes | None]] = field(default_factory=list)
 
     def write(self, *, offset: int, data: bytes) -> None:
-        """Write at an offset; what lies between is zero."""
+        """Write at an offset; a gap is filled with zeros."""
         _write(content=self.current, offset=offset, data=data)
         self.unsynced.append((offset, bytes(data)))
 
@@ -33,13 +36,13 @@
         self.unsynced.append((length, None))
 
     def sync(self) -> None:
-        """All of it lasts."""
+        """Make the current content durable."""
         self.durable, self.unsynced = bytes(self.current), []
 
 
 @dataclass(frozen=True, kw_only=True)
 class NameChange:
-    """A file made, renamed or removed; its folder is not synced yet."""
+    """A file was created, renamed or removed, and the folder is not synced yet."""
 
     kind: str
     name: str
@@ -48,11 +51,10 @@
 
 
 class SimulatedFiles:
-    """The calls of `sailward.storage.files.Files` on memory.
-
-    `room` are the bytes that may still be written, None for no bound.
+    """Implements the calls of `sailward.storage.files.Files` in memory.
 
-    `lose_power_at` is the number of the call before which power is lost; calls that only read don't count.
+    `free_bytes` are the bytes that may still be written, None for no limit. `steps` counts the calls that change
+    something. `lose_power_at` is the number of the call before which power is lost.
     """
 
     def __init__(self) -> None:
@@ -66,22 +68,22 @@
         self.free_bytes: int | None = None
 
     def make_folder(self) -> None:
-        """It is there."""
+        """The folder always exists."""
 
     def lock(self, *, name: str) -> bool:
-        """Always granted."""
+        """Always succeeds."""
         return True
 
     def read(self, *, name: str) -> bytes:
-        """All bytes of a file."""
+        """The content of a file; empty if there is none."""
         return bytes(self.names[name].current) if name in self.names else b""
 
     def size(self, *, name: str) -> int:
-        """Bytes of a file."""
+        """The length of a file in bytes."""
         return len(self.read(name=name))
 
     def open(self, *, name: str, is_empty: bool = False) -> int:
-        """Open, make or empty a file."""
+        """Open a file; create it if it is missing, truncate it if `is_empty`."""
         self._count_call()
         if name not in self.names:
             self.names[name] = Inode()
@@ -93,7 +95,7 @@
         return handle
 
     def write_at(self, *, file: int, data: bytes, offset: int) -> None:
-        """Write as much as there is room for."""
+        """Write as much as fits; ENOSPC if that is not all."""
         self._count_call()
         allowed = len(data) if self.free_bytes is None else min(self.free_bytes, len(data))
         if allowed:
@@ -111,7 +113,7 @@
         self.handles[file].truncate(length=length)
 
     def sync(self, *, file: int) -> None:
-        """The file lasts, and a new one's name with it."""
+        """Make the file durable, and the name of a new file with it."""
         self._count_call()
         inode = self.handles[file]
         inode.sync()
@@ -124,7 +126,7 @@
         del self.handles[file]
 
     def rename(self, *, old: str, new: str) -> None:
-        """Put a file in another's place."""
+        """Rename a file, replacing the target."""
         self._count_call()
         change = NameChange(kind="renamed", name=new, inode=self.names[old], old=old)
         _apply(names=self.names, change=change)
@@ -140,23 +142,23 @@
         self.changes.append(change)
 
     def sync_names(self) -> None:
-        """All names last."""
+        """Make all names durable."""
         self._count_call()
         self.durable, self.changes = dict(self.names), []
 
     def allocate(self, *, name: str, length: int) -> None:
-        """Room kept aside: it is not modelled, but its file is made."""
+        """Reserve space: not modelled, but the file is created."""
         file = self.open(name=name)
         self.close(file=file)
 
     def count_undecided(self) -> int:
-        """How many choices a loss of power has now: each changed name, then each write of each file."""
+        """The number of choices that `lose_power` makes now: each changed name, then each unsynced write."""
         return len(self.changes) + sum(len(inode.unsynced) for inode in self._inodes())
 
     def lose_power(self, *, choose: Callable[[tuple], object]) -> None:
-        """Go back to what lasts; `choose` picks what becomes of each name (True.
+        """Revert to the durable state.
 
-        Kept) and each write (LOST, TORN, WHOLE).
+        `choose` decides for each changed name (True: kept) and each unsynced write (COMPLETE, LOST, TORN).
         """
         inodes = self._inodes()
         names = dict(self.durable)
@@ -178,7 +180,7 @@
         self.lose_power_at = -1
 
     def wipe(self) -> None:
-        """All files are gone."""
+        """Remove all files."""
         self.names, self.durable, self.changes, self.handles = {}, {}, [], {}
 
     def _inodes(self) -> list[Inode]:
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -1,4 +1,4 @@
-"""The judge itself: for each rule and branch a sound history and the broken one next to it."""
+"""The checker: for each rule and branch, a history that keeps the rule and a similar one that breaks it."""
 
 from __future__ import annotations
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Each scenario file with each of its seeds, and once without each safeguard that it tests."""
+"""Each scenario file passes with all of its seeds, and fails without each safeguard that it tests."""
 
 from __future__ import annotations
 
