--- a/simulation/rules/control.py
+++ b/simulation/rules/control.py
@@ -13,7 +13,7 @@
 
 OLD_CONFIG_IN_FLIGHT = 2.5 + TRANSIT_SLACK
 """s for which a request forwarded under an older configuration may still reach a worker, until it expires."""
-UNTROUBLED_BEFORE = 65.0
+FAULT_FREE_BEFORE = 65.0
 """s without faults before weights are judged: a zone's hold-down and the slow start of its workers."""
 
 
@@ -97,7 +97,7 @@
 
 def check_weights(*, history: History, changes: ConfigChanges, runs: list, zones: dict):
     """The split of the traffic differs from the configured weights while no fault is present."""
-    troubles = [row["t"] for row in history.of(k="trouble")]
+    faults = [row["t"] for row in history.of(k="trouble")]
     starts = [row["t"] for row in [*history.of(k="worker-started"), *history.of(k="refilled")]]
     orders = [row["t"] for row in history.of(k="emptied")]
     end = max((run["t"] for run in runs), default=0.0)
@@ -105,7 +105,7 @@
         meaning = changes.meanings.get(row["number"])
         begin = row["t"] + 2.5 + TRANSIT_SLACK
         until = min(
-            [next_row["begun"] if next_row else end, *[t for t in troubles if t > begin - UNTROUBLED_BEFORE], *orders]
+            [next_row["begun"] if next_row else end, *[t for t in faults if t > begin - FAULT_FREE_BEFORE], *orders]
         )
         begin = max([begin, *[t + 12.0 for t in starts if t < until]])
         if meaning is None or any(begun_at < until for begun_at, _ in changes.uncertain):
--- a/simulation/rules/places.py
+++ b/simulation/rules/places.py
@@ -98,7 +98,7 @@
     for (worker, service), times in by_worker.items():
         for index, t in enumerate(times):
             count = index + 1 - bisect.bisect_right(times, t - 2.0)
-            bounds_in_force = [_bound_at(bounds=bounds, service=service, t=moment) for moment in (t - 2.0, t)]
+            bounds_in_force = [_bound_at(bounds=bounds, service=service, t=time) for time in (t - 2.0, t)]
             rate = max((bound["rate"] for bound in bounds_in_force if bound), default=float("inf"))
             if all(bounds_in_force) and count > 2.25 * rate + proxies:
                 yield Violation(
--- a/simulation/rules/service.py
+++ b/simulation/rules/service.py
@@ -28,10 +28,10 @@
 
 def check_recovery(*, history: History, daemons: list):
     """Service has not recovered 15 s after the machines returned from a major loss."""
-    troubles = [row["t"] for row in history.of(k="trouble")]
+    faults = [row["t"] for row in history.of(k="trouble")]
     for returned_at in _find_returns(history=history, daemons=daemons):
         low = returned_at + RECOVERY_LIMIT
-        high = min([low + OBSERVED_SPAN, *[t for t in troubles if t > returned_at + 0.6]])
+        high = min([low + OBSERVED_SPAN, *[t for t in faults if t > returned_at + 0.6]])
         good, total, reasons = _count_first_attempts(history=history, low=low, high=high)
         if total >= MIN_ATTEMPTS and good < MIN_GOOD_AFTER_RECOVERY * total:
             yield Violation(
@@ -71,19 +71,19 @@
 
 def check_tolerated_losses(*, history: History, daemons: list, zones: dict):
     """The loss of one controller or one zone, without any other fault, is not tolerated."""
-    troubles = history.of(k="trouble")
+    faults = history.of(k="trouble")
     downs = history.of(k="daemon-down")
-    for row in troubles:
-        before = max((other["t"] for other in troubles if other["t"] < row["t"] - 0.05), default=0.0)
+    for row in faults:
+        before = max((other["t"] for other in faults if other["t"] < row["t"] - 0.05), default=0.0)
         if row["verb"] not in ("kill", "power-off") or row["t"] - before < 20.0:
             continue
         lost = {down["daemon"] for down in downs if abs(down["t"] - row["t"]) < 0.05}
         kinds = {kind for kind, name, _ in daemons if name in lost}
-        places = {zone for _, name, zone in daemons if name in lost}
-        high = min([row["t"] + OBSERVED_SPAN, *[other["t"] for other in troubles if other["t"] > row["t"] + 0.6]])
-        if len(places) != 1 or not lost:
+        lost_zones = {zone for _, name, zone in daemons if name in lost}
+        high = min([row["t"] + OBSERVED_SPAN, *[other["t"] for other in faults if other["t"] > row["t"] + 0.6]])
+        if len(lost_zones) != 1 or not lost:
             continue
-        is_whole_zone = {name for _, name, zone in daemons if zone in places} <= lost
+        is_whole_zone = {name for _, name, zone in daemons if zone in lost_zones} <= lost
         min_good = (
             MIN_GOOD_WITHOUT_ZONE
             if is_whole_zone
@@ -134,7 +134,7 @@
             count[0] += row["verdict"] == "good"
             count[1] += 1
     homes = (history.of(k="homes") or [{"homes": {}}])[-1]["homes"]
-    troubles = {
+    faults = {
         int(row["t"] // 5) + more
         for row in history.of(k="trouble")
         for more in (0, 1, 2)
@@ -151,7 +151,7 @@
                 if (
                     total < MIN_ATTEMPTS
                     or other_total < FLOOD_RATIO * total
-                    or (window in troubles and not has_same_regions)
+                    or (window in faults and not has_same_regions)
                 ):
                     continue
                 share, other_share = good / total, other_good / other_total
--- a/simulation/sim/faults.py
+++ b/simulation/sim/faults.py
@@ -129,6 +129,6 @@
         return f"unknown verb {verb!r}"
     try:
         inspect.signature(method).bind(None, *words)
-    except TypeError as fault:
-        return f"{verb}: {fault}"
+    except TypeError as error:
+        return f"{verb}: {error}"
     return ""
--- a/simulation/sim/verbs/operators.py
+++ b/simulation/sim/verbs/operators.py
@@ -64,10 +64,10 @@
         A request that runs elsewhere later was routed by an older configuration.
         """
         config, zones = copy.deepcopy(self.operators.config), self._world.deployment.zones
-        places = [zone for zone, zone_region in zones.items() if zone_region == region]
+        zones_in_region = [zone for zone, zone_region in zones.items() if zone_region == region]
         homed = [name for name, tenant in config["tenants"].items() if tenant.get("homes")]
         unhomed = [name for name in config["tenants"] if name not in homed]
-        config["pools"][f"{service}-pin"] = {"service": service, "preferred": places, "fallback": []}
+        config["pools"][f"{service}-pin"] = {"service": service, "preferred": zones_in_region, "fallback": []}
         for match in list(config["matches"]):
             if match["path"] == f"/{service}":
                 match["tenants"] = homed
