--- a/simulation/hosted/judge.py
+++ b/simulation/hosted/judge.py
@@ -18,7 +18,7 @@
     judge_homes,
     judge_owners,
 )
-from simulation.rules import Broken
+from simulation.rules import Violation
 
 if TYPE_CHECKING:
     from simulation.hosted.world import World
@@ -27,7 +27,7 @@
 """Codes that promise the client that its request did not run."""
 
 
-def judge(*, world: World) -> list[Broken]:
+def judge(*, world: World) -> list[Violation]:
     """All breaches, in the order of the rules."""
     contact = ContactHistory(world=world)
     runs, arrivals, attempts = (
@@ -66,14 +66,14 @@
     once = {row["id"] for row in world.history.of(k="try") if row["once"]}
     for row in runs:
         if row["id"] in once and counts[row["id"]] > 1:
-            yield Broken(
+            yield Violation(
                 rule="TWICE",
                 t=row["t"],
                 detail=f"{row['id']} ran {counts[row['id']]} times, at {row['worker']} by {row['proxy']}",
             )
     for row in answers.values():
         if row["id"] in once and row["code"] in NOT_RUN_CODES and counts[row["id"]]:
-            yield Broken(rule="REFUSED", t=row["t"], detail=f"{row['id']} got {row['code']} {row['reason']} and ran")
+            yield Violation(rule="REFUSED", t=row["t"], detail=f"{row['id']} got {row['code']} {row['reason']} and ran")
     done = {row["seal"]: row for row in world.history.of(k="done")}
     for row in answers.values():
         if not 200 <= row["code"] < 300:
@@ -85,7 +85,7 @@
             or produced["code"] != row["code"]
             or row["body"] != f"body of {row['id']}".encode()
         ):
-            yield Broken(
+            yield Violation(
                 rule="MIXED",
                 t=row["t"],
                 detail=f"{row['id']} got {row['code']} with seal {row['seal']!r} and {row['body'][:30]!r}",
@@ -101,11 +101,11 @@
     for row in runs:
         attempt = world.attempts.get(row["id"])
         if attempt is None:
-            yield Broken(rule="UNASKED", t=row["t"], detail=f"{row['worker']} ran {row['id']!r}, which nobody sent")
+            yield Violation(rule="UNASKED", t=row["t"], detail=f"{row['worker']} ran {row['id']!r}, which nobody sent")
             continue
         request = attempt.request
         if (row["method"], row["target"], row["body"]) != (request.method, request.path, request.body):
-            yield Broken(
+            yield Violation(
                 rule="UNASKED",
                 t=row["t"],
                 detail=f"{row['id']} was changed on its way: {row['method']} {row['target']}",
@@ -116,7 +116,7 @@
         if 300 <= row["code"] < 500 and row["code"] not in (404, *NOT_RUN_CODES)
     ]
     if len(denied) > 5 + len(attempts) / 500:
-        yield Broken(
+        yield Violation(
             rule="DENIED",
             t=denied[0]["t"],
             detail=f"{len(denied)} of {len(attempts)}, the first with {denied[0]['code']}",
@@ -144,7 +144,7 @@
             and not is_quick
             and contact.is_undisturbed(names=frozenset(names), begin=read["t"] - bounds["contact_s"], end=row["t"])
         ):
-            yield Broken(
+            yield Violation(
                 rule="LOST",
                 t=row["t"],
                 detail=f"{row['id']} was broken off {row['t'] - sigterm:.2f} s after SIGTERM of {read['proxy']}",
@@ -159,10 +159,10 @@
     due_from = returns[-1]["t"] + world.deployment.bounds["recovery_s"]
     ends = [row for row in world.history.of(k="end") if row["begun"] > due_from]
     if len(ends) >= 20 and sum(row["good"] for row in ends) < 0.25 * len(ends):
-        yield Broken(rule="RECOVER", t=due_from, detail=f"{sum(row['good'] for row in ends)} of {len(ends)} served")
+        yield Violation(rule="RECOVER", t=due_from, detail=f"{sum(row['good'] for row in ends)} of {len(ends)} served")
 
 
 def judge_faults(*, world: World):
     """FAULT: a process ended by a fault of its own."""
     for row in world.history.of(k="crash"):
-        yield Broken(rule="FAULT", t=row["t"], detail=f"{row['daemon']}: {row['fault']}")
+        yield Violation(rule="FAULT", t=row["t"], detail=f"{row['daemon']}: {row['fault']}")
--- a/simulation/hosted/judge_config.py
+++ b/simulation/hosted/judge_config.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from simulation.hosted.contact_history import ContactHistory
-from simulation.rules import Broken
+from simulation.rules import Violation
 
 if TYPE_CHECKING:
     from simulation.hosted.operators import Version
@@ -70,12 +70,12 @@
             continue
         allowing = versions.allowing(service=run["service"], host=attempt["host"], path=attempt["path"])
         if not allowing:
-            yield Broken(
+            yield Violation(
                 rule="ROUTE", t=run["t"], detail=f"{run['service']} ran {attempt['path']}, meant for {run['expect']}"
             )
             continue
         if all(version.outcome == "refused" or not version.is_valid for version in allowing):
-            yield Broken(
+            yield Violation(
                 rule="CONFIG",
                 t=run["t"],
                 detail=f"r{allowing[0].number} was refused or invalid and is in force at {run['proxy']}",
@@ -87,7 +87,7 @@
             and contact.is_in_contact(machine=run["proxy"], t=run["t"])
             and contact.is_in_contact(machine=run["proxy"], t=attempt["t"])
         ):
-            yield Broken(
+            yield Violation(
                 rule="CONFIG",
                 t=run["t"],
                 detail=f"{attempt['path']} ran at {run['service']} through {run['proxy']}, though "
@@ -99,7 +99,7 @@
             (number, t) for number, t in numbers_run.get(location, ()) if t + bounds["downgrade_s"] < attempt["t"]
         ]
         if any(number > highest for number, _ in earlier):
-            yield Broken(
+            yield Violation(
                 rule="CONFIG",
                 t=run["t"],
                 detail=f"{run['proxy']} went back to r{highest} after r{max(earlier)[0]} had been in force",
@@ -117,7 +117,7 @@
             and contact.is_in_contact(machine=attempt["proxy"], t=row["t"])
             and contact.is_in_contact(machine=attempt["proxy"], t=attempt["t"])
         ):
-            yield Broken(
+            yield Violation(
                 rule="CONFIG",
                 t=row["t"],
                 detail=f"404 for {attempt['path']} at {attempt['proxy']} though every version due has a route for it",
@@ -131,7 +131,7 @@
     yield from _judge_ended(world=world, contact=contact)
     for row in world.history.of(k="refused-taken"):
         detail = f"r{row['number']} on r{row['base']} had been accepted; sent again, it got {row['code']}"
-        yield Broken(rule="CONFIG", t=row["t"], detail=detail)
+        yield Violation(rule="CONFIG", t=row["t"], detail=detail)
     for row in world.history.of(k="read-config"):
         yield from _judge_read(acked=acked, row=row)
     for row in world.history.of(k="read-back"):
@@ -141,14 +141,16 @@
 def _judge_acknowledged(*, acked: list):
     for version in acked:
         if not version.is_valid:
-            yield Broken(rule="CONFIG", t=version.acked_at, detail=f"r{version.number} is invalid and was acknowledged")
+            yield Violation(
+                rule="CONFIG", t=version.acked_at, detail=f"r{version.number} is invalid and was acknowledged"
+            )
     for base in {version.base for version in acked}:
         winners = sorted({version.number for version in acked if version.base == base})
         if len(winners) > 1 or sum(version.base == base for version in acked) > 1:
-            yield Broken(rule="CONFIG", t=0.0, detail=f"{winners} were all acknowledged on top of r{base}")
+            yield Violation(rule="CONFIG", t=0.0, detail=f"{winners} were all acknowledged on top of r{base}")
     for number in {version.number for version in acked}:
         if sum(version.number == number for version in acked) > 1:
-            yield Broken(rule="CONFIG", t=0.0, detail=f"two different changes were both acknowledged as r{number}")
+            yield Violation(rule="CONFIG", t=0.0, detail=f"two different changes were both acknowledged as r{number}")
 
 
 def _judge_ended(*, world: World, contact: ContactHistory):
@@ -158,10 +160,10 @@
         elapsed = row["t"] - begun
         is_late = not row["lost"] and contact.is_acknowledged_late(begun=begun, ended=row["t"], limit=limit)
         if row["valid"] and is_late:
-            yield Broken(rule="ACK", t=row["t"], detail=f"r{row['number']}: {row['code']} after {elapsed:.2f} s")
+            yield Violation(rule="ACK", t=row["t"], detail=f"r{row['number']}: {row['code']} after {elapsed:.2f} s")
         is_refused = 400 <= row["code"] < 500 and row["code"] != 412
         if row["valid"] and is_refused and not _may_be_superseded(row=row, world=world):
-            yield Broken(rule="DUTY", t=row["t"], detail=f"r{row['number']} is valid and got {row['code']}")
+            yield Violation(rule="DUTY", t=row["t"], detail=f"r{row['number']} is valid and got {row['code']}")
 
 
 def _judge_read(*, acked: list, row: dict):
@@ -169,7 +171,7 @@
     newest = max((version.number for version in acked if version.acked_at <= row["begun"]), default=0)
     if row["code"] == 200 and int(row["written"]["generation"][1:]) < newest:
         detail = f"{row['written']['generation']} was read after r{newest} had been acknowledged"
-        yield Broken(rule="LOST", t=row["t"], detail=detail)
+        yield Violation(rule="LOST", t=row["t"], detail=detail)
 
 
 def _judge_read_back(*, world: World, acked: list, row: dict):
@@ -180,11 +182,11 @@
     )
     if row["code"] != 200:
         if newest is not None:
-            yield Broken(rule="CONFIG", t=row["t"], detail=f"the configuration could not be read: {row['code']}")
+            yield Violation(rule="CONFIG", t=row["t"], detail=f"the configuration could not be read: {row['code']}")
         return
     number = int(row["written"]["generation"][1:])
     if newest is not None and number < newest.number:
-        yield Broken(
+        yield Violation(
             rule="LOST", t=row["t"], detail=f"r{number} was read back after r{newest.number} had been acknowledged"
         )
     sent = [
@@ -193,7 +195,7 @@
         if version.number == number and version.outcome != "refused"
     ]
     if not any(normal_form(written=version.written) == normal_form(written=row["written"]) for version in sent):
-        yield Broken(rule="CONFIG", t=row["t"], detail=f"what is read back as r{number} is not what was sent")
+        yield Violation(rule="CONFIG", t=row["t"], detail=f"what is read back as r{number} is not what was sent")
 
 
 def _may_be_superseded(*, row: dict, world: World) -> bool:
--- a/simulation/hosted/judge_contact.py
+++ b/simulation/hosted/judge_contact.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from sailward.consensus.voter_set import VoterSet
-from simulation.rules import Broken
+from simulation.rules import Violation
 
 if TYPE_CHECKING:
     from simulation.hosted.process import Machine
@@ -39,12 +39,12 @@
             detail = (
                 f"{row['machine']} pushed {row['name']} {row['number']} as current, after {max(newer)} was in force"
             )
-            yield Broken(rule="CONTACT", t=row["t"], detail=detail)
+            yield Violation(rule="CONTACT", t=row["t"], detail=detail)
         if not links.is_cut_off(machine=machine, since=row["t"] - NOTICED_WITHIN, until=row["t"]):
             continue
         if row["contact"]:
             detail = f"{row['machine']}, cut off, pushed {row['name']} {row['number']} to {row['to']} as current"
-            yield Broken(rule="CONTACT", t=row["t"], detail=detail)
+            yield Violation(rule="CONTACT", t=row["t"], detail=detail)
         elif links.can_reach_another(
             proxy=world.machines[row["to"]], since=row["t"] - PROXY_SEARCH_TIME, until=row["t"]
         ):
@@ -52,14 +52,14 @@
                 f"{row['to']} took {row['name']} {row['number']} from {row['machine']}, cut off, "
                 "though it could reach another"
             )
-            yield Broken(rule="CONTACT", t=row["t"], detail=detail)
+            yield Violation(rule="CONTACT", t=row["t"], detail=detail)
     for row in world.history.of(k="desk"):
         machine = world.machines[row["machine"]]
         if row["code"] in DEFINITE_CODES and links.is_cut_off(
             machine=machine, since=row["t"] - NOTICED_WITHIN, until=row["ended"]
         ):
             detail = f"{row['machine']}, cut off, answered {row['method']} {row['path']} with {row['code']}"
-            yield Broken(rule="CONTACT", t=row["ended"], detail=detail)
+            yield Violation(rule="CONTACT", t=row["ended"], detail=detail)
         is_late = (
             row["ended"] - row["t"] > ANSWERED_WITHIN
             and row["size"] <= LARGE_ORDER_BYTES
@@ -71,7 +71,7 @@
             and row["code"] != 0
         ):
             detail = f"{row['machine']}, cut off, kept {row['method']} {row['path']} waiting"
-            yield Broken(rule="CONTACT", t=row["t"] + ANSWERED_WITHIN, detail=detail)
+            yield Violation(rule="CONTACT", t=row["t"] + ANSWERED_WITHIN, detail=detail)
 
 
 class Links:
--- a/simulation/hosted/judge_departures.py
+++ b/simulation/hosted/judge_departures.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from simulation.hosted.contact_history import ContactHistory
-from simulation.rules import Broken
+from simulation.rules import Violation
 
 if TYPE_CHECKING:
     from simulation.hosted.world import World
@@ -24,7 +24,7 @@
 """Reasons of an end of a try for which the client closed its connection."""
 
 
-def judge_departures(*, world: World, contact: ContactHistory) -> Iterator[Broken]:
+def judge_departures(*, world: World, contact: ContactHistory) -> Iterator[Violation]:
     """Check all tries whose clients closed their connections, at undisturbed machines; sharded services are exempt."""
     tries = {row["id"]: row for row in world.history.of(k="try")}
     must_end_at = {}
@@ -34,7 +34,7 @@
     late = [row for row in world.history.of(k="arrival") if row["sent"] > must_end_at.get(row["id"], NEVER)]
     if len(late) > MAX_LATE_ARRIVALS:
         detail = f"{len(late)} requests reached workers after their clients had disconnected"
-        yield Broken(rule="GONE", t=late[0]["t"], detail=detail)
+        yield Violation(rule="GONE", t=late[0]["t"], detail=detail)
     sharded = {service.name for service in world.deployment.services if service.is_sharded}
     runs = [
         row
@@ -47,7 +47,7 @@
     overruns = [row for row in runs if done.get(row["id"], 0.0) > must_end_at[row["id"]]]
     if len(overruns) > MAX_OVERRUN_SHARE * len(runs):
         detail = f"{len(overruns)} of {len(runs)} runs continued after their clients had disconnected"
-        yield Broken(rule="GONE", t=overruns[0]["t"], detail=detail)
+        yield Violation(rule="GONE", t=overruns[0]["t"], detail=detail)
 
 
 def _work_must_end_at(*, world: World, contact: ContactHistory, row: dict, t: float) -> float:
--- a/simulation/hosted/judge_orders.py
+++ b/simulation/hosted/judge_orders.py
@@ -18,7 +18,7 @@
     ZoneRead,
     digest,
 )
-from simulation.rules import Broken
+from simulation.rules import Violation
 from simulation.rules.operator_orders import judge_operations
 
 if TYPE_CHECKING:
@@ -29,7 +29,7 @@
 PRECONDITION_FAILED = 412
 
 
-def judge_orders(*, world: World) -> Iterator[Broken]:
+def judge_orders(*, world: World) -> Iterator[Violation]:
     """LINEAR: no sequence of the operators' calls explains all answers and reads."""
     changes = [operation for operation in map(_change, world.operator.versions.values()) if operation is not None]
     operations = [*changes, *_reads(world=world)]
--- a/simulation/hosted/judge_placement.py
+++ b/simulation/hosted/judge_placement.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from simulation.hosted.contact_history import ContactHistory
-from simulation.rules import Broken
+from simulation.rules import Violation
 
 if TYPE_CHECKING:
     from simulation.hosted.world import World
@@ -35,7 +35,7 @@
             and contact.is_in_contact(machine=row["proxy"], t=row["t"])
             and contact.is_in_contact(machine=row["proxy"], t=shown_at)
         ):
-            yield Broken(
+            yield Violation(
                 rule="DRAIN",
                 t=row["t"],
                 detail=f"{row['worker']} {row['t'] - shown_at:.2f} s after its drain was listed, by {row['proxy']}",
@@ -63,7 +63,9 @@
                 for earlier in rows[max(0, at - 200) : at + 1]
             )
             if count > limit:
-                yield Broken(rule="FAILBACK", t=row["t"], detail=f"{worker}: {count} in a second, {limit:.0f} at most")
+                yield Violation(
+                    rule="FAILBACK", t=row["t"], detail=f"{worker}: {count} in a second, {limit:.0f} at most"
+                )
                 break
 
 
@@ -73,7 +75,7 @@
     for row in arrivals:
         attempt = attempts.get(row["id"])
         if attempt is not None and attempt["kind"] in homes and row["region"] not in homes[attempt["kind"]]:
-            yield Broken(
+            yield Violation(
                 rule="HOME", t=row["t"], detail=f"{row['id']} at {row['worker']} in {row['region']}, by {row['proxy']}"
             )
 
@@ -91,7 +93,7 @@
                 spans[row["zone"]].append([row["t"], float("inf")])
             ended = row["t"] if row["code"] == 200 else max(row["t"], row["begun"] + bounds["ack_s"] + NO_ACK_EXTRA)
             if contact.is_acknowledged_late(begun=row["begun"], ended=ended, limit=bounds["ack_s"]):
-                yield Broken(
+                yield Violation(
                     rule="ACK",
                     t=row["t"],
                     detail=f"{row['kind']} {row['zone']}: {row['code']} after {row['t'] - row['begun']:.2f} s",
@@ -103,7 +105,7 @@
                 and begin + bounds["evacuate_s"] < row["t"] < end
                 and contact.is_in_contact(machine=row["proxy"], t=row["t"])
             ):
-                yield Broken(
+                yield Violation(
                     rule="EVAC",
                     t=row["t"],
                     detail=f"{row['worker']} in {row['zone']} {row['t'] - begin:.2f} s after the evacuation, "
@@ -135,7 +137,7 @@
                     if run["service"] == service and low <= run["key"] <= high and begin <= run["t"] < end
                 }
                 if {first["worker"], second["worker"]} <= began:
-                    yield Broken(
+                    yield Violation(
                         rule="OWNER",
                         t=begin,
                         detail=f"{first['worker']} and {second['worker']} held {low}-{high} for {end - begin:.2f} s",
@@ -163,7 +165,7 @@
                 _count_between(requests[service], t - shift - window, t - shift) for shift in (0.0, window / 2, window)
             )
             if count > bounds["retry_ratio"] * most_requests + bounds["retry_slack"]:
-                yield Broken(
+                yield Violation(
                     rule="BUDGET", t=t, detail=f"{service}: {count} retries for {most_requests} requests in {window} s"
                 )
                 break
--- a/simulation/hosted/machine_verbs.py
+++ b/simulation/hosted/machine_verbs.py
@@ -175,10 +175,10 @@
     def do_slow_disk(self, machine: str, times: str, seconds: str = "") -> None:
         """Slow down syncs by the factor `times`, for some seconds or from now on."""
         for target in self._machines(machine):
-            target.disk.slow = float(times)
+            target.disk.delay_factor = float(times)
             if seconds:
                 self._record_trouble(machine=target, seconds=float(seconds))
-                self._world.clock.after(float(seconds), lambda target=target: setattr(target.disk, "slow", 1.0))
+                self._world.clock.after(float(seconds), lambda target=target: setattr(target.disk, "delay_factor", 1.0))
 
     def do_stall_disk(self, machine: str, seconds: str) -> None:
         """Stall disks for some seconds; what is written meanwhile is synced at the end."""
--- a/simulation/hosted/process.py
+++ b/simulation/hosted/process.py
@@ -378,7 +378,7 @@
 
     def _write_to_disk(self, *, command: AppendRecords | RewriteRecords) -> None:
         disk, current, clock = self.machine.disk, self.incarnation, self.world.clock
-        if not disk.takes(command=command):
+        if not disk.claim_room(command=command):
             failed = DiskWriteFailed(seq=command.seq, full=True, reason="no room")
             clock.after(0.001, lambda: self.deliver(event=failed) if self.incarnation == current else None)
             return
--- a/simulation/hosted/shrink.py
+++ b/simulation/hosted/shrink.py
@@ -32,7 +32,7 @@
         outcome = run_scenario(scenario=scenario, seed=seed, without=without)
     except Exception as fault:  # noqa: BLE001 any fault of the simulator is a finding of its own
         return frozenset({f"simulator: {type(fault).__name__}"})
-    return frozenset(breach.rule for breach in outcome.broken)
+    return frozenset(violation.rule for violation in outcome.violations)
 
 
 def shrink(
@@ -47,7 +47,7 @@
     `run_all` maps a list of scenarios to the rules that each breaks, and may run several at once; `report` gets lines
     about the progress.
     """
-    base = replace(explicit_scenario(scenario=scenario, seed=seed), expects=[], fails=[])
+    base = replace(explicit_scenario(scenario=scenario, seed=seed), expects=[], must_fail_without=[])
     [rules] = run_all([base])
     if not rules:
         return None
--- a/simulation/real/callers.py
+++ b/simulation/real/callers.py
@@ -12,8 +12,8 @@
 from concurrent.futures import ThreadPoolExecutor
 
 from simulation.deployments import Deployment
+from simulation.fake_worker import judge_body
 from simulation.history import History
-from simulation.mind import judge_body
 
 MAX_TRIES = 6
 ANSWER_TIMEOUT = 8.0
@@ -43,19 +43,19 @@
             send_at += self._rng.expovariate(rate)
             time.sleep(max(0.0, send_at - time.monotonic()))
             self.lag = max(self.lag, time.monotonic() - send_at)
-            kind = self._rng.choices(kinds, weights=[one.part for one in kinds])[0]
+            kind = self._rng.choices(kinds, weights=[one.traffic_share for one in kinds])[0]
             self._threads.submit(self._send_order, kind)
         self._threads.shutdown(wait=True)
 
     def _send_order(self, kind) -> None:
         number = next(self._count)
-        part = f"part{number % kind.keys}" if kind.keys else ""
+        part = f"part{number % kind.shard_keys}" if kind.shard_keys else ""
         nonce, key = f"n{number}", f"k{number}" if kind.unsafe else ""
         for try_number in range(1, MAX_TRIES + 1):
             pause = self._send(kind=kind, nonce=nonce, key=key, try_number=try_number, part=part)
             if pause is None:
                 return
-            time.sleep(0.02 if kind.eager else pause * self._rng.uniform(1.0, 1.5))
+            time.sleep(0.02 if kind.retries_at_once else pause * self._rng.uniform(1.0, 1.5))
 
     def _list_proxies(self, *, region: str) -> list[str]:
         fetched_at, proxies = self._proxy_lists.get(region, (-1e9, []))
--- a/simulation/rules/service.py
+++ b/simulation/rules/service.py
@@ -1,118 +1,124 @@
-"""Service: losses borne at once, back in time after a major one, fair to rivals."""
+"""Rules on service: tolerable losses have no effect, recovery from a major loss is quick, tenants are isolated."""
 
 from __future__ import annotations
 
 import collections
 
 from simulation.history import History
-from simulation.rules import Broken
-
-BACK = 15.0
-"""s from the return of the machines until service must be back."""
-LOOKUP = 8.0
-"""s that are looked at, from then on or from a loss that must be borne."""
-BACK_GOOD = 0.90
-"""of first attempts: workers are still within their cold ramps, and callers' backlog is being served."""
-CONTROLLER_GOOD = 0.97
-"""of first attempts from the loss of a disk machine on: only claims under way wait for a round more."""
-HALL_GOOD = 0.90
-"""of first attempts from the loss of a zone on:
-
-a quarter of proxies and workers are gone; what was open there is lost.
+from simulation.rules import Violation
+
+RECOVERY_LIMIT = 15.0
+"""s from the return of the machines until service must have recovered."""
+OBSERVED_SPAN = 8.0
+"""s of traffic judged, from the end of RECOVERY_LIMIT or from a loss that must be tolerated."""
+MIN_GOOD_AFTER_RECOVERY = 0.90
+"""Share of first attempts: workers are still in slow start, and the callers' backlog is being served."""
+MIN_GOOD_WITHOUT_CONTROLLER = 0.97
+"""Share of first attempts after the loss of a controller: only claims in flight wait for one more round."""
+MIN_GOOD_WITHOUT_ZONE = 0.90
+"""Share of first attempts after the loss of a zone.
+
+A quarter of the proxies and workers is gone, and requests in flight there are lost.
 """
-FEWEST = 40
-"""first attempts from which a share means something."""
-TIDE = 4.0
-"""times a rival's load from which a tenant counts as flooding."""
+MIN_ATTEMPTS = 40
+"""First attempts below which a share is not judged."""
+FLOOD_RATIO = 4.0
+"""Multiple of another tenant's load from which a tenant counts as flooding."""
 
 
 def check_recovery(*, history: History, daemons: list):
-    """After a major loss, service is not back 15 s after the machines returned."""
-    troubles = [row["t"] for row in history.of(k="trouble")]
-    for back in _find_returns(history=history, daemons=daemons):
-        low = back + BACK
-        high = min([low + LOOKUP, *[t for t in troubles if t > back + 0.6]])
-        good, total, reasons = _count(history=history, low=low, high=high)
-        if total >= FEWEST and good < BACK_GOOD * total:
-            yield Broken(
+    """Service has not recovered 15 s after the machines returned from a major loss."""
+    faults = [row["t"] for row in history.of(k="trouble")]
+    for returned_at in _find_returns(history=history, daemons=daemons):
+        low = returned_at + RECOVERY_LIMIT
+        high = min([low + OBSERVED_SPAN, *[t for t in faults if t > returned_at + 0.6]])
+        good, total, reasons = _count_first_attempts(history=history, low=low, high=high)
+        if total >= MIN_ATTEMPTS and good < MIN_GOOD_AFTER_RECOVERY * total:
+            yield Violation(
                 rule="slow-recovery",
                 t=low,
-                detail=f"{good} of {total} first tries good from {BACK} s after the return on: {reasons}",
+                detail=f"{good} of {total} first tries good from {RECOVERY_LIMIT} s after the return on: {reasons}",
             )
 
 
 def _find_returns(*, history: History, daemons: list) -> list[float]:
-    """When the machines of each major loss were back: two controllers, half the proxies, a region, or a cut of many."""
+    """When the machines of each major loss were back.
+
+    A major loss is two controllers or half of the proxies; a healed cut and a group founded anew count as returns too.
+    """
     kinds = {name: kind for kind, name, _ in daemons}
     controllers = {name for name, kind in kinds.items() if kind == "controller"}
     proxies = {name for name, kind in kinds.items() if kind == "proxy"}
     down: set = set()
-    returns, major = [], False
-    wiped = [row for row in history.of(k="trouble") if row["verb"] == "wipe"]
-    moves = sorted([*history.of(k="daemon-down"), *history.of(k="daemon-up")], key=lambda row: row["t"])
-    for row in moves:
+    returns, is_major_loss = [], False
+    wipes = [row for row in history.of(k="trouble") if row["verb"] == "wipe"]
+    changes = sorted([*history.of(k="daemon-down"), *history.of(k="daemon-up")], key=lambda row: row["t"])
+    for row in changes:
         name = row.get("name", row["daemon"])
         if name not in kinds:
             continue
         (down.add if row["k"] == "daemon-down" else down.discard)(name)
-        major = major or len(down & controllers) >= 2 or 2 * len(down & proxies) >= len(proxies)
-        if major and len(down & controllers) <= 1 and not down & proxies:
-            major = False
-            # a majority of the disks gone for good is for an operators' order, judged from there
-            if sum(row["t"] - 60 < one["t"] <= row["t"] for one in wiped) < 2:
+        is_major_loss = is_major_loss or len(down & controllers) >= 2 or 2 * len(down & proxies) >= len(proxies)
+        if is_major_loss and len(down & controllers) <= 1 and not down & proxies:
+            is_major_loss = False
+            # after the permanent loss of a majority of disks, recovery is judged from the operators' order instead
+            if sum(row["t"] - 60 < wipe["t"] <= row["t"] for wipe in wipes) < 2:
                 returns.append(row["t"])
     returns += [row["t"] for row in history.of(k="trouble") if row["verb"] == "heal"]
     returns += [row["t"] for row in history.of(k="founded-anew")]
     return returns
 
 
-def check_borne(*, history: History, daemons: list, zones: dict):
-    """The loss of one disk machine, or of one zone, with nothing else wrong, is not borne at once."""
-    troubles = history.of(k="trouble")
+def check_tolerated_losses(*, history: History, daemons: list, zones: dict):
+    """The loss of one controller or one zone, without any other fault, is not tolerated."""
+    faults = history.of(k="trouble")
     downs = history.of(k="daemon-down")
-    for row in troubles:
-        before = max((other["t"] for other in troubles if other["t"] < row["t"] - 0.05), default=0.0)
+    for row in faults:
+        before = max((other["t"] for other in faults if other["t"] < row["t"] - 0.05), default=0.0)
         if row["verb"] not in ("kill", "power-off") or row["t"] - before < 20.0:
             continue
         lost = {down["daemon"] for down in downs if abs(down["t"] - row["t"]) < 0.05}
         kinds = {kind for kind, name, _ in daemons if name in lost}
-        places = {zone for _, name, zone in daemons if name in lost}
-        high = min([row["t"] + LOOKUP, *[other["t"] for other in troubles if other["t"] > row["t"] + 0.6]])
-        if len(places) != 1 or not lost:
+        lost_zones = {zone for _, name, zone in daemons if name in lost}
+        high = min([row["t"] + OBSERVED_SPAN, *[other["t"] for other in faults if other["t"] > row["t"] + 0.6]])
+        if len(lost_zones) != 1 or not lost:
             continue
-        whole = {name for _, name, zone in daemons if zone in places} <= lost
-        least = HALL_GOOD if whole else CONTROLLER_GOOD if kinds == {"controller"} and len(lost) == 1 else 0.0
-        good, total, reasons = _count(history=history, low=row["t"], high=high)
-        if total >= FEWEST and good < least * total:
-            yield Broken(
+        is_whole_zone = {name for _, name, zone in daemons if zone in lost_zones} <= lost
+        min_good = (
+            MIN_GOOD_WITHOUT_ZONE
+            if is_whole_zone
+            else MIN_GOOD_WITHOUT_CONTROLLER
+            if kinds == {"controller"} and len(lost) == 1
+            else 0.0
+        )
+        good, total, reasons = _count_first_attempts(history=history, low=row["t"], high=high)
+        if total >= MIN_ATTEMPTS and good < min_good * total:
+            yield Violation(
                 rule="not-borne",
                 t=row["t"],
                 detail=f"{good} of {total} first tries good from the loss of {sorted(lost)} on: {reasons}",
             )
 
 
-def _count(*, history: History, low: float, high: float) -> tuple[int, int, dict]:
-    """Good ones and all of the first attempts sent in that time by tenants who have a place.
-
-    And what became of the others.
-    """
+def _count_first_attempts(*, history: History, low: float, high: float) -> tuple[int, int, dict]:
+    """(good, total, reasons of failures) of the first attempts sent in the span by tenants that can be placed."""
     begun = {(row["nonce"], row["turn"]): row["t"] for row in history.of(k="sent") if row["turn"] == 1}
-    barred = _barred(history=history, low=low, high=high)
+    excluded = _tenants_without_place(history=history, low=low, high=high)
     rows = [
         row
         for row in history.of(k="got")
         if row["turn"] == 1
         and low <= begun.get((row["nonce"], 1), -1.0) < high
-        and row["tenant"] not in barred
+        and row["tenant"] not in excluded
         and row.get("stream", "n") == "n"
     ]
-    bad = [row for row in rows if row["verdict"] != "good"]
-    reasons = collections.Counter(f"{row['code']}-{row['reason']}" for row in bad)
-    return len(rows) - len(bad), len(rows), dict(reasons.most_common(6))
+    failed = [row for row in rows if row["verdict"] != "good"]
+    reasons = collections.Counter(f"{row['code']}-{row['reason']}" for row in failed)
+    return len(rows) - len(failed), len(rows), dict(reasons.most_common(6))
 
 
-def _barred(*, history: History, low: float, high: float) -> set:
-    """Bound tenants while some zone is emptied by an operators' order: they may have no place."""
+def _tenants_without_place(*, history: History, low: float, high: float) -> set:
+    """Tenants with home regions while an order keeps a zone empty: no zone may be left for them."""
     orders = [row["t"] for row in history.of(k="emptied") if row["t"] < high]
     ends = [row["t"] for row in history.of(k="refilled") if row["t"] < low]
     homes = (history.of(k="homes") or [{"homes": {}}])[-1]["homes"]
@@ -120,36 +126,40 @@
 
 
 def check_fairness(*, history: History):
-    """A rival of a flooding brand fares worse than the brand that floods."""
-    bins: dict = collections.defaultdict(lambda: collections.defaultdict(lambda: [0, 0]))
+    """A tenant gets a worse service than another tenant that floods."""
+    windows: dict = collections.defaultdict(lambda: collections.defaultdict(lambda: [0, 0]))
     for row in history.of(k="got"):
         if row["turn"] == 1:
-            count = bins[(row["path"], int(row["t"] // 5))][row["tenant"]]
+            count = windows[(row["path"], int(row["t"] // 5))][row["tenant"]]
             count[0] += row["verdict"] == "good"
             count[1] += 1
     homes = (history.of(k="homes") or [{"homes": {}}])[-1]["homes"]
-    troubles = {
+    faults = {
         int(row["t"] // 5) + more
         for row in history.of(k="trouble")
         for more in (0, 1, 2)
         if row["verb"] not in ("flood", "flood-key", "service-time", "storm")
     }
     regions = {(row["tenant"], row["path"]): row["region"] for row in history.of(k="sent")}
-    for (path, slot), tenants in bins.items():
+    for (path, window), tenants in windows.items():
         for rival, (good, total) in tenants.items():
-            for other, (theirs, load) in tenants.items():
-                # what is lost of a region is felt by those who are bound to it or call from it
-                alike = homes.get(rival) == homes.get(other) and regions.get((rival, path)) == regions.get(
+            for other, (other_good, other_total) in tenants.items():
+                # a regional loss affects tenants bound to the region and callers within it
+                has_same_regions = homes.get(rival) == homes.get(other) and regions.get((rival, path)) == regions.get(
                     (other, path)
                 )
-                if total < FEWEST or load < TIDE * total or (slot in troubles and not alike):
+                if (
+                    total < MIN_ATTEMPTS
+                    or other_total < FLOOD_RATIO * total
+                    or (window in faults and not has_same_regions)
+                ):
                     continue
-                share, their = good / total, theirs / load
-                # three deviations of so many draws
-                if share < their - 0.02 - 3 * (max(their * (1 - their), 0.01) / total) ** 0.5:
-                    yield Broken(
+                share, other_share = good / total, other_good / other_total
+                # three standard deviations
+                if share < other_share - 0.02 - 3 * (max(other_share * (1 - other_share), 0.01) / total) ** 0.5:
+                    yield Violation(
                         rule="unfair",
-                        t=slot * 5.0,
+                        t=window * 5.0,
                         detail=f"{path}: {rival} {share:.2f} of {total} good, "
-                        f"{other}, who floods, {their:.2f} of {load}",
+                        f"{other}, who floods, {other_share:.2f} of {other_total}",
                     )
--- a/simulation/sim/faults.py
+++ b/simulation/sim/faults.py
@@ -1,4 +1,4 @@
-"""Carries out a scenario's steps on the simulated fleet, and writes down which of them are trouble."""
+"""Runs the steps of a scenario on the simulated fleet and records which of them are faults."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 if TYPE_CHECKING:
     from simulation.sim.world import World
 
-PARTS = (CallerVerbs, OperatorVerbs, DaemonVerbs, WorkerVerbs)
-CALM = frozenset(
+VERB_CLASSES = (CallerVerbs, OperatorVerbs, DaemonVerbs, WorkerVerbs)
+HARMLESS_VERBS = frozenset(
     {
         "ready",
         "load",
@@ -52,17 +52,17 @@
         "workers-careless",
     }
 )
-"""Verbs that trouble nothing by themselves, or end a trouble."""
+"""Verbs that are no fault by themselves, or that end one."""
 
 
-class Faults:
-    """Carries out the steps. `step` takes a verb and its words."""
+class FaultInjector:
+    """Runs scenario steps."""
 
     def __init__(self, *, world: World) -> None:
         self._world = world
         self.callers = Callers(world=world)
         self.operators = Operators(world=world)
-        self._parts = (
+        self._verb_groups = (
             CallerVerbs(world=world, callers=self.callers),
             OperatorVerbs(world=world, operators=self.operators, step=self.step),
             DaemonVerbs(world=world),
@@ -71,20 +71,20 @@
         self._chaos = Chaos(world=world, step=self.step)
 
     def step(self, *, verb: str, words: list[str]) -> None:
-        """Carry out one step."""
-        if verb not in CALM:
+        """Run one step: a verb and its words."""
+        if verb not in HARMLESS_VERBS:
             self._world.history.add(t=self._world.clock.now, k="trouble", verb=verb, words=words)
         if verb == "chaos":
             self._chaos.step(until=self._world.clock.now + float(words[0]))
             return
         if verb == "closing":
-            self._chaos.close()
+            self._chaos.inject_major_loss()
             return
-        part = next(one for one in self._parts if hasattr(one, name_of(verb=verb)))
-        getattr(part, name_of(verb=verb))(*words)
+        group = next(group for group in self._verb_groups if hasattr(group, method_name(verb=verb)))
+        getattr(group, method_name(verb=verb))(*words)
 
-    def note_stored(self) -> None:
-        """Write down which tenants' results each proxy keeps."""
+    def record_stored_results(self) -> None:
+        """Record which tenants' results each proxy stores."""
         world = self._world
         tenants = {row["nonce"]: row["tenant"] for row in world.history.of(k="sent")}
         for node in world.nodes.values():
@@ -110,22 +110,25 @@
         return ""
 
 
-def name_of(*, verb: str) -> str:
-    """The method that carries out a verb."""
+def method_name(*, verb: str) -> str:
+    """The name of the method that implements a verb."""
     return "do_" + verb.replace("-", "_")
 
 
 def find_fault(*, verb: str, words: list[str]) -> str:
-    """What is wrong with a step as it is written; empty if nothing is."""
+    """The error in a step as written, or ""."""
     if verb == "chaos":
         return "" if len(words) == 1 and words[0].replace(".", "", 1).isdigit() else "chaos takes a number of seconds"
     if verb == "closing":
         return "closing takes no words" if words else ""
-    method = next((getattr(part, name_of(verb=verb)) for part in PARTS if hasattr(part, name_of(verb=verb))), None)
+    method = next(
+        (getattr(group, method_name(verb=verb)) for group in VERB_CLASSES if hasattr(group, method_name(verb=verb))),
+        None,
+    )
     if method is None:
         return f"unknown verb {verb!r}"
     try:
         inspect.signature(method).bind(None, *words)
-    except TypeError as fault:
-        return f"{verb}: {fault}"
+    except TypeError as error:
+        return f"{verb}: {error}"
     return ""
--- a/simulation/sim/platform.py
+++ b/simulation/sim/platform.py
@@ -1,51 +1,51 @@
-"""The platform's stand-in: the list of workers, in pages, with a revision."""
+"""The simulated platform: the paged list of workers, with a revision."""
 
 from __future__ import annotations
 
-from simulation.mind import Mind
+from simulation.fake_worker import FakeWorker
 from simulation.sim.environment import Environment
 
 
 class Platform:
-    """Keeps the list. Each change makes a new revision."""
+    """Keeps the list of workers; each change increments the revision."""
 
     address = "10.2.0.1:80"
 
     def __init__(self, *, world: Environment) -> None:
         self._world = world
         self._rows: dict[str, dict] = {}
-        self._newest: dict[str, int] = {}
+        self._last_generations: dict[str, int] = {}
         self.revision = 0
         self.epoch = 1
-        self.up = True
+        self.is_up = True
 
-    def list_worker(self, *, mind: Mind, address: str) -> None:
-        """Put a worker on the list, or a new generation of it: the one before is gone.
+    def list_worker(self, *, worker: FakeWorker, address: str) -> None:
+        """Add a worker to the list, or a new generation that replaces the earlier one.
 
-        A generation names one start of a worker for good: a ValueError if it was listed before.
+        A generation identifies one start of a worker and is never reused: a ValueError if it was listed before.
         """
-        if mind.generation < self.next_generation(name=mind.name):
-            raise ValueError(f"generation {mind.generation} of {mind.name} was listed before")
-        self._newest[mind.name] = mind.generation
-        before = self._rows.get(mind.name)
-        self._rows[mind.name] = {
-            "id": mind.name,
-            "generation": mind.generation,
-            "service": mind.service,
+        if worker.generation < self.next_generation(name=worker.name):
+            raise ValueError(f"generation {worker.generation} of {worker.name} was listed before")
+        self._last_generations[worker.name] = worker.generation
+        before = self._rows.get(worker.name)
+        self._rows[worker.name] = {
+            "id": worker.name,
+            "generation": worker.generation,
+            "service": worker.service,
             "address": address,
-            "hall": mind.zone,
+            "hall": worker.zone,
             "leaving": False,
         }
         self.revision += 1
-        if before and before["generation"] < mind.generation:
+        if before and before["generation"] < worker.generation:
             self._record(row=before, k="gone")
 
     def next_generation(self, *, name: str) -> int:
-        """The first generation of a worker that was never listed."""
-        return self._newest.get(name, 0) + 1
+        """The lowest generation of a worker that was never listed."""
+        return self._last_generations.get(name, 0) + 1
 
     def names(self) -> set:
-        """Who is on the list."""
+        """The names of the listed workers."""
         return set(self._rows)
 
     def mark_leaving(self, *, name: str) -> None:
@@ -56,13 +56,13 @@
         self._record(row=row, k="leaving")
 
     def unlist(self, *, name: str) -> None:
-        """Take a worker off the list."""
+        """Remove a worker from the list."""
         row = self._rows.pop(name)
         self.revision += 1
         self._record(row=row, k="gone")
 
     def page(self, *, after: str, limit: int) -> dict:
-        """One page of the list."""
+        """One page of the list: at most `limit` workers whose names follow `after`."""
         names = sorted(name for name in self._rows if name > after)
         rows = [self._rows[name] for name in names[:limit]]
         return {
--- a/simulation/sim/verbs/operators.py
+++ b/simulation/sim/verbs/operators.py
@@ -1,4 +1,4 @@
-"""What a scenario's operators do."""
+"""Scenario steps of operators."""
 
 from __future__ import annotations
 
@@ -14,78 +14,81 @@
 
 
 class OperatorVerbs:
-    """Steps of operators: configurations, orders, the core's members. `step` carries out another step."""
+    """Steps on configurations, orders and voters. `step` runs another scenario step."""
 
     def __init__(self, *, world: World, operators: Operators, step: Callable) -> None:
         self._world, self.operators, self.step = world, operators, step
 
     def do_on_accept(self, verb: str, *words: str) -> None:
-        """The step is carried out at the very moment that a configuration is told to be accepted."""
+        """Run a step at the moment when the operator learns that a configuration was accepted."""
         self.operators.on_accept.append(lambda: self.step(verb=verb, words=list(words)))
 
     def do_on_accept_soon(self, verb: str, *words: str) -> None:
-        """The same, if one is told within 4 s."""
+        """The same, if a configuration is accepted within 4 s."""
         until = self._world.clock.now + 4.0
         self.operators.on_accept.append(
             lambda: self.step(verb=verb, words=list(words)) if self._world.clock.now < until else None
         )
 
     def do_ready(self, rate: str = "0") -> None:
-        """Start all, found, configure; callers from 8 s later."""
+        """Start all daemons, found the controller group, send the configuration; callers start 8 s later."""
         world = self._world
         for node in world.nodes.values():
             world.clock.after(world.rng.uniform(0.0, 0.5), node.start)
         controllers = [node.location.name for node in world.nodes.values() if node.location.kind == "controller"]
-        world.clock.after(1.5, lambda: self.operators.found(controllers=controllers))
+        world.clock.after(1.5, lambda: self.operators.found_group(controllers=controllers))
         world.clock.after(2.5, self.do_put)
         world.clock.after(8.0, lambda: self.step(verb="load", words=[rate]))
         self._note_config()
-        self.operators.note_bounds(config=self.operators.config, begun=world.clock.now)
+        self.operators.record_rate_bounds(config=self.operators.config, begun=world.clock.now)
 
     def _note_config(self) -> None:
         world, config = self._world, self.operators.config
-        homes = {name: one["homes"] for name, one in config["tenants"].items() if one.get("homes")}
+        homes = {name: tenant["homes"] for name, tenant in config["tenants"].items() if tenant.get("homes")}
         world.history.add(t=world.clock.now, k="homes", homes=homes)
 
     def do_put(self, controller: str = "", if_match: str = "") -> None:
-        """Send the whole configuration."""
+        """Send the full configuration."""
         self.operators.put(config=copy.deepcopy(self.operators.config), controller=controller, if_match=if_match)
 
     def do_split(self, service: str, first: str, second: str, controller: str = "", if_match: str = "") -> None:
-        """Change a service's weights and send the whole."""
+        """Change the weights of a service and send the full configuration."""
         for match in self.operators.config["matches"]:
             if match["path"] == f"/{service}":
                 match["pools"][0]["weight"], match["pools"][1]["weight"] = int(first), int(second)
         self.do_put(controller, if_match)
 
     def do_pin(self, service: str, region: str, controller: str = "", if_match: str = "") -> None:
-        """Let a service run in one region only and send the whole: what ran elsewhere shows an older number."""
+        """Restrict a service to one region and send the full configuration.
+
+        A request that runs elsewhere later was routed by an older configuration.
+        """
         config, zones = copy.deepcopy(self.operators.config), self._world.deployment.zones
-        places = [zone for zone, one in zones.items() if one == region]
-        bound = [name for name, one in config["tenants"].items() if one.get("homes")]
-        free = [name for name in config["tenants"] if name not in bound]
-        config["pools"][f"{service}-pin"] = {"service": service, "preferred": places, "fallback": []}
+        zones_in_region = [zone for zone, zone_region in zones.items() if zone_region == region]
+        homed = [name for name, tenant in config["tenants"].items() if tenant.get("homes")]
+        unhomed = [name for name in config["tenants"] if name not in homed]
+        config["pools"][f"{service}-pin"] = {"service": service, "preferred": zones_in_region, "fallback": []}
         for match in list(config["matches"]):
             if match["path"] == f"/{service}":
-                match["tenants"] = bound
+                match["tenants"] = homed
                 config["matches"].append(
-                    {"path": match["path"], "tenants": free, "pools": [{"pool": f"{service}-pin", "weight": 1}]}
+                    {"path": match["path"], "tenants": unhomed, "pools": [{"pool": f"{service}-pin", "weight": 1}]}
                 )
         config["tenants"].setdefault("pins", {"share": 1 + len(self._world.history.of(k="put")) % 90})
         self.operators.put(config=config, controller=controller, if_match=if_match)
 
     def do_patch(self, path: str, value: str, controller: str = "", if_match: str = "") -> None:
-        """Send a small change: one field, by its path with dots, to a number, a word, a,list or null."""
+        """Send a patch of one field, given by its dotted path; the value is a number, a word, a,list or null."""
         patch: dict = {}
-        inner = patch
+        target = patch
         *names, last = path.split(".")
         for name in names:
-            inner = inner.setdefault(name, {})
-        inner[last] = _read_value(text=value)
+            target = target.setdefault(name, {})
+        target[last] = _read_value(text=value)
         self.operators.put(config=patch, controller=controller, if_match=if_match, is_patch=True)
 
     def do_put_stamped(self, *zones: str) -> None:
-        """Send the configuration with one tenant's route made from a template, with these zones as its parameter."""
+        """Send the configuration with one tenant's route made from a template whose parameter is these zones."""
         config = copy.deepcopy(self.operators.config)
         shape = {
             "pools": {"${stamp}": {"service": "notes", "preferred": "${halls}"}},
@@ -96,7 +99,7 @@
         self.operators.put(config=config)
 
     def do_put_large(self, tenants: str, controller: str = "") -> None:
-        """Send the configuration with so many tenants more, each stamped out of one template."""
+        """Send the configuration with `tenants` more tenants, each made from one template."""
         config = copy.deepcopy(self.operators.config)
         config["templates"] = {
             "guest": {
@@ -111,7 +114,7 @@
         self.operators.put(config=config, controller=controller)
 
     def do_put_invalid(self, kind: str, controller: str = "") -> None:
-        """Send a configuration that is wrong in the way named."""
+        """Send an invalid configuration; `kind` names the error."""
         config: object = copy.deepcopy(self.operators.config)
         if kind == "weights":
             for share in config["matches"][0]["pools"]:
@@ -129,7 +132,7 @@
         self.operators.read_back(controller=controller)
 
     def do_read_orders(self) -> None:
-        """Read which zones are emptied."""
+        """Read which zones are emptied by an order."""
         self.operators.read_orders()
 
     def do_empty(self, zone: str, confirm: str = "") -> None:
@@ -137,57 +140,57 @@
         self.operators.order(zone=zone, empty=True, confirm=confirm == "confirm")
 
     def do_refill(self, zone: str) -> None:
-        """Order a zone to be filled again."""
+        """End the order that empties a zone."""
         self.operators.order(zone=zone, empty=False)
 
     def do_found_anew(self, *words: str) -> None:
-        """`found-anew CONTROLLER SURVIVOR ... [confirm]`: the order is given to that controller."""
+        """`found-anew CONTROLLER SURVIVOR ... [confirm]`: order that controller to found the group anew."""
         controller, *names = [word for word in words if word != "confirm"]
 
-        def then(answer) -> None:
+        def on_answer(answer) -> None:
             code = answer.code if answer else 0
-            seen = json.loads(answer.body) if answer else {}
+            reply = json.loads(answer.body) if answer else {}
             self._world.history.add(
                 t=self._world.clock.now,
                 k="anew-order",
                 code=code,
-                error=seen.get("error", ""),
-                claims=seen.get("claims", ""),
+                error=reply.get("error", ""),
+                claims=reply.get("claims", ""),
             )
             if code == 200:
                 self._world.history.add(t=self._world.clock.now, k="founded-anew")
 
-        self.operators.ask(
+        self.operators.send_request(
             method="POST",
             path="/found-anew",
             body={"survivors": names},
             controller=controller,
-            then=then,
+            on_answer=on_answer,
             query={"confirm": "yes"} if "confirm" in words else {},
         )
 
     def do_part(self, name: str) -> None:
-        """Take a voter out of the core."""
+        """Remove a voter from the controller group."""
         self._change_voters(name=name, verb="part")
 
     def do_join(self, name: str) -> None:
-        """Take a voter into the core."""
+        """Add a voter to the controller group."""
         self._change_voters(name=name, verb="join")
 
     def _change_voters(self, *, name: str, verb: str) -> None:
-        def then(answer) -> None:
+        def on_answer(answer) -> None:
             self._world.history.add(
                 t=self._world.clock.now, k="voters", verb=verb, name=name, code=answer.code if answer else 0
             )
 
-        self.operators.ask(method="POST", path=f"/voters/{name}/{verb}", then=then)
+        self.operators.send_request(method="POST", path=f"/voters/{name}/{verb}", on_answer=on_answer)
 
 
 def _read_value(*, text: str) -> object:
     if text == "null":
         return None
     if "," in text:
-        return [one for one in text.split(",") if one]
+        return [item for item in text.split(",") if item]
     if text in ("true", "false"):
         return text == "true"
     return int(text) if text.lstrip("-").isdigit() else text
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -1,4 +1,4 @@
-"""The judge itself: for each rule and branch a sound history and the broken one next to it."""
+"""The checker: for each rule and branch, a history that keeps the rule and a similar one that breaks it."""
 
 from __future__ import annotations
 
@@ -291,11 +291,11 @@
 
 
 def judge(rows: list) -> set:
-    return {one.rule for one in check_history(history=History(rows=copy.deepcopy(rows)), deployment=FLEET)}
+    return {violation.rule for violation in check_history(history=History(rows=copy.deepcopy(rows)), deployment=FLEET)}
 
 
 @pytest.mark.parametrize("name", PAIRS)
-def test_the_judge_tells_a_sound_history_from_a_broken_one(name: str) -> None:
+def test_checker_tells_a_sound_history_from_a_broken_one(name: str) -> None:
     sound, broken = PAIRS[name]
     rule = name.split(":", maxsplit=1)[0]
     assert rule not in judge(sound)
--- a/tests/test_hosted.py
+++ b/tests/test_hosted.py
@@ -17,19 +17,22 @@
 )
 def test_no_rule_is_broken(name: str, seed: int) -> None:
     outcome = run_scenario(scenario=SCENARIOS[name], seed=seed)
-    assert not outcome.broken, outcome.broken[:5]
+    assert not outcome.violations, outcome.violations[:5]
     assert not outcome.failed, outcome.failed
 
 
 @pytest.mark.plants_faults
 @pytest.mark.parametrize(
-    ("name", "safeguard", "rule"), [(name, *fail) for name, scenario in SCENARIOS.items() for fail in scenario.fails]
+    ("name", "safeguard", "rule"),
+    [(name, *fail) for name, scenario in SCENARIOS.items() for fail in scenario.must_fail_without],
 )
 def test_fails_without_its_safeguard(name: str, safeguard: str, rule: str) -> None:
     found_rules = set()
     for seed in SCENARIOS[name].seeds:
         outcome = run_scenario(scenario=SCENARIOS[name], seed=seed, without=safeguard)
-        found_rules |= {breach.rule for breach in outcome.broken} | {fault.split()[0] for fault in outcome.failed}
+        found_rules |= {violation.rule for violation in outcome.violations} | {
+            fault.split()[0] for fault in outcome.failed
+        }
         if rule in found_rules:
             return
     raise AssertionError(f"without {safeguard} the scenario shows {sorted(found_rules)}, not {rule}")
