--- a/sailward/control/administration/admin_api.py
+++ b/sailward/control/administration/admin_api.py
@@ -1,6 +1,6 @@
 """The operators' interface of a controller: configurations, and orders on zones and voters.
 
-Each order is parsed, checked against the register's current value and attempted as a compare-and-set. It is refused
+Each order is parsed, checked against the register's current value and attempted as a compare-and-swap. It is refused
 only if it can never be accepted: it is invalid, or another change was accepted on top of the version that it builds on.
 Whenever neither can be shown, the answer is inconclusive: "unavailable" (this request changed nothing) or "unknown" (it
 may have changed the register, or may still do so).
@@ -28,7 +28,7 @@
     """One operator's request in flight; `number` and `text` are the register's, as last read for it.
 
     `initial_accepted`: how many orders of the same kind the register counted for the zone when it was first read; None
-    until then. `attempts`: compare-and-sets that another change preceded. `is_caller_gone`: the caller has
+    until then. `attempts`: compare-and-swaps that failed because of another change. `is_caller_gone`: the client has
     disconnected. `waiting_since`: when the wait for the current round began, None until the next tick.
     `change_length`: characters in the change that is proposed.
     """
@@ -86,10 +86,10 @@
         return self._after_change(job=job, outcome=event.outcome)
 
     def on_client_disconnected(self, *, token: str) -> None:
-        """Record that the caller has disconnected: its order on a zone is not proposed any more.
+        """Record that the client has disconnected: its order on a zone is not proposed any more.
 
         A change of the configuration goes on: it is safe however late it is accepted, and a large one may take longer
-        to check than its caller waits.
+        to check than its client waits.
         """
         for job in self.jobs.values():
             job.is_caller_gone = job.is_caller_gone or job.token == token
@@ -355,7 +355,7 @@
 
 
 def _quorum_timeout(*, job: Job) -> float:
-    """Seconds that a round at a majority may take: longer for large changes, as their callers wait longer too."""
+    """Seconds that a round at a majority may take: longer for large changes, as their clients wait longer too."""
     return constants.OPERATOR_QUORUM_TIMEOUT + job.change_length * constants.ROUND_TIMEOUT_PER_BYTE
 
 
--- a/sailward/control/administration/status_report.py
+++ b/sailward/control/administration/status_report.py
@@ -13,7 +13,7 @@
 
 
 def show_status(*, sources: StatusSources, now: float) -> dict:
-    """The status of the core, the zones and the proxies, as this controller sees it."""
+    """The status of the voters, the zones and the proxies, as this controller sees it."""
     voter, peer_table, subscribers = sources.voter, sources.peer_table, sources.subscribers
     core = count_voting_members(
         members=voter.voters.members, controllers=[*peer_table.alive(kind="controller"), peer_table.own_entry()]
--- a/sailward/control/administration/zone_orders.py
+++ b/sailward/control/administration/zone_orders.py
@@ -1,10 +1,10 @@
-"""The register of orders on zones: which zones are emptied, and how many orders of each kind were accepted for each.
+"""The register of orders on zones: which zones are evacuated, and how many orders of each kind each zone has had.
 
-An order on a zone carries no number and no body, so two identical orders can't be told apart. The counts show an order
-that competes with others whether one of its kind was accepted since it first read the register: then that one counts
-for both, and it is not applied again, perhaps on top of the opposite order that followed. Every order changes the
-register, even if the zone is already in the requested state: otherwise an opposite order that was accepted by only some
-voters could still be completed after it.
+An order on a zone carries no number and no body, so two identical orders can't be told apart. The counts show whether
+an order of the same kind was accepted since a competing order first read the register. If so, the accepted one counts
+for both, and the competing one is not applied again, which might undo an opposite order that followed. Every order
+changes the register, even if the zone is already in the requested state: otherwise an opposite order that was accepted
+by only some voters could still be completed after it.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ZoneOrders:
-    """The register's content. `accepted_counts`: {zone: [accepted orders to empty it, accepted to refill it]}."""
+    """The register's content. `accepted_counts`: {zone: [accepted orders to evacuate it, to restore it]}."""
 
     emptied: frozenset[str] = frozenset()
     accepted_counts: dict[str, list[int]] = field(default_factory=dict)
--- a/sailward/control/bootstrap.py
+++ b/sailward/control/bootstrap.py
@@ -1,4 +1,4 @@
-"""Bootstrap of a core without an operator: each seed named in the shared settings founds it independently."""
+"""Bootstrap of the quorum group without an operator: each seed in the shared settings founds it independently."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Bootstrap:
-    """The settings of the core.
+    """The settings for founding the quorum group, the controllers that vote.
 
     `is_first`: the whole system starts for the first time, on empty disks. `posts`: the seeds' addresses in the order
-    of the settings, the same on all daemons. `budget`: machines of the core that may be lost at once.
+    of the settings, the same on all daemons. `budget`: how many voters' machines may be lost at once.
     """
 
     is_first: bool
@@ -25,15 +25,15 @@
 
     @property
     def target_size(self) -> int:
-        """How many voters tolerate the loss of `budget` machines: at least three."""
+        """The number of voters needed to tolerate the loss of `budget` machines: at least three."""
         return max(3, 2 * self.budget + 1)
 
     def founders(self) -> tuple[str, ...]:
-        """The addresses of the seeds that found the core."""
+        """The addresses of the seeds that found the quorum group."""
         return tuple(dict.fromkeys(self.posts))[: self.target_size]
 
     def is_founder(self, *, post: str) -> bool:
-        """Does the daemon at this address found the core on an empty disk?"""
+        """Does the daemon at this address found the quorum group if its disk is empty?"""
         return self.is_first and post in self.founders()
 
     def founding_value(self) -> RegisterValue:
--- a/sailward/control/controller.py
+++ b/sailward/control/controller.py
@@ -275,7 +275,7 @@
                 return self.unexpected.add_unknown(event=event)
 
     def _drop_order(self, *, now: float, event: ClientDisconnected) -> list[Command]:
-        """Drop a zone order that has not begun: its caller has gone and has probably retried at another controller."""
+        """Drop a zone order that has not begun: its client is gone and has probably retried at another controller."""
         self.admin_api.on_client_disconnected(token=event.token)
         return []
 
@@ -344,7 +344,7 @@
         self.peer_table.is_fit = self.is_voting
         self.peer_table.active_proxies = "" if self.options.is_mesh else self.subscribers.active_proxy_names(now=now)
         if self.options.bootstrap:
-            # a non-member that can't write to disk must not be added to the voters
+            # without a disk to write to, a controller that is no voter announces no identity, so that it is not added
             may_act = (self.write_ahead.is_usable and self.options.has_disk) or self.voter.is_member
             self.peer_table.identity = self.identity if may_act else ""
 
--- a/sailward/control/controller_options.py
+++ b/sailward/control/controller_options.py
@@ -21,13 +21,13 @@
 
     `dialect`: the format of the operators' API; None for the product's own JSON. `expand`: converts a written
     configuration to its full form, for a dialect that keeps no full form in the register. `reader`: parses the
-    platform's list of workers; None for the product's own format. `bootstrap`: None where an operator founds the core.
-    `list_rate`: calls/s to the list that the platform allows from all daemons together, 0 if no bound is known.
+    platform's list of workers; None for the product's own format. `bootstrap`: None if an operator founds the quorum
+    group. `list_rate`: calls/s to the list that the platform allows from all daemons together, 0 if no bound is known.
     `zones`: every zone in the settings, with its region. `grants`: the format of grants to workers, None where no
     service is sharded by key range. `publishes_proxy_list`: proxies are sent the list of all proxies, for the
-    directory. `is_mesh`: controllers exchange heartbeats instead of whole peer tables; for cores whose proxies don't
-    gossip. `has_disk`: without a disk a controller serves proxies and operators, and votes only if it is a founder,
-    until a controller with a disk replaces it. All others are times in s.
+    directory. `is_mesh`: controllers exchange heartbeats instead of whole peer tables, where proxies don't gossip.
+    `has_disk`: without a disk a controller serves proxies and operators, and votes only if it is a founder, until a
+    controller with a disk replaces it. All others are times in s.
     """
 
     dialect: Dialect | None = None
--- a/sailward/control/endpoints/endpoint_list.py
+++ b/sailward/control/endpoints/endpoint_list.py
@@ -13,7 +13,7 @@
 
 
 class EndpointList:
-    """Maintains the list. `step` takes a page, or None for the passing of time; `receive` another controller's list.
+    """Maintains the list. `step` takes a page, or None for a timer tick; `receive` another controller's list.
 
     `value` has the form of a register's value and is None until the first complete list; (`epoch`, `revision`) grows
     with each change.
--- a/sailward/control/endpoints/endpoint_poller.py
+++ b/sailward/control/endpoints/endpoint_poller.py
@@ -18,7 +18,7 @@
 class EndpointPoller:
     """Polls the list of workers, or follows the controller that does.
 
-    `step` takes a page, or None for the passing of time; `receive` another controller's list.
+    `step` takes a page, or None for a timer tick; `receive` another controller's list.
 
     Hashing chooses one live controller, which reads the platform's list. It informs the others of each pass, and sends
     the rows only if they are new; a controller that hears of no pass for ENDPOINT_LIST_READER_TIMEOUT, as after a
--- a/sailward/control/group/copying.py
+++ b/sailward/control/group/copying.py
@@ -16,7 +16,9 @@
 
 @dataclass(kw_only=True)
 class Copying:
-    """Owner of one copy. `step` requests pages, or folds one; it is over when enough voters have sent all their votes.
+    """Owner of one copy. `step` requests pages, or merges a received page.
+
+    The copy is complete when enough voters have sent all their votes.
 
     Each request carries the voter set that contains the new voter. A voter stores that set before it sends a page,
     and so casts no more votes under the previous set: everything chosen under that set is in the copy. `sources` are
@@ -34,7 +36,7 @@
     backoff: float = field(default_factory=lambda: constants.COPY_RETRY_INTERVAL)
 
     def step(self, *, now: float, voters: LearnedValue, event: tuple | None) -> list[Command]:
-        """Take a (sender, `copied` message), or None for the passage of time."""
+        """Take a (sender, `copied` message), or None for a timer tick."""
         members = read_voters(value=voters.value)
         if members.number != self.number:
             self._restart(members=members)
@@ -53,8 +55,8 @@
         """Have enough voters sent everything? `own` are this voter's slots, if it could vote under the previous set.
 
         A majority of the previous set is enough. For a voter that stays in a smaller set, a blocking set (one voter of
-        every majority) is enough, as no more may be left. If, under the first ballot, these votes don't show which
-        value was chosen, it takes a majority.
+        every majority) is enough, as the others may be lost. A majority is needed if votes under the first
+        ballot don't show which value was chosen.
         """
         if not self.previous_members:
             return False
--- a/sailward/control/group/disaster_recovery.py
+++ b/sailward/control/group/disaster_recovery.py
@@ -1,4 +1,4 @@
-"""Disaster recovery: an operator re-forms the core from its survivors after a permanent loss of the majority."""
+"""Disaster recovery: an operator re-forms the quorum group from the survivors of a permanent loss of the majority."""
 
 from __future__ import annotations
 
@@ -119,8 +119,8 @@
 def _next_recovery_number(*, value: RegisterValue, survivors: list[str]) -> int:
     """A number far enough ahead that no change made under the old voter set can reach it.
 
-    Within the gap each set of survivors has its own offset, so that of two recoveries on two sides of a partition one
-    is the newer.
+    Within the gap each set of survivors has its own offset, so that of two recoveries ordered on the two sides of a
+    partition one has the higher number.
     """
     digest = hashlib.blake2b(" ".join(survivors).encode(), digest_size=4).digest()
     location = int.from_bytes(digest, "big") % constants.RECOVERY_NUMBER_LOCATIONS
@@ -131,7 +131,7 @@
 
 @dataclass(kw_only=True)
 class DisasterRecovery:
-    """Owner of one survivor's part in a recovery. `step` requests the other survivors' votes, or folds a page of them.
+    """Owner of one survivor's part in a recovery. `step` requests the other survivors' votes, or merges a page of them.
 
     A survivor acts under the new set only once it has every vote of every survivor and no proxy can still hold a
     lease granted under the old set. Until then it casts no vote.
@@ -142,7 +142,7 @@
     known_since: float = -1e9
 
     def step(self, *, now: float, voters: LearnedValue, event: tuple | None) -> list[Command]:
-        """Take a (sender, `copied` message), or None for the passage of time."""
+        """Take a (sender, `copied` message), or None for a timer tick."""
         self.observe(now=now, voters=voters)
         return self.copying.step(now=now, voters=voters, event=event)
 
--- a/sailward/control/group/membership.py
+++ b/sailward/control/group/membership.py
@@ -64,7 +64,7 @@
         self._repair_count = 0
 
     def step(self, *, now: float) -> StepResult:
-        """Report a lost quorum; copy, recover, repair, or ask the other controllers for updates."""
+        """Report a lost quorum; then copy, recover, repair, or ask the other controllers for updates."""
         peers = self._peer_table.alive(kind="controller")
         self.controllers = {peer["identity"]: peer for peer in [*peers, self._peer_table.own_entry()]}
         commands = self._report_quorum(now=now, peers=peers)
@@ -84,7 +84,7 @@
         self._requested_at = -1e9
 
     def found(self, *, now: float, event: RequestReceived) -> list[Command]:
-        """Found a core from new controllers; the operator sends the same member list to each of them."""
+        """Found the quorum group from new controllers; the operator sends the same member list to each of them."""
         voter = self._voter
         members = _read_field(event=event, name="members")
         if not is_members(members) or voter.identity not in members:
@@ -184,7 +184,7 @@
         return voter.write_ahead.step(records=[], replies=[SendMessage(to=sender, body=page)])
 
     def on_page(self, *, now: float, event: tuple) -> list[Command]:
-        """Fold a received page; after the last one this controller may vote."""
+        """Merge a received page; after the last one this controller may vote."""
         voter = self._voter
         if "voters" not in voter.learner.values:
             return []
@@ -193,7 +193,7 @@
         return self._step_copy(now=now, event=event)
 
     def _step_copy(self, *, now: float, event: tuple | None) -> list[Command]:
-        """Request pages, or fold one; this voter's own votes count as well if peers may copy from it."""
+        """Request pages, or merge one; this voter's own votes count as well if peers may copy from it."""
         voter = self._voter
         own = voter.acceptor.slots if voter.is_copy_source else None
         commands = self.copying.step(now=now, voters=voter.learned_voters(), event=event)
--- a/sailward/control/group/repair.py
+++ b/sailward/control/group/repair.py
@@ -1,8 +1,8 @@
 """Replacing a permanently lost voter: the new one is added first, then the lost one is removed, one change at a time.
 
-A core that founded itself swaps the two in a single change. This is safe because a newcomer votes only after it has
-copied from a majority of the previous set, and each of these voters stores the new set before it sends its votes: the
-old set then has no majority left that could choose anything more, and the newcomer has everything that the old set
+A quorum group that founded itself swaps the two in a single change. This is safe because a newcomer votes only after it
+has copied from a majority of the previous set, and each of these voters stores the new set before it sends its votes:
+the old set then has no majority left that could choose anything more, and the newcomer has everything that the old set
 chose. A majority of the new set without the newcomer is also a majority of the old set, as both sets have the same
 size. As the lost voter's place is filled at once, a newcomer that dies before it has copied can itself be replaced. A
 set that shrinks loses holders of chosen values, so its members copy from the previous set, too. A voter that leaves on
@@ -26,10 +26,10 @@
 class Repair:
     """Owner of the decision. `step` returns the next text of the voters register, or "".
 
-    `is_self_managed`: the core founded itself; it grows and swaps voters on its own, and its voters take turns at
-    proposing. `pending_since` is the number of the voter set that needs a change, and since when; `last_proposed` the
-    number of the set for which this voter last proposed a change, and when; `replaced_at` when a voter that was still
-    alive was replaced.
+    `is_self_managed`: the quorum group founded itself; it grows and swaps voters on its own, and its voters take turns
+    at proposing. `pending_since` is the number of the voter set that needs a change, and since when; `last_proposed`
+    the number of the set for which this voter last proposed a change, and when; `replaced_at` when a voter that was
+    still alive was replaced.
     """
 
     last_seen_at: dict = field(default_factory=dict)
@@ -60,7 +60,7 @@
         size = json.loads(text).get("size", len(members))
         waiting = sorted(name for name in alive if may_join(entry=alive[name], members=members))
         if waiting and len(members) < size and not joining:
-            # after a disaster recovery the core grows back to its size
+            # after a disaster recovery the quorum group grows back to its configured size
             return change_members(text=text, number=number, add=(waiting[0], alive[waiting[0]]["post"]))
         if not to_replace:
             return ""
--- a/sailward/control/group/voter.py
+++ b/sailward/control/group/voter.py
@@ -207,7 +207,7 @@
         return self.write_ahead.step(records=[{"k": "drop", "r": name} for name in expired], replies=[])
 
     def _found_core(self, *, now: float, value: RegisterValue) -> list[dict]:
-        """Found the core without any message; the records returned must be synced before any reply is sent."""
+        """Found the quorum group without any message; the records returned must be synced before any reply is sent."""
         ballot = [0, "founder"]
         record = {"k": "vote", "r": "voters", "b": ballot, "v": value}
         apply_record(slots=self.acceptor.slots, record=record, now=now)
--- a/sailward/control/proxies/aggregated_health.py
+++ b/sailward/control/proxies/aggregated_health.py
@@ -10,7 +10,7 @@
 from sailward.routing.zone_health import ZoneHealthTable
 
 PARTS = 1000
-"""The denominator that turns a fraction into counts, which the zone health table takes."""
+"""Denominator used to pass a fraction to the zone health table, which takes counts of workers."""
 
 
 @dataclass(kw_only=True)
@@ -47,7 +47,7 @@
             counts[location] = (PARTS, round(median * PARTS), PARTS)
             if location not in self.table.zones and 2 * sum(drained_flags[name]) > len(drained_flags[name]):
                 # this controller has no state of the zone, as after a restart, but most proxies report it drained:
-                # drain it until its hold time has passed
+                # drain it until its hold-down is over
                 self.table.step(now=now, counts={**self._current_counts(), location: (PARTS, 0, PARTS)})
         return self.table.step(now=now, counts=counts) if counts else []
 
--- a/sailward/control/proxies/key_loads.py
+++ b/sailward/control/proxies/key_loads.py
@@ -1,6 +1,7 @@
-"""Request rates of the keys of divided services, and latencies of their workers.
+"""Request rates of the keys of sharded services, and latencies of their workers.
 
-Each controller counts those of its own proxies and sends them to others in a compact encoding; receivers add them up.
+Each controller counts the requests of its own proxies and sends the rates to the other controllers in a compact
+encoding; the receivers add them up.
 """
 
 from __future__ import annotations
--- a/sailward/control/proxies/proxy_registry.py
+++ b/sailward/control/proxies/proxy_registry.py
@@ -31,10 +31,10 @@
 
 @dataclass(kw_only=True)
 class ProxyRegistry:
-    """Maintains the view of the fleet. `step` takes another controller's report, or sends the others what is new here.
+    """Maintains the view of the fleet. `step` takes another controller's report, or sends its own.
 
-    `readers` are the addresses of the controllers that place keys: only these are sent the loads of keys (all
-    controllers if it is None).
+    `readers` are the addresses of the controllers that assign key ranges to workers: only these are sent the request
+    rates of keys (all controllers if it is None).
     """
 
     post: str
@@ -60,7 +60,7 @@
     def step(
         self, *, now: float, event: tuple | None, proxies: list[Subscriber], controllers: list[PeerEntry]
     ) -> list[Command]:
-        """Handle a (sender, body) of kind fleet or want, or the passing of time if `event` is None.
+        """Handle a (sender, body) of kind fleet or want; on a timer tick (None) send the others what has changed here.
 
         `controllers` are those of the peer table that are not lost.
         """
@@ -175,7 +175,7 @@
         return {key: (count, reporting) for key, count in counts.items()}
 
     def loads(self, *, now: float, service: str) -> dict:
-        """Requests/s by bucket of a divided service, over the whole fleet."""
+        """Requests/s by bucket of a sharded service, over the whole fleet."""
         total = dict(self.rates.get(service, {}))
         for snapshot in self._recent_snapshots(now=now):
             for bucket, rate in snapshot.loads.get("rates", {}).get(service, {}).items():
@@ -183,7 +183,7 @@
         return total
 
     def latencies(self, *, now: float) -> dict:
-        """{worker: (latency in s, number of samples)} of the workers of divided services, over the fleet."""
+        """{worker: (latency in s, number of samples)} of the workers of sharded services, over the fleet."""
         total: dict = {}
         for latencies in [
             self.worker_latencies.latencies(now=now),
--- a/sailward/control/proxies/serving.py
+++ b/sailward/control/proxies/serving.py
@@ -1,6 +1,6 @@
 """A controller's answers to the daemons that poll it.
 
-Leases, the numbers of the newest values, and pushes of new values.
+It grants leases, sends the numbers of the newest values, and pushes new values.
 """
 
 from __future__ import annotations
--- a/sailward/control/shards/freshness.py
+++ b/sailward/control/shards/freshness.py
@@ -54,7 +54,10 @@
         own_identity: str,
         registers: list,
     ) -> list[Command]:
-        """`members` are the voters, `number` is that of the voters register, `own_identity` this controller's."""
+        """Record the confirmation `body`, or request new ones if it is None and they are due.
+
+        `members` are the voters, `number` is that of the voters register, `own_identity` is this controller's identity.
+        """
         if body is not None:
             requested_at = self.requested_at.get(body["seq"])
             known = self.confirmations.get(body["identity"])
--- a/sailward/control/shards/grant_targets.py
+++ b/sailward/control/shards/grant_targets.py
@@ -1,4 +1,4 @@
-"""The target owners of a divided service's keys: healthy workers, reached with as few moves as possible."""
+"""The target owners of a sharded service's keys: healthy workers, reached with as few moves as possible."""
 
 from __future__ import annotations
 
--- a/sailward/control/shards/granting.py
+++ b/sailward/control/shards/granting.py
@@ -58,7 +58,7 @@
         self._next_check_at = NEVER
 
     def step(self, *, now: float, event: CallFinished | None, context: GrantContext) -> tuple[list, list]:
-        """Handle the result of one of its calls, or the passing of time if `event` is None."""
+        """Handle the result of one of its calls, or a timer tick if `event` is None."""
         commands = []
         if event is not None and self.is_own(token=event.token):
             self._next_check_at = NEVER
--- a/sailward/control/shards/quiescence.py
+++ b/sailward/control/shards/quiescence.py
@@ -14,7 +14,10 @@
 
 @dataclass(kw_only=True)
 class ClosedSlot:
-    """One closed slot: when this controller first saw it closed, the register's number, and whether it is clear."""
+    """One closed slot: when this controller first saw it closed, the register's number, and whether it is drained.
+
+    `heartbeats` are the voters' heartbeats at that time, `active_proxies` the proxies that voters have reported since.
+    """
 
     closed_at: float
     register_number: int
@@ -29,7 +32,7 @@
 
     A proxy acts on grants of a blocking set, which shares a voter with every majority of the voters. So the proxies
     that a majority of voters report, in heartbeats made after the closing, are all that can act or have forwarded
-    requests.
+    requests; to act is to forward requests under a valid lease.
     """
 
     service: str
@@ -43,7 +46,7 @@
         return {voter["identity"]: (voter["start"], voter["beat"]) for voter in self._voters()}
 
     def check(self, *, closed_slot: ClosedSlot, slot: str) -> None:
-        """Mark the closed slot as clear if the current state proves it."""
+        """Mark the closed slot as drained if the current state proves it."""
         reporting = [entry for entry in self._voters() if self._has_beaten_since(entry=entry, closed_slot=closed_slot)]
         for voter in self._voters():
             closed_slot.active_proxies |= set(filter(None, voter["asks"].split(",")))
--- a/sailward/control/shards/shard_leases.py
+++ b/sailward/control/shards/shard_leases.py
@@ -1,4 +1,4 @@
-"""A controller's part in the leases of services whose keys are divided into ranges.
+"""A controller's part in the leases of services that are sharded by key range.
 
 Determines which controller acts, how fresh its view is, and what it grants from.
 """
@@ -32,7 +32,7 @@
 class ShardLeases:
     """Runs the grants of one controller.
 
-    `step` takes the result of a call, or None for the passing of time; `receive` takes a message.
+    `step` takes the result of a call, or None for a timer tick; `receive` takes a message.
     """
 
     def __init__(
@@ -100,7 +100,7 @@
         )
 
     def step(self, *, now: float, event: CallFinished | None) -> StepResult:
-        """Step the grants of each divided service; returns (commands, operations to start)."""
+        """Step the grants of each service that is sharded by key range; returns (commands, operations to start)."""
         services = sorted(name for name, service in self._shard_moves.plan.services.items() if service.is_ranged)
         if event is not None:
             services = [
@@ -204,7 +204,7 @@
         return inputs
 
     def _follow_endpoints(self, *, now: float) -> None:
-        """Update workers, emptied zones and unreachable workers from the endpoint list, orders and proxy reports."""
+        """Update workers, evacuated zones and unreachable workers from the endpoint list, orders and proxy reports."""
         voter = self._voter
         orders = voter.learner.values.get("orders")
         emptied = read_orders(value=orders.value) if orders else frozenset()
--- a/sailward/control/shards/shard_moves.py
+++ b/sailward/control/shards/shard_moves.py
@@ -1,4 +1,4 @@
-"""The slot moves of all divided services; hashing chooses the one controller responsible for each."""
+"""The slot moves of all services that are sharded by slot; hashing chooses the one controller responsible for each."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
         epoch: int,
         proxies: list[Subscriber],
     ) -> list[tuple[str, int, str]]:
-        """Check each divided service this controller is responsible for; `epoch` is that of the list of workers."""
+        """Check each sharded service this controller is responsible for; `epoch` is that of the list of workers."""
         if now - self.last_check_at < constants.SLOT_ASSIGNMENT_INTERVAL or workers is None:
             return []
         self.last_check_at = now
--- a/sailward/control/shards/shard_plan.py
+++ b/sailward/control/shards/shard_plan.py
@@ -11,12 +11,12 @@
 BUCKETS = constants.KEY_LOAD_BUCKETS
 BUCKET_WIDTH = KEYS // BUCKETS
 UNIFORM_FRACTION = 0.2
-"""of the load that is taken to be spread evenly over all keys."""
+"""Fraction of the load that is assumed to be spread evenly over all keys."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Span:
-    """Keys from `start` to `end`, both inclusive, and their owner's key; "" if they have no owner."""
+    """Keys from `start` to `end`, both inclusive, and the worker that owns them; "" if they have no owner."""
 
     start: int
     end: int
--- a/sailward/proxy/directory.py
+++ b/sailward/proxy/directory.py
@@ -23,7 +23,7 @@
         self.proxies = proxies
 
     def step(self, *, event: RequestReceived, is_ready: bool) -> Respond:
-        """Answer with the fit proxies of the caller's region, or with all fit proxies if that region has none."""
+        """Answer with the fit proxies of the client's region, or with all fit proxies if that region has none."""
         if event.method != "GET" or event.path != "/proxies":
             return answer_json(token=event.token, code=404, body={"error": "unknown", "detail": "GET /proxies"})
         zone, region = event.query.get("hall", self.location.zone), event.query.get("region", self.location.region)
--- a/sailward/proxy/directory_server.py
+++ b/sailward/proxy/directory_server.py
@@ -70,7 +70,7 @@
         zone = event.query.get("hall", self.location.zone)
         region = event.query.get("region", self.location.region)
         fit = [entry for entry in self.peer_table.alive(kind="proxy") if entry["fit"]]
-        # nearest first; the order of equally near proxies is fixed for a caller and differs between callers
+        # nearest first; the order of equally near proxies is fixed for a client and differs between clients
         caller = event.query.get("caller", event.token)
         fit.sort(
             key=lambda entry: (
--- a/sailward/proxy/proxy.py
+++ b/sailward/proxy/proxy.py
@@ -56,8 +56,8 @@
 class ProxyOptions:
     """Settings of a deployment: the names used on the wire, the regions, and the limits (times in s).
 
-    After a request to stop, the proxy accepts connections for `deregistration_delay` more, so that clients learn that
-    it is going away, and ends after `stop_grace` at the latest.
+    After a request to stop, the proxy accepts connections for another `deregistration_delay`, so that clients learn
+    that it is going away, and ends after `stop_grace` at the latest.
     """
 
     names: WireNames = WireNames()
--- a/sailward/proxy/tenant_proxy.py
+++ b/sailward/proxy/tenant_proxy.py
@@ -1,4 +1,4 @@
-"""A proxy process that routes by tenant: lease, worker status, load balancing, exchanges."""
+"""A proxy process that routes by tenant: lease, worker status, load balancing, requests."""
 
 from __future__ import annotations
 
--- a/sailward/routing/active_health.py
+++ b/sailward/routing/active_health.py
@@ -26,7 +26,7 @@
 
     @property
     def is_healthy(self) -> bool:
-        """May exchanges be sent to it, according to the probes?"""
+        """May requests be sent to it, according to the probes?"""
         return self.state in CHART.marks["healthy"]
 
     @property
@@ -69,7 +69,7 @@
         return commands
 
     def record_event(self, *, now: float, key: str, event: str) -> list[Command]:
-        """Apply the result of an exchange to a worker: `refused` or `stranger`."""
+        """Apply the result of a request to a worker: `refused` or `stranger`."""
         probed = self.probed.get(key)
         return self._transition(now=now, probed=probed, event=event) if probed else []
 
--- a/sailward/routing/attempt_budget.py
+++ b/sailward/routing/attempt_budget.py
@@ -24,7 +24,7 @@
         self._lookups: deque = deque()
 
     def step(self, *, now: float, is_first: bool, is_client_retry: bool = False) -> str:
-        """The source that this attempt was charged to."""
+        """The source that this attempt was charged to: FIRST, CREDIT or BUDGET; "" if it may not be made."""
         for times, max_age in (
             (self._first_tries, constants.RETRY_BUDGET_WINDOW),
             (self._retries, constants.RETRY_BUDGET_WINDOW),
@@ -47,7 +47,7 @@
         return BUDGET
 
     def lookup(self, *, now: float) -> str:
-        """May a retry look up its claim? It is charged like any other if it has to be forwarded."""
+        """LOOKUP if a retry may look up its claim, else "". If it is then forwarded, it is charged like any other."""
         while self._lookups and self._lookups[0] <= now - constants.RETRY_BUDGET_WINDOW:
             self._lookups.popleft()
         if len(self._lookups) >= max(
@@ -58,7 +58,7 @@
         return LOOKUP
 
     def refund(self, *, now: float, charged_to: str, adds_load: bool) -> None:
-        """Refund a request that was refused and sent to no worker. `adds_load`: an earlier try did reach one."""
+        """Refund a request that was refused and not sent. `adds_load`: an earlier try of it reached a worker."""
         if charged_to == LOOKUP:
             return
         times = self._retries if charged_to == BUDGET else self._first_tries
--- a/sailward/routing/concurrency_limits.py
+++ b/sailward/routing/concurrency_limits.py
@@ -1,4 +1,4 @@
-"""Rate limits of workers, shared by all pools; the limit of a cold worker rises from a small rate (slow start)."""
+"""Rate limits of workers, shared by all pools; in slow start a worker's limit rises from a small rate."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ConcurrencyLimits:
-    """Keeps this proxy's share of each worker's rate limit. `step` takes one token for an exchange."""
+    """Keeps this proxy's share of each worker's rate limit. `step` takes one token for a request."""
 
     def __init__(self) -> None:
         self._buckets: dict[str, Bucket] = {}
--- a/sailward/routing/endpoint_selection.py
+++ b/sailward/routing/endpoint_selection.py
@@ -58,7 +58,7 @@
 
 @dataclass(kw_only=True)
 class EndpointSelector:
-    """Keeps the counts of open requests and the rate limits of cold workers.
+    """Keeps the counts of open requests and the rate limits of workers in slow start.
 
     `step` returns a worker, or the reason why there is none.
     """
@@ -162,7 +162,7 @@
         return sum(unloaded_times) / len(unloaded_times) if unloaded_times else 0.0
 
     def _warm_capacity_by_zone(self, *, now: float, service: str) -> dict[str, float]:
-        """The relative capacity of each zone: the sum of the speeds of its warm workers."""
+        """The relative capacity of each zone: the sum of the speeds of its workers that are not in slow start."""
         capacity_by_zone: dict[str, float] = {}
         mean = self._mean_unloaded_time(service=service)
         for worker in self.context.workers_by_service.get(service, ()):
@@ -230,9 +230,9 @@
         return self.open_requests.get(health.worker.key, 0) < max(1.0, limit)
 
     def _take_slow_start_token(self, *, now: float, health: WorkerHealth, request: Request) -> bool:
-        """Does the rate limit of a cold worker admit a request from this proxy?
+        """Does the rate limit of a worker in slow start admit a request from this proxy?
 
-        Only the few proxies that rendezvous hashing chooses send to a cold worker.
+        Only the few proxies that rendezvous hashing chooses send requests to such a worker.
         """
         context, key = self.context, health.worker.key
         names = [
--- a/sailward/routing/lease.py
+++ b/sailward/routing/lease.py
@@ -67,7 +67,7 @@
         return expiries[size - 1] if members and len(expiries) >= size else -1e9
 
     def is_valid(self, *, now: float, voters: VoterSet) -> bool:
-        """May the proxy act now?"""
+        """May the proxy act now: is the lease valid, and are the configuration and the voter set known?"""
         return now < self.until(voters=voters) and all(self._learner.number(name=name) for name in ("config", "voters"))
 
     def _request_lease(self, *, now: float, addresses: list, report: dict, daemon: dict, have: dict) -> list[Command]:
--- a/sailward/routing/load_balancer.py
+++ b/sailward/routing/load_balancer.py
@@ -24,7 +24,7 @@
     open_requests: dict = field(default_factory=dict)
 
     def step(self, *, now: float, exchange: ProxiedRequest) -> Worker | Refusal:
-        """Select the worker that runs this exchange, and count the exchange against its rate limit."""
+        """Select the worker that runs this request, and count the request against its rate limit."""
         if exchange.service.slots:
             return self._find_owner(now=now, exchange=exchange)
         if not exchange.pool:
@@ -80,7 +80,7 @@
         )
 
     def _refuse_over_limit(self, *, now: float, exchange: ProxiedRequest, owner: str) -> Refusal | None:
-        """The refusal if the rate limit of the key or of its owner is reached; None if the exchange may be sent."""
+        """The refusal if the rate limit of the key or of its owner is reached; None if the request may be sent."""
         routing_state, service = self.routing_state, exchange.service
         key_limit = replace(service, rate=service.rate * constants.HOT_KEY_SHARE)
         if not self.rate_limits.step(
@@ -102,7 +102,7 @@
         return None
 
     def is_choice_valid(self, *, exchange: ProxiedRequest) -> bool:
-        """May this exchange still be sent to the worker that was chosen for it earlier?"""
+        """May this request still be sent to the worker that was chosen for it earlier?"""
         routing_state, worker = self.routing_state, exchange.selected_worker
         probed = routing_state.prober.probed.get(worker.key)
         if (
@@ -119,11 +119,11 @@
         return owned is not None and owned.is_open and (owned.owner, owned.term) == (worker.key, exchange.term)
 
     def record_sent(self, *, key: str) -> None:
-        """Count an exchange that was forwarded to this worker."""
+        """Count a request that was forwarded to this worker."""
         self.open_requests[key] = self.open_requests.get(key, 0) + 1
 
     def record_ended(self, *, key: str) -> None:
-        """Stop counting an exchange that has ended at this worker."""
+        """Stop counting a request that has ended at this worker."""
         count = self.open_requests.get(key, 1) - 1
         if count > 0:
             self.open_requests[key] = count
--- a/sailward/routing/passive_health.py
+++ b/sailward/routing/passive_health.py
@@ -1,4 +1,4 @@
-"""Passive health checks: worker health from the results of exchanges; only workers in doubt are probed."""
+"""Passive health checks: worker health from the results of requests; only workers in doubt are probed."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     """Health and load of one worker, as observed by this proxy.
 
     Response times are in s. `window` is the number of requests that this proxy may have open at the worker,
-    `busy_until` the end of the backoff after an answer that it is full.
+    `busy_until` the end of the backoff after a response that it is full.
     """
 
     worker: Worker
@@ -48,7 +48,7 @@
 
     @property
     def is_healthy(self) -> bool:
-        """May exchanges be sent to it?"""
+        """May requests be sent to it?"""
         return self.state in CHART.marks["healthy"]
 
 
@@ -111,7 +111,7 @@
         return times
 
     def record_event(self, *, now: float, key: str, event: str, elapsed: float = 0.0) -> list[Command]:
-        """Apply the result of an exchange: pass (`elapsed` in s), fail, late, lost, refused, dark, stranger or full."""
+        """Apply the result of a request: pass (`elapsed` in s), fail, late, lost, refused, dark, stranger or full."""
         health = self.workers.get(key)
         if health is None:
             return []
--- a/sailward/routing/plan.py
+++ b/sailward/routing/plan.py
@@ -61,7 +61,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Match:
-    """One routing rule: a path prefix, methods, tenants, and the weighted pools."""
+    """One routing rule: a path prefix, methods, tenants, and the weighted pools.
+
+    `kind` is REPEATABLE, ONCE or empty; `expiry` and the `target` response time are in s, 0 if not configured. Of
+    waiting requests, those with the lowest `rank` go first.
+    """
 
     path: str
     methods: frozenset
@@ -77,7 +81,7 @@
 
     @property
     def is_repeatable(self) -> bool:
-        """May its exchanges run more than once, according to the configuration?"""
+        """May its requests run more than once, according to the configuration?"""
         return self.kind == REPEATABLE
 
 
@@ -93,7 +97,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Plan:
-    """The configuration in force."""
+    """The configuration in force.
+
+    `index` holds the matches by (host, first path segment); `label` is the operators' version of the configuration.
+    """
 
     number: int = 0
     regions: dict = field(default_factory=dict)
@@ -106,7 +113,7 @@
     label: int = 0
 
     def match(self, *, path: str, method: str, tenant: str, host: str = "") -> Match | None:
-        """The rule for this exchange: longest path first, then rules that name tenants, then those with methods."""
+        """The rule for this request: longest path first, then rules that name tenants, then those with methods."""
         for match in (*self.index.get((host, _first_segment(path=path)), ()), *self.index.get((host, ""), ())):
             if not (path == match.path or path.startswith(match.path.rstrip("/") + "/")):
                 continue
--- a/sailward/routing/shards.py
+++ b/sailward/routing/shards.py
@@ -10,7 +10,7 @@
 from sailward.wire_types import RegisterValue
 
 KEYS = 1 << 16
-"""keys of a service that is sharded by range: 0 to KEYS - 1."""
+"""Number of keys of a service that is sharded by range: 0 to KEYS - 1."""
 OPEN, MOVING = "open", "moving"
 
 
@@ -18,7 +18,8 @@
 class Shard:
     """The keys from `start` to `end`, both inclusive.
 
-    With the key of their owner (empty if none), its fencing token, the state, and the next owner while they move.
+    `owner` is the worker that owns them (empty if none), with its fencing token; `state` is OPEN or MOVING;
+    `next_owner` is set while they move.
     """
 
     start: int
--- a/sailward/routing/shards_in_use.py
+++ b/sailward/routing/shards_in_use.py
@@ -1,4 +1,4 @@
-"""The shards in which an exchange forwarded by this proxy may still be running."""
+"""The shards in which a request forwarded by this proxy may still be running."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 @dataclass(kw_only=True)
 class ShardsInUse:
-    """Keeps, by shard, the time until which exchanges without an answer may still be running."""
+    """Keeps, by shard, the time until which requests without a response may still be running."""
 
     busy_until: dict[str, float] = field(default_factory=dict)
 
     def record_abandoned(self, *, exchange: ProxiedRequest) -> None:
-        """Keep the shard of an abandoned exchange in use: its worker may go on until the service's expiry."""
+        """Keep the shard of an abandoned request in use: its worker may go on until the service's expiry."""
         if exchange.slot >= 0:
             self.busy_until[_label(exchange=exchange)] = exchange.sent_at + exchange.service.expiry
 
     def labels(self, *, now: float, sent: Iterable[ProxiedRequest]) -> list[str]:
-        """The shards of the exchanges in flight and of abandoned ones that may still be running."""
+        """The labels (service|space/slot) of the shards in which requests are in flight or may still be running."""
         self.busy_until = {label: end for label, end in self.busy_until.items() if now < end}
         return sorted({*(_label(exchange=exchange) for exchange in sent if exchange.slot >= 0), *self.busy_until})
 
