--- a/sailward/control/administration/admin_api.py
+++ b/sailward/control/administration/admin_api.py
@@ -183,8 +183,8 @@
         outcome = Outcome(
             kind="unavailable", code=503, reason="caller-left", detail="the caller left: nothing was changed"
         )
-        commands, begins = self._answer(job=job, outcome=outcome)
-        return StepResult([log, *commands], begins)
+        commands, operations = self._answer(job=job, outcome=outcome)
+        return StepResult([log, *commands], operations)
 
     def _judge_labelled_change(self, *, job: Job) -> StepResult:
         """Decide on a change of a labelled configuration by the current one."""
@@ -261,7 +261,7 @@
         zone, kind = str(job.order.argument), job.order.kind
         orders = read_zone_orders(text=job.text)
         is_known = zone in self.full_config.get("halls", {}) or zone in self.zones
-        if not is_known and not (kind == "refill" and zone in orders.emptied):
+        if not is_known and not (kind == "refill" and zone in orders.evacuated_zones):
             return Outcome(
                 kind="refused", code=404, reason="hall-unknown", detail=f"no hall {zone!r} in the configuration"
             )
@@ -272,7 +272,9 @@
         job.initial_accepted = accepted
         changed = orders.with_order(kind=kind, zone=zone)
         tenants_without_home = (
-            find_tenants_without_home(full=self.full_config, emptied=set(changed.emptied)) if kind == "empty" else []
+            find_tenants_without_home(full=self.full_config, evacuated_zones=set(changed.evacuated_zones))
+            if kind == "empty"
+            else []
         )
         if tenants_without_home and not job.order.is_confirmed:
             return Outcome(
@@ -319,10 +321,10 @@
             if job.order.digest:
                 fields |= {"builds_on": job.order.expected, "digest": job.order.digest}
             log = LogEvent(event="accepted", fields=fields)
-            commands, begins = self._answer(
+            commands, operations = self._answer(
                 job=job, outcome=Outcome(kind="accepted", number=outcome.number, extra=job.notes)
             )
-            return StepResult([log, *commands], begins)
+            return StepResult([log, *commands], operations)
         if isinstance(outcome, Unknown):
             return self._answer(
                 job=job,
--- a/sailward/control/administration/metrics.py
+++ b/sailward/control/administration/metrics.py
@@ -79,15 +79,15 @@
     voter, peer_table = sources.voter, sources.peer_table
     members = voter.voters.members
     controllers = [*peer_table.alive(kind="controller"), peer_table.own_entry()]
-    core = count_voting_members(members=members, controllers=controllers)
+    voting_counts = count_voting_members(members=members, controllers=controllers)
     copying = sorted(
         controller["id"] for controller in controllers if controller["identity"] in members and not controller["fit"]
     )
     return [
         _gauge("voting", "Whether this controller votes.", voter.is_voting),
         _gauge("voters", "Members of the set of voters.", len(members)),
-        _gauge("voters_voting", "Voters that are heard of as voting.", core["voting"]),
-        _gauge("voters_needed", "Voters that a majority needs.", core["needed"]),
+        _gauge("voters_voting", "Voters that are heard of as voting.", voting_counts["voting"]),
+        _gauge("voters_needed", "Voters that a majority needs.", voting_counts["needed"]),
         _gauge("voters_number", "Number of the set of voters.", voter.voters.number),
         _labelled(
             "voter_not_voting", "Voters that are up and copy, or can not write.", "daemon", dict.fromkeys(copying, 1)
--- a/sailward/control/administration/residency.py
+++ b/sailward/control/administration/residency.py
@@ -7,6 +7,8 @@
 from sailward.config.residency import find_home_zones
 
 
-def find_tenants_without_home(*, full: dict, emptied: Set[str]) -> list[str]:
+def find_tenants_without_home(*, full: dict, evacuated_zones: Set[str]) -> list[str]:
     """The tenants bound to home regions that have a match with a pool whose home zones are all evacuated."""
-    return sorted({tenant for tenant, _, zones in find_home_zones(full=full) if zones and set(zones) <= emptied})
+    return sorted(
+        {tenant for tenant, _, zones in find_home_zones(full=full) if zones and set(zones) <= evacuated_zones}
+    )
--- a/sailward/control/administration/status_report.py
+++ b/sailward/control/administration/status_report.py
@@ -15,15 +15,15 @@
 def show_status(*, sources: StatusSources, now: float) -> dict:
     """The status of the voters, the zones and the proxies, as this controller sees it."""
     voter, peer_table, subscribers = sources.voter, sources.peer_table, sources.subscribers
-    core = count_voting_members(
+    voting_counts = count_voting_members(
         members=voter.voters.members, controllers=[*peer_table.alive(kind="controller"), peer_table.own_entry()]
     )
     return {
         "id": voter.location.name,
-        "core": core,
+        "core": voting_counts,
         "identity": voter.identity,
         "version": sailward.__version__,
-        "founding": _show_founding(sources=sources, now=now),
+        "founding": _show_recovery(sources=sources, now=now),
         "post": voter.location.post,
         "voting": voter.is_voting,
         "disk_usable": voter.write_ahead.is_usable,
@@ -93,10 +93,10 @@
     accepted within that time.
     """
     watch = sources.contact_watch
-    shown_at = watch.last_majority_at(now=now)
-    age = round(now - shown_at, 2) if shown_at > NEVER else None
+    last_majority_at = watch.last_majority_at(now=now)
+    age = round(now - last_majority_at, 2) if last_majority_at > NEVER else None
     return {
-        "majority": now - shown_at <= constants.QUORUM_CONTACT_TTL,
+        "majority": now - last_majority_at <= constants.QUORUM_CONTACT_TTL,
         "serves": watch.may_serve(now=now),
         "to_read": sorted(watch.contact.unread_registers),
         "config": sources.voter.learner.number(name="config"),
@@ -104,13 +104,13 @@
     }
 
 
-def _show_founding(*, sources: StatusSources, now: float) -> dict:
-    founding = read_last_recovery(value=sources.voter.learned_voters().value)
-    if not founding.number:
+def _show_recovery(*, sources: StatusSources, now: float) -> dict:
+    recovery = read_last_recovery(value=sources.voter.learned_voters().value)
+    if not recovery.number:
         return {}
     return {
-        "number": founding.number,
-        "survivors": list(founding.survivors),
+        "number": recovery.number,
+        "survivors": list(recovery.survivors),
         "acts": not sources.voter.is_recovering,
         "claims": "in-doubt" if sources.membership.has_unknown_outcomes(now=now) else "kept",
     }
--- a/sailward/control/administration/zone_orders.py
+++ b/sailward/control/administration/zone_orders.py
@@ -19,7 +19,7 @@
 class ZoneOrders:
     """The register's content. `accepted_counts`: {zone: [accepted orders to evacuate it, to restore it]}."""
 
-    emptied: frozenset[str] = frozenset()
+    evacuated_zones: frozenset[str] = frozenset()
     accepted_counts: dict[str, list[int]] = field(default_factory=dict)
 
     def count(self, *, kind: str, zone: str) -> int:
@@ -31,8 +31,8 @@
         """The content after one more order."""
         counts = list(self.accepted_counts.get(zone, [0, 0]))
         counts[ORDER_KINDS.index(kind)] += 1
-        emptied = self.emptied | {zone} if kind == "empty" else self.emptied - {zone}
-        return ZoneOrders(emptied=emptied, accepted_counts={**self.accepted_counts, zone: counts})
+        evacuated_zones = self.evacuated_zones | {zone} if kind == "empty" else self.evacuated_zones - {zone}
+        return ZoneOrders(evacuated_zones=evacuated_zones, accepted_counts={**self.accepted_counts, zone: counts})
 
 
 def read_zone_orders(*, text: str) -> ZoneOrders:
@@ -40,9 +40,9 @@
     if not text:
         return ZoneOrders()
     content = json.loads(text)
-    return ZoneOrders(emptied=frozenset(content["emptied"]), accepted_counts=content.get("taken", {}))
+    return ZoneOrders(evacuated_zones=frozenset(content["emptied"]), accepted_counts=content.get("taken", {}))
 
 
 def write_zone_orders(*, orders: ZoneOrders) -> str:
     """Serialize the register's content."""
-    return json.dumps({"emptied": sorted(orders.emptied), "taken": orders.accepted_counts}, sort_keys=True)
+    return json.dumps({"emptied": sorted(orders.evacuated_zones), "taken": orders.accepted_counts}, sort_keys=True)
--- a/sailward/control/controller.py
+++ b/sailward/control/controller.py
@@ -265,8 +265,8 @@
             case RecordsSynced() | DiskWriteFailed():
                 return self.write_ahead.receive(event=event)
             case ConfigValidated():
-                commands, begins = self.admin_api.step(event=event)
-                return commands + self.registers.begin(now=now, begins=begins)
+                commands, operations = self.admin_api.step(event=event)
+                return commands + self.registers.begin(now=now, operations=operations)
             case ShutdownRequested():
                 return self.graceful_shutdown.begin(now=now)
             case TimerFired():
@@ -319,7 +319,7 @@
         commands += self._move_slots(now=now)
         commands += self._step_proxy_registry(now=now)
         commands += self.registers.step_shard_leases(now=now, event=None)
-        commands += self.registers.begin(now=now, begins=self.catch_up.step(now=now))
+        commands += self.registers.begin(now=now, operations=self.catch_up.step(now=now))
         commands += self.voter.drop_expired_claims(now=now)
         commands += self._step_membership(now=now)
         self._update_own_entry(now=now)
@@ -335,9 +335,9 @@
         )
 
     def _step_membership(self, *, now: float) -> list[Command]:
-        commands, begins = self.membership.step(now=now)
+        commands, operations = self.membership.step(now=now)
         self.admin_api.controllers = self.membership.controllers
-        return commands + self.registers.begin(now=now, begins=begins)
+        return commands + self.registers.begin(now=now, operations=operations)
 
     def _update_own_entry(self, *, now: float) -> None:
         """Update what the peer table announces about this process."""
@@ -378,11 +378,11 @@
             epoch=self.endpoint_list.epoch,
             proxies=self.subscribers.proxies(),
         )
-        begins = []
+        operations = []
         for name, number, text in changes:
             self._move_count += 1
             op = f"{self._operation_prefix}/move{self._move_count}"
-            begins.append(
+            operations.append(
                 StartOperation(op=op, register=name, expected=number, text=text, timeout=constants.ROUND_TIMEOUT * 3)
             )
-        return self.registers.begin(now=now, begins=begins)
+        return self.registers.begin(now=now, operations=operations)
--- a/sailward/control/group/copying.py
+++ b/sailward/control/group/copying.py
@@ -41,7 +41,7 @@
         if members.number != self.number:
             self._restart(members=members)
         if event is not None:
-            return self._fold(now=now, voters=voters, sender=event[0], body=event[1])
+            return self._merge_page(now=now, voters=voters, sender=event[0], body=event[1])
         if now < self.retry_at:
             return []
         self.retry_at = now + self.backoff
@@ -113,7 +113,7 @@
             body={"kind": "copy", "after": self.cursors.get(to, ""), "ballot": voters.ballot, "value": voters.value},
         )
 
-    def _fold(self, *, now: float, voters: LearnedValue, sender: str, body: Message) -> list[Command]:
+    def _merge_page(self, *, now: float, voters: LearnedValue, sender: str, body: Message) -> list[Command]:
         if (
             body["voters"] != self.number
             or sender not in self.sources.values()
--- a/sailward/control/group/membership.py
+++ b/sailward/control/group/membership.py
@@ -69,9 +69,9 @@
         self.controllers = {peer["identity"]: peer for peer in [*peers, self._peer_table.own_entry()]}
         commands = self._report_quorum(now=now, peers=peers)
         # a controller that does not vote yet also tracks the voters, to know on joining how long each has been lost
-        repair_commands, begins = self._repair(now=now, peers=peers)
+        repair_commands, operations = self._repair(now=now, peers=peers)
         if self._voter.is_voting:
-            return StepResult(commands + repair_commands, begins)
+            return StepResult(commands + repair_commands, operations)
         return StepResult(commands + self._copy_or_recover(now=now) + self._request_updates(now=now, peers=peers), [])
 
     def has_unknown_outcomes(self, *, now: float) -> bool:
--- a/sailward/control/group/repair.py
+++ b/sailward/control/group/repair.py
@@ -101,11 +101,11 @@
             return ""
         if self.pending_since[0] != number:
             self.pending_since = (number, now)
-        turn = choose_names(key=f"repair{number}", names=healthy, count=len(healthy)).index(own)
+        rank = choose_names(key=f"repair{number}", names=healthy, count=len(healthy)).index(own)
         is_already_proposed = (
             self.last_proposed[0] == number and now - self.last_proposed[1] < constants.REPAIR_RETRY_INTERVAL
         )
-        if is_already_proposed or now - self.pending_since[1] < turn * constants.REPAIR_STAGGER_DELAY:
+        if is_already_proposed or now - self.pending_since[1] < rank * constants.REPAIR_STAGGER_DELAY:
             return ""
         self.last_proposed = (number, now)
         return change
--- a/sailward/control/operator_requests.py
+++ b/sailward/control/operator_requests.py
@@ -54,8 +54,8 @@
             ]
         if (event.method, event.path) == ("GET", "/workers"):
             return [self._show_workers(event=event)]
-        commands, begins = self._admin_api.step(event=event)
-        return commands + self._registers.begin(now=now, begins=begins)
+        commands, operations = self._admin_api.step(event=event)
+        return commands + self._registers.begin(now=now, operations=operations)
 
     def _show_workers(self, *, event: RequestReceived) -> Respond:
         workers = self._endpoint_list
--- a/sailward/control/proxies/aggregated_health.py
+++ b/sailward/control/proxies/aggregated_health.py
@@ -51,10 +51,10 @@
                 self.table.step(now=now, counts={**self._current_counts(), location: (PARTS, 0, PARTS)})
         return self.table.step(now=now, counts=counts) if counts else []
 
-    def view(self, *, with_slow_start: bool) -> dict:
+    def view(self, *, include_healthy_durations: bool) -> dict:
         """The view as sent in a grant."""
         drained = [f"{service}|{zone}" for (service, zone), state in self.table.zones.items() if state.is_drained]
-        return {"drained": drained, **({"warm": self.healthy_durations} if with_slow_start else {})}
+        return {"drained": drained, **({"warm": self.healthy_durations} if include_healthy_durations else {})}
 
     def _current_counts(self) -> dict:
         return {location: (zone.listed, zone.healthy, zone.listed) for location, zone in self.table.zones.items()}
--- a/sailward/control/proxies/proxy_registry.py
+++ b/sailward/control/proxies/proxy_registry.py
@@ -33,24 +33,24 @@
 class ProxyRegistry:
     """Maintains the view of the fleet. `step` takes another controller's report, or sends its own.
 
-    `readers` are the addresses of the controllers that assign key ranges to workers: only these are sent the request
-    rates of keys (all controllers if it is None).
+    `load_readers` are the addresses of the controllers that assign key ranges to workers: only these are sent the
+    request rates of keys (all controllers if it is None).
     """
 
     post: str
     zone: str
     region: str
     snapshots: dict = field(default_factory=dict)
-    last: dict = field(default_factory=dict)
-    last_turns: dict = field(default_factory=dict)
+    last_done_at: dict = field(default_factory=dict)
+    last_report_turns: dict = field(default_factory=dict)
     number: int = 0
     text: str = ""
     sent_at: float = -1e9
     sent_rows: list = field(default_factory=list)
     rows_number: int = 0
     sent_down: dict = field(default_factory=dict)
-    sent_to: dict = field(default_factory=dict)
-    readers: frozenset | None = None
+    sent_versions: dict = field(default_factory=dict)
+    load_readers: frozenset | None = None
     key_loads: KeyLoads = field(default_factory=KeyLoads)
     worker_latencies: WorkerLatencies = field(default_factory=WorkerLatencies)
     rates: dict = field(default_factory=dict)
@@ -80,23 +80,23 @@
                 [SendMessage(to=sender, body={"kind": "want", "register": "fleet"})] if is_same and not is_known else []
             )
         self._record_loads(now=now, proxies=proxies)
-        if now - self.last.get("looked", -1e9) < constants.PROXY_CHECK_INTERVAL:
+        if now - self.last_done_at.get("checked", -1e9) < constants.PROXY_CHECK_INTERVAL:
             return []
-        self.last["looked"] = now
-        self._forget_gone(now=now, posts={controller["post"] for controller in controllers})
+        self.last_done_at["checked"] = now
+        self._drop_gone_controllers(now=now, posts={controller["post"] for controller in controllers})
         own = self._own_rows(now=now, proxies=proxies)
-        self._compose(now=now, own=own, controllers=controllers, down=self._confirmed_down(now=now, proxies=proxies))
+        self._publish(now=now, own=own, controllers=controllers, down=self._confirmed_down(now=now, proxies=proxies))
         down = self._own_down(proxies=proxies)
         changed = own != self.sent_rows or down != self.sent_down
         others = [controller for controller in controllers if controller["post"] != self.post]
         if now - self.sent_at < (constants.PROXY_REPORT_MIN_INTERVAL if changed else constants.PROXY_REPORT_INTERVAL):
-            readers = [other for other in others if self._is_reader(to=other)]
-            return self._send_to_all(now=now, to=readers) if readers and self._is_load_due(now=now) else []
+            load_readers = [other for other in others if self._is_load_reader(to=other)]
+            return self._send_to_all(now=now, to=load_readers) if load_readers and self._is_load_due(now=now) else []
         self.rows_number += own != self.sent_rows
         self.sent_at, self.sent_rows, self.sent_down = now, own, down
         return self._send_to_all(now=now, to=others)
 
-    def _forget_gone(self, *, now: float, posts: set) -> None:
+    def _drop_gone_controllers(self, *, now: float, posts: set) -> None:
         """Drop the state kept for controllers that are gone.
 
         As machines are replaced, it would otherwise grow without bound.
@@ -105,10 +105,10 @@
             post: snapshot for post, snapshot in self.snapshots.items() if now - snapshot.at < constants.PEER_TTL
         }
         # a controller that returns is sent all rows again
-        self.sent_to = {post: version for post, version in self.sent_to.items() if post in posts}
+        self.sent_versions = {post: version for post, version in self.sent_versions.items() if post in posts}
 
-    def _is_reader(self, *, to: dict) -> bool:
-        return self.readers is None or to["post"] in self.readers
+    def _is_load_reader(self, *, to: dict) -> bool:
+        return self.load_readers is None or to["post"] in self.load_readers
 
     def _is_load_due(self, *, now: float) -> bool:
         elapsed = now - self.loads_sent_at
@@ -124,14 +124,14 @@
         loads = self._own_loads(now=now)
         self.loads_sent_at, self.sent_rates = now, self.rates
         return [
-            self._send_snapshot(to=controller, loads=loads if self._is_reader(to=controller) else {})
+            self._send_snapshot(to=controller, loads=loads if self._is_load_reader(to=controller) else {})
             for controller in to
         ]
 
     def _send_snapshot(self, *, to: dict, loads: dict) -> SendMessage:
         version = (to["start"], self.rows_number)
-        is_known = self.sent_to.get(to["post"]) == version
-        self.sent_to[to["post"]] = version
+        is_known = self.sent_versions.get(to["post"]) == version
+        self.sent_versions[to["post"]] = version
         return SendMessage(
             to=to["post"],
             body={
@@ -145,8 +145,8 @@
 
     def _resend(self, *, now: float, to: str) -> list:
         """Send all rows to a controller that lacks them."""
-        self.sent_to.pop(to, None)
-        loads = self._own_loads(now=now) if self._is_reader(to={"post": to}) else {}
+        self.sent_versions.pop(to, None)
+        loads = self._own_loads(now=now) if self._is_load_reader(to={"post": to}) else {}
         return [
             SendMessage(
                 to=to,
@@ -228,22 +228,22 @@
     def _record_loads(self, *, now: float, proxies: list[Subscriber]) -> None:
         is_new = False
         names = {proxy.entry["id"] for proxy in proxies}
-        self.last_turns = {name: turn for name, turn in self.last_turns.items() if name in names}
+        self.last_report_turns = {name: turn for name, turn in self.last_report_turns.items() if name in names}
         for proxy in proxies:
             turn = proxy.report.get("turn")
-            if turn is None or self.last_turns.get(proxy.entry["id"]) == turn:
+            if turn is None or self.last_report_turns.get(proxy.entry["id"]) == turn:
                 continue
-            self.last_turns[proxy.entry["id"]] = turn
+            self.last_report_turns[proxy.entry["id"]] = turn
             if proxy.report.get("lead") != self.post:
                 continue
             is_new = True
             for service, buckets in proxy.report.get("loads", {}).items():
                 self.key_loads.step(now=now, service=service, buckets=buckets)
             self.worker_latencies.step(now=now, times=proxy.report.get("paces", {}))
-        if is_new or now - self.last.get("rates", now) >= constants.KEY_LOAD_REPORT_INTERVAL:
+        if is_new or now - self.last_done_at.get("rates", now) >= constants.KEY_LOAD_REPORT_INTERVAL:
             self.rates = self.key_loads.rates(now=now)
-            self.last["rates"] = now
-        self.last.setdefault("rates", now)
+            self.last_done_at["rates"] = now
+        self.last_done_at.setdefault("rates", now)
 
     def _confirmed_down(self, *, now: float, proxies: list[Subscriber]) -> list:
         """The workers that enough proxies report unreachable: a single faulty proxy must not decide for all."""
@@ -253,7 +253,7 @@
             if count >= max(constants.UNREACHABLE_MIN_REPORTS, constants.UNREACHABLE_MIN_RATIO * reporting)
         )
 
-    def _compose(self, *, now: float, own: list, controllers: list[PeerEntry], down: list) -> None:
+    def _publish(self, *, now: float, own: list, controllers: list[PeerEntry], down: list) -> None:
         rows = {
             row[0]: row
             for snapshot in self.snapshots.values()
@@ -266,9 +266,9 @@
             {"proxies": [rows[name] for name in sorted(rows)], "cellars": posts, "down": down}, separators=(",", ":")
         )
         # unreachable workers are published again while they remain so, as the hints expire at receivers
-        is_due = bool(down) and now - self.last.get("composed", now) >= constants.UNREACHABLE_HINT_TTL / 2
+        is_due = bool(down) and now - self.last_done_at.get("published", now) >= constants.UNREACHABLE_HINT_TTL / 2
         if text != self.text or is_due:
-            self.last["composed"] = now
+            self.last_done_at["published"] = now
             self.text, self.number = text, self.number + 1
 
 
--- a/sailward/control/proxies/serving.py
+++ b/sailward/control/proxies/serving.py
@@ -144,7 +144,7 @@
                 "voting": self._voter.is_voting,
                 "proxies": len(self._subscribers.proxies()),
                 "view": {
-                    **self._aggregated_health.view(with_slow_start=is_new_subscriber),
+                    **self._aggregated_health.view(include_healthy_durations=is_new_subscriber),
                     "doubt": self._membership.has_unknown_outcomes(now=now),
                     "wall": self.wall_offset + now,
                 },
--- a/sailward/control/proxies/subscribers.py
+++ b/sailward/control/proxies/subscribers.py
@@ -53,9 +53,9 @@
         commands = []
         # a subscriber that asks is pushed the values that it lacks, whichever controller it follows; new values here
         # are pushed only to subscribers that follow this controller
-        asker = event[0] if event is not None else ""
+        requester = event[0] if event is not None else ""
         for address, member in self.members.items():
-            if not (self.post and event is not None and address != asker):
+            if not (self.post and event is not None and address != requester):
                 for name, (number, ballot, value) in updates.items():
                     commands += self._push(
                         now=now,
@@ -65,7 +65,7 @@
                         number=number,
                         ballot=ballot,
                         value=value,
-                        is_requested=address == asker,
+                        is_requested=address == requester,
                     )
         return commands
 
@@ -79,10 +79,10 @@
 
     def active_proxy_names(self, *, now: float) -> str:
         """The incarnations of proxies whose forwarded requests may still run: those that asked recently enough."""
-        self._forget_inactive(now=now)
+        self._drop_inactive(now=now)
         return ",".join(sorted(self.active_proxies))
 
-    def _forget_inactive(self, *, now: float) -> None:
+    def _drop_inactive(self, *, now: float) -> None:
         self.active_proxies = {
             name: at for name, at in self.active_proxies.items() if now - at < constants.PROXY_ACTIVITY_TTL
         }
@@ -96,7 +96,7 @@
         start = body["daemon"].get("start")
         if member is None or member.entry.get("start") != start:
             member = self.members[sender] = Subscriber(entry=body["daemon"], first_seen_at=now, last_seen_at=now)
-            self._forget_inactive(now=now)
+            self._drop_inactive(now=now)
         member.entry, member.last_seen_at = body["daemon"], now
         if kind_of(entry=member.entry) == "proxy":
             self.active_proxies[f"{member.entry.get('id')}#{start}"] = now
@@ -114,7 +114,7 @@
         value: RegisterValue,
         is_requested: bool = False,
     ) -> list[SendMessage]:
-        held_version = member.have.get(name)
+        reported_version = member.have.get(name)
         if self.post and kind_of(entry=member.entry) == "controller" and name in LOCALLY_NUMBERED:
             # a controller follows no other controller's lists
             return []
@@ -128,18 +128,20 @@
                 address=address,
                 member=member,
                 name=name,
-                held_version=held_version,
+                reported_version=reported_version,
                 number=number,
                 value=value,
             )
-        held_at = (_epoch_of(held_version=held_version), held_version[0] if held_version else -1)
+        known_version = (_epoch_of(reported_version=reported_version), reported_version[0] if reported_version else -1)
         if name != "workers":
-            held_at = (0, held_at[1])
-        at = (ballot[0], number) if name == "workers" else (0, number)
+            known_version = (0, known_version[1])
+        version = (ballot[0], number) if name == "workers" else (0, number)
         acked = name != "workers" and member.acked.get(name, -1) >= number
-        if held_at >= at or acked:
+        if known_version >= version or acked:
             return []
-        return self._send(now=now, address=address, member=member, name=name, at=at, ballot=ballot, value=value)
+        return self._send(
+            now=now, address=address, member=member, name=name, version=version, ballot=ballot, value=value
+        )
 
     def _push_own(
         self,
@@ -148,19 +150,19 @@
         address: str,
         member: Subscriber,
         name: str,
-        held_version: list | None,
+        reported_version: list | None,
         number: int,
         value: RegisterValue,
     ) -> list[SendMessage]:
-        source = held_version[1] if held_version else ""
-        if source not in ("", self.post) or (source == self.post and held_version[0] == number):
+        source = reported_version[1] if reported_version else ""
+        if source not in ("", self.post) or (source == self.post and reported_version[0] == number):
             return []
         pushed = member.pushed.get(name)
         if pushed and pushed[0] == (0, number) and member.last_seen_at - pushed[1] < constants.PUSH_RETRY_INTERVAL:
             # the subscriber has not asked since then, so nothing shows that the push was lost
             return []
         return self._send(
-            now=now, address=address, member=member, name=name, at=(0, number), ballot=[0, ""], value=value
+            now=now, address=address, member=member, name=name, version=(0, number), ballot=[0, ""], value=value
         )
 
     def _send(
@@ -170,19 +172,19 @@
         address: str,
         member: Subscriber,
         name: str,
-        at: tuple,
+        version: tuple,
         ballot: Ballot,
         value: RegisterValue,
     ) -> list[SendMessage]:
         pushed = member.pushed.get(name)
-        if pushed and pushed[0] == at and now - pushed[1] < constants.PUSH_RETRY_INTERVAL:
+        if pushed and pushed[0] == version and now - pushed[1] < constants.PUSH_RETRY_INTERVAL:
             return []
         self.seq += 1
-        member.pushed[name] = (at, now)
-        body = {"kind": "push", "seq": self.seq, "name": name, "number": at[1], "ballot": ballot, "value": value}
+        member.pushed[name] = (version, now)
+        body = {"kind": "push", "seq": self.seq, "name": name, "number": version[1], "ballot": ballot, "value": value}
         return [SendMessage(to=address, body=body)]
 
 
-def _epoch_of(*, held_version: list | None) -> int:
+def _epoch_of(*, reported_version: list | None) -> int:
     """The epoch in the [number, mark, ballot] of an ask; 0 if it holds fewer items."""
-    return held_version[2][0] if held_version is not None and len(held_version) > 2 else 0
+    return reported_version[2][0] if reported_version is not None and len(reported_version) > 2 else 0
--- a/sailward/control/registers.py
+++ b/sailward/control/registers.py
@@ -61,22 +61,22 @@
         commands, finished = self._proposer.step(now=now, voters=self._voter.voters, event=(sender, body))
         return commands + self._finish(now=now, finished=finished)
 
-    def begin(self, *, now: float, begins: list[StartOperation]) -> list[Command]:
+    def begin(self, *, now: float, operations: list[StartOperation]) -> list[Command]:
         """Begin operations."""
         commands = []
-        for begin in begins:
+        for operation in operations:
             if self._contact is not None:
-                self._contact.record_request(now=now, request=begin.op)
-            more, finished = self._proposer.step(now=now, voters=self._voter.voters, event=begin)
-            commands += more + self._finish(now=now, finished=finished)
+                self._contact.record_request(now=now, request=operation.op)
+            started, finished = self._proposer.step(now=now, voters=self._voter.voters, event=operation)
+            commands += started + self._finish(now=now, finished=finished)
         return commands
 
     def step_shard_leases(self, *, now: float, event: CallFinished | None) -> list[Command]:
         """Step the shard leases, if there are any, and begin the operations that they request."""
         if self._shard_leases is None:
             return []
-        commands, begins = self._shard_leases.step(now=now, event=event)
-        return commands + self.begin(now=now, begins=begins)
+        commands, operations = self._shard_leases.step(now=now, event=event)
+        return commands + self.begin(now=now, operations=operations)
 
     def learn(self, *, now: float, name: str, ballot: Ballot, value: RegisterValue, announce: bool) -> list[Command]:
         """Keep a chosen value, push it to subscribers, and if `announce` is set send it to the other controllers."""
@@ -117,8 +117,8 @@
             if not self._catch_up.finish(now=now, end=end):
                 mark = value["mark"] if value else None
                 is_unreadable = end.register == "config" and mark is not None and mark == self._unreadable_change
-                more, begins = self._admin_api.step(event=_without_value(end=end) if is_unreadable else end)
-                commands += more + self.begin(now=now, begins=begins)
+                answers, operations = self._admin_api.step(event=_without_value(end=end) if is_unreadable else end)
+                commands += answers + self.begin(now=now, operations=operations)
         return commands
 
     def _announce_chosen(self, *, name: str, ballot: Ballot, value: RegisterValue) -> list[Command]:
--- a/sailward/control/shards/grant_calls.py
+++ b/sailward/control/shards/grant_calls.py
@@ -254,10 +254,13 @@
             for call in self._in_flight.values()
             if call.is_grant and call.shard.owner == shard.owner
         ]
-        last = max([sole_granter_at, self._last_arrival_at.get(shard.owner, NEVER), *grant_ends])
-        last = min(last, pending.moving_since + constants.GRANT_FENCE_DELAY)
+        last_possible_arrival_at = max([sole_granter_at, self._last_arrival_at.get(shard.owner, NEVER), *grant_ends])
+        last_possible_arrival_at = min(last_possible_arrival_at, pending.moving_since + constants.GRANT_FENCE_DELAY)
         return (
-            now >= last + constants.GRANT_DURATION * constants.GRANT_CLOCK_DRIFT_FACTOR + constants.GRANT_EXPIRY_MARGIN
+            now
+            >= last_possible_arrival_at
+            + constants.GRANT_DURATION * constants.GRANT_CLOCK_DRIFT_FACTOR
+            + constants.GRANT_EXPIRY_MARGIN
         )
 
     def handover_of(self, *, shard: Shard) -> str:
@@ -267,8 +270,11 @@
 
     def is_failing(self, *, now: float, key: str) -> bool:
         """Have calls to this worker failed for some time, and was the last failure recent?"""
-        since, last = self._failure_spans.get(key, (now, now))
-        return last - since >= constants.GRANT_FAILURE_TIMEOUT and now - last < constants.GRANT_FAILURE_BACKOFF
+        first_failure_at, last_failure_at = self._failure_spans.get(key, (now, now))
+        return (
+            last_failure_at - first_failure_at >= constants.GRANT_FAILURE_TIMEOUT
+            and now - last_failure_at < constants.GRANT_FAILURE_BACKOFF
+        )
 
     def is_granted(self, *, shard: Shard) -> bool:
         """Has a grant of the shard been sent, with no handover data left to deliver?"""
--- a/sailward/control/shards/grant_targets.py
+++ b/sailward/control/shards/grant_targets.py
@@ -25,7 +25,7 @@
     workers: dict
     fresh_until: float
     is_acting: bool
-    emptied_zones: frozenset = frozenset()
+    evacuated_zones: frozenset = frozenset()
     down_since: dict = field(default_factory=dict)
     loads: dict = field(default_factory=dict)
     latencies: dict = field(default_factory=dict)
@@ -84,7 +84,7 @@
 
     def _may_stay(self, *, key: str, context: GrantContext) -> bool:
         worker = context.workers[key]
-        return key not in self.calls.ended_workers and not worker.leaving and worker.zone not in context.emptied_zones
+        return key not in self.calls.ended_workers and not worker.leaving and worker.zone not in context.evacuated_zones
 
     def eligible_throughputs(self, *, now: float, context: GrantContext) -> dict:
         """The requests/s that each eligible worker can serve; workers in slow start only if there are no others."""
--- a/sailward/control/shards/granting.py
+++ b/sailward/control/shards/granting.py
@@ -140,8 +140,8 @@
         whole_key_space = [Span(start=0, end=KEYS - 1, owner="")]
         spans = place_spans(spans=whole_key_space, throughputs=throughputs, loads=context.loads, is_balancing=False)
         shards = tuple(
-            Shard(start=span.start, end=span.end, owner=span.owner, fencing_token=at + 1, state=OPEN)
-            for at, span in enumerate(spans)
+            Shard(start=span.start, end=span.end, owner=span.owner, fencing_token=index + 1, state=OPEN)
+            for index, span in enumerate(spans)
         )
         return ShardTable(
             granter=self._own_name, takeover_number=self._number + 1, fencing_token=len(shards) + 1, shards=shards
@@ -201,19 +201,19 @@
         """
         joined: list[Shard] = []
         for shard in shards:
-            last = joined[-1] if joined else None
+            previous = joined[-1] if joined else None
             if (
-                last
-                and last.owner == shard.owner
+                previous
+                and previous.owner == shard.owner
                 and self._calls.is_granted(shard=shard)
                 and (
-                    (last.fencing_token == fencing_token - 1 and last not in shards)
-                    or self._calls.is_granted(shard=last)
+                    (previous.fencing_token == fencing_token - 1 and previous not in shards)
+                    or self._calls.is_granted(shard=previous)
                 )
             ):
-                if last in shards:
+                if previous in shards:
                     fencing_token += 1
-                joined[-1] = replace(last, end=shard.end, fencing_token=fencing_token - 1)
+                joined[-1] = replace(previous, end=shard.end, fencing_token=fencing_token - 1)
             else:
                 joined.append(shard)
         return joined, fencing_token
--- a/sailward/control/shards/quiescence.py
+++ b/sailward/control/shards/quiescence.py
@@ -47,7 +47,9 @@
 
     def check(self, *, closed_slot: ClosedSlot, slot: str) -> None:
         """Mark the closed slot as drained if the current state proves it."""
-        reporting = [entry for entry in self._voters() if self._has_beaten_since(entry=entry, closed_slot=closed_slot)]
+        reporting = [
+            entry for entry in self._voters() if self._has_heartbeats_since(entry=entry, closed_slot=closed_slot)
+        ]
         for voter in self._voters():
             closed_slot.active_proxies |= set(filter(None, voter["asks"].split(",")))
         if closed_slot.is_drained or len(reporting) < majority_size(members=self.members):
@@ -61,7 +63,7 @@
     def _voters(self) -> list[dict]:
         return [controller for controller in self.controllers if controller["identity"] in self.members]
 
-    def _has_beaten_since(self, *, entry: PeerEntry, closed_slot: ClosedSlot) -> bool:
+    def _has_heartbeats_since(self, *, entry: PeerEntry, closed_slot: ClosedSlot) -> bool:
         start, heartbeat = closed_slot.heartbeats.get(entry["identity"], (None, 0))
         return (
             entry["start"] == start
--- a/sailward/control/shards/shard_assignment.py
+++ b/sailward/control/shards/shard_assignment.py
@@ -17,7 +17,7 @@
     """The inputs of one step of assignment."""
 
     plan: Plan
-    emptied_zones: frozenset
+    evacuated_zones: frozenset
     drained_zones: frozenset
     workers: dict
     healthy: frozenset
@@ -62,7 +62,7 @@
                     slot=slot,
                     old=old,
                     context=context,
-                    capacity=constants.MAX_CONCURRENT_SLOT_MOVES - moving,
+                    remaining_moves=constants.MAX_CONCURRENT_SLOT_MOVES - moving,
                 )
                 moving += old.is_open and not new.is_open
                 changed = changed or new != old
@@ -73,7 +73,7 @@
         return sorted({space_of(homes=tenant.homes, service=service) for tenant in plan.tenants.values()} | {""})
 
     def _record_closed(self, *, now: float, spaces: dict, quiescence: Quiescence) -> None:
-        known_versions = {
+        closed_keys = {
             (space, slot, owned.term)
             for space, rows in spaces.items()
             for slot, owned in enumerate(rows)
@@ -82,7 +82,7 @@
         self.closed_slots = {
             name: self.closed_slots.get(name)
             or ClosedSlot(closed_at=now, register_number=quiescence.number, heartbeats=quiescence.heartbeats())
-            for name in known_versions
+            for name in closed_keys
         }
         for (space, slot, _), closed_slot in self.closed_slots.items():
             quiescence.check(closed_slot=closed_slot, slot=f"{space}/{slot}")
@@ -96,7 +96,7 @@
         slot: int,
         old: SlotOwner,
         context: AssignmentContext,
-        capacity: int,
+        remaining_moves: int,
     ) -> SlotOwner:
         best = self._best_owner(service=service, space=space, slot=slot, context=context)
         if not old.is_open:
@@ -107,20 +107,20 @@
             return old
         if old.owner == "":
             return SlotOwner(owner=best, term=old.term + 1, is_open=True) if best else old
-        location = (space, slot)
+        slot_key = (space, slot)
         if (
             old.owner in context.healthy
             and old.owner in context.workers
             and not context.workers[old.owner].leaving
-            and context.workers[old.owner].zone not in context.emptied_zones
+            and context.workers[old.owner].zone not in context.evacuated_zones
         ):
-            self.missing_since.pop(location, None)
-            return replace(old, is_open=False) if best and best != old.owner and capacity > 0 else old
-        since = self.missing_since.setdefault(location, now)
+            self.missing_since.pop(slot_key, None)
+            return replace(old, is_open=False) if best and best != old.owner and remaining_moves > 0 else old
+        since = self.missing_since.setdefault(slot_key, now)
         worker = context.workers.get(old.owner)
-        is_certain = worker is None or worker.leaving or worker.zone in context.emptied_zones
-        if is_certain or now - since >= constants.SLOT_OWNER_GRACE:
-            self.missing_since.pop(location, None)
+        is_owner_gone = worker is None or worker.leaving or worker.zone in context.evacuated_zones
+        if is_owner_gone or now - since >= constants.SLOT_OWNER_GRACE:
+            self.missing_since.pop(slot_key, None)
             return replace(old, is_open=False)
         return old
 
@@ -137,13 +137,13 @@
             return ""
         pool: Pool = context.plan.pools[pool_of_slot(shares=shares, slot=slot, slots=service.slots)]
         homes = set(space.split("+")) if space else set()
-        if service.keys_shared:
+        if service.has_shared_keys:
             homes = common_residency(plan=context.plan, service=service.name)
         for drained, tier in self._tiers(pool=pool):
             zones = [
                 zone
                 for zone in tier
-                if zone not in context.emptied_zones
+                if zone not in context.evacuated_zones
                 and ((service.name, zone) in context.drained_zones) == drained
                 and (not homes or context.plan.regions.get(zone) in homes)
             ]
--- a/sailward/control/shards/shard_leases.py
+++ b/sailward/control/shards/shard_leases.py
@@ -57,7 +57,7 @@
         self._adopted_list: RegisterValue | None = None
         self._workers: dict[str, Worker] = {}
         self._slow_start_until: dict[str, float] = {}
-        self._emptied_zones: frozenset = frozenset()
+        self._evacuated_zones: frozenset = frozenset()
         self._down_since: dict[str, float] = {}
         self._cached_loads: dict[str, tuple[float, dict]] = {}
         self._operation_count = 0
@@ -108,15 +108,15 @@
             ]
         if not services or self._endpoint_list.value is None:
             return StepResult([], [])
-        self._follow_endpoints(now=now)
-        acting = self._choose_acting(services=services, may_set_readers=event is None)
-        commands = self._step_freshness(now=now, acting=acting) if event is None else []
+        self._update_endpoints(now=now)
+        granted_services = self._choose_granted_services(services=services, may_set_load_readers=event is None)
+        commands = self._step_freshness(now=now, granted_services=granted_services) if event is None else []
         operations: list[StartOperation] = []
         for name in services:
             granting = self.granting.get(name)
             if granting is None:
                 granting = self.granting[name] = Granting(service=name, own_name=self._op_prefix, codec=self._codec)
-            context = self._grant_context(now=now, service=name, is_acting=name in acting)
+            context = self._grant_context(now=now, service=name, is_acting=name in granted_services)
             granting_commands, changes = granting.step(now=now, event=event, context=context)
             commands += granting_commands
             operations += [
@@ -124,7 +124,7 @@
             ]
         return StepResult(commands, operations)
 
-    def _choose_acting(self, *, services: list[str], may_set_readers: bool) -> list[str]:
+    def _choose_granted_services(self, *, services: list[str], may_set_load_readers: bool) -> list[str]:
         """The services whose leases this controller grants: hashing chooses one voter for each."""
         controllers = [*self._peer_table.alive(kind="controller"), self._peer_table.own_entry()]
         fit_controllers = {peer["identity"]: peer["post"] for peer in controllers if peer["fit"]}
@@ -136,8 +136,8 @@
             if fit_controllers
             else {}
         )
-        if may_set_readers:
-            self._proxy_registry.readers = frozenset(
+        if may_set_load_readers:
+            self._proxy_registry.load_readers = frozenset(
                 fit_controllers[voter_identity] for voter_identity in chosen_voters.values()
             )
         return [
@@ -146,7 +146,7 @@
             if self._voter.is_voting and voter_identity == self._voter.identity
         ]
 
-    def _step_freshness(self, *, now: float, acting: list[str]) -> list[Command]:
+    def _step_freshness(self, *, now: float, granted_services: list[str]) -> list[Command]:
         voter = self._voter
         return self.freshness.step(
             now=now,
@@ -154,7 +154,7 @@
             members=voter.voters.members,
             number=voter.voters.number,
             own_identity=voter.identity,
-            registers=[SHARD_REGISTER_PREFIX + name for name in acting],
+            registers=[SHARD_REGISTER_PREFIX + name for name in granted_services],
         )
 
     def _grant_context(self, *, now: float, service: str, is_acting: bool) -> GrantContext:
@@ -174,7 +174,7 @@
             workers=self._workers,
             fresh_until=fresh_until,
             is_acting=is_acting,
-            emptied_zones=self._emptied_zones,
+            evacuated_zones=self._evacuated_zones,
             down_since=self._down_since,
             lease_max=self._lease_max,
             **self._loads_of(now=now, service=service, is_acting=is_acting),
@@ -203,11 +203,11 @@
             self._cached_loads[service] = now, inputs
         return inputs
 
-    def _follow_endpoints(self, *, now: float) -> None:
+    def _update_endpoints(self, *, now: float) -> None:
         """Update workers, evacuated zones and unreachable workers from the endpoint list, orders and proxy reports."""
         voter = self._voter
         orders = voter.learner.values.get("orders")
-        emptied = read_orders(value=orders.value) if orders else frozenset()
+        evacuated_zones = read_orders(value=orders.value) if orders else frozenset()
         if self._endpoint_list.value is not self._adopted_list:
             self._adopted_list = self._endpoint_list.value
             self._workers = {}
@@ -226,14 +226,14 @@
                 if row["cold_s"] > 0:
                     self._slow_start_until.setdefault(row["id"], now + row["cold_s"])
             self._slow_start_until = {key: at for key, at in self._slow_start_until.items() if key in self._workers}
-        for zone in self._emptied_zones - emptied:
+        for zone in self._evacuated_zones - evacuated_zones:
             for key, worker in self._workers.items():
                 service = self._shard_moves.plan.services.get(worker.service)
                 if worker.zone == zone and service is not None:
                     self._slow_start_until[key] = max(
                         self._slow_start_until.get(key, 0.0), now + service.slow_start + constants.SLOW_START_MARGIN
                     )
-        self._emptied_zones = emptied
+        self._evacuated_zones = evacuated_zones
         self._workers = {
             key: replace(worker, slow_start=max(0.0, self._slow_start_until.get(key, now) - now))
             for key, worker in self._workers.items()
--- a/sailward/control/shards/shard_moves.py
+++ b/sailward/control/shards/shard_moves.py
@@ -44,15 +44,15 @@
         if now - self.last_check_at < constants.SLOT_ASSIGNMENT_INTERVAL or workers is None:
             return []
         self.last_check_at = now
-        divided = [service for service in self.plan.services.values() if service.slots]
-        if not divided:
+        sharded_services = [service for service in self.plan.services.values() if service.slots]
+        if not sharded_services:
             return []
         if (epoch, workers["number"]) > self.table.revision:
             self.table.step(epoch=epoch, revision=workers["number"], workers=json.loads(workers["text"]))
         fit_controllers = {controller["identity"] for controller in controllers if controller["fit"]}
         context = self._context(learner=learner, aggregated_health=aggregated_health, proxies=proxies)
         changes = []
-        for service in divided:
+        for service in sharded_services:
             name = SHARD_REGISTER_PREFIX + service.name
             if choose_names(key=name, names=fit_controllers, count=1) != [own]:
                 # another controller assigns the shards of this service
@@ -75,7 +75,9 @@
     def _context(
         self, *, learner: Learner, aggregated_health: AggregatedHealth, proxies: list[Subscriber]
     ) -> AssignmentContext:
-        emptied = read_orders(value=learner.values["orders"].value) if "orders" in learner.values else frozenset()
+        evacuated_zones = (
+            read_orders(value=learner.values["orders"].value) if "orders" in learner.values else frozenset()
+        )
         drained = frozenset(location for location, zone in aggregated_health.table.zones.items() if zone.is_drained)
         reports = [
             proxy.report["warm"]
@@ -88,5 +90,9 @@
                 counts[key] = counts.get(key, 0) + 1
         healthy = frozenset(key for key, count in counts.items() if 2 * count > len(reports))
         return AssignmentContext(
-            plan=self.plan, emptied_zones=emptied, drained_zones=drained, workers=self.table.workers, healthy=healthy
+            plan=self.plan,
+            evacuated_zones=evacuated_zones,
+            drained_zones=drained,
+            workers=self.table.workers,
+            healthy=healthy,
         )
--- a/sailward/control/shards/shard_plan.py
+++ b/sailward/control/shards/shard_plan.py
@@ -44,13 +44,13 @@
 
     def split_point(self, *, start: int, fraction: float) -> int:
         """The key such that about the given `fraction` of the total load lies between `start` and it."""
-        wanted = self._load_below(key=start) + fraction
+        target_load = self._load_below(key=start) + fraction
         at = bisect.bisect_left(
-            range(BUCKETS + 1), wanted, key=lambda bucket: self._load_below(key=bucket * BUCKET_WIDTH)
+            range(BUCKETS + 1), target_load, key=lambda bucket: self._load_below(key=bucket * BUCKET_WIDTH)
         )
         before, after = (
-            wanted - self._load_below(key=max(0, at - 1) * BUCKET_WIDTH),
-            self._load_below(key=min(BUCKETS, at) * BUCKET_WIDTH) - wanted,
+            target_load - self._load_below(key=max(0, at - 1) * BUCKET_WIDTH),
+            self._load_below(key=min(BUCKETS, at) * BUCKET_WIDTH) - target_load,
         )
         return min(KEYS, BUCKET_WIDTH * (max(0, at - 1) if before < after else at))
 
@@ -211,16 +211,16 @@
 
 
 def _assign(*, span: Span, distribution: LoadDistribution, target: dict, assigned: dict) -> list[Span]:
-    least = constants.REBALANCE_MIN_PIECE_RATIO / len(target)
+    min_load = constants.REBALANCE_MIN_PIECE_RATIO / len(target)
     assigned_spans, start = [], span.start
     while start <= span.end:
-        taker = max(sorted(target), key=lambda name: target[name] - assigned[name])
-        deficit = max(target[taker] - assigned[taker], least)
-        remainder = Span(start=start, end=span.end, owner=taker)
+        destination = max(sorted(target), key=lambda name: target[name] - assigned[name])
+        deficit = max(target[destination] - assigned[destination], min_load)
+        remainder = Span(start=start, end=span.end, owner=destination)
         end = distribution.split_point(start=start, fraction=deficit) - 1
-        if distribution.load_of(span=remainder) > deficit + least and start <= end < span.end:
+        if distribution.load_of(span=remainder) > deficit + min_load and start <= end < span.end:
             remainder = replace(remainder, end=end)
-        assigned[taker] += distribution.load_of(span=remainder)
+        assigned[destination] += distribution.load_of(span=remainder)
         assigned_spans.append(remainder)
         start = remainder.end + 1
     return assigned_spans
@@ -230,7 +230,7 @@
     """Move one chunk from the most loaded worker that can be relieved; None if nothing needs to move."""
     target, assigned = shares.target, shares.assigned
     names = sorted(target)
-    taker = min(
+    destination = min(
         names,
         key=lambda name: (
             assigned[name] / target[name]
@@ -238,28 +238,28 @@
             else assigned[name] / shares.proportional[name] + 0.5
         ),
     )
-    is_idle = shares.is_underloaded(name=taker)
-    givers = sorted(
+    is_idle = shares.is_underloaded(name=destination)
+    sources = sorted(
         names,
         key=lambda name: (
             -max(shares.load_ratio(name=name), (assigned[name] - target[name]) / shares.proportional[name])
         ),
     )
-    for giver in givers:
-        if giver == taker or not (is_idle or shares.is_overloaded(name=giver)):
+    for source in sources:
+        if source == destination or not (is_idle or shares.is_overloaded(name=source)):
             continue
-        fraction = min(assigned[giver] - target[giver], target[taker] - assigned[taker])
+        fraction = min(assigned[source] - target[source], target[destination] - assigned[destination])
         if is_idle:
             fraction = min(
-                max(fraction, constants.REBALANCE_MIN_PIECE_RATIO * target[taker]),
-                assigned[giver] - 0.7 * target[giver],
+                max(fraction, constants.REBALANCE_MIN_PIECE_RATIO * target[destination]),
+                assigned[source] - 0.7 * target[source],
             )
         moved = (
             _move(
                 spans=spans,
                 distribution=shares.distribution,
-                giver=giver,
-                taker=taker,
+                source=source,
+                destination=destination,
                 fraction=fraction,
                 assigned=assigned,
             )
@@ -272,13 +272,13 @@
 
 
 def _move(
-    *, spans: list[Span], distribution: LoadDistribution, giver: str, taker: str, fraction: float, assigned: dict
+    *, spans: list[Span], distribution: LoadDistribution, source: str, destination: str, fraction: float, assigned: dict
 ) -> list[Span] | None:
     """Move a chunk with about this fraction of the load, chosen for the fewest keys per unit of load."""
     best = None
     for span in spans:
         for chunk in (
-            _end_chunks(span=span, distribution=distribution, fraction=fraction) if span.owner == giver else ()
+            _end_chunks(span=span, distribution=distribution, fraction=fraction) if span.owner == source else ()
         ):
             load = distribution.load_of(span=chunk)
             cost = (chunk.end - chunk.start + 1) / load
@@ -287,13 +287,13 @@
     if best is None:
         return None
     _, span, chunk, load = best
-    assigned[giver] -= load
-    assigned[taker] += load
+    assigned[source] -= load
+    assigned[destination] += load
     at = spans.index(span)
     pieces = [
-        Span(start=span.start, end=chunk.start - 1, owner=giver),
-        replace(chunk, owner=taker),
-        Span(start=chunk.end + 1, end=span.end, owner=giver),
+        Span(start=span.start, end=chunk.start - 1, owner=source),
+        replace(chunk, owner=destination),
+        Span(start=chunk.end + 1, end=span.end, owner=source),
     ]
     return [*spans[:at], *(piece for piece in pieces if piece.start <= piece.end), *spans[at + 1 :]]
 
--- a/sailward/proxy/control_client.py
+++ b/sailward/proxy/control_client.py
@@ -125,7 +125,7 @@
     def _distance(self, controller: ControllerState) -> tuple:
         return (controller.zone != self.zone, controller.region != self.region, controller.zone == "", controller.post)
 
-    def _is_silent(self, *, controller: ControllerState, now: float) -> bool:
+    def _is_rarely_polled(self, *, controller: ControllerState, now: float) -> bool:
         """Is it polled only now and then, as it does not answer or has no quorum contact?"""
         if not controller.has_contact and (
             controller.post != self.followed_controller or not self.is_last_resort(now=now)
@@ -165,21 +165,21 @@
             (
                 controller
                 for controller in self.controllers.values()
-                if not self._is_silent(controller=controller, now=now)
+                if not self._is_rarely_polled(controller=controller, now=now)
             ),
             key=self._distance,
         )
         chosen = answering[: constants.CONTROLLERS_POLLED]
-        # silent controllers are polled now and then, the least recently polled first, then the nearest
-        silent = sorted(
+        # these controllers are polled now and then, the least recently polled first, then the nearest
+        rarely_polled = sorted(
             (
                 controller
                 for controller in self.controllers.values()
-                if self._is_silent(controller=controller, now=now)
+                if self._is_rarely_polled(controller=controller, now=now)
                 and now - controller.last_polled_at >= constants.POLL_TIMEOUT
             ),
             key=lambda controller: (controller.last_polled_at, self._distance(controller)),
         )
         if len(answering) < constants.CONTROLLERS_POLLED:
-            return chosen + silent
-        return chosen + silent[:1]
+            return chosen + rarely_polled
+        return chosen + rarely_polled[:1]
--- a/sailward/proxy/directory_server.py
+++ b/sailward/proxy/directory_server.py
@@ -71,12 +71,12 @@
         region = event.query.get("region", self.location.region)
         fit = [entry for entry in self.peer_table.alive(kind="proxy") if entry["fit"]]
         # nearest first; the order of equally near proxies is fixed for a client and differs between clients
-        caller = event.query.get("caller", event.token)
+        client = event.query.get("caller", event.token)
         fit.sort(
             key=lambda entry: (
                 entry["hall"] != zone,
                 entry["region"] != region,
-                score_pair(key=caller, name=entry["id"]),
+                score_pair(key=client, name=entry["id"]),
             )
         )
         proxies = [
--- a/sailward/proxy/proxy.py
+++ b/sailward/proxy/proxy.py
@@ -98,7 +98,7 @@
         self.stopping, self.stop_requested_at = STOPPING.initial, 0.0
         self.list_versions: dict = {"workers": ("", -1), "fleet": ("", -1)}
         self.unexpected, self.refused = UnexpectedEvents(), RefusedInput()
-        self._zones_counted_at = -1e9
+        self._zone_health_updated_at = -1e9
         self._poll_count = 0
 
     def step(self, *, now: float, event: Event) -> list[Command]:
@@ -134,10 +134,10 @@
         )
 
     def _on_request(self, *, now: float, event: RequestReceived) -> list[Command]:
-        edge = event.token.split(" ", 1)[0]
-        if edge == "front":
+        listener = event.token.split(" ", 1)[0]
+        if listener == "front":
             return self.forwarder.step(now=now, event=event)
-        if edge == "ready":
+        if listener == "ready":
             code = 200 if self.is_ready else 503
             return [answer_json(token=event.token, code=code, body={"ready": self.is_ready, "stopping": self.stopping})]
         if event.path == "/status":
@@ -186,7 +186,7 @@
                     fields={"came": len(added), "went": len(removed), "all": len(self.endpoint_table.workers)},
                 )
             )
-        return commands + self._count_zones(now=now)
+        return commands + self._update_zone_health(now=now)
 
     def _apply_fleet(self, *, now: float, value: RegisterValue) -> list[Command] | None:
         fleet = read_fleet(text=value["text"])
@@ -224,8 +224,8 @@
         commands = self._poll_controllers(now=now)
         commands += self.passive_health.step(now=now, event=None, plan=self.context.plan)
         commands += self.forwarder.step(now=now, event=None)
-        if now - self._zones_counted_at >= constants.ZONE_HEALTH_INTERVAL:
-            commands += self._count_zones(now=now)
+        if now - self._zone_health_updated_at >= constants.ZONE_HEALTH_INTERVAL:
+            commands += self._update_zone_health(now=now)
         return commands + self._check_shutdown(now=now)
 
     def _poll_controllers(self, *, now: float) -> list[Command]:
@@ -278,8 +278,8 @@
             and self.context.regions.get(workers[key].zone) == self.location.region
         }
 
-    def _count_zones(self, *, now: float) -> list[Command]:
-        self._zones_counted_at = now
+    def _update_zone_health(self, *, now: float) -> list[Command]:
+        self._zone_health_updated_at = now
         return self.context.zone_health.step(now=now, counts=self.context.counts())
 
     def _begin_stop(self, *, now: float) -> list[Command]:
--- a/sailward/proxy/tenant_proxy.py
+++ b/sailward/proxy/tenant_proxy.py
@@ -67,20 +67,22 @@
             zone=location.zone,
             replicas=ResultReplicas(region=location.region),
         )
-        self.exchanges = ProxiedRequests(identity=self.identity, load_balancer=self.load_balancer, claims=self.claims)
+        self.proxied_requests = ProxiedRequests(
+            identity=self.identity, load_balancer=self.load_balancer, claims=self.claims
+        )
         self.stopping = STOPPING.initial
         self.stop_deadline = 0.0
         self.suspects_itself = False
         self.proxy_counts: dict[str, tuple[float, int]] = {}
-        self._reads: dict[str, str] = {}
+        self._reads_in_flight: dict[str, str] = {}
         self.unexpected, self.refused = UnexpectedEvents(), RefusedInput()
-        self._zones_counted_at = -1e9
+        self._zone_health_updated_at = -1e9
         self._read_count = 0
 
     def step(self, *, now: float, event: Event) -> list[Command]:
         """Handle one event; returns the commands to execute."""
         return [
-            replace(command, begin_by=self.lease.until(voters=self.learner.voters()))
+            replace(command, begin_by=self.lease.expires_at(voters=self.learner.voters()))
             if isinstance(command, StartCall) and command.token.startswith("x ")
             else command
             for command in self._handle(now=now, event=event)
@@ -99,7 +101,7 @@
             case TimerFired():
                 return self._on_timer(now=now)
             case ClientDisconnected():
-                return self.exchanges.on_client_disconnected(now=now, token=event.token)
+                return self.proxied_requests.on_client_disconnected(now=now, token=event.token)
             case RecordsSynced() | DiskWriteFailed() | ConfigValidated():
                 # a proxy has no disk, and validates no configuration
                 return self.unexpected.add(event=event)
@@ -109,9 +111,9 @@
     def _begin_stop(self, *, now: float) -> list[Command]:
         self.stopping = STOPPING.step(state=self.stopping, event="stop_asked")
         self.stop_deadline = now + constants.STOP_GRACE
-        return [LogEvent(event="stopping", fields={"open": len(self.exchanges.live)})]
+        return [LogEvent(event="stopping", fields={"open": len(self.proxied_requests.live)})]
 
-    def acting(self, *, now: float) -> bool:
+    def is_acting(self, *, now: float) -> bool:
         """Does this proxy hold a valid lease and a worker list, so that it may route requests?"""
         return (
             self.lease.is_valid(now=now, voters=self.learner.voters())
@@ -123,25 +125,25 @@
             return [answer_json(token=event.token, code=200, body=self._build_status(now=now))]
         if event.path == "/sailward/explain" and event.method == "GET":
             explanation = explain(
-                now=now, query=event.query, load_balancer=self.load_balancer, acting=self.acting(now=now)
+                now=now, query=event.query, load_balancer=self.load_balancer, is_acting=self.is_acting(now=now)
             )
             return [answer_json(token=event.token, code=200, body=explanation)]
         if self.stopping not in STOPPING.marks["taking"]:
             refusal = Refusal(code=503, reason="stopping", detail="this proxy is stopping: ask a directory for another")
-            return [answer_refusal(token=event.token, refusal=refusal, not_run=may_promise_not_run(event=event))]
-        commands, operations = self.exchanges.step(now=now, event=event, acting=self.acting(now=now))
+            return [answer_refusal(token=event.token, refusal=refusal, is_not_run=may_promise_not_run(event=event))]
+        commands, operations = self.proxied_requests.step(now=now, event=event, is_acting=self.is_acting(now=now))
         return commands + self._start_operations(now=now, operations=operations)
 
     def _on_call_finished(self, *, now: float, event: CallFinished) -> list[Command]:
         if event.token.startswith("probe "):
             commands = self.routing_state.prober.step(now=now, event=event)
-            return commands + self._count_zones(now=now) if commands else []
-        return self._step_exchanges(now=now, event=event)
+            return commands + self._update_zone_health(now=now) if commands else []
+        return self._step_proxied_requests(now=now, event=event)
 
-    def _step_exchanges(
+    def _step_proxied_requests(
         self, *, now: float, event: RequestReceived | CallFinished | OperationFinished | tuple[str, Message] | None
     ) -> list[Command]:
-        commands, operations = self.exchanges.step(now=now, event=event, acting=self.acting(now=now))
+        commands, operations = self.proxied_requests.step(now=now, event=event, is_acting=self.is_acting(now=now))
         return commands + self._start_operations(now=now, operations=operations)
 
     def _on_message(self, *, now: float, sender: str, body: Message) -> list[Command]:
@@ -156,7 +158,7 @@
         if kind == "want":
             return self.learner.send(to=sender, name=body["register"])
         if kind in ("peek", "peeked", "keep"):
-            return self._step_exchanges(now=now, event=(sender, body))
+            return self._step_proxied_requests(now=now, event=(sender, body))
         if kind == "gossip":
             return self.peer_table.step(now=now, event=(sender, body))
         return [LogEvent(event="message-unexpected", fields={"kind": kind, "from": sender})]
@@ -175,8 +177,8 @@
         if event is None:
             report = {
                 **self.routing_state.report(now=now, suspect=self.suspects_itself),
-                "busy": self.exchanges.busy(now=now),
-                "rates": self.exchanges.rates(now=now),
+                "busy": self.proxied_requests.busy(now=now),
+                "rates": self.proxied_requests.rates(now=now),
             }
         return self.lease.step(
             now=now,
@@ -209,11 +211,13 @@
             epoch=int(epoch), revision=value["number"], workers=rows
         )
         commands = self.routing_state.prober.update_workers(
-            now=now, workers=self.routing_state.endpoint_table.workers, warm=self.routing_state.warm_seconds()
+            now=now,
+            workers=self.routing_state.endpoint_table.workers,
+            healthy_durations=self.routing_state.healthy_durations(),
         )
         if added or removed:
             commands.append(LogEvent(event="workers", fields={"came": len(added), "went": len(removed)}))
-        return commands + self._count_zones(now=now)
+        return commands + self._update_zone_health(now=now)
 
     def _apply_register(self, *, now: float, name: str, ballot: Ballot, value: RegisterValue) -> list[Command]:
         plan = self.routing_state.plan
@@ -244,9 +248,9 @@
     def _on_operations_finished(self, *, now: float, finished: list) -> list[Command]:
         commands = []
         for operation in finished:
-            name = self._reads.pop(operation.op, None)
+            name = self._reads_in_flight.pop(operation.op, None)
             if operation.register.startswith(CLAIM_PREFIX):
-                commands += self._step_exchanges(now=now, event=operation)
+                commands += self._step_proxied_requests(now=now, event=operation)
             elif name is not None and isinstance(operation.outcome, Accepted) and operation.outcome.value["number"]:
                 commands += self._apply_register(
                     now=now, name=name, ballot=operation.outcome.ballot, value=operation.outcome.value
@@ -260,9 +264,9 @@
         commands += self._read_stale_registers(now=now)
         commands += self.peer_table.step(now=now, event=None)
         commands += self.routing_state.prober.step(now=now, event=None)
-        commands += self._step_exchanges(now=now, event=None)
-        if now - self._zones_counted_at >= constants.ZONE_HEALTH_INTERVAL:
-            commands += self._count_zones(now=now)
+        commands += self._step_proxied_requests(now=now, event=None)
+        if now - self._zone_health_updated_at >= constants.ZONE_HEALTH_INTERVAL:
+            commands += self._update_zone_health(now=now)
             self.load_balancer.rate_limits.drop_unused(now=now, listed=set(self.routing_state.endpoint_table.workers))
         self.claims.peers = [
             Peer(name=peer["id"], post=peer["post"], region=peer["region"], zone=peer["hall"])
@@ -272,7 +276,7 @@
         recent_counts = [count for at, count in self.proxy_counts.values() if now - at < constants.SUBSCRIBER_TTL]
         self.routing_state.proxy_count = max([1, *recent_counts])
         self.peer_table.is_fit = (
-            self.acting(now=now) and not self.suspects_itself and self.stopping in STOPPING.marks["named"]
+            self.is_acting(now=now) and not self.suspects_itself and self.stopping in STOPPING.marks["named"]
         )
         return commands + self._check_shutdown(now=now)
 
@@ -281,17 +285,17 @@
         for name, since in self.lease.outdated_since.items():
             if (
                 now - since >= constants.REGISTER_READ_DELAY
-                and name not in self._reads.values()
+                and name not in self._reads_in_flight.values()
                 and is_control_register(name=name)
             ):
                 self._read_count += 1
                 op = f"{self.identity}/read{self._read_count}"
-                self._reads[op] = name
+                self._reads_in_flight[op] = name
                 operations.append(StartOperation(op=op, register=name, timeout=constants.LEASE_DURATION))
         return self._start_operations(now=now, operations=operations)
 
-    def _count_zones(self, *, now: float) -> list[Command]:
-        self._zones_counted_at = now
+    def _update_zone_health(self, *, now: float) -> list[Command]:
+        self._zone_health_updated_at = now
         commands = self.routing_state.zone_health.step(now=now, counts=self.routing_state.counts())
         zones = {zone for _, zone in self.routing_state.zone_health.zones}
         down = {
@@ -321,7 +325,7 @@
             return []
         if now >= self.stop_deadline - constants.STOP_GRACE + constants.DEREGISTRATION_DELAY:
             self.stopping = STOPPING.step(state=self.stopping, event="left")
-        event = "grace_over" if now >= self.stop_deadline else "all_done" if not self.exchanges.live else ""
+        event = "grace_over" if now >= self.stop_deadline else "all_done" if not self.proxied_requests.live else ""
         self.stopping = STOPPING.step(state=self.stopping, event=event)
         return [ExitProcess(code=0)] if self.stopping == "over" else []
 
@@ -334,14 +338,14 @@
         return {
             "id": self.location.name,
             "fit": self.peer_table.is_fit,
-            "acting": self.acting(now=now),
+            "acting": self.is_acting(now=now),
             "suspect": self.suspects_itself,
             "registers": {name: self.learner.number(name=name) for name in CONTROL_REGISTERS},
             "proxies": self.routing_state.proxy_count,
             "halls": zones,
             "workers": workers,
-            "tally": dict(self.exchanges.tally),
-            "open": len(self.exchanges.in_flight),
+            "tally": dict(self.proxied_requests.tally),
+            "open": len(self.proxied_requests.in_flight),
             "unexpected_events": dict(self.unexpected.counts),
             "refused_input": dict(self.refused.counts),
         }
--- a/sailward/routing/active_health.py
+++ b/sailward/routing/active_health.py
@@ -55,15 +55,15 @@
                 commands.append(self._start_probe(now=now, key=key, probed=probed))
         return commands
 
-    def update_workers(self, *, now: float, workers: dict[str, Worker], warm: dict) -> list[Command]:
-        """Apply the newest worker list; `warm` holds how long (s) others have seen a worker in good status."""
+    def update_workers(self, *, now: float, workers: dict[str, Worker], healthy_durations: dict) -> list[Command]:
+        """Apply the newest worker list; `healthy_durations`: s for which others have seen each worker healthy."""
         commands: list[Command] = [CloseConnections(owner=key) for key in self.probed if key not in workers]
         self.probed = {key: probed for key, probed in self.probed.items() if key in workers}
         for key, worker in workers.items():
             probed = self.probed.get(key)
             if probed is None:
                 self.probed[key] = Probed(worker=worker, next_probe_at=now, listed_at=now)
-                self.probed[key].slow_start_began_at = now - warm.get(key, 0.0)
+                self.probed[key].slow_start_began_at = now - healthy_durations.get(key, 0.0)
             else:
                 probed.worker = worker
         return commands
--- a/sailward/routing/endpoint_selection.py
+++ b/sailward/routing/endpoint_selection.py
@@ -10,10 +10,10 @@
 from sailward import constants
 from sailward.discovery.endpoint_table import Worker
 from sailward.discovery.rendezvous import choose_names
-from sailward.routing.concurrency_limits import Bucket
 from sailward.routing.passive_health import PassiveHealth, WorkerHealth
 from sailward.routing.plan import Plan, Pool
 from sailward.routing.proxied_request import Refusal
+from sailward.routing.rate_limits import Bucket
 from sailward.routing.request import Request
 from sailward.routing.shards import ShardTables
 from sailward.routing.weighted_draw import ZoneView, draw_pool, draw_zone, share_zones
@@ -136,7 +136,7 @@
 
     def _views(self, *, now: float, service: str, homes: frozenset) -> dict[str, ZoneView]:
         views = {}
-        capacity_by_zone = self._warm_capacity_by_zone(now=now, service=service)
+        capacity_by_zone = self._ready_capacity_by_zone(now=now, service=service)
         for (name, zone), state in self.context.zone_health.zones.items():
             if name == service:
                 views[zone] = ZoneView(
@@ -161,7 +161,7 @@
         ]
         return sum(unloaded_times) / len(unloaded_times) if unloaded_times else 0.0
 
-    def _warm_capacity_by_zone(self, *, now: float, service: str) -> dict[str, float]:
+    def _ready_capacity_by_zone(self, *, now: float, service: str) -> dict[str, float]:
         """The relative capacity of each zone: the sum of the speeds of its workers that are not in slow start."""
         capacity_by_zone: dict[str, float] = {}
         mean = self._mean_unloaded_time(service=service)
@@ -194,21 +194,21 @@
 
     def _choose_worker(self, *, now: float, request: Request, eligible: list[WorkerHealth]) -> Worker | None:
         available = [health for health in eligible if now >= health.busy_until and self._has_capacity(health=health)]
-        warm = [health for health in available if now >= health.slow_start_until]
-        warm = [health for health in warm if now >= health.avoided_until] or warm
-        if warm:
+        ready = [health for health in available if now >= health.slow_start_until]
+        ready = [health for health in ready if now >= health.avoided_until] or ready
+        if ready:
             mean = self._mean_unloaded_time(service=request.service.name)
-            first = self.rng.choices(warm, weights=[health.relative_speed(mean=mean) for health in warm])[0]
-            others = [health for health in warm if health is not first]
+            first = self.rng.choices(ready, weights=[health.relative_speed(mean=mean) for health in ready])[0]
+            others = [health for health in ready if health is not first]
             second = (
                 self.rng.choices(others, weights=[health.relative_speed(mean=mean) for health in others])[0]
                 if others
                 else first
             )
             return min((first, second), key=self._load).worker
-        cold = [health for health in available if now < health.slow_start_until]
-        self.rng.shuffle(cold)
-        for health in cold:
+        in_slow_start = [health for health in available if now < health.slow_start_until]
+        self.rng.shuffle(in_slow_start)
+        for health in in_slow_start:
             if self._take_slow_start_token(now=now, health=health, request=request):
                 return health.worker
         return None
--- a/sailward/routing/explain.py
+++ b/sailward/routing/explain.py
@@ -2,20 +2,20 @@
 
 from __future__ import annotations
 
-from sailward.routing.concurrency_limits import rate_of
 from sailward.routing.load_balancer import LoadBalancer
 from sailward.routing.plan import Match, Service, Tenant
 from sailward.routing.proxied_request import shard_key_of
+from sailward.routing.rate_limits import rate_of
 from sailward.routing.routing_state import RoutingState
 from sailward.routing.shard_owners import pool_of_slot, slot_of, space_of
 from sailward.routing.weighted_draw import ZoneView, share_zones
 
 
-def explain(*, now: float, query: dict[str, str], load_balancer: LoadBalancer, acting: bool) -> dict:
+def explain(*, now: float, query: dict[str, str], load_balancer: LoadBalancer, is_acting: bool) -> dict:
     """The routing of a request with these query parameters at this proxy now, in the terms of the configuration."""
     routing_state = load_balancer.routing_state
     explanation: dict = {
-        "acting": acting,
+        "acting": is_acting,
         "config": routing_state.plan.number,
         "emptied": sorted(routing_state.evacuated_zones),
     }
@@ -90,7 +90,7 @@
             "status": probed[key].state,
             "leaving": worker.leaving,
             "open": load_balancer.open_requests.get(key, 0),
-            "bound": round(rate_of(service=service, warm=now - probed[key].slow_start_began_at), 1),
+            "bound": round(rate_of(service=service, healthy_s=now - probed[key].slow_start_began_at), 1),
         }
         for key, worker in sorted(routing_state.endpoint_table.workers.items())
         if worker.service == service.name and key in probed
--- a/sailward/routing/forwarding.py
+++ b/sailward/routing/forwarding.py
@@ -152,7 +152,7 @@
         if not request.service.is_ranged:
             request.tried_workers.add(worker.key)
         may_hedge = request.match.is_repeatable and request.attempts_sent < request.max_attempts
-        request.hedge_at = now + self._hedge_after(request=request) if may_hedge else float("inf")
+        request.hedge_at = now + self._hedge_delay(request=request) if may_hedge else float("inf")
         self.calls[token] = request
         self.calls_by_worker.setdefault(worker.key, {})[token] = None
         self.endpoint_selector.record_sent(key=worker.key)
@@ -176,7 +176,7 @@
             ),
         ]
 
-    def _hedge_after(self, *, request: Request) -> float:
+    def _hedge_delay(self, *, request: Request) -> float:
         # a key has a single owner, so a hedge goes to the same worker: only when the response is most likely lost
         share = constants.KEY_OWNER_RETRY_RATIO if request.service.is_ranged else constants.HEDGE_DELAY_RATIO
         return max(constants.HEDGE_MIN_DELAY, share * (request.match.target or constants.HEDGE_MIN_DELAY))
--- a/sailward/routing/lease.py
+++ b/sailward/routing/lease.py
@@ -20,7 +20,7 @@
 
     requested_at: float
     newest: dict
-    until: float = -1e9
+    valid_until: float = -1e9
 
 
 class Lease:
@@ -57,18 +57,20 @@
     def reevaluate(self) -> None:
         """Reevaluate the grants after a newer value has been learned."""
         for grant in self._grants.values():
-            grant.until = max(grant.until, self._valid_until(grant=grant))
+            grant.valid_until = max(grant.valid_until, self._valid_until(grant=grant))
 
-    def until(self, *, voters: VoterSet) -> float:
+    def expires_at(self, *, voters: VoterSet) -> float:
         """When the lease expires; until then, every majority includes a voter whose grant still holds."""
         members = voters.members
-        expiries = sorted((grant.until for name, grant in self._grants.items() if name in members), reverse=True)
+        expiries = sorted((grant.valid_until for name, grant in self._grants.items() if name in members), reverse=True)
         size = blocking_size(members=members)
         return expiries[size - 1] if members and len(expiries) >= size else -1e9
 
     def is_valid(self, *, now: float, voters: VoterSet) -> bool:
         """May the proxy act now: is the lease valid, and are the configuration and the voter set known?"""
-        return now < self.until(voters=voters) and all(self._learner.number(name=name) for name in ("config", "voters"))
+        return now < self.expires_at(voters=voters) and all(
+            self._learner.number(name=name) for name in ("config", "voters")
+        )
 
     def _request_lease(self, *, now: float, addresses: list, report: dict, daemon: dict, have: dict) -> list[Command]:
         self._seq, self._next_request_at = self._seq + 1, now + constants.LEASE_REQUEST_INTERVAL
@@ -85,7 +87,7 @@
         if requested_at < grant.requested_at:
             return
         grant.requested_at, grant.newest = requested_at, body["newest"]
-        grant.until = max(grant.until, self._valid_until(grant=grant))
+        grant.valid_until = max(grant.valid_until, self._valid_until(grant=grant))
 
     def _outdated_names(self, *, grant: Grant) -> list[str]:
         return [name for name, newest in grant.newest.items() if not self._learner.covers(name=name, newest=newest)]
--- a/sailward/routing/load_balancer.py
+++ b/sailward/routing/load_balancer.py
@@ -7,8 +7,8 @@
 
 from sailward import constants
 from sailward.discovery.endpoint_table import Worker
-from sailward.routing.concurrency_limits import ConcurrencyLimits
 from sailward.routing.proxied_request import ProxiedRequest, Refusal
+from sailward.routing.rate_limits import RateLimits
 from sailward.routing.routing_state import RoutingState
 from sailward.routing.shard_owners import pool_of_slot, slot_of, space_of
 from sailward.routing.weighted_draw import draw_pool, draw_zone, share_zones
@@ -20,17 +20,17 @@
 
     rng: random.Random
     routing_state: RoutingState
-    rate_limits: ConcurrencyLimits = field(default_factory=ConcurrencyLimits)
+    rate_limits: RateLimits = field(default_factory=RateLimits)
     open_requests: dict = field(default_factory=dict)
 
-    def step(self, *, now: float, exchange: ProxiedRequest) -> Worker | Refusal:
+    def step(self, *, now: float, request: ProxiedRequest) -> Worker | Refusal:
         """Select the worker that runs this request, and count the request against its rate limit."""
-        if exchange.service.slots:
-            return self._find_owner(now=now, exchange=exchange)
-        if not exchange.pool:
-            exchange.pool = draw_pool(match=exchange.match, rng=self.rng)
-        pool = self.routing_state.plan.pools[exchange.pool]
-        views = self.routing_state.zone_views(now=now, service=pool.service, tenant=exchange.tenant)
+        if request.service.slots:
+            return self._find_owner(now=now, request=request)
+        if not request.pool:
+            request.pool = draw_pool(match=request.match, rng=self.rng)
+        pool = self.routing_state.plan.pools[request.pool]
+        views = self.routing_state.zone_views(now=now, service=pool.service, tenant=request.tenant)
         shares = share_zones(pool=pool, views=views)
         if not shares:
             return Refusal(code=503, reason="no-hall", detail="no hall that may serve this tenant has a healthy worker")
@@ -42,29 +42,29 @@
         ]
         other_zones.sort(key=lambda zone: (zone not in shares, views[zone].is_drained))
         for zone in (first_zone, *other_zones):
-            worker = self._choose_worker(now=now, exchange=exchange, zone=zone)
+            worker = self._choose_worker(now=now, request=request, zone=zone)
             if worker is not None:
                 return worker
         return Refusal(code=503, reason="no-room", detail="every worker that may serve is at its bound")
 
-    def _find_owner(self, *, now: float, exchange: ProxiedRequest) -> Worker | Refusal:
-        routing_state, service = self.routing_state, exchange.service
-        exchange.slot = slot_of(key=exchange.shard_key, slots=service.slots)
-        exchange.pool = pool_of_slot(shares=exchange.match.shares, slot=exchange.slot, slots=service.slots)
-        homes = exchange.tenant.homes
-        exchange.space = space_of(homes=homes, service=service)
-        owned = routing_state.shard_owners.find(service=service.name, space=exchange.space, slot=exchange.slot)
+    def _find_owner(self, *, now: float, request: ProxiedRequest) -> Worker | Refusal:
+        routing_state, service = self.routing_state, request.service
+        request.slot = slot_of(key=request.shard_key, slots=service.slots)
+        request.pool = pool_of_slot(shares=request.match.shares, slot=request.slot, slots=service.slots)
+        homes = request.tenant.homes
+        request.space = space_of(homes=homes, service=service)
+        owned = routing_state.shard_owners.find(service=service.name, space=request.space, slot=request.slot)
         if owned is None or not owned.owner:
             return Refusal(code=503, reason="key-unowned", detail="no worker that may serve owns this key yet")
         if not owned.is_open:
             return Refusal(code=503, reason="key-moving", detail="this key is on its way to another worker")
         worker = routing_state.endpoint_table.workers.get(owned.owner)
-        if worker is None or owned.owner in exchange.tried_workers or not self._may_serve(worker=worker, homes=homes):
+        if worker is None or owned.owner in request.tried_workers or not self._may_serve(worker=worker, homes=homes):
             return Refusal(code=503, reason="owner-lost", detail="this key's worker can't be used; it will move")
-        refusal = self._refuse_over_limit(now=now, exchange=exchange, owner=owned.owner)
+        refusal = self._refuse_over_limit(now=now, request=request, owner=owned.owner)
         if refusal is not None:
             return refusal
-        exchange.term = owned.term
+        request.term = owned.term
         return worker
 
     def _may_serve(self, *, worker: Worker, homes: frozenset[str]) -> bool:
@@ -79,15 +79,15 @@
             and (not homes or routing_state.plan.regions.get(worker.zone) in homes)
         )
 
-    def _refuse_over_limit(self, *, now: float, exchange: ProxiedRequest, owner: str) -> Refusal | None:
+    def _refuse_over_limit(self, *, now: float, request: ProxiedRequest, owner: str) -> Refusal | None:
         """The refusal if the rate limit of the key or of its owner is reached; None if the request may be sent."""
-        routing_state, service = self.routing_state, exchange.service
+        routing_state, service = self.routing_state, request.service
         key_limit = replace(service, rate=service.rate * constants.HOT_KEY_SHARE)
         if not self.rate_limits.step(
             now=now,
-            key=f"key {service.name} {exchange.shard_key}",
+            key=f"key {service.name} {request.shard_key}",
             service=key_limit,
-            warm=service.slow_start_ramp,
+            healthy_s=service.slow_start_ramp,
             proxies=routing_state.proxy_count,
         ):
             return Refusal(code=503, reason="hot-key", detail="this key has taken its part of its worker's bound")
@@ -95,15 +95,15 @@
             now=now,
             key=owner,
             service=service,
-            warm=now - routing_state.prober.probed[owner].slow_start_began_at,
+            healthy_s=now - routing_state.prober.probed[owner].slow_start_began_at,
             proxies=routing_state.proxy_count,
         ):
             return Refusal(code=503, reason="owner-full", detail="this key's worker is at its bound")
         return None
 
-    def is_choice_valid(self, *, exchange: ProxiedRequest) -> bool:
+    def is_choice_valid(self, *, request: ProxiedRequest) -> bool:
         """May this request still be sent to the worker that was chosen for it earlier?"""
-        routing_state, worker = self.routing_state, exchange.selected_worker
+        routing_state, worker = self.routing_state, request.selected_worker
         probed = routing_state.prober.probed.get(worker.key)
         if (
             worker.key not in routing_state.endpoint_table.workers
@@ -113,10 +113,10 @@
             or not probed.is_healthy
         ):
             return False
-        if exchange.slot < 0:
+        if request.slot < 0:
             return True
-        owned = routing_state.shard_owners.find(service=exchange.service.name, space=exchange.space, slot=exchange.slot)
-        return owned is not None and owned.is_open and (owned.owner, owned.term) == (worker.key, exchange.term)
+        owned = routing_state.shard_owners.find(service=request.service.name, space=request.space, slot=request.slot)
+        return owned is not None and owned.is_open and (owned.owner, owned.term) == (worker.key, request.term)
 
     def record_sent(self, *, key: str) -> None:
         """Count a request that was forwarded to this worker."""
@@ -130,15 +130,15 @@
         else:
             self.open_requests.pop(key, None)
 
-    def _choose_worker(self, *, now: float, exchange: ProxiedRequest, zone: str) -> Worker | None:
-        routing_state, service = self.routing_state, exchange.service
+    def _choose_worker(self, *, now: float, request: ProxiedRequest, zone: str) -> Worker | None:
+        routing_state, service = self.routing_state, request.service
         eligible = []
         for key, worker in routing_state.endpoint_table.workers.items():
             if (
                 worker.service == service.name
                 and worker.zone == zone
                 and not worker.leaving
-                and key not in exchange.tried_workers
+                and key not in request.tried_workers
             ):
                 probed = routing_state.prober.probed.get(key)
                 if probed is not None and probed.is_healthy:
@@ -147,7 +147,7 @@
             candidates = self.rng.sample(eligible, min(2, len(eligible)))
             choice = min(candidates, key=lambda candidate: self.open_requests.get(candidate[0].key, 0))
             if self.rate_limits.step(
-                now=now, key=choice[0].key, service=service, warm=choice[1], proxies=routing_state.proxy_count
+                now=now, key=choice[0].key, service=service, healthy_s=choice[1], proxies=routing_state.proxy_count
             ):
                 return choice[0]
             eligible.remove(choice)
--- a/sailward/routing/plan.py
+++ b/sailward/routing/plan.py
@@ -39,10 +39,10 @@
     slow_start_rate: float
     slow_start_ramp: float
     result_bytes: int
-    digest_required: bool
-    timed_keys: bool
+    requires_digest: bool
+    requires_timed_keys: bool
     slots: int
-    keys_shared: bool
+    has_shared_keys: bool
     is_ranged: bool = False
     health_path: str = "/status"
     connections: int = 0
@@ -186,10 +186,10 @@
         slow_start_rate=fields["cold_rate"],
         slow_start_ramp=fields["cold_ramp_s"],
         result_bytes=fields["result_bytes"],
-        digest_required=fields["digest_required"],
-        timed_keys=fields.get("timed_keys", False),
+        requires_digest=fields["digest_required"],
+        requires_timed_keys=fields.get("timed_keys", False),
         slots=fields["slots"],
-        keys_shared=fields["keys"] == "shared",
+        has_shared_keys=fields["keys"] == "shared",
         is_ranged=fields["keys"] == "ranged",
         health_path=fields.get("health_path", "/status"),
         connections=fields.get("connections", 0),
--- a/sailward/routing/proxied_request.py
+++ b/sailward/routing/proxied_request.py
@@ -106,7 +106,7 @@
 
 
 def build_proxied_request(
-    *, event: RequestReceived, plan: Plan, now: float, name: str, clock: float | None = None
+    *, event: RequestReceived, plan: Plan, now: float, exchange_id: str, wall_time: float | None = None
 ) -> ProxiedRequest | Refusal:
     """Build the request that a client sent, or the refusal if it can't be accepted."""
     if event.body is None:
@@ -117,7 +117,9 @@
     match, key = head.match, head.key
     service = plan.services[plan.pools[match.shares[0][0]].service]
     key_fault = (
-        judge_key(key=key, clock=clock, is_required=service.timed_keys) if event.method not in SAFE_METHODS else None
+        judge_key(key=key, wall_time=wall_time, is_required=service.requires_timed_keys)
+        if event.method not in SAFE_METHODS
+        else None
     )
     if key_fault is not None:
         return Refusal(code=key_fault[0], reason=key_fault[1], detail=key_fault[2])
@@ -127,7 +129,7 @@
     query = "?" + urlencode(event.query, doseq=True) if event.query else ""
     return ProxiedRequest(
         token=event.token,
-        exchange_id=name,
+        exchange_id=exchange_id,
         tenant=head.tenant,
         method=event.method,
         path=quote(event.path, safe="/%:@!$&'()*+,;=~-._") + query,
@@ -211,9 +213,9 @@
     )
 
 
-def answer_refusal(*, token: str, refusal: Refusal, not_run: bool) -> Respond:
+def answer_refusal(*, token: str, refusal: Refusal, is_not_run: bool) -> Respond:
     """The final response to a request that is given up: whether it ran, and when to retry."""
-    body = {"error": refusal.reason, "detail": refusal.detail, "ran": "not-run" if not_run else "unknown"}
+    body = {"error": refusal.reason, "detail": refusal.detail, "ran": "not-run" if is_not_run else "unknown"}
     if refusal.state:
         body["state"] = refusal.state
     headers = {"Sailward-Ran": body["ran"]}
--- a/sailward/routing/proxied_requests.py
+++ b/sailward/routing/proxied_requests.py
@@ -50,22 +50,22 @@
         *,
         now: float,
         event: RequestReceived | CallFinished | OperationFinished | tuple[str, Message] | None,
-        acting: bool,
+        is_acting: bool,
     ) -> tuple[list, list]:
-        """Process an event, finished operation, peer's message or None (timer tick); `acting`: the lease is held."""
+        """Process an event, finished operation, peer's message or None (timer tick); `is_acting`: lease held."""
         self.now = now
         if isinstance(event, RequestReceived):
-            return self._on_request(now=now, event=event, acting=acting)
+            return self._on_request(now=now, event=event, is_acting=is_acting)
         if isinstance(event, CallFinished):
-            commands, operations = self._on_call_finished(now=now, event=event, acting=acting)
+            commands, operations = self._on_call_finished(now=now, event=event, is_acting=is_acting)
         elif event is None:
-            commands, operations = self._on_timer(now=now, acting=acting), []
+            commands, operations = self._on_timer(now=now, is_acting=is_acting), []
             verdicts = self.claims.step(now=now, event=None)[2]
-            commands += self._on_verdicts(now=now, verdicts=verdicts, acting=acting)
+            commands += self._on_verdicts(now=now, verdicts=verdicts, is_acting=is_acting)
         else:
             commands, operations, verdicts = self.claims.step(now=now, event=event)
-            commands += self._on_verdicts(now=now, verdicts=verdicts, acting=acting)
-        dispatched, started = self._dispatch_waiting(now=now, acting=acting)
+            commands += self._on_verdicts(now=now, verdicts=verdicts, is_acting=is_acting)
+        dispatched, started = self._dispatch_waiting(now=now, is_acting=is_acting)
         return commands + dispatched, operations + started
 
     def rates(self, *, now: float) -> dict[str, float]:
@@ -77,7 +77,7 @@
 
     def busy(self, *, now: float) -> list[str]:
         """Labels of the slots in which a request forwarded by this proxy may still run."""
-        return self.shards_in_use.labels(now=now, sent=self.in_flight.values())
+        return self.shards_in_use.labels(now=now, in_flight=self.in_flight.values())
 
     def on_client_disconnected(self, *, now: float, token: str) -> list[Command]:
         """The client closed the connection: a request that is safe or was not sent is given up with a final response.
@@ -93,28 +93,28 @@
             del self.in_flight[call]
             self.call_deadlines.pop(call, None)
             self.load_balancer.record_ended(key=request.worker)
-            self.shards_in_use.record_abandoned(exchange=request)
+            self.shards_in_use.record_abandoned(request=request)
         refusal = self._refuse(request=request, reason="caller-left", detail="its connection was closed")
         return [*(CancelCall(token=call) for call in in_flight), refusal]
 
-    def _on_request(self, *, now: float, event: RequestReceived, acting: bool) -> tuple[list, list]:
+    def _on_request(self, *, now: float, event: RequestReceived, is_acting: bool) -> tuple[list, list]:
         self.count += 1
         request = build_proxied_request(
             event=event,
             plan=self.load_balancer.routing_state.plan,
             now=now,
-            name=f"{self.identity}.{self.count}",
-            clock=self.load_balancer.routing_state.wall_time(now=now),
+            exchange_id=f"{self.identity}.{self.count}",
+            wall_time=self.load_balancer.routing_state.wall_time(now=now),
         )
         is_not_run = may_promise_not_run(event=event)
-        if not acting and not (isinstance(request, Refusal) and request.code == 413):
+        if not is_acting and not (isinstance(request, Refusal) and request.code == 413):
             # without a lease the configuration may be stale, so that even "no such tenant" could be wrong
             request = Refusal(code=503, reason="no-lease", detail="this proxy is cut off from the core")
         if isinstance(request, Refusal):
             self._count_refusal(reason=request.reason)
             if request.code == 503 and event.headers.get("sailward-try", "1") == "1":
                 self.attempt_budget.credit(now=now)
-            return [answer_refusal(token=event.token, refusal=request, not_run=is_not_run)], []
+            return [answer_refusal(token=event.token, refusal=request, is_not_run=is_not_run)], []
         cached = self.claims.cache.by_digest.get(request.digest) if request.key else None
         is_replay = cached is not None and cached.state != "unsent"
         refusal = self._charge_budget(now=now, request=request, cached=cached, is_replay=is_replay)
@@ -136,19 +136,19 @@
         self, *, now: float, request: ProxiedRequest, cached: CachedClaim | None, is_replay: bool
     ) -> Respond | None:
         """Charge the request to the attempt budget; the refusal if that is spent or the claim may have been lost."""
-        is_repeat = request.try_number > 1 or (cached is not None and cached.state == "unsent")
+        is_retry = request.try_number > 1 or (cached is not None and cached.state == "unsent")
         if is_replay:
             request.charged_to = ""
-        elif request.is_unsafe and is_repeat and cached is None:
+        elif request.is_unsafe and is_retry and cached is None:
             # a retry whose claim is not known here adds no load on workers until it is forwarded
             request.charged_to = self.attempt_budget.lookup(now=now)
         else:
-            request.charged_to = self.attempt_budget.step(now=now, is_first=not is_repeat, is_client_retry=True)
+            request.charged_to = self.attempt_budget.step(now=now, is_first=not is_retry, is_client_retry=True)
         if not is_replay and not request.charged_to:
             detail = "repeats are over their share of the traffic"
             return self._refuse(request=request, reason="too-many-repeats", detail=detail)
-        is_unclaimed_repeat = request.is_unsafe and cached is None and request.try_number != 1
-        if is_unclaimed_repeat and self.load_balancer.routing_state.has_unknown_outcomes(now=now):
+        is_unclaimed_retry = request.is_unsafe and cached is None and request.try_number != 1
+        if is_unclaimed_retry and self.load_balancer.routing_state.has_unknown_outcomes(now=now):
             detail = "the core lost claims: an exchange that may have been sent before "
             detail += "is not sent on until their life is over"
             return self._refuse(request=request, reason="claims-in-doubt", detail=detail)
@@ -163,12 +163,12 @@
         if request.is_unsafe and not request.has_claim:
             request.state = "claiming"
             commands, operations, verdicts = self.claims.step(now=now, event=request)
-            return commands + self._on_verdicts(now=now, verdicts=verdicts, acting=True), operations
+            return commands + self._on_verdicts(now=now, verdicts=verdicts, is_acting=True), operations
         return self._forward(now=now, request=request), []
 
     def _select_worker(self, *, now: float, request: ProxiedRequest) -> Refusal | None:
         refusal = rematch_request(request=request, plan=self.load_balancer.routing_state.plan)
-        choice = refusal or self.load_balancer.step(now=now, exchange=request)
+        choice = refusal or self.load_balancer.step(now=now, request=request)
         if isinstance(choice, Refusal):
             return choice
         request.selected_worker = choice
@@ -179,7 +179,7 @@
         if (
             request.selected_worker is None
             or has_plan_changed
-            or not self.load_balancer.is_choice_valid(exchange=request)
+            or not self.load_balancer.is_choice_valid(request=request)
         ):
             refusal = self._select_worker(now=now, request=request)
             if refusal is not None:
@@ -213,7 +213,7 @@
             )
         ]
 
-    def _on_verdicts(self, *, now: float, verdicts: list, acting: bool) -> list[Command]:
+    def _on_verdicts(self, *, now: float, verdicts: list, is_acting: bool) -> list[Command]:
         commands: list[Command] = []
         for verdict in verdicts:
             request = verdict.request
@@ -230,7 +230,7 @@
                             )
                         )
                         continue
-                if request.is_answered or not acting or now >= request.expires_at:
+                if request.is_answered or not is_acting or now >= request.expires_at:
                     self._mark_unsent(request=request)
                     if not request.is_answered:
                         commands.append(self._refuse(request=request, reason="no-lease", detail="lost while claiming"))
@@ -251,14 +251,14 @@
                 commands.append(self._refuse(request=request, refusal=verdict.refusal))
         return commands
 
-    def _on_call_finished(self, *, now: float, event: CallFinished, acting: bool) -> tuple[list, list]:
+    def _on_call_finished(self, *, now: float, event: CallFinished, is_acting: bool) -> tuple[list, list]:
         request = self.in_flight.pop(event.token, None)
         self.call_deadlines.pop(event.token, None)
         if request is None:
             return [], []
         self.load_balancer.record_ended(key=request.worker)
         verdict = judge_result(request=request, event=event)
-        if isinstance(verdict, Good) and not self._retry_elsewhere(request=request, verdict=verdict):
+        if isinstance(verdict, Good) and not self._may_retry_elsewhere(request=request, verdict=verdict):
             return self._finish(request=request, verdict=verdict), []
         commands = (
             [] if isinstance(verdict, Good) else self._update_worker_health(now=now, request=request, verdict=verdict)
@@ -269,7 +269,7 @@
                 self._mark_unsent(request=request)
             return commands, []
         may_retry = (
-            not must_not_rerun and acting and request.attempts < constants.MAX_ATTEMPTS and now < request.expires_at
+            not must_not_rerun and is_acting and request.attempts < constants.MAX_ATTEMPTS and now < request.expires_at
         )
         if may_retry and self.attempt_budget.step(now=now, is_first=False):
             self.tally["tried-again"] += 1
@@ -285,7 +285,7 @@
         must_not_rerun = request.is_unsafe and isinstance(verdict, Bad)
         request.may_have_run = request.may_have_run or isinstance(verdict, (Bad, Good))
         if isinstance(verdict, Bad):
-            self.shards_in_use.record_abandoned(exchange=request)
+            self.shards_in_use.record_abandoned(request=request)
         if must_not_rerun:
             cached = self.claims.cache.by_digest.get(request.digest)
             if cached is not None:
@@ -294,7 +294,7 @@
             request.is_sent = request.may_have_run
         return must_not_rerun
 
-    def _retry_elsewhere(self, *, request: ProxiedRequest, verdict: Good) -> bool:
+    def _may_retry_elsewhere(self, *, request: ProxiedRequest, verdict: Good) -> bool:
         return (
             not request.is_unsafe
             and verdict.code in (502, 503, 504)
@@ -305,7 +305,7 @@
     def _update_worker_health(self, *, now: float, request: ProxiedRequest, verdict: object) -> list[Command]:
         event = {"Unsent": "refused"}.get(type(verdict).__name__, "")
         if isinstance(verdict, Bad):
-            event = "stranger" if verdict.stranger else "fail"
+            event = "stranger" if verdict.is_stranger else "fail"
         commands = (
             self.load_balancer.routing_state.prober.record_event(now=now, key=request.worker, event=event)
             if event
@@ -348,7 +348,7 @@
         request.is_answered = True
         self.live.pop(request.token, None)
         is_not_run = not request.is_sent and (not request.is_unsafe or request.try_number == 1) and not refusal.state
-        return answer_refusal(token=request.token, refusal=refusal, not_run=is_not_run)
+        return answer_refusal(token=request.token, refusal=refusal, is_not_run=is_not_run)
 
     def _mark_unsent(self, *, request: ProxiedRequest) -> None:
         cached = self.claims.cache.by_digest.get(request.digest)
@@ -358,9 +358,9 @@
     def _count_refusal(self, *, reason: str) -> None:
         self.tally[f"refused-{reason}"] += 1
 
-    def _dispatch_waiting(self, *, now: float, acting: bool) -> tuple[list, list]:
+    def _dispatch_waiting(self, *, now: float, is_acting: bool) -> tuple[list, list]:
         commands, operations, blocked = [], [], set()
-        while acting and len(self.in_flight) < constants.MAX_OPEN_EXCHANGES:
+        while is_acting and len(self.in_flight) < constants.MAX_OPEN_EXCHANGES:
             queued = self.queues.take(blocked=blocked)
             if queued is None:
                 break
@@ -375,17 +375,17 @@
             commands, operations = commands + dispatched[0], operations + dispatched[1]
         return commands, operations
 
-    def _on_timer(self, *, now: float, acting: bool) -> list[Command]:
+    def _on_timer(self, *, now: float, is_acting: bool) -> list[Command]:
         commands: list[Command] = []
         for request in list(self.live.values()):
-            if request.state == "waiting" and (not acting or now - request.arrived_at >= constants.QUEUE_TIMEOUT):
-                reason = "no-room" if acting else "no-lease"
+            if request.state == "waiting" and (not is_acting or now - request.arrived_at >= constants.QUEUE_TIMEOUT):
+                reason = "no-room" if is_acting else "no-lease"
                 commands.append(
                     self._refuse(
                         request=request,
                         reason=reason,
                         detail="every worker that may serve is at its bound"
-                        if acting
+                        if is_acting
                         else "this proxy is cut off from the core",
                     )
                 )
@@ -396,5 +396,5 @@
             if now >= deadline:
                 # the end of the call was never reported; whether the request ran is unknown
                 timed_out = CallFinished(token=token, code=0, headers={}, body=b"", fault="timed-out", sent=True)
-                commands += self._on_call_finished(now=now, event=timed_out, acting=False)[0]
+                commands += self._on_call_finished(now=now, event=timed_out, is_acting=False)[0]
         return commands
--- a/sailward/routing/concurrency_limits.py
+++ b/sailward/routing/rate_limits.py
@@ -16,15 +16,15 @@
     updated_at: float
 
 
-class ConcurrencyLimits:
+class RateLimits:
     """Keeps this proxy's share of each worker's rate limit. `step` takes one token for a request."""
 
     def __init__(self) -> None:
         self._buckets: dict[str, Bucket] = {}
 
-    def step(self, *, now: float, key: str, service: Service, warm: float, proxies: int) -> bool:
+    def step(self, *, now: float, key: str, service: Service, healthy_s: float, proxies: int) -> bool:
         """Take one token from the worker's bucket; False if it has none."""
-        bucket = self._refill(now=now, key=key, service=service, warm=warm, proxies=proxies)
+        bucket = self._refill(now=now, key=key, service=service, healthy_s=healthy_s, proxies=proxies)
         if bucket.tokens < 1.0:
             return False
         bucket.tokens -= 1.0
@@ -38,8 +38,8 @@
             if key in listed or (key.startswith("key ") and now - bucket.updated_at < constants.RETRY_BUDGET_WINDOW)
         }
 
-    def _refill(self, *, now: float, key: str, service: Service, warm: float, proxies: int) -> Bucket:
-        rate = rate_of(service=service, warm=warm) * constants.RATE_LIMIT_UTILIZATION / max(1, proxies)
+    def _refill(self, *, now: float, key: str, service: Service, healthy_s: float, proxies: int) -> Bucket:
+        rate = rate_of(service=service, healthy_s=healthy_s) * constants.RATE_LIMIT_UTILIZATION / max(1, proxies)
         burst = max(1.0, rate * constants.RATE_LIMIT_BURST)
         bucket = self._buckets.get(key)
         if bucket is None:
@@ -49,9 +49,9 @@
         return bucket
 
 
-def rate_of(*, service: Service, warm: float) -> float:
-    """The rate limit (requests per s) of a worker that has been in good status for `warm` seconds."""
-    if service.slow_start_ramp <= 0 or warm >= service.slow_start_ramp:
+def rate_of(*, service: Service, healthy_s: float) -> float:
+    """The rate limit (requests per s) of a worker that has been in good status for `healthy_s` seconds."""
+    if service.slow_start_ramp <= 0 or healthy_s >= service.slow_start_ramp:
         return service.rate
     slow_start = min(service.slow_start_rate, service.rate)
-    return slow_start + (service.rate - slow_start) * max(0.0, warm) / service.slow_start_ramp
+    return slow_start + (service.rate - slow_start) * max(0.0, healthy_s) / service.slow_start_ramp
--- a/sailward/routing/response_check.py
+++ b/sailward/routing/response_check.py
@@ -39,7 +39,7 @@
     """No response that may be returned to the client; the request may have run."""
 
     reason: str
-    stranger: bool = False
+    is_stranger: bool = False
 
 
 def judge_result(*, request: ProxiedRequest, event: CallFinished) -> Good | WorkerRefused | Unsent | Bad:
@@ -48,7 +48,7 @@
         return Bad(reason=event.fault) if event.sent else Unsent(reason=event.fault)
     headers = event.headers
     if headers.get("sailward-worker") != request.worker:
-        return Bad(reason="another-worker", stranger=True)
+        return Bad(reason="another-worker", is_stranger=True)
     if headers.get("sailward-exchange") != request.exchange_id:
         return Bad(reason="another-exchange")
     if event.code in (429, 503) and headers.get("sailward-ran") == "not-run":
@@ -75,7 +75,7 @@
     if len(body) > request.service.result_bytes:
         return "too-large"
     digest = headers.get("content-digest", "")
-    if digest or request.service.digest_required:
+    if digest or request.service.requires_digest:
         expected = "sha-256=:" + base64.b64encode(hashlib.sha256(body).digest()).decode() + ":"
         if expected not in [part.strip() for part in digest.split(",")]:
             return "wrong-bytes"
--- a/sailward/routing/routing_state.py
+++ b/sailward/routing/routing_state.py
@@ -73,13 +73,13 @@
         recent_views = [view for at, view in self.controller_views.values() if now - at < constants.HEALTH_REPORT_TTL]
         return bool(recent_views) and all(view.get("doubt") for view in recent_views)
 
-    def warm_seconds(self) -> dict[str, float]:
+    def healthy_durations(self) -> dict[str, float]:
         """For how long (s) other proxies have seen each worker in good status."""
-        warm: dict[str, float] = {}
+        healthy_durations: dict[str, float] = {}
         for _, view in self.controller_views.values():
             for key, age in view.get("warm", {}).items():
-                warm[key] = max(age, warm.get(key, 0.0))
-        return warm
+                healthy_durations[key] = max(age, healthy_durations.get(key, 0.0))
+        return healthy_durations
 
     def zone_views(self, *, now: float, service: str, tenant: Tenant | None) -> dict[str, ZoneView]:
         """The state of each zone of a service for the selection of a zone for this tenant."""
@@ -105,12 +105,12 @@
             f"{service}|{zone}": [state.listed, state.healthy, state.state]
             for (service, zone), state in self.zone_health.zones.items()
         }
-        warm = {
+        healthy_durations = {
             key: round(now - probed.slow_start_began_at, 1)
             for key, probed in self.prober.probed.items()
             if probed.is_healthy
         }
-        return {"halls": zones, "warm": warm, "suspect": suspect}
+        return {"halls": zones, "warm": healthy_durations, "suspect": suspect}
 
 
 def read_orders(*, value: RegisterValue) -> frozenset:
--- a/sailward/routing/shard_owners.py
+++ b/sailward/routing/shard_owners.py
@@ -71,7 +71,7 @@
 
     Tenants bound to different home regions have separate slots, owned in those regions, unless the keys are shared.
     """
-    return "" if service.keys_shared else "+".join(sorted(homes))
+    return "" if service.has_shared_keys else "+".join(sorted(homes))
 
 
 def common_residency(*, plan: Plan, service: str) -> set[str]:
--- a/sailward/routing/shards_in_use.py
+++ b/sailward/routing/shards_in_use.py
@@ -14,16 +14,16 @@
 
     busy_until: dict[str, float] = field(default_factory=dict)
 
-    def record_abandoned(self, *, exchange: ProxiedRequest) -> None:
+    def record_abandoned(self, *, request: ProxiedRequest) -> None:
         """Keep the shard of an abandoned request in use: its worker may go on until the service's expiry."""
-        if exchange.slot >= 0:
-            self.busy_until[_label(exchange=exchange)] = exchange.sent_at + exchange.service.expiry
+        if request.slot >= 0:
+            self.busy_until[_label(request=request)] = request.sent_at + request.service.expiry
 
-    def labels(self, *, now: float, sent: Iterable[ProxiedRequest]) -> list[str]:
+    def labels(self, *, now: float, in_flight: Iterable[ProxiedRequest]) -> list[str]:
         """The labels (service|space/slot) of the shards in which requests are in flight or may still be running."""
         self.busy_until = {label: end for label, end in self.busy_until.items() if now < end}
-        return sorted({*(_label(exchange=exchange) for exchange in sent if exchange.slot >= 0), *self.busy_until})
+        return sorted({*(_label(request=request) for request in in_flight if request.slot >= 0), *self.busy_until})
 
 
-def _label(*, exchange: ProxiedRequest) -> str:
-    return f"{exchange.service.name}|{exchange.space}/{exchange.slot}"
+def _label(*, request: ProxiedRequest) -> str:
+    return f"{request.service.name}|{request.space}/{request.slot}"
--- a/sailward/routing/weighted_draw.py
+++ b/sailward/routing/weighted_draw.py
@@ -55,19 +55,19 @@
         available = [zone for zone in usable if views[zone].healthy]
     preferred = [zone for zone in pool.preferred if zone in available]
     fallback = [zone for zone in pool.fallback if zone in available]
-    kept = {
+    servable_fraction = {
         zone: min(1.0, views[zone].healthy_fraction / constants.ZONE_SPILL_THRESHOLD) if views[zone].healthy else 0.0
         for zone in available
     }
-    if not any(kept[zone] for zone in preferred) or not any(kept[zone] for zone in fallback):
-        preferred, fallback = [zone for zone in available if kept[zone]], []
+    if not any(servable_fraction[zone] for zone in preferred) or not any(servable_fraction[zone] for zone in fallback):
+        preferred, fallback = [zone for zone in available if servable_fraction[zone]], []
     if not fallback:
-        return _normalize(shares={zone: kept[zone] * views[zone].weight for zone in preferred})
+        return _normalize(shares={zone: servable_fraction[zone] * views[zone].weight for zone in preferred})
     total = sum(views[zone].weight for zone in preferred)
-    shares = {zone: kept[zone] * views[zone].weight / total for zone in preferred}
+    shares = {zone: servable_fraction[zone] * views[zone].weight / total for zone in preferred}
     spill = 1.0 - sum(shares.values())
     if spill > 1e-9:
-        spilled = _normalize(shares={zone: kept[zone] * views[zone].weight for zone in fallback})
+        spilled = _normalize(shares={zone: servable_fraction[zone] * views[zone].weight for zone in fallback})
         shares.update({zone: spill * part for zone, part in spilled.items()})
     return shares
 
--- a/simulation/core_group.py
+++ b/simulation/core_group.py
@@ -173,7 +173,7 @@
         operation = f"{at.controller.proposer.identity}/measure{self._changes}"
         expected = at.controller.learner.number(name="config")
         begin = StartOperation(op=operation, register="config", expected=expected, text=text, timeout=wait)
-        self._carry_out_all(member=at, commands=at.controller.registers.begin(now=self.now, begins=[begin]))
+        self._carry_out_all(member=at, commands=at.controller.registers.begin(now=self.now, operations=[begin]))
 
     def run(self, *, seconds: float, until: Callable[[], bool] | None = None) -> bool:
         """Let time go on, until the condition holds if there is one."""
--- a/simulation/model/actions.py
+++ b/simulation/model/actions.py
@@ -165,7 +165,7 @@
     def call(controller: Controller) -> list:
         controller.catch_up._reads_in_flight[start.op] = start.register
         controller.catch_up._begun_at[start.op] = 0.0
-        return controller.registers.begin(now=0.0, begins=[start])
+        return controller.registers.begin(now=0.0, operations=[start])
 
     node = state.node(name)
     if not node.facts.members:
--- a/simulation/sim/sabotage.py
+++ b/simulation/sim/sabotage.py
@@ -20,12 +20,12 @@
 from sailward.routing import (
     active_health,
     attempt_budget,
-    concurrency_limits,
     fair_queues,
     idempotency,
     lease,
     load_balancer,
     proxied_requests,
+    rate_limits,
     response_check,
     result_replicas,
     routing_state,
@@ -76,21 +76,21 @@
 
 
 def _by_status(old):
-    def step(self, *, now, exchange):
+    def step(self, *, now, request):
         full = [
             name
-            for name, weight in exchange.match.shares
+            for name, weight in request.match.shares
             if weight
             and any(
                 view.healthy_fraction >= constants.ZONE_SPILL_THRESHOLD
                 and zone in self.routing_state.plan.pools[name].preferred
                 for zone, view in self.routing_state.zone_views(
-                    now=now, service=exchange.service.name, tenant=exchange.tenant
+                    now=now, service=request.service.name, tenant=request.tenant
                 ).items()
             )
         ]
-        exchange.pool = exchange.pool or (full[0] if full else "")
-        return old(self, now=now, exchange=exchange)
+        request.pool = request.pool or (full[0] if full else "")
+        return old(self, now=now, request=request)
 
     return step
 
@@ -193,7 +193,7 @@
     "try-budget": _method(
         attempt_budget.AttemptBudget, "step", lambda old: lambda self, *, now, is_first, is_client_retry=False: "first"
     ),
-    "cold-bound": _method(concurrency_limits.ConcurrencyLimits, "step", lambda old: lambda self, **_: True),
+    "cold-bound": _method(rate_limits.RateLimits, "step", lambda old: lambda self, **_: True),
     "promise": _method(proxied_requests, "may_promise_not_run", lambda old: lambda *, event: True),
     "check": _method(
         check_module,
@@ -277,7 +277,7 @@
     "word": _method(
         proxied_requests, "answer_refusal", lambda old: lambda **fields: dataclasses.replace(old(**fields), headers={})
     ),
-    "gives-up": _method(proxied_requests.ProxiedRequests, "_on_timer", lambda old: lambda self, *, now, acting: []),
+    "gives-up": _method(proxied_requests.ProxiedRequests, "_on_timer", lambda old: lambda self, *, now, is_acting: []),
     "stops": _method(tenant_proxy.TenantProxy, "_check_shutdown", lambda old: lambda self, *, now: []),
     "told-lost": _method(
         proposer.Proposer,
--- a/tests/granting_fixture.py
+++ b/tests/granting_fixture.py
@@ -136,7 +136,7 @@
         self.zones = [f"h{at}" for at in range(zones)]
         for at in range(workers):
             self.start_worker(address=f"w{at}", zone=self.zones[at % zones])
-        self.emptied_zones: frozenset = frozenset()
+        self.evacuated_zones: frozenset = frozenset()
         self.loads: dict = {}
         self.overlaps: list = []
         self.changes = 0
@@ -216,7 +216,7 @@
             workers=listed_workers,
             fresh_until=granter.fresh.get(granter.value["number"], -1e9),
             is_acting=granter.is_acting,
-            emptied_zones=self.emptied_zones,
+            evacuated_zones=self.evacuated_zones,
             down_since=granter.down_since,
             loads=self.loads,
         )
--- a/tests/test_departures_tenant.py
+++ b/tests/test_departures_tenant.py
@@ -129,7 +129,7 @@
     proxy.disconnect(token=token)
     assert [command.token for command in proxy.commands if isinstance(command, CancelCall)][-1:] == [call]
     assert proxy.answers(token=token) == [503]
-    requests = proxy.node.owner.exchanges
+    requests = proxy.node.owner.proxied_requests
     assert call not in requests.in_flight and call not in requests.call_deadlines and token not in requests.live
     proxy.run(seconds=4.0)
     assert proxy.answers(token=token) == [503] and len(proxy.calls()) == before + 1
@@ -142,7 +142,7 @@
     [call] = proxy.calls()[before:]
     proxy.disconnect(token=token)
     assert sum(isinstance(command, CancelCall) for command in proxy.commands) == cancelled
-    assert call in proxy.node.owner.exchanges.in_flight and not proxy.answers(token=token)
+    assert call in proxy.node.owner.proxied_requests.in_flight and not proxy.answers(token=token)
 
 
 def test_an_unsafe_request_that_was_not_sent_is_never_sent_after_a_disconnect(proxy: ProxyInWorld) -> None:
--- a/tests/test_dialect.py
+++ b/tests/test_dialect.py
@@ -150,18 +150,18 @@
 
 
 def test_evacuating_and_restoring_zones_is_idempotent(net: CoreNet) -> None:
-    def emptied() -> list:
+    def evacuated_zones() -> list:
         net.run(0.5)
         return json.loads(net.machines[2].controller.learner.values["orders"].value["text"])["emptied"]
 
     for _ in range(2):
         assert net.ask(net.machines[0], method="POST", path="/evacuation/ens-a")[0] == 200
-        assert emptied() == ["ens-a"]
+        assert evacuated_zones() == ["ens-a"]
     assert net.ask(net.machines[1], method="POST", path="/evacuation/gdl-b")[0] == 200
-    assert emptied() == ["ens-a", "gdl-b"]
+    assert evacuated_zones() == ["ens-a", "gdl-b"]
     for _ in range(2):
         assert net.ask(net.machines[3], method="DELETE", path="/evacuation/ens-a")[0] == 200
-        assert emptied() == ["gdl-b"]
+        assert evacuated_zones() == ["gdl-b"]
     assert net.ask(net.machines[0], method="POST", path="/evacuation/nowhere")[0] == 404
     assert net.ask(net.machines[0], method="DELETE", path="/evacuation/nowhere")[0] == 404
 
@@ -239,7 +239,7 @@
 
     def make(self, *, job):
         orders = admin_api.read_zone_orders(text=job.text)
-        if (job.order.argument in orders.emptied) == (job.order.kind == "empty"):
+        if (job.order.argument in orders.evacuated_zones) == (job.order.kind == "empty"):
             return admin_api.Outcome(kind="accepted", number=job.number)
         return old(self, job=job)
 
--- a/tests/test_fuzz_edges.py
+++ b/tests/test_fuzz_edges.py
@@ -238,7 +238,7 @@
             workers=workers,
             fresh_until=now + 5.0,
             is_acting=True,
-            emptied_zones=frozenset(),
+            evacuated_zones=frozenset(),
             down_since={},
             lease_max=10.0,
         )
--- a/tests/test_granting.py
+++ b/tests/test_granting.py
@@ -38,11 +38,11 @@
 
 def test_keys_leave_an_evacuated_zone_and_return_after_it() -> None:
     world = make_settled()
-    world.emptied_zones = frozenset({"h0"})
+    world.evacuated_zones = frozenset({"h0"})
     world.run(seconds=3.0)
     assert world.held_keys() == KEYS
     assert not any(world.keys_of(worker=worker) for worker in world.workers if worker.zone == "h0")
-    world.emptied_zones = frozenset()
+    world.evacuated_zones = frozenset()
     world.run(seconds=20.0)
     assert all(world.keys_of(worker=worker) for worker in world.workers)
     assert world.held_keys() == KEYS and not world.overlaps
@@ -50,10 +50,10 @@
 
 def test_keys_are_unowned_while_no_worker_is_eligible() -> None:
     world = make_settled()
-    world.emptied_zones = frozenset(world.zones)
+    world.evacuated_zones = frozenset(world.zones)
     world.run(seconds=4.0)
     assert world.held_keys() == 0 and {shard.owner for shard in read_shards(text=world.register["text"]).shards} == {""}
-    world.emptied_zones = frozenset()
+    world.evacuated_zones = frozenset()
     assert world.run_until_all_held(within=3.0) < 2.0 and not world.overlaps
 
 
@@ -187,7 +187,7 @@
     elif kind == 5:
         granter.down_since = {other.key: world.now - 2.0 for other in living if rng.random() < 0.3}
     elif kind == 6:
-        world.emptied_zones = frozenset(rng.sample(world.zones, k=rng.randrange(2)))
+        world.evacuated_zones = frozenset(rng.sample(world.zones, k=rng.randrange(2)))
     elif kind == 7:
         granter.blind = frozenset(other.key for other in living if rng.random() < 0.2)
     else:
@@ -197,7 +197,7 @@
 
 def end_faults(*, world: World) -> None:
     """End all faults; one controller acts."""
-    world.emptied_zones = frozenset()
+    world.evacuated_zones = frozenset()
     for granter in world.granters:
         granter.is_cut, granter.is_acting, granter.blind, granter.down_since = (
             False,
--- a/tests/test_key_loads.py
+++ b/tests/test_key_loads.py
@@ -81,7 +81,7 @@
 
 def test_new_load_is_sent_at_once_to_readers_and_rarely_when_steady() -> None:
     fleet, now, sent = ProxyRegistry(post=HERE, zone="north-a", region="north"), 100.0, []
-    fleet.readers = frozenset({READER})
+    fleet.load_readers = frozenset({READER})
     proxy = make_proxy(loads={}, turn=0)
     for _ in range(60):
         tick(fleet=fleet, now=now, proxy=proxy)
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -101,7 +101,7 @@
     controller = make_controller(records=found.records)
     assert controller.write_ahead.has_copied and len(controller.voters.members) == 4
     value = controller.acceptor.slots["config"].value
-    assert value["number"] == 1 and read_plan(value=value).services["orders"].timed_keys is False
+    assert value["number"] == 1 and read_plan(value=value).services["orders"].requires_timed_keys is False
     assert sum(name.startswith("exchange/") for name in controller.acceptor.slots) == 75
 
 
--- a/tests/test_words.py
+++ b/tests/test_words.py
@@ -158,9 +158,9 @@
     full = check_config(config=CONFIG).full
     plan = read_plan(value={"number": 1, "text": json.dumps({"written": CONFIG, "full": full})})
     event = RequestReceived(token="t", method=method, path=path, query={}, headers=headers, body=body)
-    refusal = build_proxied_request(event=event, plan=plan, now=0.0, name="x")
+    refusal = build_proxied_request(event=event, plan=plan, now=0.0, exchange_id="x")
     assert isinstance(refusal, Refusal)
-    answer = answer_refusal(token="t", refusal=refusal, not_run=True)
+    answer = answer_refusal(token="t", refusal=refusal, is_not_run=True)
     assert (answer.code, answer.headers, json.loads(answer.body)) == snapshot
 
 
