--- a/sailward/control/grant_codec.py
+++ b/sailward/control/grant_codec.py
@@ -11,7 +11,7 @@
     def grant(
         self, *, start: int, end: int, fencing_token: int, hold: float, handover: str, owner: str
     ) -> tuple[str, str, dict, bytes]:
-        """The call that grants the keys from `start` to `end` to `owner` for `hold` s."""
+        """The call that grants the keys from `start` to `end` to `owner`, which may hold them for `hold` s."""
 
     def release(self, *, start: int, end: int, fencing_token: int, owner: str) -> tuple[str, str, dict, bytes]:
         """The call that revokes the grant of these keys."""
--- a/sailward/control/group/contact_watch.py
+++ b/sailward/control/group/contact_watch.py
@@ -24,7 +24,7 @@
 
 
 class ContactWatch:
-    """Feeds `QuorumContact` from heartbeats and operations. `step` runs periodically; `may_serve` gives the verdict.
+    """Feeds `QuorumContact` from heartbeats and operations. `step` runs periodically.
 
     Where heartbeats can't prove contact (`is_required` is false), proxies act under leases of their own and this
     controller always serves.
--- a/sailward/control/group/redirect.py
+++ b/sailward/control/group/redirect.py
@@ -1,4 +1,4 @@
-"""Replies of a controller without contact with a majority: redirects to others, and non-definitive refusals."""
+"""Replies of a controller without contact with a majority: redirects, and refusals that may be retried."""
 
 from __future__ import annotations
 
--- a/sailward/control/group/voter.py
+++ b/sailward/control/group/voter.py
@@ -42,7 +42,7 @@
 
 
 def read_records(*, records: list[Record], now: float) -> StoredState:
-    """Fold the records on disk, oldest first."""
+    """Restore the state from the records on disk, oldest first."""
     identity, slots = "", Slots()
     has_copied, copied_under, completed_recovery, known_voters = False, 0, 0, None
     for record in records:
--- a/sailward/control/registers.py
+++ b/sailward/control/registers.py
@@ -21,7 +21,7 @@
 
 
 class Registers:
-    """Owner of the operations in flight.
+    """Owner of the operations on registers that are in flight.
 
     `begin` starts operations, `receive` and `tick` advance them, `learn` takes a chosen value.
     """
@@ -62,7 +62,7 @@
         return commands + self._finish(now=now, finished=finished)
 
     def begin(self, *, now: float, operations: list[StartOperation]) -> list[Command]:
-        """Begin operations."""
+        """Begin these operations; returns the messages to send, and answers to operations that finish at once."""
         commands = []
         for operation in operations:
             if self._contact is not None:
--- a/sailward/control/shards/shard_leases.py
+++ b/sailward/control/shards/shard_leases.py
@@ -1,6 +1,7 @@
 """A controller's part in the leases of services that are sharded by key range.
 
-Determines which controller acts, how fresh its view is, and what it grants from.
+Determines which controller grants, until when its copy of the register is known to be the newest, and the inputs of
+the grants.
 """
 
 from __future__ import annotations
--- a/sailward/proxy/control_client.py
+++ b/sailward/proxy/control_client.py
@@ -35,7 +35,8 @@
 class ControlClient:
     """Keeps the known controllers and polls them.
 
-    `step` takes the sender of an answer, or None on a timer tick; the lists of `followed_controller` are used.
+    `step` takes the sender of an answer, or None on a timer tick; the proxy uses the lists that `followed_controller`
+    sends.
     """
 
     zone: str
--- a/sailward/routing/idempotency.py
+++ b/sailward/routing/idempotency.py
@@ -143,6 +143,7 @@
         )
         op = f"{self.identity}/claim{self.count}"
         self.claiming[op] = request
+        # address and identity of this proxy, fingerprint of the request, count of the claim
         text = json.dumps({"o": self.post, "i": self.identity, "f": request.fingerprint, "n": self.count})
         timeout = min(constants.CLAIM_TIMEOUT, max(0.05, request.expires_at - now))
         return StartOperation(
--- a/sailward/routing/lease.py
+++ b/sailward/routing/lease.py
@@ -60,7 +60,7 @@
             grant.valid_until = max(grant.valid_until, self._valid_until(grant=grant))
 
     def expires_at(self, *, voters: VoterSet) -> float:
-        """When the lease expires; until then, every majority includes a voter whose grant still holds."""
+        """When the lease expires (s); until then, every majority includes a voter whose grant is still valid."""
         members = voters.members
         expiries = sorted((grant.valid_until for name, grant in self._grants.items() if name in members), reverse=True)
         size = blocking_size(members=members)
--- a/sailward/routing/load_balancer.py
+++ b/sailward/routing/load_balancer.py
@@ -80,7 +80,7 @@
         )
 
     def _refuse_over_limit(self, *, now: float, request: ProxiedRequest, owner: str) -> Refusal | None:
-        """The refusal if the rate limit of the key or of its owner is reached; None if the request may be sent."""
+        """A refusal if the rate limit of the key or of its owner is reached; None if the request may be sent."""
         routing_state, service = self.routing_state, request.service
         key_limit = replace(service, rate=service.rate * constants.HOT_KEY_SHARE)
         if not self.rate_limits.step(
--- a/sailward/routing/passive_health.py
+++ b/sailward/routing/passive_health.py
@@ -22,7 +22,8 @@
     """Health and load of one worker, as observed by this proxy.
 
     Response times are in s. `window` is the number of requests that this proxy may have open at the worker,
-    `busy_until` the end of the backoff after a response that it is full.
+    `unloaded_response_time` the estimate without queueing, `busy_until` the end of the backoff after a response that it
+    is full.
     """
 
     worker: Worker
--- a/sailward/routing/retry_budget.py
+++ b/sailward/routing/retry_budget.py
@@ -1,6 +1,6 @@
 """The retry budget of a service, of which each proxy has a share.
 
-A ratio of the first attempts in a sliding window, plus a small floor.
+Further attempts are limited to a ratio of the first attempts in a sliding window, plus a small allowance.
 """
 
 from __future__ import annotations
--- a/sailward/routing/routing_state.py
+++ b/sailward/routing/routing_state.py
@@ -74,7 +74,7 @@
         return bool(recent_views) and all(view.get("doubt") for view in recent_views)
 
     def healthy_durations(self) -> dict[str, float]:
-        """For how long (s) other proxies have seen each worker in good status."""
+        """{worker: s for which other proxies have seen it in good status}."""
         healthy_durations: dict[str, float] = {}
         for _, view in self.controller_views.values():
             for key, age in view.get("warm", {}).items():
--- a/sailward/routing/weighted_draw.py
+++ b/sailward/routing/weighted_draw.py
@@ -39,7 +39,7 @@
 def share_zones(*, pool: Pool, views: dict[str, ZoneView]) -> dict[str, float]:
     """The share of each zone of the pool; empty if nothing may serve.
 
-    Overrides apply first and regardless of the cap. Drained zones are taken out, up to the cap on drained zones, and
+    Overrides apply first and regardless of the cap. Drained zones are excluded, up to the cap on drained zones, and
     the other zones of the tier get their share. A drained zone that the cap keeps in still counts in the distribution:
     the part of its share that it can't serve (all of it if it has no healthy worker) spills over to the fallback tier.
     Where only drained zones could serve, they do: the hold-down protects against flapping and must not refuse requests.
