--- a/sailward/control/controller.py
+++ b/sailward/control/controller.py
@@ -265,8 +265,8 @@
             case RecordsSynced() | DiskWriteFailed():
                 return self.write_ahead.receive(event=event)
             case ConfigValidated():
-                commands, begins = self.admin_api.step(event=event)
-                return commands + self.registers.begin(now=now, begins=begins)
+                commands, operations = self.admin_api.step(event=event)
+                return commands + self.registers.begin(now=now, operations=operations)
             case ShutdownRequested():
                 return self.graceful_shutdown.begin(now=now)
             case TimerFired():
@@ -275,7 +275,7 @@
                 return self.unexpected.add_unknown(event=event)
 
     def _drop_order(self, *, now: float, event: ClientDisconnected) -> list[Command]:
-        """Drop a zone order that has not begun: its caller has gone and has probably retried at another controller."""
+        """Drop a zone order that has not begun: its client is gone and has probably retried at another controller."""
         self.admin_api.on_client_disconnected(token=event.token)
         return []
 
@@ -319,7 +319,7 @@
         commands += self._move_slots(now=now)
         commands += self._step_proxy_registry(now=now)
         commands += self.registers.step_shard_leases(now=now, event=None)
-        commands += self.registers.begin(now=now, begins=self.catch_up.step(now=now))
+        commands += self.registers.begin(now=now, operations=self.catch_up.step(now=now))
         commands += self.voter.drop_expired_claims(now=now)
         commands += self._step_membership(now=now)
         self._update_own_entry(now=now)
@@ -335,16 +335,16 @@
         )
 
     def _step_membership(self, *, now: float) -> list[Command]:
-        commands, begins = self.membership.step(now=now)
+        commands, operations = self.membership.step(now=now)
         self.admin_api.controllers = self.membership.controllers
-        return commands + self.registers.begin(now=now, begins=begins)
+        return commands + self.registers.begin(now=now, operations=operations)
 
     def _update_own_entry(self, *, now: float) -> None:
         """Update what the peer table announces about this process."""
         self.peer_table.is_fit = self.is_voting
         self.peer_table.active_proxies = "" if self.options.is_mesh else self.subscribers.active_proxy_names(now=now)
         if self.options.bootstrap:
-            # a non-member that can't write to disk must not be added to the voters
+            # without a disk to write to, a controller that is no voter announces no identity, so that it is not added
             may_act = (self.write_ahead.is_usable and self.options.has_disk) or self.voter.is_member
             self.peer_table.identity = self.identity if may_act else ""
 
@@ -378,11 +378,11 @@
             epoch=self.endpoint_list.epoch,
             proxies=self.subscribers.proxies(),
         )
-        begins = []
+        operations = []
         for name, number, text in changes:
             self._move_count += 1
             op = f"{self._operation_prefix}/move{self._move_count}"
-            begins.append(
+            operations.append(
                 StartOperation(op=op, register=name, expected=number, text=text, timeout=constants.ROUND_TIMEOUT * 3)
             )
-        return self.registers.begin(now=now, begins=begins)
+        return self.registers.begin(now=now, operations=operations)
--- a/sailward/proxy/directory_server.py
+++ b/sailward/proxy/directory_server.py
@@ -70,13 +70,13 @@
         zone = event.query.get("hall", self.location.zone)
         region = event.query.get("region", self.location.region)
         fit = [entry for entry in self.peer_table.alive(kind="proxy") if entry["fit"]]
-        # nearest first; the order of equally near proxies is fixed for a caller and differs between callers
-        caller = event.query.get("caller", event.token)
+        # nearest first; the order of equally near proxies is fixed for a client and differs between clients
+        client = event.query.get("caller", event.token)
         fit.sort(
             key=lambda entry: (
                 entry["hall"] != zone,
                 entry["region"] != region,
-                score_pair(key=caller, name=entry["id"]),
+                score_pair(key=client, name=entry["id"]),
             )
         )
         proxies = [
--- a/sailward/routing/shards_in_use.py
+++ b/sailward/routing/shards_in_use.py
@@ -1,4 +1,4 @@
-"""The shards in which an exchange forwarded by this proxy may still be running."""
+"""The shards in which a request forwarded by this proxy may still be running."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 @dataclass(kw_only=True)
 class ShardsInUse:
-    """Keeps, by shard, the time until which exchanges without an answer may still be running."""
+    """Keeps, by shard, the time until which requests without a response may still be running."""
 
     busy_until: dict[str, float] = field(default_factory=dict)
 
-    def record_abandoned(self, *, exchange: ProxiedRequest) -> None:
-        """Keep the shard of an abandoned exchange in use: its worker may go on until the service's expiry."""
-        if exchange.slot >= 0:
-            self.busy_until[_label(exchange=exchange)] = exchange.sent_at + exchange.service.expiry
+    def record_abandoned(self, *, request: ProxiedRequest) -> None:
+        """Keep the shard of an abandoned request in use: its worker may go on until the service's expiry."""
+        if request.slot >= 0:
+            self.busy_until[_label(request=request)] = request.sent_at + request.service.expiry
 
-    def labels(self, *, now: float, sent: Iterable[ProxiedRequest]) -> list[str]:
-        """The shards of the exchanges in flight and of abandoned ones that may still be running."""
+    def labels(self, *, now: float, in_flight: Iterable[ProxiedRequest]) -> list[str]:
+        """The labels (service|space/slot) of the shards in which requests are in flight or may still be running."""
         self.busy_until = {label: end for label, end in self.busy_until.items() if now < end}
-        return sorted({*(_label(exchange=exchange) for exchange in sent if exchange.slot >= 0), *self.busy_until})
+        return sorted({*(_label(request=request) for request in in_flight if request.slot >= 0), *self.busy_until})
 
 
-def _label(*, exchange: ProxiedRequest) -> str:
-    return f"{exchange.service.name}|{exchange.space}/{exchange.slot}"
+def _label(*, request: ProxiedRequest) -> str:
+    return f"{request.service.name}|{request.space}/{request.slot}"
--- a/simulation/core_group.py
+++ b/simulation/core_group.py
@@ -173,7 +173,7 @@
         operation = f"{at.controller.proposer.identity}/measure{self._changes}"
         expected = at.controller.learner.number(name="config")
         start = StartOperation(op=operation, register="config", expected=expected, text=text, timeout=timeout)
-        self._carry_out_all(member=at, commands=at.controller.registers.begin(now=self.now, begins=[start]))
+        self._carry_out_all(member=at, commands=at.controller.registers.begin(now=self.now, operations=[start]))
 
     def run(self, *, seconds: float, until: Callable[[], bool] | None = None) -> bool:
         """Advance time by so many s, or until the condition holds; returns whether it did."""
