--- a/simulation/hosted/__main__.py
+++ b/simulation/hosted/__main__.py
@@ -72,7 +72,7 @@
             scenario=scenario,
             seed=seed,
             run_all=lambda candidates: list(pool.map(run, candidates)),
-            say=lambda text: print(text, file=sys.stderr, flush=True),
+            report=lambda text: print(text, file=sys.stderr, flush=True),
         )
     if found is None:
         print(f"{path} seed {seed}: no rule is broken")
--- a/simulation/hosted/people_verbs.py
+++ b/simulation/hosted/people_verbs.py
@@ -5,7 +5,7 @@
 import dataclasses
 from typing import TYPE_CHECKING
 
-from simulation.hosted.bad_configs import SPOILS, SPOILT_BODIES
+from simulation.hosted.bad_configs import BODY_FAULTS, DOCUMENT_FAULTS
 from simulation.hosted.choosing import ROLES, resolve_role
 from simulation.hosted.operators import SILENCE, Sending
 
@@ -152,7 +152,7 @@
             operator.put(number=int(number), base=operator.older())
             return
         number = str(operator.newest()) if way == "same" else number
-        operator.put(number=int(number), spoil=SPOILS.get(way), spoil_body=SPOILT_BODIES.get(way))
+        operator.put(number=int(number), spoil=DOCUMENT_FAULTS.get(way), spoil_body=BODY_FAULTS.get(way))
 
     def do_evacuate(self, zone: str, *words: str) -> None:
         """`evacuate ZONE [at=MACHINE]`: empty a zone."""
--- a/simulation/hosted/verbs.py
+++ b/simulation/hosted/verbs.py
@@ -23,14 +23,14 @@
 
     def do_chaos(self, seconds: str) -> None:
         """Every kind of trouble, mixed, for so long."""
-        self._chaos.deal(seconds=float(seconds))
+        self._chaos.begin(seconds=float(seconds))
 
     def do_closing(self) -> None:
         """A closing fault at the very moment of an acknowledgement.
 
         All is back 6 s later, and is read back 24 s later.
         """
-        self._chaos.close()
+        self._chaos.add_closing_fault()
 
 
 ROLES = ("proxy", "controller", "all")
